--- a/src/test/java/hopglade/LimitsTest.java
+++ b/src/test/java/hopglade/LimitsTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
@@ -15,14 +16,21 @@
 
     private static final Path MODULE = Path.of("src/main/java/hopglade/Decide.java");
     private static final Path DEPLOY = Path.of("deploy/balancer.toml");
-    private static final int MOST_MODULE_LINES = 1164;
+    private static final int MOST_MODULE_TOKENS = 9_327;
     private static final int MOST_FILE_LINES = 400;
 
-    /** The class that the decisions are still to be split out of; its bound is lowered with each part that leaves it. */
+    /** A comment, or one token of code. */
+    private static final Pattern COMMENT_OR_TOKEN = Pattern.compile("(?<comment>/\\*.*?\\*/|//[^\\n]*)"
+            + "|\"(?:\\\\.|[^\"\\\\\\n])*\"|'(?:\\\\.|[^'\\\\\\n])+'|\\w+|\\S", Pattern.DOTALL);
+
+    /**
+     * The class that the decisions are still to be split out of. Counts tokens of code, so that layout, names and comments
+     * don't matter. The bound is lowered with each part that leaves it.
+     */
     @Test
     void theLargestDecisionClassDoesNotGrow() throws IOException {
-        long lines = nonBlankLines(MODULE);
-        assertTrue(lines > 0 && lines <= MOST_MODULE_LINES, lines + " non-blank lines in " + MODULE);
+        long tokens = COMMENT_OR_TOKEN.matcher(Files.readString(MODULE)).results().filter(token -> token.group(1) == null).count();
+        assertTrue(tokens > 0 && tokens <= MOST_MODULE_TOKENS, tokens + " tokens in " + MODULE);
     }
 
     @Test
