--- a/src/test/java/hopglade/lab/hunt/Mutant.java
+++ b/src/test/java/hopglade/lab/hunt/Mutant.java
@@ -11,8 +11,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import javax.tools.JavaCompiler;
 import javax.tools.JavaFileObject;
 import javax.tools.SimpleJavaFileObject;
@@ -31,10 +34,12 @@
     static VirtualRun.Maker of(Path scratch, String original, String changed) throws IOException, ReflectiveOperationException {
         List<JavaFileObject> units = new ArrayList<>();
         int occurrences = 0;
+        Pattern lines = anyLayout(original);
         for (String name : CLASSES) {
             String source = Files.readString(Path.of("src/main/java", PACKAGE, name + ".java"));
-            occurrences += source.split(Pattern.quote(original), -1).length - 1;
-            units.add(unit(name, source.replace(original, changed)));
+            Matcher found = lines.matcher(source);
+            occurrences += (int) found.results().count();
+            units.add(unit(name, found.replaceAll(Matcher.quoteReplacement(changed))));
         }
         if (occurrences != 1) {
             throw new IllegalArgumentException("stands not once in the module: " + original);
@@ -57,6 +62,11 @@
         };
     }
 
+    /** Finds {@code code} however its lines are broken and indented. */
+    private static Pattern anyLayout(String code) {
+        return Pattern.compile(Arrays.stream(code.split("\\s+")).map(Pattern::quote).collect(Collectors.joining("\\s+")));
+    }
+
     private static JavaFileObject unit(String name, String source) {
         return new SimpleJavaFileObject(URI.create("string:///" + PACKAGE + "/" + name + ".java"), JavaFileObject.Kind.SOURCE) {
             @Override
