--- a/src/main/java/hopglade/Decide.java
+++ b/src/main/java/hopglade/Decide.java
@@ -30,122 +30,220 @@
 /**
  * Every decision of hopglade; its events, actions and types stand in Router.java beside this file.
  *
- * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hash; on a miss it draws a
- * token and fetches from the origin. A write draws on arrival. One hysteresis level, stepped once an interval
- * from the outcomes of our own fetches, sets how fast the token bank refills; an empty bank refuses at once
- * and its last token is kept for higher worth. Everything else below is health, time and the rules.
+ * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hash; on a miss it
+ * draws a token and fetches from the origin. A write draws on arrival. One hysteresis level,
+ * stepped once an interval from the outcomes of our own fetches, sets how fast the token bank
+ * refills; an empty bank refuses at once and its last token is kept for higher worth. Everything
+ * else below is health, time and the rules.
  */
 public final class Decide implements Router {
 
     private static final double MS_PER_S = 1000;
-    /** Length of a control interval: long enough for a sample, short against an overload of seconds. */
+
+    /**
+     * Length of a control interval: long enough for a sample, short against an overload of seconds.
+     */
     static final double INTERVAL_MS = 1000;
+
     /** When a refused client may come again where no bank sets a pace. */
     static final double UNPACED_MS = 100;
-    /** Usual times of a fetch that a request must have left for one, and the part that goes with less. */
+
+    /**
+     * Usual times of a fetch that a request must have left for one, and the part that goes with
+     * less.
+     */
     static final double TIME_TO_FETCH = 2;
+
     static final double TRIED_ANYWAY = 0.05;
+
     /** What an interval leaves of the usual time of a fetch, before its own answers count. */
     static final double FETCH_FADE = 0.7;
+
     /** Tokens the bank holds: a few, so that a pause buys no burst. */
     static final double BANK = 4;
+
     /** Weight of a new value in running means; faster at nodes that are paced. */
     static final double SMOOTH = 0.1;
+
     static final double PACED_SMOOTH = 0.3;
+
     /** Failures in a row before a node is spared, and how long, doubling up to the last. */
     static final int STRIKES = 2;
+
     /**
-     * Running share of errors above which a node is spared though it answers, and the weight of an outcome:
-     * one that spoils half of its answers has no failures in a row. Prevents a repeat for each of them; could
-     * harm where errors come from the requests and not the node.
+     * Running share of errors above which a node is spared though it answers, and the weight of an
+     * outcome: one that spoils half of its answers has no failures in a row. Prevents a repeat for
+     * each of them; could harm where errors come from the requests and not the node.
      */
     static final double SPOILING = 0.35;
+
     static final double SPOILT_SMOOTH = 0.1;
-    /** Weight of an attempt in a node's running share of broken connections: about two seconds' worth. */
+
+    /**
+     * Weight of an attempt in a node's running share of broken connections: about two seconds'
+     * worth.
+     */
     static final double BROKEN_SMOOTH = 0.02;
-    /** Share of connections that break at the median cache node from which on the network is at fault. */
+
+    /**
+     * Share of connections that break at the median cache node from which on the network is at
+     * fault.
+     */
     static final double BREAKING = 0.01;
-    /** How unlikely a run of broken connections must be by the fleet's usual share to tell of its node. */
+
+    /**
+     * How unlikely a run of broken connections must be by the fleet's usual share to tell of its
+     * node.
+     */
     static final double LUCK = 1e-5;
+
     /** Part of the usual aim that a node's queue may take. */
     static final double CROWD = 0.6;
-    /** Power of their number by which balancers share a node's queue; over a half, as jams must end. */
+
+    /**
+     * Power of their number by which balancers share a node's queue; over a half, as jams must end.
+     */
     static final double OTHERS = 0.58;
+
     /** How long a refused key is taken to be still missing, and how many such keys are kept. */
     static final double MISSING_MS = 3000;
+
     static final int MISSING_KEYS = 1024;
+
     /** How far from the middle a listed size may go, and a model's learned weight. */
     static final double SIZE_SPAN = 4;
+
     static final double MODEL_SPAN = 2;
-    /** A new node is taken to need this part of the shortest aim for a request until it has answered some. */
+
+    /**
+     * A new node is taken to need this part of the shortest aim for a request until it has answered
+     * some.
+     */
     static final double FIRST_GUESS = 0.2;
+
     /**
-     * One of so many nodes may be spared at once. With half of them spared the others took twice their load,
-     * turned slow and stayed so, while some of the spared still answered most of what they got. Could harm
-     * where more nodes than that are dead: requests go on trying them.
+     * One of so many nodes may be spared at once. With half of them spared the others took twice
+     * their load, turned slow and stayed so, while some of the spared still answered most of what
+     * they got. Could harm where more nodes than that are dead: requests go on trying them.
      */
     static final int SPARED_PART = 3;
+
     static final double SPARE_MS = 500;
     static final double SPARE_MOST_MS = 4000;
-    /** How soon a node that peers doubt is probed again; a failed probe spares it for longer than that. */
+
+    /**
+     * How soon a node that peers doubt is probed again; a failed probe spares it for longer than
+     * that.
+     */
     static final double PROBE_AGAIN_MS = 400;
-    /** Of a cache attempt's remaining time, the part it may use while another attempt is still possible. */
+
+    /**
+     * Of a cache attempt's remaining time, the part it may use while another attempt is still
+     * possible.
+     */
     static final double FIRST_TRY = 0.6;
-    /** Part of the aim after which a request is taken for lost, where answers come sooner but for losses. */
+
+    /**
+     * Part of the aim after which a request is taken for lost, where answers come sooner but for
+     * losses.
+     */
     static final double SOONEST = 0.4;
+
     /** Mean deviations by which an answer may be late and still be usual, as in TCP. */
     static final double DEVIATIONS = 4;
-    /** Weight of an attempt in a node's running share of silence; shares that count as losses and as dead. */
+
+    /**
+     * Weight of an attempt in a node's running share of silence; shares that count as losses and as
+     * dead.
+     */
     static final double SILENT_SMOOTH = 0.2;
+
     static final double SILENT = 0.5;
     static final double LOSING = 0.05;
+
     /**
-     * Weight of an attempt in the running share of silence over all nodes, and the share that counts as the
-     * network's losses. One attempt in a hundred lost at every node never shows at one of them for long.
+     * Weight of an attempt in the running share of silence over all nodes, and the share that
+     * counts as the network's losses. One attempt in a hundred lost at every node never shows at
+     * one of them for long.
      */
     static final double LOST_SMOOTH = 0.002;
+
     static final double LOSSY = 0.004;
-    /** Times the mean hinted work from which on a request is heavy: silence then tells of its work. */
+
+    /**
+     * Times the mean hinted work from which on a request is heavy: silence then tells of its work.
+     */
     static final double HEAVY = 4;
+
     /** Open connections a node that cost the held price. */
     static final double PRICED_TABLE = 100;
-    /** Keys of the latest requests, ours or told by peers, that are remembered, to tell a hot key. */
+
+    /**
+     * Keys of the latest requests, ours or told by peers, that are remembered, to tell a hot key.
+     */
     static final int LATELY = 64;
+
     static final int LATELY_TOLD = 256;
+
     /**
-     * In a large fleet so many keys a node are remembered, as there a smaller share is hot: in a thousand
-     * nodes a key with a hundredth of all requests needs ten. The more nodes, the more pairs a key that came
-     * again by luck would be given; a longer memory is what tells luck.
+     * In a large fleet so many keys a node are remembered, as there a smaller share is hot: in a
+     * thousand nodes a key with a hundredth of all requests needs ten. The more nodes, the more
+     * pairs a key that came again by luck would be given; a longer memory is what tells luck.
      */
     static final int LATELY_A_NODE = 4;
+
     /** One in so many caches is what a hot key may be spread over, however few the balancers. */
     static final double OWN_LOAD = 4;
-    /** How many peers hear of a request's key on average: a sample of all requests, at a bounded price. */
+
+    /**
+     * How many peers hear of a request's key on average: a sample of all requests, at a bounded
+     * price.
+     */
     static final double HEARD_BY = 24;
+
     /** Keys told at once, as each message has a price of its own. */
     static final int KEYS_TOLD = 4;
+
     /**
-     * Sends to cache nodes, as a multiple of those answered, beyond which requests are turned away, and how
-     * steeply. Prevents collapse, where time-outs bring repeats that bring time-outs; failed connections and
-     * attempts left young don't count. Could harm where a few nodes are long silent: all pay a little.
+     * Sends to cache nodes, as a multiple of those answered, beyond which requests are turned away,
+     * and how steeply. Prevents collapse, where time-outs bring repeats that bring time-outs;
+     * failed connections and attempts left young don't count. Could harm where a few nodes are long
+     * silent: all pay a little.
      */
     static final double PUSH = 1.1;
+
     static final double PUSH_POWER = 3;
+
     /**
-     * Part of the requests that goes on however little is answered. Without it a start whose first attempts
-     * all come too late refuses for ten seconds: too little goes out to outweigh the first silence.
+     * Part of the requests that goes on however little is answered. Without it a start whose first
+     * attempts all come too late refuses for ten seconds: too little goes out to outweigh the first
+     * silence.
      */
     static final double GO_ON_LEAST = 0.3;
-    /** Answers a second that are taken for granted, so that a fleet that answers none is tried again. */
+
+    /**
+     * Answers a second that are taken for granted, so that a fleet that answers none is tried
+     * again.
+     */
     static final double TRIAL_PER_S = 0.05;
-    /** Part of its due that a cold node gets, for what the stated warm-up and our view leave out. */
+
+    /**
+     * Part of its due that a cold node gets, for what the stated warm-up and our view leave out.
+     */
     static final double COLD_CARE = 0.7;
-    /** Times a key that we did not see is taken to have come, as it may be hot for others, at a cold node. */
+
+    /**
+     * Times a key that we did not see is taken to have come, as it may be hot for others, at a cold
+     * node.
+     */
     static final double UNSEEN = 0.25;
+
     /** Pairs a hot key is given, for each node's worth of our requests that ask for it. */
     static final double HOT_SPREAD = 2;
+
     /**
-     * How long a node back from an outage waits for a key of its own; then it gets the next read, and a miss.
+     * How long a node back from an outage waits for a key of its own; then it gets the next read,
+     * and a miss.
      */
     static final double BACK_IN_USE_MS = 2000;
 
@@ -166,47 +264,68 @@
     private final double shortestAim;
     private final ServiceClass unknown;
     private final boolean hasOrigin;
+
     /** The cache nodes that may be sent to, in the order of their ids. */
     private List<NodeView> caches = new ArrayList<>();
-    /** Nodes that the list no longer names as up; those with attempts out stay in {@link #nodes}. */
+
+    /**
+     * Nodes that the list no longer names as up; those with attempts out stay in {@link #nodes}.
+     */
     private final Set<NodeView> unlisted = new LinkedHashSet<>();
+
     /** Of {@link #caches}, in their order, side by side: a pick reads all of them. */
     private long[] hashes = {};
+
     private double[] mostShares = {};
+
     /** Whether the caches have changed since the two were made of them. */
     private boolean cachesChanged;
+
     private NodeView origin;
     private final Outages outages = new Outages();
+
     /** Nodes whose outage has ended and that nothing was sent to since. */
     private final Map<NodeView, Double> returned = new HashMap<>();
+
     private List<PendingRequest> room = new ArrayList<>();
     private double intervalEnd;
     private double meanWorth;
     private double meanWork;
-    /** Running mean of 1 / aim over requests: the usual aim is harmonic, as short aims suffer first. */
+
+    /**
+     * Running mean of 1 / aim over requests: the usual aim is harmonic, as short aims suffer first.
+     */
     private double urgency;
+
     private final RecentKeys lately;
     private final boolean peers;
+
     /**
-     * Whether a connection from each balancer would cost a node more than opening one for each request: gaps
-     * between uses have no memory, so then none is worth holding. Prevents full tables, which refuse, and the
-     * work that they take; could harm where opening is far dearer than its price.
+     * Whether a connection from each balancer would cost a node more than opening one for each
+     * request: gaps between uses have no memory, so then none is worth holding. Prevents full
+     * tables, which refuse, and the work that they take; could harm where opening is far dearer
+     * than its price.
      */
     private final boolean closesIdle;
+
     private final ByteBuffer news;
     private final Meter cacheSends = new Meter();
     private final Meter cacheAnswers = new Meter();
     private final Meter asked = new Meter();
     private double answeredShare = 1, goOn = 1, totalShare = 1, coldChance = COLD_CARE;
+
     /**
-     * Share of attempts whose connection breaks at the median cache node. What breaks everywhere is the
-     * network's doing (short idle times, a lossy middlebox, resets) and tells nothing of a node or of the
-     * origin's load, so neither is judged by it; a node or an origin that breaks more than that still is.
-     * Could harm where one cause overruns all nodes at once and they cut connections instead of waiting.
+     * Share of attempts whose connection breaks at the median cache node. What breaks everywhere is
+     * the network's doing (short idle times, a lossy middlebox, resets) and tells nothing of a node
+     * or of the origin's load, so neither is judged by it; a node or an origin that breaks more
+     * than that still is. Could harm where one cause overruns all nodes at once and they cut
+     * connections instead of waiting.
      */
     private double usualBreaks;
+
     /** The same of answers that are errors or make no sense. */
     private double usualErrors;
+
     private double lost, fetchMs;
     private final SlowStartBudget slowStart;
     private final GroupedRatio modelMs = new GroupedRatio();
@@ -224,11 +343,15 @@
         this.lately = new RecentKeys(peers ? LATELY_TOLD : LATELY);
         this.hasOrigin = settings.originModel() != null;
         this.guardMs = 2 * settings.tickMs();
-        this.shortestAim = settings.classes().stream().mapToDouble(ServiceClass::aimMs).min().orElse(1);
+        this.shortestAim =
+                settings.classes().stream().mapToDouble(ServiceClass::aimMs).min().orElse(1);
         this.urgency = 1 / Math.max(1, shortestAim);
-        double soonest = settings.classes().stream().mapToDouble(ServiceClass::deadlineMs).min().orElse(1);
-        // A class that the settings do not name is taken to be worth little and never safe to repeat.
-        this.unknown = new ServiceClass("", soonest, 0, soonest, 0, 0, Effect.UNSAFE, Group.ALL, 0, false);
+        double soonest =
+                settings.classes().stream().mapToDouble(ServiceClass::deadlineMs).min().orElse(1);
+        // A class that the settings do not name is taken to be worth little and never safe to
+        // repeat.
+        this.unknown =
+                new ServiceClass("", soonest, 0, soonest, 0, 0, Effect.UNSAFE, Group.ALL, 0, false);
         settings.classes().forEach(s -> classes.put(s.name(), s));
         double proxies = Math.max(1, settings.proxies());
         settings.tenants().forEach(t -> quotas.set(t.name(), t.quotaPerS() / proxies));
@@ -306,7 +429,8 @@
 
     @Override
     public void request(double now, Request in, Actions out) {
-        PendingRequest r = new PendingRequest(in, classes.getOrDefault(in.service(), unknown), now, guardMs);
+        PendingRequest r =
+                new PendingRequest(in, classes.getOrDefault(in.service(), unknown), now, guardMs);
         requests.put(in.id(), r);
         heat(r, out);
         asked.add(now, 1);
@@ -351,28 +475,40 @@
             node.ended(now, end, caches);
             if (!fetched && (end.outcome() == Outcome.OK || end.outcome() == Outcome.MISS)) {
                 node.served.add(now, sizeOf(r));
-                slowStart.answered(now, node.entry.id(), node.incarnation.startedAt(), sizeOf(r),
+                slowStart.answered(
+                        now,
+                        node.entry.id(),
+                        node.incarnation.startedAt(),
+                        sizeOf(r),
                         end.outcome() == Outcome.OK);
             }
             if (closesIdle && node.inFlight == 0) {
                 out.close(end.node());
             }
-            boolean answered = switch (end.outcome()) {
-                case OK, MISS, ERROR -> true;
-                default -> false;
-            };
+            boolean answered =
+                    switch (end.outcome()) {
+                        case OK, MISS, ERROR -> true;
+                        default -> false;
+                    };
             if (!fetched && answered) {
-                // An error too is an answer: a node that spoils some of its own is no fleet that is overrun.
+                // An error too is an answer: a node that spoils some of its own is no fleet that is
+                // overrun.
                 cacheAnswers.add(now, 1);
-            } else if (!fetched && (end.outcome().broke() || end.outcome() == Outcome.NEVER_SENT
-                    || end.outcome() == Outcome.CANCELLED && 2 * end.elapsedMs() < shortestAim)) {
+            } else if (!fetched
+                    && (end.outcome().broke()
+                            || end.outcome() == Outcome.NEVER_SENT
+                            || end.outcome() == Outcome.CANCELLED
+                                    && 2 * end.elapsedMs() < shortestAim)) {
                 cacheSends.add(now, -1);
             }
         }
         if (fetched || !hasOrigin && end.note() > 1) {
             double aim = r == null ? INTERVAL_MS : r.service.aimMs();
-            boolean untold = end.outcome() == Outcome.CANCELLED || end.outcome() == Outcome.NEVER_SENT
-                    || turnedAway(end) || r != null && r.overdue;
+            boolean untold =
+                    end.outcome() == Outcome.CANCELLED
+                            || end.outcome() == Outcome.NEVER_SENT
+                            || turnedAway(end)
+                            || r != null && r.overdue;
             if (!untold && end.outcome().broke()) {
                 control.broken++;
             } else if (!untold && end.outcome() == Outcome.ERROR) {
@@ -386,7 +522,8 @@
         }
         r.inFlight = false;
         r.neverRan &= end.outcome().provesNotRun();
-        List<PendingRequest> waiting = fetched && r.fetches ? fetching.remove(r.request.key()) : null;
+        List<PendingRequest> waiting =
+                fetched && r.fetches ? fetching.remove(r.request.key()) : null;
         r.fetches = false;
         if (end.finished()) {
             requests.remove(r.request.id());
@@ -399,8 +536,10 @@
             fetchMs += SMOOTH * (Math.max(0, end.elapsedMs()) - fetchMs);
             missing.remove(r.request.key());
         }
-        boolean lost = end.outcome() == Outcome.CONNECT_FAILED && !turnedAway(end)
-                && !requests.containsKey(r.request.id());
+        boolean lost =
+                end.outcome() == Outcome.CONNECT_FAILED
+                        && !turnedAway(end)
+                        && !requests.containsKey(r.request.id());
         release(now, waiting, end.outcome() == Outcome.OK, lost, out);
     }
 
@@ -438,8 +577,13 @@
     }
 
     @Override
-    public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
-                       Actions out) {
+    public void probed(
+            double now,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            Map<String, Double> load,
+            Actions out) {
         NodeView n = nodes.get(node);
         if (n == null || !n.probing) {
             return;
@@ -459,8 +603,8 @@
     }
 
     /**
-     * Peers doubt a node, or no longer do. Hearsay alone moves no request: it makes us probe at once, and
-     * wait briefly for attempts there; what the probe shows is then acted upon.
+     * Peers doubt a node, or no longer do. Hearsay alone moves no request: it makes us probe at
+     * once, and wait briefly for attempts there; what the probe shows is then acted upon.
      */
     @Override
     public void standing(double now, String node, boolean doubted, Actions out) {
@@ -471,9 +615,12 @@
         }
     }
 
-    /** What waits at a node that neither peers nor our probe get a word of goes to another in time. */
+    /**
+     * What waits at a node that neither peers nor our probe get a word of goes to another in time.
+     */
     private void moveOn(double now, NodeView n, Actions out) {
-        for (PendingRequest r : settings.limits().cancel() ? requests.values() : List.<PendingRequest>of()) {
+        for (PendingRequest r :
+                settings.limits().cancel() ? requests.values() : List.<PendingRequest>of()) {
             boolean waits = r.inFlight && r.node == n && !r.streaming && !r.heavy;
             boolean late = now - r.sentAt > n.usual.latest(DEVIATIONS);
             if (waits && late && r.service.effect() == Effect.SAFE) {
@@ -497,8 +644,13 @@
 
     @Override
     public String state() {
-        return (control.level == 0 ? "not throttled" : String.format(Locale.ROOT,
-                "throttled at level %d to %.1f fetches/s", control.level, control.rate()))
+        return (control.level == 0
+                        ? "not throttled"
+                        : String.format(
+                                Locale.ROOT,
+                                "throttled at level %d to %.1f fetches/s",
+                                control.level,
+                                control.rate()))
                 + (goOn >= 1 ? "" : String.format(Locale.ROOT, ", %.0f%% go on", 100 * goOn));
     }
 
@@ -520,9 +672,12 @@
         NodeView node = pick(now, r);
         if (node != null) {
             double left = r.answerBy - now;
-            // A heavy request that is repeated has its work done from the start once more, and is late.
-            boolean more = r.attempts + 2 < settings.limits().maxAttempts()
-                    && r.request.key() >= 0 && !r.heavy;
+            // A heavy request that is repeated has its work done from the start once more, and is
+            // late.
+            boolean more =
+                    r.attempts + 2 < settings.limits().maxAttempts()
+                            && r.request.key() >= 0
+                            && !r.heavy;
             double first = Math.min(patience(now, r, node, !r.hurried), left * FIRST_TRY);
             r.hurried = true;
             send(now, r, node, more ? first : left, out);
@@ -538,7 +693,10 @@
         }
     }
 
-    /** How long an attempt is waited for: its first briefly where silence would mean that it is lost. */
+    /**
+     * How long an attempt is waited for: its first briefly where silence would mean that it is
+     * lost.
+     */
     private double patience(double now, PendingRequest r, NodeView node, boolean first) {
         boolean repeats = !r.heavy && r.service.effect() != Effect.UNSAFE;
         boolean hurry = first && repeats && node.loses(r.service.aimMs());
@@ -546,14 +704,16 @@
     }
 
     /**
-     * Reads that found their pair crowded wait here for a small part of their aim; higher worth first, then
-     * newest. Prevents refusals while nodes idle between bursts; a lasting overload costs each read the wait.
+     * Reads that found their pair crowded wait here for a small part of their aim; higher worth
+     * first, then newest. Prevents refusals while nodes idle between bursts; a lasting overload
+     * costs each read the wait.
      */
     private void recallRoom(double now, Actions out) {
         List<PendingRequest> waiting = room;
         room = new ArrayList<>();
-        waiting.sort(Comparator.comparingDouble((PendingRequest r) -> -r.priorityWeight)
-                .thenComparingDouble(r -> -r.waitUntil));
+        waiting.sort(
+                Comparator.comparingDouble((PendingRequest r) -> -r.priorityWeight)
+                        .thenComparingDouble(r -> -r.waitUntil));
         for (PendingRequest r : waiting) {
             if (requests.get(r.request.id()) == r) {
                 lookUp(now, r, out);
@@ -561,10 +721,16 @@
         }
     }
 
-    private void afterLookUp(double now, PendingRequest r, NodeView node, Outcome outcome, Actions out) {
+    private void afterLookUp(
+            double now, PendingRequest r, NodeView node, Outcome outcome, Actions out) {
         boolean network = outcome.broke() && usualBreaks > BREAKING;
-        if (network && node != null && node.usable(now) && mayRepeat(now, r) && r.sameNodeRetries++ == 0) {
-            // The node is fine and may hold the key: another would miss, and a miss is one more fetch.
+        if (network
+                && node != null
+                && node.usable(now)
+                && mayRepeat(now, r)
+                && r.sameNodeRetries++ == 0) {
+            // The node is fine and may hold the key: another would miss, and a miss is one more
+            // fetch.
             lookUp(now, r, out);
             return;
         }
@@ -576,7 +742,8 @@
             } else {
                 fetch(now, r, out);
             }
-        } else if (mayRepeat(now, r) && r.tried.size() < 2
+        } else if (mayRepeat(now, r)
+                && r.tried.size() < 2
                 && (outcome != Outcome.TIMEOUT || r.draw < 2 * answeredShare - 1)) {
             lookUp(now, r, out);
         } else {
@@ -584,7 +751,10 @@
         }
     }
 
-    /** Fetches from the origin if a token is had; joins a fetch of ours that is out for the same key. */
+    /**
+     * Fetches from the origin if a token is had; joins a fetch of ours that is out for the same
+     * key.
+     */
     private void fetch(double now, PendingRequest r, Actions out) {
         if (origin == null || !origin.listed || !hasTime(now, r) || wouldBeLate(now, r)) {
             end(now, r, out);
@@ -598,7 +768,9 @@
             end(now, r, out);
         } else {
             r.hasToken = false;
-            if (!r.request.write() && r.request.key() >= 0 && !fetching.containsKey(r.request.key())) {
+            if (!r.request.write()
+                    && r.request.key() >= 0
+                    && !fetching.containsKey(r.request.key())) {
                 fetching.put(r.request.key(), new ArrayList<>());
                 r.fetches = true;
             }
@@ -607,10 +779,10 @@
     }
 
     /**
-     * Whether a fetch would most likely end after its client has gone. Retries come with little time left;
-     * in a jam their fetches fill the origin's queue and nobody reads the answers. A few are tried all the
-     * same, and what is remembered of a jam fades, as answers alone tell that it has passed. Could harm
-     * where the origin's times spread widely.
+     * Whether a fetch would most likely end after its client has gone. Retries come with little
+     * time left; in a jam their fetches fill the origin's queue and nobody reads the answers. A few
+     * are tried all the same, and what is remembered of a jam fades, as answers alone tell that it
+     * has passed. Could harm where the origin's times spread widely.
      */
     private boolean wouldBeLate(double now, PendingRequest r) {
         return r.draw >= TRIED_ANYWAY && r.answerBy - now < TIME_TO_FETCH * fetchMs;
@@ -622,8 +794,9 @@
     }
 
     /**
-     * Whether a read is all but sure to need a fetch: while throttled, its key was refused lately. It draws
-     * on arrival, so that clients' retries cost no further misses. Could harm where another has filled it.
+     * Whether a read is all but sure to need a fetch: while throttled, its key was refused lately.
+     * It draws on arrival, so that clients' retries cost no further misses. Could harm where
+     * another has filled it.
      */
     private boolean knownMissing(double now, PendingRequest r) {
         boolean neverMissing = r.request.write() || r.request.key() < 0 || control.level == 0;
@@ -632,9 +805,10 @@
     }
 
     /**
-     * Whether a node took no connection and said so at once: its table is full, of idle ones perhaps, which
-     * says nothing of the work that it has. One out of reach fails after the time for connecting. Could harm
-     * where an origin closes its door as the first sign of overload: late fetches alone then throttle.
+     * Whether a node took no connection and said so at once: its table is full, of idle ones
+     * perhaps, which says nothing of the work that it has. One out of reach fails after the time
+     * for connecting. Could harm where an origin closes its door as the first sign of overload:
+     * late fetches alone then throttle.
      */
     private boolean turnedAway(AttemptEnd end) {
         return end.outcome() == Outcome.CONNECT_FAILED
@@ -644,9 +818,13 @@
     private void afterFetch(double now, PendingRequest r, AttemptEnd end, Actions out) {
         Outcome outcome = end.outcome();
         boolean again = outcome != Outcome.OK && outcome != Outcome.REJECTED;
-        // What the network breaks is repeated while throttled too: the token that it draws bounds the load.
-        boolean may = control.level == 0 || turnedAway(end) || outcome.broke() && usualBreaks > BREAKING
-                || outcome == Outcome.ERROR && usualErrors > BREAKING;
+        // What the network breaks is repeated while throttled too: the token that it draws bounds
+        // the load.
+        boolean may =
+                control.level == 0
+                        || turnedAway(end)
+                        || outcome.broke() && usualBreaks > BREAKING
+                        || outcome == Outcome.ERROR && usualErrors > BREAKING;
         if (again && may && r.fetchAttempts++ == 0 && mayRepeat(now, r)) {
             fetch(now, r, out);
         } else {
@@ -666,12 +844,13 @@
     }
 
     /**
-     * After a fetch, those held for it go to the filled node, or on as if they had come just now. Where the
-     * origin was out of reach and the one that fetched has given up, so have they: one after the other would
-     * find out the same, with the last waiting for all. Could harm where it is back at that moment.
+     * After a fetch, those held for it go to the filled node, or on as if they had come just now.
+     * Where the origin was out of reach and the one that fetched has given up, so have they: one
+     * after the other would find out the same, with the last waiting for all. Could harm where it
+     * is back at that moment.
      */
-    private void release(double now, List<PendingRequest> waiting, boolean filled, boolean lost,
-                         Actions out) {
+    private void release(
+            double now, List<PendingRequest> waiting, boolean filled, boolean lost, Actions out) {
         for (PendingRequest r : waiting == null ? List.<PendingRequest>of() : waiting) {
             if (requests.get(r.request.id()) == r && !r.inFlight) {
                 if (filled) {
@@ -692,8 +871,9 @@
     }
 
     /**
-     * While nodes are out or cold their keys crowd the others. A read with a crowded pair then goes to a node
-     * with half of its places free, unless fetches are throttled. Could harm where all are overrun.
+     * While nodes are out or cold their keys crowd the others. A read with a crowded pair then goes
+     * to a node with half of its places free, unless fetches are throttled. Could harm where all
+     * are overrun.
      */
     private NodeView pick(double now, PendingRequest r) {
         NodeView node = pick(now, r, false);
@@ -714,8 +894,10 @@
                 continue;
             }
             NodeView n = caches.get(i);
-            double score = n.usable(now) && (!free || 2 * n.inFlight + 1 < n.places())
-                    ? -n.share(now) / Math.log(u) : 0;
+            double score =
+                    n.usable(now) && (!free || 2 * n.inFlight + 1 < n.places())
+                            ? -n.share(now) / Math.log(u)
+                            : 0;
             if (score > firstScore && (free ? n.relieves(now, r) : n.admits(now, r))) {
                 if (first == null || first.relieves(now, r)) {
                     second = first;
@@ -729,23 +911,31 @@
             }
         }
         first = longReturned(now, r, first);
-        boolean canFirst = first != null && !r.tried.contains(first) && first.open(now, r.lowPriority);
-        boolean canSecond = second != null && !r.tried.contains(second) && second.open(now, r.lowPriority);
+        boolean canFirst =
+                first != null && !r.tried.contains(first) && first.open(now, r.lowPriority);
+        boolean canSecond =
+                second != null && !r.tried.contains(second) && second.open(now, r.lowPriority);
         r.pickedSecond = canSecond && (!canFirst || second.inFlight < first.inFlight);
-        r.crowded = first != null && !r.tried.contains(first) || second != null && !r.tried.contains(second);
+        r.crowded =
+                first != null && !r.tried.contains(first)
+                        || second != null && !r.tried.contains(second);
         return r.pickedSecond ? second : canFirst ? first : null;
     }
 
     private NodeView longReturned(double now, PendingRequest r, NodeView otherwise) {
-        return returned.isEmpty() || r.request.write() ? otherwise : returned.keySet().stream()
-                .filter(n -> now - returned.get(n) >= BACK_IN_USE_MS).findFirst().orElse(otherwise);
+        return returned.isEmpty() || r.request.write()
+                ? otherwise
+                : returned.keySet().stream()
+                        .filter(n -> now - returned.get(n) >= BACK_IN_USE_MS)
+                        .findFirst()
+                        .orElse(otherwise);
     }
 
     /**
-     * A key that came again within our latest requests is hot: it counts as several keys, each with a pair of
-     * its own, as many as keep each node's part of it under a part of its usual work. Prevents jams where one
-     * key needs more than a pair and no balancer has enough in flight to see it. Could harm where a key comes
-     * again by luck: it costs a miss for each pair.
+     * A key that came again within our latest requests is hot: it counts as several keys, each with
+     * a pair of its own, as many as keep each node's part of it under a part of its usual work.
+     * Prevents jams where one key needs more than a pair and no balancer has enough in flight to
+     * see it. Could harm where a key comes again by luck: it costs a miss for each pair.
      */
     private void heat(PendingRequest r, Actions out) {
         int key = (int) mix(r.request.key());
@@ -767,7 +957,8 @@
             double spread = Math.max(settings.proxies(), caches.size() / OWN_LOAD);
             double most = HOT_SPREAD * Math.min(caches.size(), spread);
             r.variants = 1 + (int) Math.min(caches.size() / 2.0, share * most);
-            int variant = (int) (unit(r.placementKey ^ Double.doubleToLongBits(r.draw)) * r.variants);
+            int variant =
+                    (int) (unit(r.placementKey ^ Double.doubleToLongBits(r.draw)) * r.variants);
             r.placementKey = variant == 0 ? r.placementKey : mix(r.placementKey + variant);
         }
     }
@@ -805,11 +996,12 @@
     private void end(double now, PendingRequest r, Actions out) {
         requests.remove(r.request.id());
         letGo(now, r, out);
-        boolean harmless = switch (r.service.effect()) {
-            case SAFE -> true;
-            case KEYED -> r.neverRan && !r.inFlight || r.service.group() == Group.ALL;
-            case UNSAFE -> r.neverRan && !r.inFlight;
-        };
+        boolean harmless =
+                switch (r.service.effect()) {
+                    case SAFE -> true;
+                    case KEYED -> r.neverRan && !r.inFlight || r.service.group() == Group.ALL;
+                    case UNSAFE -> r.neverRan && !r.inFlight;
+                };
         if (harmless) {
             double pause = control.level == 0 ? UNPACED_MS : 1000 / bank.ratePerS;
             double wait = settings.limits().retryAfter() ? pause : 0;
@@ -831,12 +1023,17 @@
     }
 
     private boolean mayRepeat(double now, PendingRequest r) {
-        return hasTime(now, r) && switch (r.service.effect()) {
-            case SAFE -> true;
-            case UNSAFE -> r.neverRan;
-            case KEYED -> r.neverRan || r.service.group() == Group.ALL
-                    && now - r.firstSent < r.service.repeatWindowMs() - Math.max(guardMs, HOLD_UP_MS);
-        };
+        return hasTime(now, r)
+                && switch (r.service.effect()) {
+                    case SAFE -> true;
+                    case UNSAFE -> r.neverRan;
+                    case KEYED ->
+                            r.neverRan
+                                    || r.service.group() == Group.ALL
+                                            && now - r.firstSent
+                                                    < r.service.repeatWindowMs()
+                                                            - Math.max(guardMs, HOLD_UP_MS);
+                };
     }
 
     private boolean hasTime(double now, PendingRequest r) {
@@ -859,7 +1056,8 @@
         bank.rate(now, control.rate());
         weighModels();
         double answered = cacheAnswers.perS(now) + TRIAL_PER_S;
-        // Young attempts tell nothing yet; a balancer with few requests would refuse on their account.
+        // Young attempts tell nothing yet; a balancer with few requests would refuse on their
+        // account.
         long young = requests.values().stream().filter(r -> r.isYoung(now)).count();
         answeredShare = Math.min(1, answered / Math.max(1e-9, cacheSends.perS(now, young)));
         goOn = Math.max(GO_ON_LEAST, Math.pow(PUSH * answeredShare, PUSH_POWER));
@@ -881,18 +1079,22 @@
 
     private void budgetSlowStarts(double now) {
         for (NodeView n : caches) {
-            slowStart.observe(n.model(), n.cold(now), n.served.perS(now) / MS_PER_S, n.capacity(now));
+            slowStart.observe(
+                    n.model(), n.cold(now), n.served.perS(now) / MS_PER_S, n.capacity(now));
         }
         slowStart.endInterval(now - settings.rules().coldMs());
     }
 
     /**
-     * A fetch that is out past its aim is bad already; waiting for its end would tell of a full origin only
-     * once its queue has been as long as the clients' patience. Also tells of an origin that has stopped.
+     * A fetch that is out past its aim is bad already; waiting for its end would tell of a full
+     * origin only once its queue has been as long as the clients' patience. Also tells of an origin
+     * that has stopped.
      */
     private void countOverdue(double now) {
         for (PendingRequest r : requests.values()) {
-            if (r.inFlight && !r.overdue && r.node == origin
+            if (r.inFlight
+                    && !r.overdue
+                    && r.node == origin
                     && now - r.sentAt > r.service.aimMs() + r.request.uploadMs()) {
                 r.overdue = true;
                 control.count(false);
@@ -901,9 +1103,10 @@
     }
 
     /**
-     * Where the list tells no sizes, nodes of a model that answers slower get fewer keys. By model and
-     * slowly, so that all balancers come to nearly the same weights and keys keep their nodes. Prevents slow
-     * models from being crowded while fast ones idle; could harm where a model is slow for a short while.
+     * Where the list tells no sizes, nodes of a model that answers slower get fewer keys. By model
+     * and slowly, so that all balancers come to nearly the same weights and keys keep their nodes.
+     * Prevents slow models from being crowded while fast ones idle; could harm where a model is
+     * slow for a short while.
      */
     private void weighModels() {
         if (settings.weights() == Weights.SIZE) {
@@ -915,7 +1118,8 @@
         }
         double all = modelMs.ofAll();
         for (NodeView n : caches) {
-            double target = Math.min(MODEL_SPAN, Math.max(1 / MODEL_SPAN, all / modelMs.of(n.model())));
+            double target =
+                    Math.min(MODEL_SPAN, Math.max(1 / MODEL_SPAN, all / modelMs.of(n.model())));
             n.weight += SMOOTH * (target - n.weight);
         }
         noteShares();
@@ -928,7 +1132,10 @@
         return quotas.takes(now, in.tenant()) ? worth : worth * settings.overShareWorth();
     }
 
-    /** Makes anew of all nodes what {@link #place} keeps up with a change: the work grows with the fleet. */
+    /**
+     * Makes anew of all nodes what {@link #place} keeps up with a change: the work grows with the
+     * fleet.
+     */
     private void relist() {
         // Ids that left never come back, and on a long day there is no end to new ones.
         nodes.values().removeIf(n -> !n.listed && hasLeft(n));
@@ -953,8 +1160,8 @@
     }
 
     /**
-     * Puts one node whose entry has changed into the caches or takes it out. A release changes thousands of
-     * nodes one by one within seconds, so this must not walk all of them.
+     * Puts one node whose entry has changed into the caches or takes it out. A release changes
+     * thousands of nodes one by one within seconds, so this must not walk all of them.
      */
     private void place(NodeView n) {
         if (n.isOrigin() || n == origin) {
@@ -988,7 +1195,10 @@
         return n.inFlight == 0 && !outages.isOut(n.entry.id());
     }
 
-    /** What a pick and a step read of all caches is made when it is read, once for all changes before. */
+    /**
+     * What a pick and a step read of all caches is made when it is read, once for all changes
+     * before.
+     */
     private void noteCaches() {
         if (!cachesChanged) {
             return;
@@ -1006,9 +1216,12 @@
         mostShares = caches.stream().mapToDouble(n -> most * n.weight).toArray();
     }
 
-    /** Listed sizes, kept within a span of their median, so that an absurd one shuts no node out. */
+    /**
+     * Listed sizes, kept within a span of their median, so that an absurd one shuts no node out.
+     */
     private void takeSizes() {
-        double[] sizes = withinSpan(caches.stream().mapToDouble(n -> n.entry.weight()).toArray(), SIZE_SPAN);
+        double[] sizes =
+                withinSpan(caches.stream().mapToDouble(n -> n.entry.weight()).toArray(), SIZE_SPAN);
         for (int i = 0; i < sizes.length; i++) {
             caches.get(i).weight = sizes[i];
         }
@@ -1023,15 +1236,19 @@
         int inFlight;
         double strikes;
         double eachMs, spoilt, broken, errors, silent;
+
         /** Times of its answered attempts. */
         final Spread usual = new Spread(SMOOTH);
+
         int ejections;
         double lastEnd = Double.NEGATIVE_INFINITY;
         boolean onTrial;
         boolean doubted, probing, failsProbes;
         double sparedUntil;
+
         /** Requests it has served, each as its work in requests of mean work. */
         final Meter served = new Meter();
+
         final Incarnation incarnation;
 
         NodeView(Node entry) {
@@ -1064,16 +1281,17 @@
         }
 
         /**
-         * Whether it may take one more of ours now. Prevents jams: a node that holds too many turns slow and
-         * stays so. A queue most of the usual aim long is shared among the balancers by a power of their
-         * number, as their bursts seldom meet. Less than one place means a pause after each: a jammed node
-         * gets its rest also from many balancers that each send little. Low worth leaves the last of
-         * several places free. Could harm where one balancer carries nearly all traffic: it then refuses
-         * sooner than the node needs.
+         * Whether it may take one more of ours now. Prevents jams: a node that holds too many turns
+         * slow and stays so. A queue most of the usual aim long is shared among the balancers by a
+         * power of their number, as their bursts seldom meet. Less than one place means a pause
+         * after each: a jammed node gets its rest also from many balancers that each send little.
+         * Low worth leaves the last of several places free. Could harm where one balancer carries
+         * nearly all traffic: it then refuses sooner than the node needs.
          */
         boolean open(double now, boolean low) {
             double places = low ? Math.max(places() - 1, Math.min(places(), 1)) : places();
-            return places >= 1 ? inFlight < places
+            return places >= 1
+                    ? inFlight < places
                     : inFlight == 0 && now - lastEnd >= eachMs * (1 / places - 1);
         }
 
@@ -1082,7 +1300,9 @@
             return CROWD / urgency / Math.max(1, eachMs) / Math.pow(p, OTHERS);
         }
 
-        /** Its capacity beside others of its model; a learned weight tells models apart, not nodes. */
+        /**
+         * Its capacity beside others of its model; a learned weight tells models apart, not nodes.
+         */
         double size() {
             return settings.weights() == Weights.SIZE ? weight : 1;
         }
@@ -1107,21 +1327,22 @@
         }
 
         /**
-         * Whether a cold node may take this request. Its cut weight already bounds the chance that a key is
-         * sent there; this bounds it for what a weight cannot: a key hotter than the node's part of all keys,
-         * and a crowd of requests and repeats that the fleet does not answer and that all see a free place at
-         * once. A chance and not a count, as counts round up and the balancers are many; drawn from the
-         * request's id, so that waiting buys no second draw. A key that none of our requests named may still
-         * be hot; fewer of those known, less of it goes here. Could harm where keys look hot by luck.
+         * Whether a cold node may take this request. Its cut weight already bounds the chance that
+         * a key is sent there; this bounds it for what a weight cannot: a key hotter than the
+         * node's part of all keys, and a crowd of requests and repeats that the fleet does not
+         * answer and that all see a free place at once. A chance and not a count, as counts round
+         * up and the balancers are many; drawn from the request's id, so that waiting buys no
+         * second draw. A key that none of our requests named may still be hot; fewer of those
+         * known, less of it goes here. Could harm where keys look hot by luck.
          */
         boolean admits(double now, PendingRequest r) {
             return admits(now, r, true);
         }
 
         /**
-         * Whether a cold node may take this request in another's place. A busy node's requests go there by no
-         * weight, so they are bounded by our part of what all proxies may send it. Could harm where only cold
-         * nodes are free: beyond their budget requests are refused.
+         * Whether a cold node may take this request in another's place. A busy node's requests go
+         * there by no weight, so they are bounded by our part of what all proxies may send it.
+         * Could harm where only cold nodes are free: beyond their budget requests are refused.
          */
         boolean relieves(double now, PendingRequest r) {
             return admits(now, r, false);
@@ -1132,14 +1353,21 @@
                 return true;
             }
             double due = share(now) / totalShare * r.variants;
-            return r.draw < coldChance * Math.min(1, due / r.keyFrequency) && withinBudget(now, r, ordinary);
+            return r.draw < coldChance * Math.min(1, due / r.keyFrequency)
+                    && withinBudget(now, r, ordinary);
         }
 
         private boolean withinBudget(double now, PendingRequest r, boolean ordinary) {
             // By the middle of the window that ends now, as it gains capacity meanwhile.
             double capacity = capacity(now - settings.rules().fallMs() / 2);
-            return slowStart.allows(now, entry.id(), model(), incarnation.startedAt(), capacity,
-                    sizeOf(r), ordinary);
+            return slowStart.allows(
+                    now,
+                    entry.id(),
+                    model(),
+                    incarnation.startedAt(),
+                    capacity,
+                    sizeOf(r),
+                    ordinary);
         }
 
         void ended(double now, AttemptEnd end, List<NodeView> peers) {
@@ -1175,32 +1403,37 @@
                         spare(now, peers, ejections++);
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
 
         /**
-         * Whether it answers quickly or not at all: then silence means that the request is lost, and it is
-         * repeated within its aim. Guards against machines and links that drop some of what they
-         * are sent while the list calls them fine. A node that is slow answers late before it falls silent,
-         * and keeps its time; so does one that answers nothing, as it needs rest and no repeats. Could harm
-         * where a few requests take far longer than all others.
+         * Whether it answers quickly or not at all: then silence means that the request is lost,
+         * and it is repeated within its aim. Guards against machines and links that drop some of
+         * what they are sent while the list calls them fine. A node that is slow answers late
+         * before it falls silent, and keeps its time; so does one that answers nothing, as it needs
+         * rest and no repeats. Could harm where a few requests take far longer than all others.
          */
         boolean loses(double aimMs) {
-            return (silent > LOSING || lost > LOSSY || doubted) && silent < SILENT
+            return (silent > LOSING || lost > LOSSY || doubted)
+                    && silent < SILENT
                     && usual.latest(DEVIATIONS) < SOONEST * aimMs;
         }
 
-        /** Learns from an attempt's time; faster while paced, as few attempts are left to learn from. */
+        /**
+         * Learns from an attempt's time; faster while paced, as few attempts are left to learn
+         * from.
+         */
         private void timed(double elapsedMs) {
             double each = elapsedMs >= 0 ? elapsedMs / (inFlight + 1) : eachMs;
             eachMs += (places() < 1 ? PACED_SMOOTH : SMOOTH) * (each - eachMs);
         }
 
         /**
-         * Spares a node after failures in a row, whatever their kind: silent, cut off, full or stalled, while
-         * the list still calls it fine. Never more than a part of the nodes, or those left would be overrun.
-         * Could harm where time-outs come from the requests and not the node.
+         * Spares a node after failures in a row, whatever their kind: silent, cut off, full or
+         * stalled, while the list still calls it fine. Never more than a part of the nodes, or
+         * those left would be overrun. Could harm where time-outs come from the requests and not
+         * the node.
          */
         private void strike(double now, List<NodeView> peers, double weight) {
             strikes += weight;
@@ -1210,13 +1443,17 @@
         }
 
         /**
-         * Broken connections in a row that tell of this node and not of luck. Where a twelfth of all
-         * breaks, a fleet sees two in a row every second, and sparing for them moves keys to where they miss.
-         * Could harm where a node dies while the network breaks: a few more attempts then break at once.
+         * Broken connections in a row that tell of this node and not of luck. Where a twelfth of
+         * all breaks, a fleet sees two in a row every second, and sparing for them moves keys to
+         * where they miss. Could harm where a node dies while the network breaks: a few more
+         * attempts then break at once.
          */
         private double runOfBreaks() {
-            return usualBreaks <= 0 ? STRIKES
-                    : Math.max(STRIKES, Math.ceil(Math.log(LUCK) / Math.log(Math.min(0.5, usualBreaks))));
+            return usualBreaks <= 0
+                    ? STRIKES
+                    : Math.max(
+                            STRIKES,
+                            Math.ceil(Math.log(LUCK) / Math.log(Math.min(0.5, usualBreaks))));
         }
 
         /** An own probe was answered: nothing in a row is left that would spare it. */
@@ -1227,7 +1464,10 @@
             silent = Math.min(silent, SILENT);
         }
 
-        /** Its outage is over. It was started anew meanwhile: cold from now if no list has told of it. */
+        /**
+         * Its outage is over. It was started anew meanwhile: cold from now if no list has told of
+         * it.
+         */
         void back(double now, double outSince) {
             cleared();
             incarnation.replacedSince(now, outSince);
--- a/src/main/java/hopglade/HysteresisController.java
+++ b/src/main/java/hopglade/HysteresisController.java
@@ -3,45 +3,65 @@
 import static hopglade.measure.Samples.beyondChance;
 
 /**
- * The hysteresis level of admission and the base rate that its refill rates are multiples of. Fetch outcomes are counted over an interval
- * and judged at its end: the level rises where many were bad and falls where few were. Rates are fetches a second.
+ * The hysteresis level of admission and the base rate that its refill rates are multiples of. Fetch
+ * outcomes are counted over an interval and judged at its end: the level rises where many were bad
+ * and falls where few were. Rates are fetches a second.
  */
 final class HysteresisController {
 
     /** Shares of bad fetches above which the level rises and below which it falls. */
     static final double RISE = 0.10;
+
     static final double FALL = 0.05;
+
     /** Fewer outcomes than this in an interval are a thin sample. */
     static final int THIN = 4;
+
     /** Standard deviations by which broken fetches may exceed what breaks elsewhere. */
     static final double CHANCE = 2;
-    /** Intervals that a thin sample with a bad fetch waits to grow where balancers outnumber nodes. */
+
+    /**
+     * Intervals that a thin sample with a bad fetch waits to grow where balancers outnumber nodes.
+     */
     static final int SPAN = 6;
+
     /** Refill rates of levels 1 and up, as multiples of the base. */
     static final double[] LADDER = {1.25, 1.0, 0.8, 0.6, 0.45, 0.3};
+
     /** What is left of the base after an interval at level 0 that did not reach it. */
     static final double BASE_DECAY = 0.98;
+
     /**
-     * Growth of the base in an interval that could go to level 0 but in which the bank still refused: level 0
-     * would let all that in at once and throttle again. Could harm where the origin recovers at a bound.
+     * Growth of the base in an interval that could go to level 0 but in which the bank still
+     * refused: level 0 would let all that in at once and throttle again. Could harm where the
+     * origin recovers at a bound.
      */
     static final double BASE_GROWTH = 1.15;
+
     /**
-     * Intervals with a sample that the base is learned from before the level may rise for the first time. A
-     * base that has seen little is far too low: a start with a few late fetches then refused most misses for
-     * half a minute. Could harm where a balancer starts while the origin is slow.
+     * Intervals with a sample that the base is learned from before the level may rise for the first
+     * time. A base that has seen little is far too low: a start with a few late fetches then
+     * refused most misses for half a minute. Could harm where a balancer starts while the origin is
+     * slow.
      */
     static final int LEARNED = 4;
+
     /** Smoothing of the rate whose peak the base is: one interval's peak is mostly luck. */
     static final double RATE_SMOOTH = 0.3;
+
     /** No base is lower, in fetches a second: a balancer that saw little must still try. */
     static final double BASE_FLOOR = 1;
 
     int level;
     double floor = BASE_FLOOR;
     double base = BASE_FLOOR;
-    /** Fetches of this interval that were cut off, and those answered with an error; {@link #judge} says how many count as bad. */
+
+    /**
+     * Fetches of this interval that were cut off, and those answered with an error; {@link #judge}
+     * says how many count as bad.
+     */
     int broken, spoilt;
+
     private double rate = -1;
     private int good, bad, spans, learned;
 
@@ -52,14 +72,17 @@
     }
 
     /**
-     * Of broken and of spoilt fetches only those count, as bad, that neither the share which the caches
-     * have too nor chance explains: a network that breaks connections or answers says nothing of the
-     * origin's load, while an origin that cuts off what it can't take must still be throttled. Could
-     * harm where origin and caches are overrun alike: late answers and time-outs alone then throttle.
+     * Of broken and of spoilt fetches only those count, as bad, that neither the share which the
+     * caches have too nor chance explains: a network that breaks connections or answers says
+     * nothing of the origin's load, while an origin that cuts off what it can't take must still be
+     * throttled. Could harm where origin and caches are overrun alike: late answers and time-outs
+     * alone then throttle.
      */
     void judge(double usualBreaks, double usualErrors) {
         int all = good + bad + broken + spoilt;
-        bad += beyondChance(broken, usualBreaks * all, CHANCE) + beyondChance(spoilt, usualErrors * all, CHANCE);
+        bad +=
+                beyondChance(broken, usualBreaks * all, CHANCE)
+                        + beyondChance(spoilt, usualErrors * all, CHANCE);
         broken = 0;
         spoilt = 0;
     }
--- a/src/main/java/hopglade/Main.java
+++ b/src/main/java/hopglade/Main.java
@@ -15,9 +15,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Starts the program: {@code serve} is one real proxy, {@code benchlink} the same decisions on the bench's wire,
- * {@code rehearse} a start that ends at once. These three are taken apart by hand, so that a start on part of a core
- * pays nothing for the command line; everything else goes to {@link hopglade.cli.Cli}.
+ * Starts the program: {@code serve} is one real proxy, {@code benchlink} the same decisions on the
+ * bench's wire, {@code rehearse} a start that ends at once. These three are taken apart by hand, so
+ * that a start on part of a core pays nothing for the command line; everything else goes to {@link
+ * hopglade.cli.Cli}.
  */
 public final class Main {
 
@@ -25,11 +26,13 @@
     private static final int EXIT_CONFIG = 2;
     private static final int EXIT_USAGE = 64;
 
-    private Main() { }
+    private Main() {}
 
-    public static void main(String[] args) throws IOException, InterruptedException, ConfigException {
+    public static void main(String[] args)
+            throws IOException, InterruptedException, ConfigException {
         String first = args.length == 0 ? "" : args[0];
-        if (first.equals("serve") && (args.length == 1 || args.length == 3 && args[1].equals("--options"))) {
+        if (first.equals("serve")
+                && (args.length == 1 || args.length == 3 && args[1].equals("--options"))) {
             serve(args.length == 1 ? null : args[2]);
         } else if (first.equals("rehearse") && args.length == 1) {
             // As serve does, so that the class archive holds what that loads.
@@ -47,28 +50,36 @@
         try {
             return hopglade.cli.Cli.run(args);
         } catch (NoClassDefFoundError e) {
-            System.err.println("usage: java -jar hopglade.jar serve|benchlink|rehearse; ./flintmill knows further commands");
+            System.err.println(
+                    "usage: java -jar hopglade.jar serve|benchlink|rehearse; ./flintmill knows further commands");
             return EXIT_USAGE;
         }
     }
 
     private static void serve(String optionsFile) throws InterruptedException {
-        // Before the first client can be told that the proxy is ready: without a handler SIGHUP ends the process.
+        // Before the first client can be told that the proxy is ready: without a handler SIGHUP
+        // ends the process.
         CompletableFuture<Service> started = new CompletableFuture<>();
         Map<String, String> environment = System.getenv();
         Runnable reload = () -> started.thenAccept(s -> s.reload(environment));
         ConfigFileWatch watch = Hangup.handle(reload) ? null : new ConfigFileWatch(environment);
-        // SIGTERM runs this hook; the process ends when the hook does, so it waits until nothing is owed. One that comes before
+        // SIGTERM runs this hook; the process ends when the hook does, so it waits until nothing is
+        // owed. One that comes before
         // clients can, finds nothing owed and forbids that they ever do.
         CompletableFuture<Service> opening = new CompletableFuture<>();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            if (!opening.cancel(false)) {
-                opening.join().drain();
-            }
-        }, "drain"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    if (!opening.cancel(false)) {
+                                        opening.join().drain();
+                                    }
+                                },
+                                "drain"));
         Service service = null;
         try {
-            Options options = optionsFile == null ? Options.DEFAULTS : OptionsFile.read(Path.of(optionsFile));
+            Options options =
+                    optionsFile == null ? Options.DEFAULTS : OptionsFile.read(Path.of(optionsFile));
             Log.configure(options.log());
             service = Service.start(Config.fromEnvironment(environment), options, opening);
             if (optionsFile != null) {
@@ -81,7 +92,8 @@
             System.err.println("hopglade: " + e.getMessage());
             System.exit(EXIT_FAILED);
         } catch (NoClassDefFoundError e) {
-            System.err.println("hopglade: --options needs the tools beside the program: start it by ./flintmill serve");
+            System.err.println(
+                    "hopglade: --options needs the tools beside the program: start it by ./flintmill serve");
             System.exit(EXIT_FAILED);
         }
         started.complete(service);
--- a/src/main/java/hopglade/PendingRequest.java
+++ b/src/main/java/hopglade/PendingRequest.java
@@ -8,7 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was taken and has no final answer yet. Times are the router's, in milliseconds. */
+/**
+ * A request that was taken and has no final answer yet. Times are the router's, in milliseconds.
+ */
 final class PendingRequest {
 
     /** Part of its latency objective that a read may wait for capacity at its key's two nodes. */
@@ -16,53 +18,88 @@
 
     final Request request;
     final ServiceClass service;
+
     /** The latest time of its final answer, with a margin for the proxy's own work. */
     final double answerBy;
+
     /** Until when it may wait for capacity. */
     final double waitUntil;
-    /** In [0, 1), from its ID: one draw for all that is decided by chance, so that a client's wait buys no second one. */
+
+    /**
+     * In [0, 1), from its ID: one draw for all that is decided by chance, so that a client's wait
+     * buys no second one.
+     */
     final double draw;
-    /** What the rendezvous hash is taken of: the key, or for a hot key, one of the variants that it is spread over. */
+
+    /**
+     * What the rendezvous hash is taken of: the key, or for a hot key, one of the variants that it
+     * is spread over.
+     */
     long placementKey;
+
     /** Share of recent requests that named its key. */
     double keyFrequency;
+
     /** How many variants a hot key is spread over. */
     int variants = 1;
+
     final List<Decide.NodeView> tried = new ArrayList<>(2);
+
     /** Nodes that answered that they lack the key. */
     final List<Decide.NodeView> missed = new ArrayList<>(2);
+
     /** The node of the latest attempt; null before the first. */
     Decide.NodeView node;
+
     double priorityWeight;
+
     /** When the latest attempt began. */
     double sentAt;
+
     /** When the first attempt began that may have run: a window for repeats opens then. */
     double firstSent;
+
     int attempts;
     int fetchAttempts;
+
     /** Attempts that went once more to the node at which the one before had failed on the way. */
     int sameNodeRetries;
+
     /** Whether every attempt that has ended is known not to have run. */
     boolean neverRan = true;
+
     boolean lowPriority;
+
     /** Whether its work is many times the mean. */
     boolean heavy;
+
     /** Whether an attempt is out. */
     boolean inFlight;
+
     /** Whether its fetch has missed the latency objective and is out still. */
     boolean overdue;
+
     /** Whether its answer has begun to go to the client. */
     boolean streaming;
+
     /** Whether the latest choice was its key's second node. */
     boolean pickedSecond;
+
     /** Whether the latest choice found no capacity at its key's nodes. */
     boolean crowded;
+
     /** Whether it has joined another request's fetch. */
     boolean joinedFetch;
+
     boolean hasToken;
+
     /** Whether it is the one that fetches its key, for which others may wait. */
     boolean fetches;
-    /** Whether it had an attempt with the short timeout: the next one gets the usual, as many may be slow at once. */
+
+    /**
+     * Whether it had an attempt with the short timeout: the next one gets the usual, as many may be
+     * slow at once.
+     */
     boolean hurried;
 
     /**
--- a/src/main/java/hopglade/Router.java
+++ b/src/main/java/hopglade/Router.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * What a proxy tells its router, and what the router asks of its proxy. One router serves one proxy; a call
- * reports one event, and everything the router wants done goes to the {@link Actions} sink before it returns.
- * Routers keep no clock and no threads: {@code now} is the proxy's clock in milliseconds and never runs back.
+ * What a proxy tells its router, and what the router asks of its proxy. One router serves one
+ * proxy; a call reports one event, and everything the router wants done goes to the {@link Actions}
+ * sink before it returns. Routers keep no clock and no threads: {@code now} is the proxy's clock in
+ * milliseconds and never runs back.
  */
 public interface Router {
 
     /**
-     * How long a proxy may be held up between reading its clock and writing, in milliseconds: what it writes against a limit in time
-     * begins so much before that limit.
+     * How long a proxy may be held up between reading its clock and writing, in milliseconds: what
+     * it writes against a limit in time begins so much before that limit.
      */
     double HOLD_UP_MS = 150;
 
@@ -27,10 +28,18 @@
     }
 
     /** Which nodes discard each other's repeats of a keyed request. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** What the server list says of a node. */
-    enum Availability { UP, DRAINING, GONE }
+    enum Availability {
+        UP,
+        DRAINING,
+        GONE
+    }
 
     /** What a delivery of the server list holds. */
     enum ListKind {
@@ -45,12 +54,23 @@
     }
 
     /** How a node's weight is meant. */
-    enum Weights { NONE, SIZE, LIVE }
+    enum Weights {
+        NONE,
+        SIZE,
+        LIVE
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        OK(false), ERROR(false), REJECTED(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NEVER_SENT(true), MISS(true);
+        OK(false),
+        ERROR(false),
+        REJECTED(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NEVER_SENT(true),
+        MISS(true);
 
         private final boolean provesNotRun;
 
@@ -69,24 +89,48 @@
         }
     }
 
-    /** A request class: its aim, the time its clients wait, its worth and what repeating it does. */
-    record ServiceClass(String name, double aimMs, double aimStretch, double deadlineMs, double gain,
-                        double lateShare, Effect effect, Group group, double repeatWindowMs, boolean stream) { }
+    /**
+     * A request class: its aim, the time its clients wait, its worth and what repeating it does.
+     */
+    record ServiceClass(
+            String name,
+            double aimMs,
+            double aimStretch,
+            double deadlineMs,
+            double gain,
+            double lateShare,
+            Effect effect,
+            Group group,
+            double repeatWindowMs,
+            boolean stream) {}
 
     /** A tenant and the request rate, over all proxies, that stays inside its share. */
-    record Tenant(String name, double quotaPerS) { }
+    record Tenant(String name, double quotaPerS) {}
 
     /** What the site permits. */
-    record Limits(int maxAttempts, boolean cancel, boolean probes, boolean peers, boolean retryAfter,
-                  double maxRetryAfterMs, boolean secondCopies, double connectTimeoutMs) { }
+    record Limits(
+            int maxAttempts,
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean retryAfter,
+            double maxRetryAfterMs,
+            boolean secondCopies,
+            double connectTimeoutMs) {}
 
     /** The figures behind the rules. */
-    record Rules(double drainGraceMs, double coldFrom, double coldMs, double fallMultiple, double fallMs,
-                 double answerSlackMs, double askWithinMs) { }
+    record Rules(
+            double drainGraceMs,
+            double coldFrom,
+            double coldMs,
+            double fallMultiple,
+            double fallMs,
+            double answerSlackMs,
+            double askWithinMs) {}
 
     /**
-     * Connections: after how long idle ones close by themselves, the price of 100 open ones a node all day,
-     * and the price of opening one for every request.
+     * Connections: after how long idle ones close by themselves, the price of 100 open ones a node
+     * all day, and the price of opening one for every request.
      */
     record Connections(double idleMs, double heldPrice, double openingPrice) {
 
@@ -94,18 +138,56 @@
         public static final Connections FREE = new Connections(Double.POSITIVE_INFINITY, 0, 0);
     }
 
-    /** What a router is told before its first event. {@code originModel} is null where no node is the origin. */
-    record Settings(int index, int proxies, String zone, double tickMs, List<ServiceClass> classes,
-                    List<Tenant> tenants, double overShareWorth, boolean worthByWork, Limits limits,
-                    Rules rules, boolean mustSubscribe, Weights weights, String originModel,
-                    Connections connections) {
+    /**
+     * What a router is told before its first event. {@code originModel} is null where no node is
+     * the origin.
+     */
+    record Settings(
+            int index,
+            int proxies,
+            String zone,
+            double tickMs,
+            List<ServiceClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            boolean worthByWork,
+            Limits limits,
+            Rules rules,
+            boolean mustSubscribe,
+            Weights weights,
+            String originModel,
+            Connections connections) {
 
         /** Settings of a site where connections have no price. */
-        public Settings(int index, int proxies, String zone, double tickMs, List<ServiceClass> classes,
-                        List<Tenant> tenants, double overShareWorth, boolean worthByWork, Limits limits,
-                        Rules rules, boolean mustSubscribe, Weights weights, String originModel) {
-            this(index, proxies, zone, tickMs, classes, tenants, overShareWorth, worthByWork, limits, rules,
-                    mustSubscribe, weights, originModel, Connections.FREE);
+        public Settings(
+                int index,
+                int proxies,
+                String zone,
+                double tickMs,
+                List<ServiceClass> classes,
+                List<Tenant> tenants,
+                double overShareWorth,
+                boolean worthByWork,
+                Limits limits,
+                Rules rules,
+                boolean mustSubscribe,
+                Weights weights,
+                String originModel) {
+            this(
+                    index,
+                    proxies,
+                    zone,
+                    tickMs,
+                    classes,
+                    tenants,
+                    overShareWorth,
+                    worthByWork,
+                    limits,
+                    rules,
+                    mustSubscribe,
+                    weights,
+                    originModel,
+                    Connections.FREE);
         }
 
         /** Refuses settings without which nothing can be decided, naming the field. */
@@ -115,7 +197,8 @@
             }
             for (ServiceClass c : classes) {
                 if (!(c.deadlineMs() > 0)) {
-                    throw new IllegalArgumentException("settings: classes: " + c.name() + ": deadlineMs > 0 needed");
+                    throw new IllegalArgumentException(
+                            "settings: classes: " + c.name() + ": deadlineMs > 0 needed");
                 }
             }
             classes = List.copyOf(classes);
@@ -124,30 +207,62 @@
     }
 
     /**
-     * One entry of the server list; {@code startedAtMs} is 0 for a node that started long ago. It is a Unix time of a
-     * clock that need not agree with ours, so it identifies a run of the node and is no age.
+     * One entry of the server list; {@code startedAtMs} is 0 for a node that started long ago. It
+     * is a Unix time of a clock that need not agree with ours, so it identifies a run of the node
+     * and is no age.
      */
-    record Node(String id, String model, String zone, int cell, double weight, double startedAtMs,
-                Availability availability) { }
+    record Node(
+            String id,
+            String model,
+            String zone,
+            int cell,
+            double weight,
+            double startedAtMs,
+            Availability availability) {}
 
     /**
-     * A client's request. {@code key} is negative where it names none; {@code workMs} is 0 without a hint;
-     * {@code budgetMs}, the time until the client gives up this try, is negative where only the class tells. It begins
-     * with the request's last byte, which may take up to {@code uploadMs} more to come.
+     * A client's request. {@code key} is negative where it names none; {@code workMs} is 0 without
+     * a hint; {@code budgetMs}, the time until the client gives up this try, is negative where only
+     * the class tells. It begins with the request's last byte, which may take up to {@code
+     * uploadMs} more to come.
      */
-    record Request(String id, String service, String tenant, long key, double workMs, double budgetMs,
-                   boolean write, boolean repeat, double uploadMs) {
+    record Request(
+            String id,
+            String service,
+            String tenant,
+            long key,
+            double workMs,
+            double budgetMs,
+            boolean write,
+            boolean repeat,
+            double uploadMs) {
 
         /** A request that is here with its last byte. */
-        public Request(String id, String service, String tenant, long key, double workMs, double budgetMs, boolean write,
-                       boolean repeat) {
+        public Request(
+                String id,
+                String service,
+                String tenant,
+                long key,
+                double workMs,
+                double budgetMs,
+                boolean write,
+                boolean repeat) {
             this(id, service, tenant, key, workMs, budgetMs, write, repeat, 0);
         }
     }
 
-    /** How an attempt ended. {@code finished} says that the request has its final answer already. */
-    record AttemptEnd(String request, int attempt, String node, Outcome outcome, double elapsedMs,
-                      boolean finished, int note, Map<String, Double> load) { }
+    /**
+     * How an attempt ended. {@code finished} says that the request has its final answer already.
+     */
+    record AttemptEnd(
+            String request,
+            int attempt,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            boolean finished,
+            int note,
+            Map<String, Double> load) {}
 
     /** Where a router's wishes go. */
     interface Actions {
@@ -176,7 +291,10 @@
         /** Sends a short message to every other proxy; it may be lost. */
         void tell(byte[] contents);
 
-        /** Closes this proxy's idle connections to a node, and ends what waits for one there as never sent. */
+        /**
+         * Closes this proxy's idle connections to a node, and ends what waits for one there as
+         * never sent.
+         */
         void close(String node);
     }
 
@@ -202,13 +320,20 @@
     void timer(double now, String token, Actions out);
 
     /** A probe's result. */
-    void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load, Actions out);
+    void probed(
+            double now,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            Map<String, Double> load,
+            Actions out);
 
     /**
-     * So many peers that chance and a single one's error are ruled out say that a node fails them, or no longer say so. It is
-     * hearsay: what is sent where may change only once our own probe has shown the same.
+     * So many peers that chance and a single one's error are ruled out say that a node fails them,
+     * or no longer say so. It is hearsay: what is sent where may change only once our own probe has
+     * shown the same.
      */
-    default void standing(double now, String node, boolean doubted, Actions out) { }
+    default void standing(double now, String node, boolean doubted, Actions out) {}
 
     /**
      * Whether any list ever named this cache node: only such a one can be taken out. Changes
@@ -219,8 +344,9 @@
     }
 
     /**
-     * The operators take a cache node out, or put it back: from the return on nothing new goes there until it is put back,
-     * whatever the list says. False where no list ever named such a cache node; then nothing has changed.
+     * The operators take a cache node out, or put it back: from the return on nothing new goes
+     * there until it is put back, whatever the list says. False where no list ever named such a
+     * cache node; then nothing has changed.
      */
     default boolean maintain(double now, String node, boolean begins, Actions out) {
         return false;
@@ -229,7 +355,10 @@
     /** A message from another proxy. */
     void peerMessage(double now, int from, byte[] contents, Actions out);
 
-    /** How it is doing, in a few words for the log; equal as long as nothing that matters there has changed. */
+    /**
+     * How it is doing, in a few words for the log; equal as long as nothing that matters there has
+     * changed.
+     */
     default String state() {
         return "";
     }
@@ -239,7 +368,10 @@
         return 0;
     }
 
-    /** Entries that it keeps for requests it has been told of: 0 when all of them are over, or something has leaked. */
+    /**
+     * Entries that it keeps for requests it has been told of: 0 when all of them are over, or
+     * something has leaked.
+     */
     default int entries() {
         return 0;
     }
--- a/src/main/java/hopglade/SlowStartBudget.java
+++ b/src/main/java/hopglade/SlowStartBudget.java
@@ -13,25 +13,38 @@
 /**
  * This proxy's part of what nodes in slow start may be sent.
  *
- * <p>All proxies together may send such a node, within a window, {@code fallMultiple} times what it can do by then. Nobody is told
- * its capacity. Two guides bound it from below, and the higher one is taken: what warm nodes serve, by its stated warmth, and what
- * it has answered itself within the window. Both are counted for this proxy alone, so the parts of all proxies add up to the
- * whole, however few or many there are and however uneven their traffic is. The first one alone would go by demand and not by
- * capacity: where few warm nodes are left it starves a fleet that could serve all.
+ * <p>All proxies together may send such a node, within a window, {@code fallMultiple} times what it
+ * can do by then. Nobody is told its capacity. Two guides bound it from below, and the higher one
+ * is taken: what warm nodes serve, by its stated warmth, and what it has answered itself within the
+ * window. Both are counted for this proxy alone, so the parts of all proxies add up to the whole,
+ * however few or many there are and however uneven their traffic is. The first one alone would go
+ * by demand and not by capacity: where few warm nodes are left it starves a fleet that could serve
+ * all.
  *
- * <p>A part of less than one request is rounded by a draw that is made once for a proxy, a node and its start: of a hundred
- * proxies with a tenth of a request each, ten may send one. It has no clock: times are the caller's, in milliseconds.
+ * <p>A part of less than one request is rounded by a draw that is made once for a proxy, a node and
+ * its start: of a hundred proxies with a tenth of a request each, ten may send one. It has no
+ * clock: times are the caller's, in milliseconds.
  */
 final class SlowStartBudget {
 
-    /** What is left of the highest figure after a control interval: half of it after some 23 s, a usual slow start. */
+    /**
+     * What is left of the highest figure after a control interval: half of it after some 23 s, a
+     * usual slow start.
+     */
     private static final double KEPT_AN_INTERVAL = 0.97;
-    /** Part of what warm nodes serve that is used, as nodes of one model differ and requests come in bursts. */
+
+    /**
+     * Part of what warm nodes serve that is used, as nodes of one model differ and requests come in
+     * bursts.
+     */
     static final double CAUTION = 0.75;
+
     /** The same of what the node itself has answered. */
     static final double SHOWN = 0.8;
+
     /** Work of a miss as a part of that of a hit, which is what the rule counts. */
     private static final double MISS = 0.3;
+
     /** What a request counts as at least: a hint may be far too low. */
     private static final double LEAST_SIZE = 0.25;
 
@@ -40,11 +53,19 @@
     private final long salt;
     private final Map<String, Account> accounts = new HashMap<>();
     private final Map<String, Double> servedPerMs = new HashMap<>();
-    /** Requests that the nodes of a model serve a millisecond and a unit of capacity, as seen in this control interval. */
+
+    /**
+     * Requests that the nodes of a model serve a millisecond and a unit of capacity, as seen in
+     * this control interval.
+     */
     private final GroupedRatio servedByWarmNodes = new GroupedRatio();
+
     private final GroupedRatio servedByAllNodes = new GroupedRatio();
 
-    /** {@code proxy} is this proxy's number, which with its seed tells its draws from those of the others. */
+    /**
+     * {@code proxy} is this proxy's number, which with its seed tells its draws from those of the
+     * others.
+     */
     SlowStartBudget(Router.Rules rules, int proxy, long seed) {
         this.multiple = rules.fallMultiple();
         this.windowMs = rules.fallMs();
@@ -60,7 +81,7 @@
      * Takes in what one node answers this proxy.
      *
      * @param servedPerMs requests of mean work a millisecond
-     * @param capacity    of the node now, in the unit that {@link #allows} is given it in
+     * @param capacity of the node now, in the unit that {@link #allows} is given it in
      */
     void observe(String model, boolean cold, double servedPerMs, double capacity) {
         if (!isBounding()) {
@@ -73,8 +94,8 @@
     }
 
     /**
-     * Ends a control interval, in which each node was observed once. A model of which all nodes are cold goes by what they answer at
-     * their part of the ramp.
+     * Ends a control interval, in which each node was observed once. A model of which all nodes are
+     * cold goes by what they answer at their part of the ramp.
      *
      * @param startedBefore nodes that started before this time are warm, and forgotten
      */
@@ -89,9 +110,10 @@
     }
 
     /**
-     * Takes in what nodes of a model answer for this proxy, per unit of capacity, in requests of mean work a millisecond; called
-     * once in a control interval. The highest figure is kept for a while: it is what the nodes have shown that they can do,
-     * and a lower one may only mean that less was asked of them, or that this budget held requests back.
+     * Takes in what nodes of a model answer for this proxy, per unit of capacity, in requests of
+     * mean work a millisecond; called once in a control interval. The highest figure is kept for a
+     * while: it is what the nodes have shown that they can do, and a lower one may only mean that
+     * less was asked of them, or that this budget held requests back.
      */
     void measured(String model, double requestsPerMs) {
         if (requestsPerMs > 0) {
@@ -103,15 +125,23 @@
     /**
      * Whether a node that started at {@code startedAt} may be sent one more request.
      *
-     * @param ordinary whether it is the node's by ordinary placement: where this proxy's part is less than one request, the
-     *                 ramp's own chance bounds those, and one in a window may go
+     * @param ordinary whether it is the node's by ordinary placement: where this proxy's part is
+     *     less than one request, the ramp's own chance bounds those, and one in a window may go
      * @param capacity that the settings allow it by now, in the units of {@link #measured}
-     * @param size     of the request, in requests of mean work; one that no part would ever hold needs the whole part
+     * @param size of the request, in requests of mean work; one that no part would ever hold needs
+     *     the whole part
      */
-    boolean allows(double now, String node, String model, double startedAt, double capacity, double size,
-                   boolean ordinary) {
+    boolean allows(
+            double now,
+            String node,
+            String model,
+            double startedAt,
+            double capacity,
+            double size,
+            boolean ordinary) {
         if (!isBounding() || servedPerMs.isEmpty()) {
-            // Before any node has answered, as in the first second of a process, the ramp's chance alone bounds it.
+            // Before any node has answered, as in the first second of a process, the ramp's chance
+            // alone bounds it.
             return true;
         }
         double most = multiple * capacity * servedPerMs(model) * windowMs;
@@ -149,7 +179,7 @@
     /**
      * Counts a request that it has answered: what it does within a window it can do again.
      *
-     * @param hit  whether it had what was asked for; a miss shows less of what it can do
+     * @param hit whether it had what was asked for; a miss shows less of what it can do
      * @param size of the request, in requests of mean work
      */
     void answered(double now, String node, double startedAt, double size, boolean hit) {
@@ -165,7 +195,7 @@
     }
 
     private void forget(double startedBefore) {
-        for (Iterator<Account> all = accounts.values().iterator(); all.hasNext();) {
+        for (Iterator<Account> all = accounts.values().iterator(); all.hasNext(); ) {
             if (all.next().startedAt < startedBefore) {
                 all.remove();
             }
@@ -175,7 +205,9 @@
     /** A model of which no node was ever warm here is taken for the mean of the others. */
     private double servedPerMs(String model) {
         Double known = servedPerMs.get(model);
-        return known != null ? known : servedPerMs.values().stream().mapToDouble(served -> served).average().orElse(0);
+        return known != null
+                ? known
+                : servedPerMs.values().stream().mapToDouble(served -> served).average().orElse(0);
     }
 
     private double rounding(String node, double startedAt) {
--- a/src/main/java/hopglade/TokenBucket.java
+++ b/src/main/java/hopglade/TokenBucket.java
@@ -1,7 +1,8 @@
 package hopglade;
 
 /**
- * A token bucket whose refill rate changes with the hysteresis level. Times are milliseconds of the caller's clock and never run back.
+ * A token bucket whose refill rate changes with the hysteresis level. Times are milliseconds of the
+ * caller's clock and never run back.
  */
 final class TokenBucket {
 
@@ -9,10 +10,13 @@
 
     private final double capacity;
     double tokens;
+
     /** Tokens a second; infinite where nothing is limited. */
     double ratePerS = Double.POSITIVE_INFINITY;
+
     /** Draws that were refused since the rate was last set. */
     int refusals;
+
     private double filledAt;
 
     /** A full one. */
@@ -40,7 +44,10 @@
     }
 
     private void fill(double now) {
-        double gained = ratePerS == Double.POSITIVE_INFINITY ? capacity : (now - filledAt) * ratePerS / MS_PER_S;
+        double gained =
+                ratePerS == Double.POSITIVE_INFINITY
+                        ? capacity
+                        : (now - filledAt) * ratePerS / MS_PER_S;
         tokens = Math.min(capacity, tokens + gained);
         filledAt = now;
     }
--- a/src/main/java/hopglade/admin/AdminServer.java
+++ b/src/main/java/hopglade/admin/AdminServer.java
@@ -34,13 +34,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Serves the operators' address: one call to a connection, and few connections, of which the oldest makes room. */
+/**
+ * Serves the operators' address: one call to a connection, and few connections, of which the oldest
+ * makes room.
+ */
 public final class AdminServer {
 
-    /** Connections at once: callers that say nothing may use them up, so one more ends the one that has been here longest. */
+    /**
+     * Connections at once: callers that say nothing may use them up, so one more ends the one that
+     * has been here longest.
+     */
     public static final int PLACES = 16;
+
     /** A call is short; one that has not come by then never will. */
     private static final long PATIENCE_MS = 5000;
+
     private static final int MAX_HEAD = 4096;
     private static final int MAX_BODY = 1024;
 
@@ -55,16 +63,27 @@
 
     /** Begins to listen; the future tells of the address. */
     public ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        admit(channel);
-                        channel.pipeline().addLast(new HttpRequestDecoder(new HttpDecoderConfig().setMaxHeaderSize(MAX_HEAD)),
-                                new HttpResponseEncoder(), new HttpObjectAggregator(MAX_BODY), new Calls());
-                    }
-                }).bind(address);
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                admit(channel);
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpRequestDecoder(
+                                                        new HttpDecoderConfig()
+                                                                .setMaxHeaderSize(MAX_HEAD)),
+                                                new HttpResponseEncoder(),
+                                                new HttpObjectAggregator(MAX_BODY),
+                                                new Calls());
+                            }
+                        })
+                .bind(address);
     }
 
     private void admit(Channel channel) {
@@ -73,10 +92,12 @@
         }
         open.addLast(channel);
         var ends = loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(f -> {
-            ends.cancel(false);
-            open.remove(channel);
-        });
+        channel.closeFuture()
+                .addListener(
+                        f -> {
+                            ends.cancel(false);
+                            open.remove(channel);
+                        });
     }
 
     /** What a call names is looked for here; what it does is the desk's. */
@@ -94,9 +115,12 @@
             answer.accept(reads ? desk.health() : wrongMethod("GET"));
             return;
         }
-        boolean drains = health && path.length == 3 && (path[2].equals("fail") || path[2].equals("ok"));
-        boolean node = path.length == 4 && path[1].equals("cache-nodes")
-                && (path[3].equals("maint") || path[3].equals("ready"));
+        boolean drains =
+                health && path.length == 3 && (path[2].equals("fail") || path[2].equals("ok"));
+        boolean node =
+                path.length == 4
+                        && path[1].equals("cache-nodes")
+                        && (path[3].equals("maint") || path[3].equals("ready"));
         if (!drains && !node) {
             answer.accept(new Reply(404, "no such call: " + call.uri()));
         } else if (!call.method().equals(HttpMethod.POST)) {
@@ -132,9 +156,11 @@
 
         private void answer(ChannelHandlerContext ctx, Reply reply) {
             ByteBuf text = Unpooled.copiedBuffer(reply.text() + "\n", StandardCharsets.UTF_8);
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(reply.status()), text);
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes())
+            FullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), text);
+            answer.headers()
+                    .setInt(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes())
                     .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/hopglade/admin/Desk.java
+++ b/src/main/java/hopglade/admin/Desk.java
@@ -4,8 +4,8 @@
 
 /**
  * Who carries the operators' calls out, on the loop that the address is served on. A call that
- * changes something is answered once, on that loop, when it is known to be kept or not: within
- * 1 s, before or after the method returns.
+ * changes something is answered once, on that loop, when it is known to be kept or not: within 1 s,
+ * before or after the method returns.
  */
 public interface Desk {
 
--- a/src/main/java/hopglade/admin/package-info.java
+++ b/src/main/java/hopglade/admin/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The operators' address: reads their calls, one to a connection, and writes the answers. It carries each call to a
- * {@link hopglade.admin.Desk} and decides nothing; it may touch Netty alone. Start reading at {@link hopglade.admin.AdminServer}.
+ * The operators' address: reads their calls, one to a connection, and writes the answers. It
+ * carries each call to a {@link hopglade.admin.Desk} and decides nothing; it may touch Netty alone.
+ * Start reading at {@link hopglade.admin.AdminServer}.
  */
 package hopglade.admin;
--- a/src/main/java/hopglade/benchlink/Link.java
+++ b/src/main/java/hopglade/benchlink/Link.java
@@ -107,32 +107,36 @@
         }
     }
 
-    /** Parses an event in full before the router hears of it, so that a bad line is never half told. */
+    /**
+     * Parses an event in full before the router hears of it, so that a bad line is never half told.
+     */
     private Event event(String word, int instance, Fields f) throws IOException {
         Reply actions = new Reply(reply, instance);
-        Event event = switch (word) {
-            case "TOPOLOGY" -> topology(f, actions);
-            case "ORDER" -> order(f, actions);
-            case "ENDED" -> ended(f, actions);
-            case "FLOWING" -> flowing(f, actions);
-            case "CLIENT_LEFT" -> clientLeft(f, actions);
-            case "WAKE" -> wake(f, actions);
-            case "PING_RESULT" -> pingResult(f, actions);
-            case "INBOX" -> inbox(f, actions);
-            default -> throw new WireException("unknown message: " + word);
-        };
+        Event event =
+                switch (word) {
+                    case "TOPOLOGY" -> topology(f, actions);
+                    case "ORDER" -> order(f, actions);
+                    case "ENDED" -> ended(f, actions);
+                    case "FLOWING" -> flowing(f, actions);
+                    case "CLIENT_LEFT" -> clientLeft(f, actions);
+                    case "WAKE" -> wake(f, actions);
+                    case "PING_RESULT" -> pingResult(f, actions);
+                    case "INBOX" -> inbox(f, actions);
+                    default -> throw new WireException("unknown message: " + word);
+                };
         f.end();
         return event;
     }
 
     private Event topology(Fields f, Reply actions) throws IOException {
-        ListKind kind = switch (f.text()) {
-            case "changes" -> ListKind.CHANGES;
-            case "all" -> ListKind.FULL;
-            case "remembered" -> ListKind.REMEMBERED;
-            case "refused" -> ListKind.REFUSED;
-            default -> throw new WireException("TOPOLOGY: unknown mode");
-        };
+        ListKind kind =
+                switch (f.text()) {
+                    case "changes" -> ListKind.CHANGES;
+                    case "all" -> ListKind.FULL;
+                    case "remembered" -> ListKind.REMEMBERED;
+                    case "refused" -> ListKind.REFUSED;
+                    default -> throw new WireException("TOPOLOGY: unknown mode");
+                };
         long version = f.longOr(0);
         long count = f.longOr(0);
         List<Node> nodes = new ArrayList<>();
@@ -149,12 +153,13 @@
         double weight = f.numberOr(1);
         String zone = f.optional();
         double startedAt = f.numberOr(0);
-        Availability availability = switch (f.text()) {
-            case "IN" -> Availability.UP;
-            case "LAME" -> Availability.DRAINING;
-            case "OUT" -> Availability.GONE;
-            default -> throw new WireException("NODE: unknown availability");
-        };
+        Availability availability =
+                switch (f.text()) {
+                    case "IN" -> Availability.UP;
+                    case "LAME" -> Availability.DRAINING;
+                    case "OUT" -> Availability.GONE;
+                    default -> throw new WireException("NODE: unknown availability");
+                };
         String id = f.text();
         String model = f.optional();
         int cell = (int) f.longOr(0);
@@ -171,8 +176,16 @@
         long key = f.longOr(-1);
         String service = f.text();
         f.optional();
-        Request request = new Request(id, service, tenant, key, (bits & HINT_VALID) != 0 ? work : 0, budget,
-                (bits & WRITE) != 0, (bits & REPEAT) != 0);
+        Request request =
+                new Request(
+                        id,
+                        service,
+                        tenant,
+                        key,
+                        (bits & HINT_VALID) != 0 ? work : 0,
+                        budget,
+                        (bits & WRITE) != 0,
+                        (bits & REPEAT) != 0);
         return r -> r.request(now, request, actions);
     }
 
@@ -183,7 +196,16 @@
         Outcome outcome = outcome(f.integer());
         double elapsed = f.numberOr(0);
         boolean finished = f.flag();
-        AttemptEnd end = new AttemptEnd(id, attempt, node, outcome, elapsed, finished, (int) f.longOr(0), f.pairs());
+        AttemptEnd end =
+                new AttemptEnd(
+                        id,
+                        attempt,
+                        node,
+                        outcome,
+                        elapsed,
+                        finished,
+                        (int) f.longOr(0),
+                        f.pairs());
         return r -> r.attemptEnded(now, end, actions);
     }
 
--- a/src/main/java/hopglade/benchlink/Main.java
+++ b/src/main/java/hopglade/benchlink/Main.java
@@ -14,7 +14,7 @@
 
     private static final int BUFFER = 1 << 16;
 
-    private Main() { }
+    private Main() {}
 
     /** Serves the wire until standard input ends; a malformed line ends it with exit code 2. */
     public static void main(String[] args) throws IOException {
@@ -22,9 +22,14 @@
             System.err.println("usage: java -jar hopglade.jar benchlink");
             System.exit(64);
         }
-        var in = new BufferedReader(new InputStreamReader(new FileInputStream(FileDescriptor.in),
-                StandardCharsets.UTF_8), BUFFER);
-        var out = new OutputStreamWriter(new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
+        var in =
+                new BufferedReader(
+                        new InputStreamReader(
+                                new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
+                        BUFFER);
+        var out =
+                new OutputStreamWriter(
+                        new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
         try {
             new Link(in, out).run();
         } catch (WireException e) {
--- a/src/main/java/hopglade/benchlink/Reply.java
+++ b/src/main/java/hopglade/benchlink/Reply.java
@@ -54,7 +54,10 @@
 
     @Override
     public void tell(byte[] contents) {
-        begin("ANNOUNCE").append(" -1 ").append(Base64.getEncoder().encodeToString(contents)).append('\n');
+        begin("ANNOUNCE")
+                .append(" -1 ")
+                .append(Base64.getEncoder().encodeToString(contents))
+                .append('\n');
     }
 
     @Override
@@ -82,7 +85,9 @@
         lines.append(micros / 1000);
         long fraction = micros % 1000;
         if (fraction != 0) {
-            lines.append('.').append((char) ('0' + fraction / 100)).append((char) ('0' + fraction / 10 % 10))
+            lines.append('.')
+                    .append((char) ('0' + fraction / 100))
+                    .append((char) ('0' + fraction / 10 % 10))
                     .append((char) ('0' + fraction % 10));
         }
         return lines;
--- a/src/main/java/hopglade/benchlink/SettingsReader.java
+++ b/src/main/java/hopglade/benchlink/SettingsReader.java
@@ -17,10 +17,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns the settings of the wire into the module's; unknown keys are skipped, absent ones get a default. */
+/**
+ * Turns the settings of the wire into the module's; unknown keys are skipped, absent ones get a
+ * default.
+ */
 public final class SettingsReader {
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     static Settings read(String json) {
         try {
@@ -34,24 +37,38 @@
     public static Settings read(JsonElement json) {
         try {
             return settings(json.getAsJsonObject());
-        } catch (JsonParseException | IllegalStateException | UnsupportedOperationException
-                | ClassCastException | NumberFormatException e) {
+        } catch (JsonParseException
+                | IllegalStateException
+                | UnsupportedOperationException
+                | ClassCastException
+                | NumberFormatException e) {
             throw new WireException("settings: " + e.getMessage());
         }
     }
 
     private static Settings settings(JsonObject o) {
-        return new Settings((int) number(o, "rank", 0), (int) number(o, "balancers", 1), text(o, "zone", ""),
-                number(o, "tick_ms", 1), classes(array(o, "services")), tenants(array(o, "customers")),
-                number(o, "over_share_worth", 1), text(o, "value_by", "request").equals("work"),
-                limits(object(o, "limits")), rules(object(o, "obligations")),
-                text(o, "discovery", "automatic").equals("subscribe"), weights(text(o, "weights", "silent")),
-                originModel(o), connections(object(o, "limits"), object(o, "tariffs")));
+        return new Settings(
+                (int) number(o, "rank", 0),
+                (int) number(o, "balancers", 1),
+                text(o, "zone", ""),
+                number(o, "tick_ms", 1),
+                classes(array(o, "services")),
+                tenants(array(o, "customers")),
+                number(o, "over_share_worth", 1),
+                text(o, "value_by", "request").equals("work"),
+                limits(object(o, "limits")),
+                rules(object(o, "obligations")),
+                text(o, "discovery", "automatic").equals("subscribe"),
+                weights(text(o, "weights", "silent")),
+                originModel(o),
+                connections(object(o, "limits"), object(o, "tariffs")));
     }
 
     private static Connections connections(JsonObject limits, JsonObject tariffs) {
-        return new Connections(number(limits, "idle_close_ms", Double.POSITIVE_INFINITY),
-                number(tariffs, "connection", 0), number(tariffs, "handshake", 0));
+        return new Connections(
+                number(limits, "idle_close_ms", Double.POSITIVE_INFINITY),
+                number(tariffs, "connection", 0),
+                number(tariffs, "handshake", 0));
     }
 
     private static List<ServiceClass> classes(JsonArray services) {
@@ -59,10 +76,18 @@
         for (JsonElement element : services) {
             JsonObject o = element.getAsJsonObject();
             double deadline = number(o, "deadline_ms", 0);
-            classes.add(new ServiceClass(text(o, "name", ""), number(o, "objective_ms", deadline),
-                    number(o, "aim_stretch", 0), deadline, number(o, "gain", 1), number(o, "late_share", 0),
-                    effect(text(o, "effect", "fragile")), group(text(o, "group", "all")),
-                    number(o, "repeat_window_ms", 0), flag(o, "stream")));
+            classes.add(
+                    new ServiceClass(
+                            text(o, "name", ""),
+                            number(o, "objective_ms", deadline),
+                            number(o, "aim_stretch", 0),
+                            deadline,
+                            number(o, "gain", 1),
+                            number(o, "late_share", 0),
+                            effect(text(o, "effect", "fragile")),
+                            group(text(o, "group", "all")),
+                            number(o, "repeat_window_ms", 0),
+                            flag(o, "stream")));
         }
         return classes;
     }
@@ -71,21 +96,33 @@
         List<Tenant> tenants = new ArrayList<>();
         for (JsonElement element : customers) {
             JsonObject o = element.getAsJsonObject();
-            tenants.add(new Tenant(text(o, "name", ""), number(o, "quota_per_s", Double.MAX_VALUE)));
+            tenants.add(
+                    new Tenant(text(o, "name", ""), number(o, "quota_per_s", Double.MAX_VALUE)));
         }
         return tenants;
     }
 
     private static Limits limits(JsonObject o) {
-        return new Limits((int) number(o, "try_limit", 1), flag(o, "cancelling"), flag(o, "probing"),
-                flag(o, "peers"), flag(o, "retry_after"), number(o, "max_retry_after_ms", 0),
-                flag(o, "second_copies"), number(o, "connect_timeout_ms", 100));
+        return new Limits(
+                (int) number(o, "try_limit", 1),
+                flag(o, "cancelling"),
+                flag(o, "probing"),
+                flag(o, "peers"),
+                flag(o, "retry_after"),
+                number(o, "max_retry_after_ms", 0),
+                flag(o, "second_copies"),
+                number(o, "connect_timeout_ms", 100));
     }
 
     private static Rules rules(JsonObject o) {
-        return new Rules(number(o, "stop_sending_within_ms", 0), number(o, "cold_from", 1),
-                number(o, "cold_ms", 0), number(o, "fall_multiple", 1), number(o, "fall_ms", 1000),
-                number(o, "answer_slack_ms", 0), number(o, "ask_within_ms", 10000));
+        return new Rules(
+                number(o, "stop_sending_within_ms", 0),
+                number(o, "cold_from", 1),
+                number(o, "cold_ms", 0),
+                number(o, "fall_multiple", 1),
+                number(o, "fall_ms", 1000),
+                number(o, "answer_slack_ms", 0),
+                number(o, "ask_within_ms", 10000));
     }
 
     /** The model that marks the origin; null unless proxies fetch from it themselves. */
--- a/src/main/java/hopglade/cli/CapacityCommand.java
+++ b/src/main/java/hopglade/cli/CapacityCommand.java
@@ -19,23 +19,44 @@
 import picocli.CommandLine.Option;
 
 /** The tables of {@code docs/CAPACITY.md}, for the committed target or another size. */
-@Command(name = "capacity", description = "What each role costs at the size to plan for, worked out from measured slopes, and what is missing first.",
-        mixinStandardHelpOptions = true, versionProvider = Version.class, exitCodeListHeading = "%nExit codes:%n",
+@Command(
+        name = "capacity",
+        description =
+                "What each role costs at the size to plan for, worked out from measured slopes, and what is missing first.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:printed", "2:a bad file"})
 final class CapacityCommand implements Callable<Integer> {
 
     private static final Path FOLDER = Path.of("experiments", "capacity");
 
-    @Option(names = "--target", paramLabel = "FILE", defaultValue = "deploy/target.toml", description = "the size to plan for (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--target",
+            paramLabel = "FILE",
+            defaultValue = "deploy/target.toml",
+            description = "the size to plan for (default: ${DEFAULT-VALUE})")
     private Path target;
 
-    @Option(names = "--set", paramLabel = "KEY=VALUE", description = "another value for a key of the target, as --set fleet.proxies=400")
+    @Option(
+            names = "--set",
+            paramLabel = "KEY=VALUE",
+            description = "another value for a key of the target, as --set fleet.proxies=400")
     private Map<String, String> set = new LinkedHashMap<>();
 
-    @Option(names = "--slopes", paramLabel = "FILE", description = "measured slopes; may be given again (default: every slopes*.toml in experiments/capacity)")
+    @Option(
+            names = "--slopes",
+            paramLabel = "FILE",
+            description =
+                    "measured slopes; may be given again (default: every slopes*.toml in experiments/capacity)")
     private List<Path> slopes = new ArrayList<>();
 
-    @Option(names = "--rows", paramLabel = "FILE", defaultValue = "experiments/capacity/rows.toml", description = "what each role has to bear, and what carries it (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--rows",
+            paramLabel = "FILE",
+            defaultValue = "experiments/capacity/rows.toml",
+            description =
+                    "what each role has to bear, and what carries it (default: ${DEFAULT-VALUE})")
     private Path rows;
 
     @Override
--- a/src/main/java/hopglade/cli/KeysCommands.java
+++ b/src/main/java/hopglade/cli/KeysCommands.java
@@ -20,16 +20,28 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "keys", description = "Makes, changes and checks the keys by which proxies know one another.", mixinStandardHelpOptions = true,
-        versionProvider = Version.class, synopsisSubcommandLabel = "generate|rotate|check|cost")
+@Command(
+        name = "keys",
+        description = "Makes, changes and checks the keys by which proxies know one another.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "generate|rotate|check|cost")
 final class KeysCommands {
 
     /** The two files that every command is about. */
     static final class Files {
-        @Option(names = "--key", required = true, paramLabel = "FILE", description = "the proxy's own key file")
+        @Option(
+                names = "--key",
+                required = true,
+                paramLabel = "FILE",
+                description = "the proxy's own key file")
         Path key;
 
-        @Option(names = "--ring", required = true, paramLabel = "FILE", description = "the key ring, the same for all proxies")
+        @Option(
+                names = "--ring",
+                required = true,
+                paramLabel = "FILE",
+                description = "the key ring, the same for all proxies")
         Path ring;
     }
 
@@ -53,36 +65,59 @@
         return String.format(Locale.ROOT, "%08x", KeyFiles.id(key.open()));
     }
 
-    @Command(name = "generate", description = "A key for a new proxy, and its place in the ring.", mixinStandardHelpOptions = true,
+    @Command(
+            name = "generate",
+            description = "A key for a new proxy, and its place in the ring.",
+            mixinStandardHelpOptions = true,
             versionProvider = Version.class)
-    int generate(@Parameters(paramLabel = "NAME") String name, @picocli.CommandLine.Mixin Files files) throws BadFileException, IOException {
-        return report(() -> {
-            if (java.nio.file.Files.exists(files.key)) {
-                throw new KeyException(files.key + ": is there already; keys rotate changes the key of a proxy");
-            }
-            return name + ": key " + id(KeyFiles.generate(name, files.key, files.ring));
-        });
+    int generate(
+            @Parameters(paramLabel = "NAME") String name, @picocli.CommandLine.Mixin Files files)
+            throws BadFileException, IOException {
+        return report(
+                () -> {
+                    if (java.nio.file.Files.exists(files.key)) {
+                        throw new KeyException(
+                                files.key
+                                        + ": is there already; keys rotate changes the key of a proxy");
+                    }
+                    return name + ": key " + id(KeyFiles.generate(name, files.key, files.ring));
+                });
     }
 
-    @Command(name = "rotate", description = "Changes a proxy's key in three steps, each followed by SIGHUP to the proxies: without an option a new "
-            + "key is made and trusted, --use signs with it, --drop ends the trust in the old one.", mixinStandardHelpOptions = true,
+    @Command(
+            name = "rotate",
+            description =
+                    "Changes a proxy's key in three steps, each followed by SIGHUP to the proxies: without an option a new "
+                            + "key is made and trusted, --use signs with it, --drop ends the trust in the old one.",
+            mixinStandardHelpOptions = true,
             versionProvider = Version.class)
-    int rotate(@picocli.CommandLine.Mixin Files files, @Option(names = "--use", description = "sign with the new key") boolean use,
-               @Option(names = "--drop", description = "trust the old key no longer") boolean drop) throws BadFileException, IOException {
-        return report(() -> {
-            if (use) {
-                return "signs with key " + id(KeyFiles.use(files.key));
-            }
-            if (drop) {
-                return KeyFiles.drop(files.key, files.ring) + " keys are trusted no longer";
-            }
-            String name = KeyFiles.own(files.key).get(0).name();
-            return name + ": new key " + id(KeyFiles.generate(name, files.key, files.ring)) + " is trusted; hand the ring to all, then keys rotate --use";
-        });
+    int rotate(
+            @picocli.CommandLine.Mixin Files files,
+            @Option(names = "--use", description = "sign with the new key") boolean use,
+            @Option(names = "--drop", description = "trust the old key no longer") boolean drop)
+            throws BadFileException, IOException {
+        return report(
+                () -> {
+                    if (use) {
+                        return "signs with key " + id(KeyFiles.use(files.key));
+                    }
+                    if (drop) {
+                        return KeyFiles.drop(files.key, files.ring) + " keys are trusted no longer";
+                    }
+                    String name = KeyFiles.own(files.key).get(0).name();
+                    return name
+                            + ": new key "
+                            + id(KeyFiles.generate(name, files.key, files.ring))
+                            + " is trusted; hand the ring to all, then keys rotate --use";
+                });
     }
 
-    @Command(name = "cost", description = "Measures what a signature costs here, beside that of a shared secret (HMAC-SHA256).",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
+    @Command(
+            name = "cost",
+            description =
+                    "Measures what a signature costs here, beside that of a shared secret (HMAC-SHA256).",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
     int cost() throws GeneralSecurityException {
         byte[] packet = new byte[PACKET_BYTES];
         KeyPair pair = KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
@@ -90,20 +125,36 @@
         Mac mac = Mac.getInstance("HmacSHA256");
         mac.init(new SecretKeySpec(new byte[32], "HmacSHA256"));
         byte[][] signed = new byte[1][];
-        System.out.printf(Locale.ROOT, "packets of %d bytes, mean of %d after as many to warm up%n", PACKET_BYTES, ROUNDS);
-        System.out.printf(Locale.ROOT, "Ed25519 sign       %8.1f us, 64 bytes%n", us(() -> {
-            signature.initSign(pair.getPrivate());
-            signature.update(packet);
-            signed[0] = signature.sign();
-        }));
-        System.out.printf(Locale.ROOT, "Ed25519 verify     %8.1f us%n", us(() -> {
-            signature.initVerify(pair.getPublic());
-            signature.update(packet);
-            if (!signature.verify(signed[0])) {
-                throw new SignatureException("a signature of our own does not verify");
-            }
-        }));
-        System.out.printf(Locale.ROOT, "HMAC-SHA256 either %8.1f us, 32 bytes%n", us(() -> mac.doFinal(packet)));
+        System.out.printf(
+                Locale.ROOT,
+                "packets of %d bytes, mean of %d after as many to warm up%n",
+                PACKET_BYTES,
+                ROUNDS);
+        System.out.printf(
+                Locale.ROOT,
+                "Ed25519 sign       %8.1f us, 64 bytes%n",
+                us(
+                        () -> {
+                            signature.initSign(pair.getPrivate());
+                            signature.update(packet);
+                            signed[0] = signature.sign();
+                        }));
+        System.out.printf(
+                Locale.ROOT,
+                "Ed25519 verify     %8.1f us%n",
+                us(
+                        () -> {
+                            signature.initVerify(pair.getPublic());
+                            signature.update(packet);
+                            if (!signature.verify(signed[0])) {
+                                throw new SignatureException(
+                                        "a signature of our own does not verify");
+                            }
+                        }));
+        System.out.printf(
+                Locale.ROOT,
+                "HMAC-SHA256 either %8.1f us, 32 bytes%n",
+                us(() -> mac.doFinal(packet)));
         return Cli.OK;
     }
 
@@ -120,14 +171,24 @@
         return (System.nanoTime() - begun) / 1e3 / ROUNDS;
     }
 
-    @Command(name = "check", description = "Exit 0 if a proxy would start with these files; else one message and exit 2.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
+    @Command(
+            name = "check",
+            description =
+                    "Exit 0 if a proxy would start with these files; else one message and exit 2.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
     int check(@picocli.CommandLine.Mixin Files files) throws BadFileException, IOException {
-        return report(() -> {
-            KeyRing ring = new KeyRing(files.key, files.ring);
-            List<Own> own = KeyFiles.own(files.key);
-            return ring.name() + ": signs with key " + id(own.get(0)) + (own.size() > 1 ? ", key " + id(own.get(1)) + " waits" : "")
-                    + "; the ring trusts " + KeyFiles.ring(files.ring).size() + " keys";
-        });
+        return report(
+                () -> {
+                    KeyRing ring = new KeyRing(files.key, files.ring);
+                    List<Own> own = KeyFiles.own(files.key);
+                    return ring.name()
+                            + ": signs with key "
+                            + id(own.get(0))
+                            + (own.size() > 1 ? ", key " + id(own.get(1)) + " waits" : "")
+                            + "; the ring trusts "
+                            + KeyFiles.ring(files.ring).size()
+                            + " keys";
+                });
     }
 }
--- a/src/main/java/hopglade/cli/LabCommands.java
+++ b/src/main/java/hopglade/cli/LabCommands.java
@@ -26,23 +26,29 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Model.CommandSpec;
 
-@Command(name = "lab", description = "Plays experiments: stand-in machines, real proxies, load, faults and a ledger that judges.",
-        mixinStandardHelpOptions = true, versionProvider = Version.class, synopsisSubcommandLabel = "run|sim|hunt|check|sweep|compare|cost|hollow|slope|capacity|stream",
+@Command(
+        name = "lab",
+        description =
+                "Plays experiments: stand-in machines, real proxies, load, faults and a ledger that judges.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel =
+                "run|sim|hunt|check|sweep|compare|cost|hollow|slope|capacity|stream",
         subcommands = {HollowCommand.class, SlopeCommand.class, CapacityCommand.class})
 final class LabCommands {
 
     private static final int BAR = 20;
+
     /** Proxies that one machine can hold as processes. */
     private static final int MOST_PROCESSES = 64;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     /** What every command that reads an experiment takes. */
     static final class Given {
@@ -52,7 +58,10 @@
         @Option(names = "--seed", paramLabel = "N", description = "another seed than the file's")
         Integer seed;
 
-        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "another value for a key, as --set load.rate=400")
+        @Option(
+                names = "--set",
+                paramLabel = "KEY=VALUE",
+                description = "another value for a key, as --set load.rate=400")
         Map<String, String> set = new LinkedHashMap<>();
 
         Experiment read(Map<String, String> more) throws BadFileException {
@@ -65,93 +74,208 @@
         }
     }
 
-    @Command(name = "check", description = "Says whether an experiment's file would be played, and what it would send.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
+    @Command(
+            name = "check",
+            description =
+                    "Says whether an experiment's file would be played, and what it would send.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
     int check(@Mixin Given given) throws BadFileException {
         Experiment experiment = given.read(Map.of());
         LoadPlan plan = LoadPlan.of(experiment);
-        System.out.printf("%s: good; %d requests in %s s, load %s%n", given.file, plan.firsts().size(),
-                Results.plain(experiment.durationS()), plan.digest());
+        System.out.printf(
+                "%s: good; %d requests in %s s, load %s%n",
+                given.file,
+                plan.firsts().size(),
+                Results.plain(experiment.durationS()),
+                plan.digest());
         return Cli.OK;
     }
 
-    @Command(name = "run", description = "Plays an experiment on loopback sockets against real proxies.", mixinStandardHelpOptions = true,
-            versionProvider = Version.class, exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:all bounds hold, no rule is broken",
-                "1:some fall short; each is named with figure and bound", "2:a bad file"})
-    int run(@Mixin Given given,
-            @Option(names = "--out", paramLabel = "DIR", description = "where results, report and logs go (default: target/lab/NAME)") Path out,
-            @Option(names = "--repeat", paramLabel = "N", defaultValue = "1", description = "plays it N times, with seeds that follow one another") int repeat)
+    @Command(
+            name = "run",
+            description = "Plays an experiment on loopback sockets against real proxies.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:all bounds hold, no rule is broken",
+                "1:some fall short; each is named with figure and bound",
+                "2:a bad file"
+            })
+    int run(
+            @Mixin Given given,
+            @Option(
+                            names = "--out",
+                            paramLabel = "DIR",
+                            description =
+                                    "where results, report and logs go (default: target/lab/NAME)")
+                    Path out,
+            @Option(
+                            names = "--repeat",
+                            paramLabel = "N",
+                            defaultValue = "1",
+                            description = "plays it N times, with seeds that follow one another")
+                    int repeat)
             throws BadFileException, IOException, InterruptedException {
         checkRepeat(repeat);
         boolean good = true;
         long first = given.read(Map.of()).seed();
         for (int i = 0; i < repeat; i++) {
-            Experiment experiment = given.read(repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(first + i)));
+            Experiment experiment =
+                    given.read(repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(first + i)));
             Path directory = directory(out, experiment);
-            good &= play(experiment, repeat == 1 ? directory : directory.resolve(String.valueOf(i + 1))).good();
+            good &=
+                    play(
+                                    experiment,
+                                    repeat == 1
+                                            ? directory
+                                            : directory.resolve(String.valueOf(i + 1)))
+                            .good();
         }
         return good ? Cli.OK : Cli.FAILED;
     }
 
-    @Command(name = "sim", description = "Plays the same experiment in virtual time: no proxies, no sockets, the same results from the same seed.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
-    int sim(@Mixin Given given, @Option(names = "--out", paramLabel = "DIR", description = "where results and report go (default: target/lab/NAME-sim)") Path out,
-            @Option(names = "--repeat", paramLabel = "N", defaultValue = "1", description = "plays it N times, with seeds that follow one another") int repeat)
+    @Command(
+            name = "sim",
+            description =
+                    "Plays the same experiment in virtual time: no proxies, no sockets, the same results from the same seed.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    int sim(
+            @Mixin Given given,
+            @Option(
+                            names = "--out",
+                            paramLabel = "DIR",
+                            description =
+                                    "where results and report go (default: target/lab/NAME-sim)")
+                    Path out,
+            @Option(
+                            names = "--repeat",
+                            paramLabel = "N",
+                            defaultValue = "1",
+                            description = "plays it N times, with seeds that follow one another")
+                    int repeat)
             throws BadFileException, IOException {
         checkRepeat(repeat);
         boolean good = true;
         long first = given.read(Map.of()).seed();
         for (int i = 0; i < repeat; i++) {
-            Experiment experiment = given.read(repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(first + i)));
-            Path directory = out == null ? Path.of("target", "lab", experiment.name() + "-sim") : out;
+            Experiment experiment =
+                    given.read(repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(first + i)));
+            Path directory =
+                    out == null ? Path.of("target", "lab", experiment.name() + "-sim") : out;
             Results results = new VirtualRun(experiment).play();
-            tell(results, Files.createDirectories(repeat == 1 ? directory : directory.resolve(String.valueOf(i + 1))));
+            tell(
+                    results,
+                    Files.createDirectories(
+                            repeat == 1 ? directory : directory.resolve(String.valueOf(i + 1))));
             good &= results.good();
         }
         return good ? Cli.OK : Cli.FAILED;
     }
 
-    @Command(name = "hunt", description = "Draws days from a seed and plays them in virtual time; what breaks a rule is made as small as it can be and written down.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class, exitCodeListHeading = "%nExit codes:%n",
+    @Command(
+            name = "hunt",
+            description =
+                    "Draws days from a seed and plays them in virtual time; what breaks a rule is made as small as it can be and written down.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
+            exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {"0:nothing found", "1:found, each with its file", "64:bad arguments"})
-    int hunt(@Option(names = "--budget", paramLabel = "SECONDS", defaultValue = "60s", description = "how long it looks, as 60s") String budget,
-             @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "which days it draws") int seed,
-             @Option(names = "--out", paramLabel = "DIR", defaultValue = "experiments/found", description = "where files go") Path out) throws IOException {
+    int hunt(
+            @Option(
+                            names = "--budget",
+                            paramLabel = "SECONDS",
+                            defaultValue = "60s",
+                            description = "how long it looks, as 60s")
+                    String budget,
+            @Option(
+                            names = "--seed",
+                            paramLabel = "N",
+                            defaultValue = "1",
+                            description = "which days it draws")
+                    int seed,
+            @Option(
+                            names = "--out",
+                            paramLabel = "DIR",
+                            defaultValue = "experiments/found",
+                            description = "where files go")
+                    Path out)
+            throws IOException {
         if (!budget.matches("[1-9]\\d{0,4}s?")) {
-            throw new ParameterException(spec.commandLine(), "--budget: found " + budget + ", allowed is 1s to 99999s");
+            throw new ParameterException(
+                    spec.commandLine(), "--budget: found " + budget + ", allowed is 1s to 99999s");
         }
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Long.parseLong(budget.replace("s", "")));
+        long end =
+                System.nanoTime()
+                        + TimeUnit.SECONDS.toNanos(Long.parseLong(budget.replace("s", "")));
         int[] days = new int[2];
-        List<Hunt.Found> found = new Hunt(seed).search(() -> System.nanoTime() < end, (number, wrong) -> {
-            days[0]++;
-            days[1] += wrong.isEmpty() ? 0 : 1;
-            if (!wrong.isEmpty()) {
-                System.out.println("day " + number + ": " + wrong);
-            }
-        });
+        List<Hunt.Found> found =
+                new Hunt(seed)
+                        .search(
+                                () -> System.nanoTime() < end,
+                                (number, wrong) -> {
+                                    days[0]++;
+                                    days[1] += wrong.isEmpty() ? 0 : 1;
+                                    if (!wrong.isEmpty()) {
+                                        System.out.println("day " + number + ": " + wrong);
+                                    }
+                                });
         for (Hunt.Found f : found) {
             Files.createDirectories(out);
-            Path file = out.resolve(f.wrong().split(" ")[0].replace(":", "") + "-" + seed + "-" + f.number() + ".toml");
-            Files.writeString(file, "# " + f.wrong().lines().findFirst().orElse("") + "\n" + f.toml());
+            Path file =
+                    out.resolve(
+                            f.wrong().split(" ")[0].replace(":", "")
+                                    + "-"
+                                    + seed
+                                    + "-"
+                                    + f.number()
+                                    + ".toml");
+            Files.writeString(
+                    file, "# " + f.wrong().lines().findFirst().orElse("") + "\n" + f.toml());
             System.out.println("replay: ./flintmill lab sim " + file);
         }
         System.out.println(days[0] + " days, " + days[1] + " of them bad");
         return found.isEmpty() ? Cli.OK : Cli.FAILED;
     }
 
-    @Command(name = "stream", description = "Plays the change stream on loopback: hollow proxies, control machines in processes of their own, one of them killed.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class, exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:all bounds hold", "1:some fall short; each is named with figure and bound", "2:a bad file"})
-    int stream(@Parameters(paramLabel = "FILE", description = "the plan, as experiments/capacity/stream-780.toml") Path file,
-            @Option(names = "--set", paramLabel = "KEY=VALUE", description = "another value for a key, as --set fleet.proxies=390") Map<String, String> set,
-            @Option(names = "--out", paramLabel = "DIR", description = "where the control machines' files go (default: target/lab/NAME)") Path out)
+    @Command(
+            name = "stream",
+            description =
+                    "Plays the change stream on loopback: hollow proxies, control machines in processes of their own, one of them killed.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:all bounds hold",
+                "1:some fall short; each is named with figure and bound",
+                "2:a bad file"
+            })
+    int stream(
+            @Parameters(
+                            paramLabel = "FILE",
+                            description = "the plan, as experiments/capacity/stream-780.toml")
+                    Path file,
+            @Option(
+                            names = "--set",
+                            paramLabel = "KEY=VALUE",
+                            description = "another value for a key, as --set fleet.proxies=390")
+                    Map<String, String> set,
+            @Option(
+                            names = "--out",
+                            paramLabel = "DIR",
+                            description =
+                                    "where the control machines' files go (default: target/lab/NAME)")
+                    Path out)
             throws BadFileException, IOException, InterruptedException {
         return StreamLoad.play(file, set == null ? Map.of() : set, out) ? Cli.OK : Cli.FAILED;
     }
 
     private void checkRepeat(int repeat) {
         if (repeat < 1 || repeat > 100) {
-            throw new ParameterException(spec.commandLine(), "--repeat: found " + repeat + ", allowed is 1 to 100");
+            throw new ParameterException(
+                    spec.commandLine(), "--repeat: found " + repeat + ", allowed is 1 to 100");
         }
     }
 
@@ -159,24 +283,36 @@
         return out == null ? Path.of("target", "lab", experiment.name()) : out;
     }
 
-    private static Results play(Experiment experiment, Path directory) throws BadFileException, IOException, InterruptedException {
+    private static Results play(Experiment experiment, Path directory)
+            throws BadFileException, IOException, InterruptedException {
         if (experiment.proxies().count() > MOST_PROCESSES) {
-            throw new BadFileException("proxies.count: found " + experiment.proxies().count() + ", allowed on sockets is 1 to "
-                    + MOST_PROCESSES + "; lab sim plays more");
+            throw new BadFileException(
+                    "proxies.count: found "
+                            + experiment.proxies().count()
+                            + ", allowed on sockets is 1 to "
+                            + MOST_PROCESSES
+                            + "; lab sim plays more");
         }
         RunLine line = RunLine.find(Path.of("."), experiment.proxies().run());
         Files.createDirectories(directory);
         System.out.println(experiment.name() + ": " + experiment.about());
         boolean terminal = System.console() != null;
         long[] shown = {Long.MIN_VALUE};
-        Results results = new SocketRun(experiment, directory, line.root(), line.run()).play(p -> {
-            long step = (long) Math.floor(terminal ? p.atS() * 4 : p.atS() / 5);
-            if (p.atS() >= 0 && step != shown[0]) {
-                shown[0] = step;
-                System.out.print((terminal ? "\r" : "") + line(p) + (terminal ? "" : System.lineSeparator()));
-                System.out.flush();
-            }
-        });
+        Results results =
+                new SocketRun(experiment, directory, line.root(), line.run())
+                        .play(
+                                p -> {
+                                    long step =
+                                            (long) Math.floor(terminal ? p.atS() * 4 : p.atS() / 5);
+                                    if (p.atS() >= 0 && step != shown[0]) {
+                                        shown[0] = step;
+                                        System.out.print(
+                                                (terminal ? "\r" : "")
+                                                        + line(p)
+                                                        + (terminal ? "" : System.lineSeparator()));
+                                        System.out.flush();
+                                    }
+                                });
         System.out.println();
         tell(results, directory);
         return results;
@@ -184,9 +320,17 @@
 
     private static String line(SocketRun.Progress p) {
         int full = (int) Math.min(BAR, Math.max(0, BAR * p.atS() / p.ofS()));
-        return String.format(Locale.ROOT, "[%s%s] %5.1f s  %4.0f req/s  worth served %5.1f%%  refused %d  failed %d  level %d ",
-                "#".repeat(full), ".".repeat(BAR - full), p.atS(), p.atS() < 1 ? 0 : p.asked() / Math.min(p.ofS(), p.atS()),
-                100 * p.worthShare(), p.refused(), p.failed(), p.level());
+        return String.format(
+                Locale.ROOT,
+                "[%s%s] %5.1f s  %4.0f req/s  worth served %5.1f%%  refused %d  failed %d  level %d ",
+                "#".repeat(full),
+                ".".repeat(BAR - full),
+                p.atS(),
+                p.atS() < 1 ? 0 : p.asked() / Math.min(p.ofS(), p.atS()),
+                100 * p.worthShare(),
+                p.refused(),
+                p.failed(),
+                p.level());
     }
 
     private static void tell(Results results, Path directory) throws IOException {
@@ -196,33 +340,82 @@
     }
 
     private static void summary(Results results, Path directory) {
-        String[] figures = {"load.requests", "served.worth", "served.worst_10s_worth", "refused.share", "failed.share", "latency.p50_ms",
-            "latency.p99_ms", "cache.hit_share", "origin.load", "control.level_max", "recovery.s", "generator.late_p99_ms",
-            "proxy.cpu_ms_per_request", "proxy.resident_mb_max"};
+        String[] figures = {
+            "load.requests",
+            "served.worth",
+            "served.worst_10s_worth",
+            "refused.share",
+            "failed.share",
+            "latency.p50_ms",
+            "latency.p99_ms",
+            "cache.hit_share",
+            "origin.load",
+            "control.level_max",
+            "recovery.s",
+            "generator.late_p99_ms",
+            "proxy.cpu_ms_per_request",
+            "proxy.resident_mb_max"
+        };
         for (String figure : figures) {
-            System.out.printf("  %-26s %s%n", figure, Results.plain(results.figures().getOrDefault(figure, Double.NaN)));
+            System.out.printf(
+                    "  %-26s %s%n",
+                    figure, Results.plain(results.figures().getOrDefault(figure, Double.NaN)));
         }
         results.violations().stream().limit(10).forEach(v -> System.out.println("  broken: " + v));
         if (results.violations().size() > 10) {
-            System.out.println("  broken: and " + (results.violations().size() - 10) + " more in results.json");
+            System.out.println(
+                    "  broken: and "
+                            + (results.violations().size() - 10)
+                            + " more in results.json");
         }
         results.missed().forEach(m -> System.out.println("  missed: " + m));
-        System.out.println((results.good() ? "all bounds hold, no rule is broken; " : "") + "see " + directory.resolve("report.html"));
+        System.out.println(
+                (results.good() ? "all bounds hold, no rule is broken; " : "")
+                        + "see "
+                        + directory.resolve("report.html"));
     }
 
-    @Command(name = "sweep", description = "Plays an experiment at several values of one key and draws worth served against worth offered, "
-            + "by class, with the clients' retries and without.", mixinStandardHelpOptions = true, versionProvider = Version.class)
-    int sweep(@Mixin Given given,
-              @Option(names = "--over", required = true, paramLabel = "KEY=FROM..TO:STEPS", description = "as load.rate=200..1600:8") String over,
-              @Option(names = "--out", paramLabel = "DIR", description = "where the curve goes (default: target/lab/NAME-sweep)") Path out,
-              @Option(names = "--sim", description = "in virtual time") boolean virtual,
-              @Option(names = "--repeat", paramLabel = "N", defaultValue = "1", description = "plays each step N times; on sockets with one seed, "
-                      + "so that the spread is the machine's, in virtual time with seeds that follow one another") int repeat,
-              @Option(names = "--no-retries", description = "plays each step without the clients' retries too") boolean both)
+    @Command(
+            name = "sweep",
+            description =
+                    "Plays an experiment at several values of one key and draws worth served against worth offered, "
+                            + "by class, with the clients' retries and without.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    int sweep(
+            @Mixin Given given,
+            @Option(
+                            names = "--over",
+                            required = true,
+                            paramLabel = "KEY=FROM..TO:STEPS",
+                            description = "as load.rate=200..1600:8")
+                    String over,
+            @Option(
+                            names = "--out",
+                            paramLabel = "DIR",
+                            description = "where the curve goes (default: target/lab/NAME-sweep)")
+                    Path out,
+            @Option(names = "--sim", description = "in virtual time") boolean virtual,
+            @Option(
+                            names = "--repeat",
+                            paramLabel = "N",
+                            defaultValue = "1",
+                            description =
+                                    "plays each step N times; on sockets with one seed, "
+                                            + "so that the spread is the machine's, in virtual time with seeds that follow one another")
+                    int repeat,
+            @Option(
+                            names = "--no-retries",
+                            description = "plays each step without the clients' retries too")
+                    boolean both)
             throws BadFileException, IOException, InterruptedException {
         Sweep sweep = Sweep.parse(over);
         if (sweep == null) {
-            throw new ParameterException(spec.commandLine(), "--over: found " + over + ", allowed is KEY=FROM..TO:STEPS with 2 to 100 steps, as load.rate=200..1600:8");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--over: found "
+                            + over
+                            + ", allowed is KEY=FROM..TO:STEPS with 2 to 100 steps, as load.rate=200..1600:8");
         }
         checkRepeat(repeat);
         // All of it is read before anything starts.
@@ -231,7 +424,8 @@
         for (boolean retries : both ? new boolean[] {true, false} : new boolean[] {true}) {
             List<List<Experiment>> steps = new ArrayList<>();
             for (double value : sweep.values()) {
-                Map<String, String> set = new LinkedHashMap<>(Map.of(sweep.key(), Results.plain(value)));
+                Map<String, String> set =
+                        new LinkedHashMap<>(Map.of(sweep.key(), Results.plain(value)));
                 if (!retries) {
                     set.put("load.retries", "0");
                 }
@@ -252,7 +446,13 @@
             for (List<Experiment> runs : entry.getValue()) {
                 List<Results> results = new ArrayList<>();
                 for (Experiment run : runs) {
-                    Path own = directory.resolve(entry.getKey().replace(' ', '-') + "-" + (steps.size() + 1)).resolve(String.valueOf(results.size() + 1));
+                    Path own =
+                            directory
+                                    .resolve(
+                                            entry.getKey().replace(' ', '-')
+                                                    + "-"
+                                                    + (steps.size() + 1))
+                                    .resolve(String.valueOf(results.size() + 1));
                     results.add(virtual ? new VirtualRun(run).play() : play(run, own));
                 }
                 steps.add(results);
@@ -261,16 +461,25 @@
         }
         System.out.print(CurveReport.table(sweep.key(), sweep.values(), played));
         Files.createDirectories(directory);
-        CurveReport.write(name, sweep.key(), sweep.values(), played, directory.resolve("curve.html"));
+        CurveReport.write(
+                name, sweep.key(), sweep.values(), played, directory.resolve("curve.html"));
         System.out.println("see " + directory.resolve("curve.html"));
-        return played.values().stream().flatMap(List::stream).flatMap(List::stream).allMatch(r -> r.violations().isEmpty()) ? Cli.OK : Cli.FAILED;
+        return played.values().stream()
+                        .flatMap(List::stream)
+                        .flatMap(List::stream)
+                        .allMatch(r -> r.violations().isEmpty())
+                ? Cli.OK
+                : Cli.FAILED;
     }
 
     /** The values of one key that a sweep goes through. */
     record Sweep(String key, List<Double> values) {
 
         static Sweep parse(String over) {
-            var parts = java.util.regex.Pattern.compile("([a-z_.]+)=([0-9.]+?)\\.\\.([0-9.]+):(\\d{1,3})").matcher(over);
+            var parts =
+                    java.util.regex.Pattern.compile(
+                                    "([a-z_.]+)=([0-9.]+?)\\.\\.([0-9.]+):(\\d{1,3})")
+                            .matcher(over);
             if (!parts.matches()) {
                 return null;
             }
@@ -292,27 +501,67 @@
         }
     }
 
-    @Command(name = "cost", description = "Measures what the module itself costs for each request as nodes and proxies grow.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
-    int cost(@Option(names = "--nodes", split = ",", paramLabel = "N", defaultValue = "10,100,1000", description = "fleets, as 10,100,1000") List<Integer> nodes,
-             @Option(names = "--proxies", split = ",", paramLabel = "N", defaultValue = "3,30,300", description = "numbers of proxies, as 3,30,300") List<Integer> proxies)
+    @Command(
+            name = "cost",
+            description =
+                    "Measures what the module itself costs for each request as nodes and proxies grow.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    int cost(
+            @Option(
+                            names = "--nodes",
+                            split = ",",
+                            paramLabel = "N",
+                            defaultValue = "10,100,1000",
+                            description = "fleets, as 10,100,1000")
+                    List<Integer> nodes,
+            @Option(
+                            names = "--proxies",
+                            split = ",",
+                            paramLabel = "N",
+                            defaultValue = "3,30,300",
+                            description = "numbers of proxies, as 3,30,300")
+                    List<Integer> proxies)
             throws BadFileException {
-        System.out.printf("%8s %8s %18s %18s %14s%n", "nodes", "proxies", "CPU us/request", "bytes/request", "bytes held");
+        System.out.printf(
+                "%8s %8s %18s %18s %14s%n",
+                "nodes", "proxies", "CPU us/request", "bytes/request", "bytes held");
         for (int p : proxies) {
             for (int n : nodes) {
-                ModuleCost.Cost cost = ModuleCost.measure(ExperimentFile.of(Toml.parse("lab cost",
-                        "name = \"cost\"\n[fleet]\nkeys = 100000\nnodes = " + n + "\n[proxies]\ncount = " + p + "\n")));
-                System.out.printf(Locale.ROOT, "%8d %8d %10.2f ± %5.2f %18.0f %14.0f%n", n, p, cost.cpuUs(), cost.spreadUs(),
-                        cost.allocatedBytes(), cost.retainedBytes());
+                ModuleCost.Cost cost =
+                        ModuleCost.measure(
+                                ExperimentFile.of(
+                                        Toml.parse(
+                                                "lab cost",
+                                                "name = \"cost\"\n[fleet]\nkeys = 100000\nnodes = "
+                                                        + n
+                                                        + "\n[proxies]\ncount = "
+                                                        + p
+                                                        + "\n")));
+                System.out.printf(
+                        Locale.ROOT,
+                        "%8d %8d %10.2f ± %5.2f %18.0f %14.0f%n",
+                        n,
+                        p,
+                        cost.cpuUs(),
+                        cost.spreadUs(),
+                        cost.allocatedBytes(),
+                        cost.retainedBytes());
             }
         }
         return Cli.OK;
     }
 
-    @Command(name = "compare", description = "Puts two results side by side. With folders of --repeat runs, each figure has its spread.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
-    int compare(@Parameters(paramLabel = "A", description = "results.json, or a folder of runs") Path a,
-                @Parameters(paramLabel = "B", description = "results.json, or a folder of runs") Path b) throws BadFileException, IOException {
+    @Command(
+            name = "compare",
+            description =
+                    "Puts two results side by side. With folders of --repeat runs, each figure has its spread.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    int compare(
+            @Parameters(paramLabel = "A", description = "results.json, or a folder of runs") Path a,
+            @Parameters(paramLabel = "B", description = "results.json, or a folder of runs") Path b)
+            throws BadFileException, IOException {
         System.out.print(Comparison.table(Comparison.read(a), Comparison.read(b)));
         return Cli.OK;
     }
--- a/src/main/java/hopglade/cli/MembersCommand.java
+++ b/src/main/java/hopglade/cli/MembersCommand.java
@@ -7,8 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "members", description = "Shows whom a running proxy knows: name, state, address, incarnation, and how far it believes each.",
-        mixinStandardHelpOptions = true, versionProvider = Version.class)
+@Command(
+        name = "members",
+        description =
+                "Shows whom a running proxy knows: name, state, address, incarnation, and how far it believes each.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class)
 final class MembersCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "SOCKET", description = "the proxy's gossip.members_socket")
--- a/src/main/java/hopglade/cli/PolicyCommands.java
+++ b/src/main/java/hopglade/cli/PolicyCommands.java
@@ -10,14 +10,19 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "policy", description = "The fleet's policy, by way of a running proxy's policy.socket.", mixinStandardHelpOptions = true,
-        versionProvider = Version.class, synopsisSubcommandLabel = "status|history|propose|revert")
+@Command(
+        name = "policy",
+        description = "The fleet's policy, by way of a running proxy's policy.socket.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        synopsisSubcommandLabel = "status|history|propose|revert")
 final class PolicyCommands {
 
     private static int ask(Path socket, String question, String content, long epoch) {
         try {
             PolicySocket.Told told = PolicySocket.ask(socket, question, content, epoch);
-            (told.exit() == Cli.OK ? System.out : System.err).println((told.exit() == Cli.OK ? "" : "flintmill: ") + told.text());
+            (told.exit() == Cli.OK ? System.out : System.err)
+                    .println((told.exit() == Cli.OK ? "" : "flintmill: ") + told.text());
             return told.exit();
         } catch (IOException e) {
             System.err.println("flintmill: no proxy answers at " + socket + ": " + e.getMessage());
@@ -25,31 +30,63 @@
         }
     }
 
-    @Command(name = "status", description = "The epoch in force at this proxy, since when, whether it counts itself current, and what a voter was told of the others.",
-            mixinStandardHelpOptions = true, versionProvider = Version.class)
-    int status(@Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket) {
+    @Command(
+            name = "status",
+            description =
+                    "The epoch in force at this proxy, since when, whether it counts itself current, and what a voter was told of the others.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    int status(
+            @Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket")
+                    Path socket) {
         return ask(socket, "status", "", 0);
     }
 
-    @Command(name = "history", description = "Every epoch that is kept, with its content.", mixinStandardHelpOptions = true, versionProvider = Version.class)
-    int history(@Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket) {
+    @Command(
+            name = "history",
+            description = "Every epoch that is kept, with its content.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class)
+    int history(
+            @Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket")
+                    Path socket) {
         return ask(socket, "history", "", 0);
     }
 
-    @Command(name = "propose", description = "Puts a policy in force on the whole fleet.", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:in force", "1:refused, nothing was changed", "2:a bad policy, nothing was changed",
-                "3:no majority of voters, nothing was changed", "4:not known yet: it may still take hold"})
-    int propose(@Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket,
-                @Parameters(paramLabel = "FILE", description = "the policy: [log] and [nodes] as in flintmill.toml") Path file) throws BadFileException, IOException {
+    @Command(
+            name = "propose",
+            description = "Puts a policy in force on the whole fleet.",
+            mixinStandardHelpOptions = true,
+            versionProvider = Version.class,
+            exitCodeListHeading = "%nExit codes:%n",
+            exitCodeList = {
+                "0:in force",
+                "1:refused, nothing was changed",
+                "2:a bad policy, nothing was changed",
+                "3:no majority of voters, nothing was changed",
+                "4:not known yet: it may still take hold"
+            })
+    int propose(
+            @Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket,
+            @Parameters(
+                            paramLabel = "FILE",
+                            description = "the policy: [log] and [nodes] as in flintmill.toml")
+                    Path file)
+            throws BadFileException, IOException {
         String content = Files.readString(file);
         OptionsFile.policy(content, Options.DEFAULTS);
         return ask(socket, "propose", content, 0);
     }
 
-    @Command(name = "revert", description = "Puts the content of an earlier epoch in force, as a new epoch; exit codes as of propose.", mixinStandardHelpOptions = true,
+    @Command(
+            name = "revert",
+            description =
+                    "Puts the content of an earlier epoch in force, as a new epoch; exit codes as of propose.",
+            mixinStandardHelpOptions = true,
             versionProvider = Version.class)
-    int revert(@Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket,
-               @Parameters(paramLabel = "N", description = "the epoch") long epoch) {
+    int revert(
+            @Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket,
+            @Parameters(paramLabel = "N", description = "the epoch") long epoch) {
         return ask(socket, "revert", "", epoch);
     }
 }
--- a/src/main/java/hopglade/cli/SlopeCommand.java
+++ b/src/main/java/hopglade/cli/SlopeCommand.java
@@ -29,40 +29,66 @@
 import picocli.CommandLine.Spec;
 
 /** Plays an experiment at each of its sizes and keeps the slopes. */
-@Command(name = "slope", description = "Plays an experiment at each size of its [sizes], fits its [[measure]] and keeps the slopes in a file.",
-        mixinStandardHelpOptions = true, versionProvider = Version.class, exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:all bounds hold at every size; the slopes are kept", "1:some fall short; nothing is kept", "2:a bad file"})
+@Command(
+        name = "slope",
+        description =
+                "Plays an experiment at each size of its [sizes], fits its [[measure]] and keeps the slopes in a file.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Version.class,
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:all bounds hold at every size; the slopes are kept",
+            "1:some fall short; nothing is kept",
+            "2:a bad file"
+        })
 final class SlopeCommand implements Callable<Integer> {
 
     private static final int MOST_RUNS = 20;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "FILE", description = "an experiment with [sizes] and [[measure]]")
     private Path file;
 
-    @Option(names = "--runs", paramLabel = "N", defaultValue = "3", description = "runs at each size, with seeds that follow one another (default: 3)")
+    @Option(
+            names = "--runs",
+            paramLabel = "N",
+            defaultValue = "3",
+            description = "runs at each size, with seeds that follow one another (default: 3)")
     private int runs;
 
-    @Option(names = "--beside", paramLabel = "TEXT", required = true, description = "what else runs on the machine, and the program's commit; kept with the slopes")
+    @Option(
+            names = "--beside",
+            paramLabel = "TEXT",
+            required = true,
+            description =
+                    "what else runs on the machine, and the program's commit; kept with the slopes")
     private String beside;
 
-    @Option(names = "--to", paramLabel = "FILE", defaultValue = "experiments/capacity/slopes-data.toml", description = "the file of slopes (default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--to",
+            paramLabel = "FILE",
+            defaultValue = "experiments/capacity/slopes-data.toml",
+            description = "the file of slopes (default: ${DEFAULT-VALUE})")
     private Path to;
 
-    @Option(names = "--kept", description = "plays nothing on sockets: fits the results that an earlier call left in target/lab/NAME, by the file's bounds as they are now")
+    @Option(
+            names = "--kept",
+            description =
+                    "plays nothing on sockets: fits the results that an earlier call left in target/lab/NAME, by the file's bounds as they are now")
     private boolean kept;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
         if (runs < 1 || runs > MOST_RUNS) {
-            throw new ParameterException(spec.commandLine(), "--runs: found " + runs + ", allowed is 1 to " + MOST_RUNS);
+            throw new ParameterException(
+                    spec.commandLine(), "--runs: found " + runs + ", allowed is 1 to " + MOST_RUNS);
         }
         Experiment plain = ExperimentFile.read(file, Map.of());
         Sizes sizes = Sizes.read(Toml.read(file).root());
         if (sizes.steps().isEmpty()) {
-            throw new BadFileException(file + ": sizes.over: found nothing, allowed is a list of KEY = V, V, V");
+            throw new BadFileException(
+                    file + ": sizes.over: found nothing, allowed is a list of KEY = V, V, V");
         }
         List<List<List<Double>>> measured = new ArrayList<>();
         sizes.measures().forEach(m -> measured.add(new ArrayList<>()));
@@ -77,20 +103,48 @@
                 Map<String, String> set = new LinkedHashMap<>(step.set());
                 set.put("seed", String.valueOf(plain.seed() + run));
                 Experiment experiment = ExperimentFile.read(file, set);
-                Map<String, Double> figures = switch (sizes.driver()) {
-                    case MODULE -> ModuleCost.measure(experiment).figures();
-                    case VIRTUAL -> judged(new VirtualRun(experiment).play());
-                    case SOCKETS -> judged(sockets(experiment, Path.of("target", "lab", plain.name(), Results.plain(step.size()) + "-" + (run + 1))));
-                };
+                Map<String, Double> figures =
+                        switch (sizes.driver()) {
+                            case MODULE -> ModuleCost.measure(experiment).figures();
+                            case VIRTUAL -> judged(new VirtualRun(experiment).play());
+                            case SOCKETS ->
+                                    judged(
+                                            sockets(
+                                                    experiment,
+                                                    Path.of(
+                                                            "target",
+                                                            "lab",
+                                                            plain.name(),
+                                                            Results.plain(step.size())
+                                                                    + "-"
+                                                                    + (run + 1))));
+                        };
                 good &= !figures.isEmpty();
                 for (int i = 0; i < measured.size(); i++) {
                     Sizes.Measure m = sizes.measures().get(i);
                     double value = m.value(figures, experiment);
                     if (!Double.isFinite(value) && !figures.isEmpty()) {
-                        throw new BadFileException(file + ": measure[" + i + "].of: found " + m.of() + ", allowed is a figure of the run");
+                        throw new BadFileException(
+                                file
+                                        + ": measure["
+                                        + i
+                                        + "].of: found "
+                                        + m.of()
+                                        + ", allowed is a figure of the run");
                     }
                     measured.get(i).get(measured.get(i).size() - 1).add(value);
-                    System.out.println(Results.plain(step.size()) + " " + sizes.against() + ", run " + (run + 1) + ": " + m.figure() + " " + value + " " + m.unit());
+                    System.out.println(
+                            Results.plain(step.size())
+                                    + " "
+                                    + sizes.against()
+                                    + ", run "
+                                    + (run + 1)
+                                    + ": "
+                                    + m.figure()
+                                    + " "
+                                    + value
+                                    + " "
+                                    + m.unit());
                 }
             }
         }
@@ -100,10 +154,26 @@
         List<Slope> slopes = new ArrayList<>();
         for (int i = 0; i < measured.size(); i++) {
             Sizes.Measure m = sizes.measures().get(i);
-            slopes.add(Slope.fit(new Slope.Head(m.role(), m.figure(), m.unit(), sizes.against(), file.toString(), beside),
-                    sizes.steps().stream().map(Sizes.Step::size).toList(), measured.get(i)));
+            slopes.add(
+                    Slope.fit(
+                            new Slope.Head(
+                                    m.role(),
+                                    m.figure(),
+                                    m.unit(),
+                                    sizes.against(),
+                                    file.toString(),
+                                    beside),
+                            sizes.steps().stream().map(Sizes.Step::size).toList(),
+                            measured.get(i)));
             Slope s = slopes.get(i);
-            System.out.printf(Locale.ROOT, "%s: %.4g + %.4g a unit, r2 %.4f%s%n", s.figure(), s.fixed(), s.perUnit(), s.r2(), s.straight() ? "" : ", not straight");
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s: %.4g + %.4g a unit, r2 %.4f%s%n",
+                    s.figure(),
+                    s.fixed(),
+                    s.perUnit(),
+                    s.r2(),
+                    s.straight() ? "" : ", not straight");
         }
         SlopeFile.put(to, file.toString(), slopes);
         return Cli.OK;
@@ -116,15 +186,27 @@
         return results.good() ? results.figures() : Map.of();
     }
 
-    private Results sockets(Experiment experiment, Path directory) throws BadFileException, IOException, InterruptedException {
+    private Results sockets(Experiment experiment, Path directory)
+            throws BadFileException, IOException, InterruptedException {
         if (kept) {
             Results r = Results.read(directory.resolve("results.json"));
-            return new Results(r.form(), r.experiment(), r.about(), r.driver(), r.seed(), r.load(), r.figures(), r.timeline(), r.marks(), r.violations(),
+            return new Results(
+                    r.form(),
+                    r.experiment(),
+                    r.about(),
+                    r.driver(),
+                    r.seed(),
+                    r.load(),
+                    r.figures(),
+                    r.timeline(),
+                    r.marks(),
+                    r.violations(),
                     Results.missed(r.figures(), experiment.expects()));
         }
         RunLine line = RunLine.find(Path.of("."), experiment.proxies().run());
         Files.createDirectories(directory);
-        Results results = new SocketRun(experiment, directory, line.root(), line.run()).play(p -> { });
+        Results results =
+                new SocketRun(experiment, directory, line.root(), line.run()).play(p -> {});
         results.write(directory.resolve("results.json"));
         return results;
     }
--- a/src/main/java/hopglade/config/OptionsFile.java
+++ b/src/main/java/hopglade/config/OptionsFile.java
@@ -18,9 +18,10 @@
     private static final int MOST_HEALTH = 16;
     private static final int LEAST_VOTERS = 3;
     private static final int MOST_VOTERS = 7;
-    private static final Pattern ADDRESS = Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
+    private static final Pattern ADDRESS =
+            Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
 
-    private OptionsFile() { }
+    private OptionsFile() {}
 
     public static Options read(Path file) throws BadFileException {
         return options(Toml.read(file));
@@ -38,18 +39,26 @@
         Toml.Table log = root.table("log");
         Options.Log absent = Options.DEFAULTS.log();
         Format format = log.choice("format", absent.format(), Format.class);
-        Options options = new Options(log(log, format, absent), gossip(root.table("gossip")), voting(root.table("policy")), nodes(root.table("nodes"),
-                Options.DEFAULTS.nodes()));
+        Options options =
+                new Options(
+                        log(log, format, absent),
+                        gossip(root.table("gossip")),
+                        voting(root.table("policy")),
+                        nodes(root.table("nodes"), Options.DEFAULTS.nodes()));
         if (options.policy().enabled() && !options.gossip().enabled()) {
-            throw root.bad("policy.voters", options.policy().voters().toString(), "none without gossip.enabled, by whose keys proxies know one another");
+            throw root.bad(
+                    "policy.voters",
+                    options.policy().voters().toString(),
+                    "none without gossip.enabled, by whose keys proxies know one another");
         }
         root.done();
         return options;
     }
 
     /**
-     * The options with what the fleet's policy says in place of its own: the keys of {@code [log]} that a running proxy can change, and
-     * {@code [nodes]}. Anything else is each proxy's own and refused.
+     * The options with what the fleet's policy says in place of its own: the keys of {@code [log]}
+     * that a running proxy can change, and {@code [nodes]}. Anything else is each proxy's own and
+     * refused.
      */
     public static Options policy(String text, Options own) throws BadFileException {
         Toml.Table root = Toml.parse("policy", text).root();
@@ -59,9 +68,14 @@
         return new Options(log, own.gossip(), own.policy(), nodes);
     }
 
-    private static Options.Log log(Toml.Table t, Format format, Options.Log absent) throws BadFileException {
-        Options.Log log = new Options.Log(format, t.whole("tally_s", absent.tallyS(), 1, HOUR_S), t.whole("odd_lines", absent.oddLines(), 1, MOST_LINES),
-                t.whole("odd_window_s", absent.oddWindowS(), 1, HOUR_S));
+    private static Options.Log log(Toml.Table t, Format format, Options.Log absent)
+            throws BadFileException {
+        Options.Log log =
+                new Options.Log(
+                        format,
+                        t.whole("tally_s", absent.tallyS(), 1, HOUR_S),
+                        t.whole("odd_lines", absent.oddLines(), 1, MOST_LINES),
+                        t.whole("odd_window_s", absent.oddWindowS(), 1, HOUR_S));
         t.done();
         return log;
     }
@@ -74,8 +88,12 @@
 
     private static Options.Policy voting(Toml.Table t) throws BadFileException {
         Options.Policy absent = Options.DEFAULTS.policy();
-        Options.Policy policy = new Options.Policy(t.texts("voters", absent.voters()), address(t, "listen", t.text("listen", absent.listen())),
-                t.text("folder", absent.folder()), t.text("socket", absent.socket()));
+        Options.Policy policy =
+                new Options.Policy(
+                        t.texts("voters", absent.voters()),
+                        address(t, "listen", t.text("listen", absent.listen())),
+                        t.text("folder", absent.folder()),
+                        t.text("socket", absent.socket()));
         Set<String> names = new HashSet<>();
         for (String voter : policy.voters()) {
             int equals = voter.indexOf('=');
@@ -84,7 +102,10 @@
             }
             address(t, "voters", voter.substring(equals + 1));
         }
-        if (policy.enabled() && (names.size() < LEAST_VOTERS || names.size() > MOST_VOTERS || names.size() % 2 == 0)) {
+        if (policy.enabled()
+                && (names.size() < LEAST_VOTERS
+                        || names.size() > MOST_VOTERS
+                        || names.size() % 2 == 0)) {
             throw t.bad("voters", names.size() + " voters", "3, 5 or 7");
         }
         t.done();
@@ -93,13 +114,26 @@
 
     private static Options.Gossip gossip(Toml.Table t) throws BadFileException {
         Options.Gossip absent = Options.DEFAULTS.gossip();
-        Options.Gossip gossip = new Options.Gossip(t.flag("enabled", absent.enabled()), address(t, "listen", t.text("listen", absent.listen())),
-                t.has("advertise") ? address(t, "advertise", t.text("advertise", "")) : absent.advertise(),
-                t.texts("seeds", absent.seeds()), t.text("key_file", absent.keyFile()), t.text("ring_file", absent.ringFile()),
-                t.whole("bytes_per_s", absent.bytesPerS(), LEAST_BYTES, MOST_BYTES),
-                t.whole("verifications_per_s", absent.verificationsPerS(), LEAST_VERIFICATIONS, MOST_LINES),
-                t.has("members_socket") ? t.text("members_socket", "") : absent.membersSocket(),
-                t.whole("health_most", absent.healthMost(), 0, MOST_HEALTH));
+        Options.Gossip gossip =
+                new Options.Gossip(
+                        t.flag("enabled", absent.enabled()),
+                        address(t, "listen", t.text("listen", absent.listen())),
+                        t.has("advertise")
+                                ? address(t, "advertise", t.text("advertise", ""))
+                                : absent.advertise(),
+                        t.texts("seeds", absent.seeds()),
+                        t.text("key_file", absent.keyFile()),
+                        t.text("ring_file", absent.ringFile()),
+                        t.whole("bytes_per_s", absent.bytesPerS(), LEAST_BYTES, MOST_BYTES),
+                        t.whole(
+                                "verifications_per_s",
+                                absent.verificationsPerS(),
+                                LEAST_VERIFICATIONS,
+                                MOST_LINES),
+                        t.has("members_socket")
+                                ? t.text("members_socket", "")
+                                : absent.membersSocket(),
+                        t.whole("health_most", absent.healthMost(), 0, MOST_HEALTH));
         for (String seed : gossip.seeds()) {
             address(t, "seeds", seed);
         }
@@ -107,7 +141,9 @@
         return gossip;
     }
 
-    /** Numbers alone: a name would have to be looked up, and who answers that could answer anything. */
+    /**
+     * Numbers alone: a name would have to be looked up, and who answers that could answer anything.
+     */
     private static String address(Toml.Table t, String key, String text) throws BadFileException {
         if (!ADDRESS.matcher(text).matches()) {
             throw t.bad(key, '"' + text + '"', "a numeric address and port, as 10.0.0.5:7946");
--- a/src/main/java/hopglade/config/Toml.java
+++ b/src/main/java/hopglade/config/Toml.java
@@ -22,15 +22,19 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * A TOML file that is read key by key: each key that is asked for is known from then on, and {@link Table#done}
- * refuses what nobody asked for. Every value read is kept with where it came from, for {@code config show}.
+ * A TOML file that is read key by key: each key that is asked for is known from then on, and {@link
+ * Table#done} refuses what nobody asked for. Every value read is kept with where it came from, for
+ * {@code config show}.
  */
 public final class Toml {
 
-    /** A key's effective value and its origin: {@code FILE:LINE}, {@code --set} or {@code default}. */
-    public record Effective(String key, String value, String from) { }
+    /**
+     * A key's effective value and its origin: {@code FILE:LINE}, {@code --set} or {@code default}.
+     */
+    public record Effective(String key, String value, String from) {}
 
     private static final int MAX_BYTES = 1 << 20;
+
     /** A known key that differs by more than this part of its length is no likely slip. */
     private static final double SLIP = 0.5;
 
@@ -54,22 +58,36 @@
             }
             return parse(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new BadFileException(file + ": cannot be read"
-                    + (Files.exists(file) ? ": " + e.getClass().getSimpleName() : ": no such file"));
+            throw new BadFileException(
+                    file
+                            + ": cannot be read"
+                            + (Files.exists(file)
+                                    ? ": " + e.getClass().getSimpleName()
+                                    : ": no such file"));
         }
     }
 
     public static Toml parse(String file, String text) throws BadFileException {
         try {
             JsonNode root = new TomlMapper().readTree(text);
-            return new Toml(file, root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode(), KeyLines.of(text));
+            return new Toml(
+                    file,
+                    root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode(),
+                    KeyLines.of(text));
         } catch (JsonProcessingException e) {
             String where = e.getLocation() == null ? "" : ":" + e.getLocation().getLineNr();
-            throw new BadFileException(file + where + ": not TOML: " + e.getOriginalMessage().lines().findFirst().orElse("malformed"));
+            throw new BadFileException(
+                    file
+                            + where
+                            + ": not TOML: "
+                            + e.getOriginalMessage().lines().findFirst().orElse("malformed"));
         }
     }
 
-    /** Sets a dotted key from outside the file, as by {@code --set load.rate=400}; the value is written as in TOML. */
+    /**
+     * Sets a dotted key from outside the file, as by {@code --set load.rate=400}; the value is
+     * written as in TOML.
+     */
     public void set(String key, String value) throws BadFileException {
         JsonNode parsed;
         try {
@@ -117,7 +135,10 @@
         return value.isObject() ? "a table" : value.isArray() ? "a list" : value.toString();
     }
 
-    /** One table of the file. Reading a key that is absent gives its default; every number has bounds. */
+    /**
+     * One table of the file. Reading a key that is absent gives its default; every number has
+     * bounds.
+     */
     public final class Table {
 
         private final ObjectNode node;
@@ -138,15 +159,26 @@
             JsonNode value = node.get(key);
             String full = path(key);
             if (value == null || !value.isContainerNode() || value.isArray()) {
-                effective.put(full, new Effective(full, value == null ? String.valueOf(absent) : value.toString(),
-                        value == null ? "default" : place(full)));
+                effective.put(
+                        full,
+                        new Effective(
+                                full,
+                                value == null ? String.valueOf(absent) : value.toString(),
+                                value == null ? "default" : place(full)));
             }
             return value;
         }
 
         /** A mistake at one of this table's keys. */
         public BadFileException bad(String key, String found, String allowed) {
-            return new BadFileException(place(path(key)) + ": " + path(key) + ": found " + found + ", allowed is " + allowed);
+            return new BadFileException(
+                    place(path(key))
+                            + ": "
+                            + path(key)
+                            + ": found "
+                            + found
+                            + ", allowed is "
+                            + allowed);
         }
 
         public boolean has(String key) {
@@ -154,13 +186,16 @@
         }
 
         /** A finite number between two bounds, both allowed. */
-        public double number(String key, double absent, double least, double most) throws BadFileException {
+        public double number(String key, double absent, double least, double most)
+                throws BadFileException {
             JsonNode value = value(key, absent);
             if (value == null) {
                 return absent;
             }
-            if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-                throw bad(key, shown(value), "a number from " + plain(least) + " to " + plain(most));
+            if (!value.isNumber()
+                    || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
+                throw bad(
+                        key, shown(value), "a number from " + plain(least) + " to " + plain(most));
             }
             return value.doubleValue();
         }
@@ -170,7 +205,10 @@
             if (value == null) {
                 return absent;
             }
-            if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < least || value.intValue() > most) {
+            if (!value.isIntegralNumber()
+                    || !value.canConvertToInt()
+                    || value.intValue() < least
+                    || value.intValue() > most) {
                 throw bad(key, shown(value), "a whole number from " + least + " to " + most);
             }
             return value.intValue();
@@ -194,19 +232,24 @@
         }
 
         /** One of an enum's words, in lower case with hyphens. */
-        public <E extends Enum<E>> E choice(String key, E absent, Class<E> type) throws BadFileException {
+        public <E extends Enum<E>> E choice(String key, E absent, Class<E> type)
+                throws BadFileException {
             JsonNode value = value(key, absent == null ? "" : word(absent));
             if (value == null && absent != null) {
                 return absent;
             }
-            String found = value == null ? "" : value.isTextual() ? value.textValue() : shown(value);
+            String found =
+                    value == null ? "" : value.isTextual() ? value.textValue() : shown(value);
             for (E e : type.getEnumConstants()) {
                 if (word(e).equals(found)) {
                     return e;
                 }
             }
             List<String> words = Arrays.stream(type.getEnumConstants()).map(Toml::word).toList();
-            throw bad(key, value == null ? "nothing" : shown(value), "one of " + String.join(", ", words) + nearest(found, words));
+            throw bad(
+                    key,
+                    value == null ? "nothing" : shown(value),
+                    "one of " + String.join(", ", words) + nearest(found, words));
         }
 
         /** A list of texts. */
@@ -215,33 +258,60 @@
             if (value == null) {
                 return absent;
             }
-            if (!value.isArray() || StreamSupport.stream(value.spliterator(), false).anyMatch(v -> !v.isTextual())) {
+            if (!value.isArray()
+                    || StreamSupport.stream(value.spliterator(), false)
+                            .anyMatch(v -> !v.isTextual())) {
                 throw bad(key, shown(value), "a list of texts");
             }
-            return StreamSupport.stream(value.spliterator(), false).map(JsonNode::textValue).toList();
+            return StreamSupport.stream(value.spliterator(), false)
+                    .map(JsonNode::textValue)
+                    .toList();
         }
 
         /** A list of finite numbers between two bounds, both allowed; it must be there. */
         public List<Double> numbers(String key, double least, double most) throws BadFileException {
             JsonNode value = value(key, "");
-            if (value == null || !value.isArray() || StreamSupport.stream(value.spliterator(), false)
-                    .anyMatch(v -> !v.isNumber() || !(v.doubleValue() >= least && v.doubleValue() <= most))) {
-                throw bad(key, value == null ? "nothing" : value.toString(), "a list of numbers from " + plain(least) + " to " + plain(most));
+            if (value == null
+                    || !value.isArray()
+                    || StreamSupport.stream(value.spliterator(), false)
+                            .anyMatch(
+                                    v ->
+                                            !v.isNumber()
+                                                    || !(v.doubleValue() >= least
+                                                            && v.doubleValue() <= most))) {
+                throw bad(
+                        key,
+                        value == null ? "nothing" : value.toString(),
+                        "a list of numbers from " + plain(least) + " to " + plain(most));
             }
-            return StreamSupport.stream(value.spliterator(), false).map(JsonNode::doubleValue).toList();
+            return StreamSupport.stream(value.spliterator(), false)
+                    .map(JsonNode::doubleValue)
+                    .toList();
         }
 
         /** A range: one number, or a list of the least and the most. */
-        public double[] range(String key, double[] absent, double least, double most) throws BadFileException {
+        public double[] range(String key, double[] absent, double least, double most)
+                throws BadFileException {
             JsonNode value = value(key, Arrays.toString(absent));
             if (value == null) {
                 return absent;
             }
-            double[] found = value.isNumber() ? new double[] {value.doubleValue(), value.doubleValue()}
-                    : value.isArray() && value.size() == 2 && value.get(0).isNumber() && value.get(1).isNumber()
-                            ? new double[] {value.get(0).doubleValue(), value.get(1).doubleValue()} : null;
+            double[] found =
+                    value.isNumber()
+                            ? new double[] {value.doubleValue(), value.doubleValue()}
+                            : value.isArray()
+                                            && value.size() == 2
+                                            && value.get(0).isNumber()
+                                            && value.get(1).isNumber()
+                                    ? new double[] {
+                                        value.get(0).doubleValue(), value.get(1).doubleValue()
+                                    }
+                                    : null;
             if (found == null || !(found[0] >= least && found[0] <= found[1] && found[1] <= most)) {
-                throw bad(key, value.toString(), "a number or [least, most] from " + plain(least) + " to " + plain(most));
+                throw bad(
+                        key,
+                        value.toString(),
+                        "a number or [least, most] from " + plain(least) + " to " + plain(most));
             }
             return found;
         }
@@ -253,7 +323,9 @@
             if (value != null && !value.isObject()) {
                 throw bad(key, shown(value), "a table [" + path(key) + "]");
             }
-            return new Table(value == null ? JsonNodeFactory.instance.objectNode() : (ObjectNode) value, path(key));
+            return new Table(
+                    value == null ? JsonNodeFactory.instance.objectNode() : (ObjectNode) value,
+                    path(key));
         }
 
         /** The tables of a list {@code [[key]]}, in the file's order. */
@@ -277,8 +349,13 @@
         public void done() throws BadFileException {
             for (Map.Entry<String, JsonNode> entry : node.properties()) {
                 if (!known.contains(entry.getKey())) {
-                    throw new BadFileException(place(path(entry.getKey())) + ": " + path(entry.getKey()) + ": unknown key, allowed is "
-                            + String.join(", ", known) + nearest(entry.getKey(), List.copyOf(known)));
+                    throw new BadFileException(
+                            place(path(entry.getKey()))
+                                    + ": "
+                                    + path(entry.getKey())
+                                    + ": unknown key, allowed is "
+                                    + String.join(", ", known)
+                                    + nearest(entry.getKey(), List.copyOf(known)));
                 }
             }
         }
@@ -289,15 +366,29 @@
     }
 
     private static String plain(double number) {
-        return number == Math.rint(number) && Math.abs(number) < 1e15 ? String.valueOf((long) number) : String.valueOf(number);
+        return number == Math.rint(number) && Math.abs(number) < 1e15
+                ? String.valueOf((long) number)
+                : String.valueOf(number);
     }
 
     private static String nearest(String found, List<String> known) {
         LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
-        String best = known.stream().collect(Collectors.toMap(k -> k, k -> distance.apply(found, k), (a, b) -> a, HashMap::new))
-                .entrySet().stream().filter(e -> e.getValue() <= SLIP * e.getKey().length())
-                .min(Map.Entry.<String, Integer>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
-                .map(Map.Entry::getKey).orElse("");
+        String best =
+                known.stream()
+                        .collect(
+                                Collectors.toMap(
+                                        k -> k,
+                                        k -> distance.apply(found, k),
+                                        (a, b) -> a,
+                                        HashMap::new))
+                        .entrySet()
+                        .stream()
+                        .filter(e -> e.getValue() <= SLIP * e.getKey().length())
+                        .min(
+                                Map.Entry.<String, Integer>comparingByValue()
+                                        .thenComparing(Map.Entry.comparingByKey()))
+                        .map(Map.Entry::getKey)
+                        .orElse("");
         return best.isEmpty() ? "" : " (nearest: " + best + ")";
     }
 }
