--- a/src/main/java/hopglade/lab/load/LoadPlan.java
+++ b/src/main/java/hopglade/lab/load/LoadPlan.java
@@ -13,20 +13,33 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * Every first try of a run, in the order of arrival: an open loop, so that nothing a proxy does can change when the next
- * one comes. The same experiment and seed give the same plan, byte for byte.
+ * Every first try of a run, in the order of arrival: an open loop, so that nothing a proxy does can
+ * change when the next one comes. The same experiment and seed give the same plan, byte for byte.
  */
 public final class LoadPlan {
 
-    /** Spread of the work around its class's mean: the square of the coefficient of variation of an exponential, halved. */
+    /**
+     * Spread of the work around its class's mean: the square of the coefficient of variation of an
+     * exponential, halved.
+     */
     private static final double WORK_SHAPE = 2;
 
     /**
-     * A first try. {@code patience} is the part of the deadline after which a try is given up, {@code pause} places the
-     * pause before a retry in its range, {@code honours} whether this client heeds a Retry-After.
+     * A first try. {@code patience} is the part of the deadline after which a try is given up,
+     * {@code pause} places the pause before a retry in its range, {@code honours} whether this
+     * client heeds a Retry-After.
      */
-    public record First(int index, double atMs, int type, long key, double workMs, double hintMs, int zone, double patience,
-                        double pause, boolean honours) { }
+    public record First(
+            int index,
+            double atMs,
+            int type,
+            long key,
+            double workMs,
+            double hintMs,
+            int zone,
+            double patience,
+            double pause,
+            boolean honours) {}
 
     private final Experiment.Load load;
     private final List<First> firsts;
@@ -44,8 +57,14 @@
         RandomGenerator clients = Draw.generator(e.seed(), Draw.Stream.CLIENTS);
         RandomGenerator faultDraw = Draw.generator(e.seed(), Draw.Stream.FAULTS);
         ZipfDistribution zipf = new ZipfDistribution(keyDraw, (int) e.fleet().keys(), load.zipf());
-        double[] means = load.classes().stream().mapToDouble(c -> c.workMs()[0]
-                + (c.workMs()[1] - c.workMs()[0]) * clients.nextDouble()).toArray();
+        double[] means =
+                load.classes().stream()
+                        .mapToDouble(
+                                c ->
+                                        c.workMs()[0]
+                                                + (c.workMs()[1] - c.workMs()[0])
+                                                        * clients.nextDouble())
+                        .toArray();
         double shares = load.classes().stream().mapToDouble(Experiment.Class::share).sum();
         List<First> firsts = new ArrayList<>();
         double end = e.durationS() * 1000;
@@ -66,15 +85,31 @@
             for (Fault f : e.faults().stream().filter(f -> f.what().ofLoad()).toList()) {
                 double u = faultDraw.nextDouble();
                 if (f.what() == Fault.Kind.HOT_KEY && f.at(at) && u < f.share()) {
-                    key = (e.fleet().keys() / 2 + (long) (u / f.share() * f.keys())) % e.fleet().keys();
-                } else if (f.what() == Fault.Kind.HEAVY && f.at(at) && f.target().equals(load.classes().get(type).name()) && u < f.share()) {
+                    key =
+                            (e.fleet().keys() / 2 + (long) (u / f.share() * f.keys()))
+                                    % e.fleet().keys();
+                } else if (f.what() == Fault.Kind.HEAVY
+                        && f.at(at)
+                        && f.target().equals(load.classes().get(type).name())
+                        && u < f.share()) {
                     work *= f.factor();
                 }
             }
             double hint = work * Math.exp(load.costHintError() * clients.nextGaussian());
-            firsts.add(new First(firsts.size(), at, type, key, work, hint, clients.nextInt(e.fleet().zones().size()),
-                    load.patience()[0] + (load.patience()[1] - load.patience()[0]) * clients.nextDouble(),
-                    clients.nextDouble(), clients.nextDouble() < load.honours()));
+            firsts.add(
+                    new First(
+                            firsts.size(),
+                            at,
+                            type,
+                            key,
+                            work,
+                            hint,
+                            clients.nextInt(e.fleet().zones().size()),
+                            load.patience()[0]
+                                    + (load.patience()[1] - load.patience()[0])
+                                            * clients.nextDouble(),
+                            clients.nextDouble(),
+                            clients.nextDouble() < load.honours()));
         }
     }
 
@@ -96,13 +131,18 @@
 
     /** Popularity moves on: each second a part {@code drift} of the ranks belongs to other keys. */
     private static long drifted(long rank, double atMs, double drift, long keys) {
-        long moved = (long) (drift * atMs / 1000 + ((rank * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53);
+        long moved =
+                (long) (drift * atMs / 1000 + ((rank * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53);
         return (rank + moved * 7919) % keys;
     }
 
     /** Mean work of a read that is a hit, as cache nodes get no writes; core-milliseconds. */
     public double meanReadMs() {
-        return firsts.stream().filter(f -> !load.classes().get(f.type()).write()).mapToDouble(First::workMs).average().orElse(1);
+        return firsts.stream()
+                .filter(f -> !load.classes().get(f.type()).write())
+                .mapToDouble(First::workMs)
+                .average()
+                .orElse(1);
     }
 
     public List<First> firsts() {
@@ -115,8 +155,16 @@
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             ByteBuffer line = ByteBuffer.allocate(9 * Long.BYTES);
             for (First f : firsts) {
-                line.clear().putDouble(f.atMs()).putInt(f.type()).putLong(f.key()).putDouble(f.workMs()).putDouble(f.hintMs())
-                        .putInt(f.zone()).putDouble(f.patience()).putDouble(f.pause()).put((byte) (f.honours() ? 1 : 0));
+                line.clear()
+                        .putDouble(f.atMs())
+                        .putInt(f.type())
+                        .putLong(f.key())
+                        .putDouble(f.workMs())
+                        .putDouble(f.hintMs())
+                        .putInt(f.zone())
+                        .putDouble(f.patience())
+                        .putDouble(f.pause())
+                        .put((byte) (f.honours() ? 1 : 0));
                 sha.update(line.flip());
             }
             return HexFormat.of().formatHex(sha.digest());
--- a/src/main/java/hopglade/lab/load/Story.java
+++ b/src/main/java/hopglade/lab/load/Story.java
@@ -1,9 +1,9 @@
 package hopglade.lab.load;
 
 /**
- * How a first try and its retries ended. {@code lateMs} is how late the generator sent it, {@code endedAt} when its last
- * answer came or it was given up (a time of the run), {@code status} the last answer's: 0 for none, -1 where no proxy was
- * reached.
+ * How a first try and its retries ended. {@code lateMs} is how late the generator sent it, {@code
+ * endedAt} when its last answer came or it was given up (a time of the run), {@code status} the
+ * last answer's: 0 for none, -1 where no proxy was reached.
  */
 public record Story(LoadPlan.First first, double lateMs, double endedAt, int status, int tries) {
 
--- a/src/main/java/hopglade/lab/report/Comparison.java
+++ b/src/main/java/hopglade/lab/report/Comparison.java
@@ -13,13 +13,16 @@
 import java.util.stream.Stream;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
-/** Two sets of runs side by side: each figure's mean, its standard deviation from run to run, and the difference. */
+/**
+ * Two sets of runs side by side: each figure's mean, its standard deviation from run to run, and
+ * the difference.
+ */
 public final class Comparison {
 
     /** A difference of means counts as told apart from noise beyond so many standard errors. */
     private static final double APART = 2;
 
-    private Comparison() { }
+    private Comparison() {}
 
     /** The results in a file, or in a folder and the folders right below it. */
     public static List<Results> read(Path from) throws BadFileException, IOException {
@@ -42,22 +45,45 @@
         Set<String> names = new TreeSet<>();
         a.forEach(r -> names.addAll(r.figures().keySet()));
         b.forEach(r -> names.addAll(r.figures().keySet()));
-        StringBuilder table = new StringBuilder(String.format("%-34s %22s %22s %12s%n", "figure (" + a.size() + " and " + b.size() + " runs)",
-                "A mean ± sd", "B mean ± sd", "B - A"));
+        StringBuilder table =
+                new StringBuilder(
+                        String.format(
+                                "%-34s %22s %22s %12s%n",
+                                "figure (" + a.size() + " and " + b.size() + " runs)",
+                                "A mean ± sd",
+                                "B mean ± sd",
+                                "B - A"));
         for (String name : names) {
             SummaryStatistics left = statistics(a, name);
             SummaryStatistics right = statistics(b, name);
             double difference = right.getMean() - left.getMean();
             boolean known = a.size() > 1 && b.size() > 1;
-            double error = Math.sqrt(left.getVariance() / a.size() + right.getVariance() / b.size());
-            table.append(String.format(Locale.ROOT, "%-34s %22s %22s %12s%s%n", name, shown(left), shown(right), Results.plain(difference),
-                    known && Math.abs(difference) > APART * error && difference != 0 ? " *" : ""));
+            double error =
+                    Math.sqrt(left.getVariance() / a.size() + right.getVariance() / b.size());
+            table.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-34s %22s %22s %12s%s%n",
+                            name,
+                            shown(left),
+                            shown(right),
+                            Results.plain(difference),
+                            known && Math.abs(difference) > APART * error && difference != 0
+                                    ? " *"
+                                    : ""));
         }
-        return table.append(a.size() > 1 && b.size() > 1 ? "* beyond " + Results.plain(APART) + " standard errors\n" : "").toString();
+        return table.append(
+                        a.size() > 1 && b.size() > 1
+                                ? "* beyond " + Results.plain(APART) + " standard errors\n"
+                                : "")
+                .toString();
     }
 
     private static String shown(SummaryStatistics s) {
-        return s.getN() == 0 ? "-" : Results.plain(s.getMean()) + (s.getN() > 1 ? " ± " + Results.plain(s.getStandardDeviation()) : "");
+        return s.getN() == 0
+                ? "-"
+                : Results.plain(s.getMean())
+                        + (s.getN() > 1 ? " ± " + Results.plain(s.getStandardDeviation()) : "");
     }
 
     private static SummaryStatistics statistics(List<Results> runs, String name) {
@@ -67,7 +93,10 @@
     /** Of one figure over runs; a run that does not have it is left out. */
     static SummaryStatistics statistics(List<Results> runs, Function<Results, Double> figure) {
         SummaryStatistics statistics = new SummaryStatistics();
-        runs.stream().map(figure).filter(v -> v != null && !v.isNaN()).forEach(statistics::addValue);
+        runs.stream()
+                .map(figure)
+                .filter(v -> v != null && !v.isNaN())
+                .forEach(statistics::addValue);
         return statistics;
     }
 }
--- a/src/main/java/hopglade/lab/report/CurveReport.java
+++ b/src/main/java/hopglade/lab/report/CurveReport.java
@@ -11,33 +11,67 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * The load-service curve of the source paper: what is served against what is offered, over a sweep. Worth is the paper's
- * calls weighted as this site counts them.
+ * The load-service curve of the source paper: what is served against what is offered, over a sweep.
+ * Worth is the paper's calls weighted as this site counts them.
  */
 public final class CurveReport {
 
-    private CurveReport() { }
+    private CurveReport() {}
 
-    /** A line a step: worth offered and served a second, by class, refusals and the highest level; means over a step's runs. */
-    public static String table(String key, List<Double> values, Map<String, List<List<Results>>> series) {
+    /**
+     * A line a step: worth offered and served a second, by class, refusals and the highest level;
+     * means over a step's runs.
+     */
+    public static String table(
+            String key, List<Double> values, Map<String, List<List<Results>>> series) {
         StringBuilder table = new StringBuilder();
-        series.forEach((name, steps) -> {
-            List<String> classes = steps.get(0).get(0).figures().keySet().stream().filter(f -> f.matches("class\\..*\\.worth")).toList();
-            boolean repeated = steps.get(0).size() > 1;
-            table.append(String.format("%s%n%12s %10s %18s %8s", name, key, "offered/s", repeated ? "served/s ± sd" : "served/s", "served"));
-            classes.forEach(c -> table.append(String.format(" %12s", c.split("\\.")[1])));
-            table.append(String.format(" %8s %8s %6s%n", "refused", "attempts", "level"));
-            for (int i = 0; i < steps.size(); i++) {
-                List<Results> runs = steps.get(i);
-                SummaryStatistics served = Comparison.statistics(runs, CurveReport::servedPerS);
-                table.append(String.format(Locale.ROOT, "%12s %10.0f %18s %8.3f", Results.plain(values.get(i)), mean(runs, "load.worth_per_s"),
-                        String.format(Locale.ROOT, repeated ? "%.0f ± %.0f" : "%.0f", served.getMean(), served.getStandardDeviation()),
-                        mean(runs, "served.worth")));
-                classes.forEach(c -> table.append(String.format(Locale.ROOT, " %12.3f", mean(runs, c))));
-                table.append(String.format(Locale.ROOT, " %8.3f %8.2f %6s%n", mean(runs, "refused.share"), mean(runs, "attempts.per_request"),
-                        Results.plain(mean(runs, "control.level_max"))));
-            }
-        });
+        series.forEach(
+                (name, steps) -> {
+                    List<String> classes =
+                            steps.get(0).get(0).figures().keySet().stream()
+                                    .filter(f -> f.matches("class\\..*\\.worth"))
+                                    .toList();
+                    boolean repeated = steps.get(0).size() > 1;
+                    table.append(
+                            String.format(
+                                    "%s%n%12s %10s %18s %8s",
+                                    name,
+                                    key,
+                                    "offered/s",
+                                    repeated ? "served/s ± sd" : "served/s",
+                                    "served"));
+                    classes.forEach(c -> table.append(String.format(" %12s", c.split("\\.")[1])));
+                    table.append(String.format(" %8s %8s %6s%n", "refused", "attempts", "level"));
+                    for (int i = 0; i < steps.size(); i++) {
+                        List<Results> runs = steps.get(i);
+                        SummaryStatistics served =
+                                Comparison.statistics(runs, CurveReport::servedPerS);
+                        table.append(
+                                String.format(
+                                        Locale.ROOT,
+                                        "%12s %10.0f %18s %8.3f",
+                                        Results.plain(values.get(i)),
+                                        mean(runs, "load.worth_per_s"),
+                                        String.format(
+                                                Locale.ROOT,
+                                                repeated ? "%.0f ± %.0f" : "%.0f",
+                                                served.getMean(),
+                                                served.getStandardDeviation()),
+                                        mean(runs, "served.worth")));
+                        classes.forEach(
+                                c ->
+                                        table.append(
+                                                String.format(
+                                                        Locale.ROOT, " %12.3f", mean(runs, c))));
+                        table.append(
+                                String.format(
+                                        Locale.ROOT,
+                                        " %8.3f %8.2f %6s%n",
+                                        mean(runs, "refused.share"),
+                                        mean(runs, "attempts.per_request"),
+                                        Results.plain(mean(runs, "control.level_max"))));
+                    }
+                });
         return table.toString();
     }
 
@@ -49,17 +83,40 @@
         return Comparison.statistics(runs, r -> r.figures().get(figure)).getMean();
     }
 
-    public static void write(String name, String key, List<Double> values, Map<String, List<List<Results>>> series, Path file) throws IOException {
+    public static void write(
+            String name,
+            String key,
+            List<Double> values,
+            Map<String, List<List<Results>>> series,
+            Path file)
+            throws IOException {
         XYSeriesCollection curve = new XYSeriesCollection();
-        series.forEach((label, steps) -> {
-            XYSeries line = new XYSeries(label);
-            steps.forEach(runs -> line.add(mean(runs, "load.worth_per_s"), Comparison.statistics(runs, CurveReport::servedPerS).getMean()));
-            curve.addSeries(line);
-        });
-        StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>" + HtmlReport.safe(name)
-                + "</title><body style=\"font:15px sans-serif;margin:2em auto;max-width:60em\"><h1>" + HtmlReport.safe(name) + "</h1>");
-        HtmlReport.picture(page, HtmlReport.chart("Worth served against worth offered, a second", "offered", "served", curve), "load-service curve");
-        page.append("<pre>").append(HtmlReport.safe(table(key, values, series))).append("</pre></html>\n");
+        series.forEach(
+                (label, steps) -> {
+                    XYSeries line = new XYSeries(label);
+                    steps.forEach(
+                            runs ->
+                                    line.add(
+                                            mean(runs, "load.worth_per_s"),
+                                            Comparison.statistics(runs, CurveReport::servedPerS)
+                                                    .getMean()));
+                    curve.addSeries(line);
+                });
+        StringBuilder page =
+                new StringBuilder(
+                        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>"
+                                + HtmlReport.safe(name)
+                                + "</title><body style=\"font:15px sans-serif;margin:2em auto;max-width:60em\"><h1>"
+                                + HtmlReport.safe(name)
+                                + "</h1>");
+        HtmlReport.picture(
+                page,
+                HtmlReport.chart(
+                        "Worth served against worth offered, a second", "offered", "served", curve),
+                "load-service curve");
+        page.append("<pre>")
+                .append(HtmlReport.safe(table(key, values, series)))
+                .append("</pre></html>\n");
         Files.writeString(file, page);
     }
 }
--- a/src/main/java/hopglade/lab/report/HtmlReport.java
+++ b/src/main/java/hopglade/lab/report/HtmlReport.java
@@ -27,29 +27,73 @@
     private static final int WIDTH = 900;
     private static final int HEIGHT = 260;
 
-    private HtmlReport() { }
+    private HtmlReport() {}
 
     public static void write(Results results, Path file) throws IOException {
-        StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
-                .append(safe(results.experiment())).append("</title><style>body{font:15px sans-serif;margin:2em auto;max-width:60em}"
-                + "td,th{padding:.1em .8em;text-align:left}td:nth-child(2){text-align:right;font-family:monospace}"
-                + ".bad{color:#a00}img{max-width:100%}</style><h1>").append(safe(results.experiment())).append("</h1><p>")
-                .append(safe(results.about())).append("</p><p>Driver ").append(results.driver()).append(", seed ").append(results.seed())
-                .append(", load ").append(results.load(), 0, 16).append("…</p>");
+        StringBuilder page =
+                new StringBuilder(
+                                "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
+                        .append(safe(results.experiment()))
+                        .append(
+                                "</title><style>body{font:15px sans-serif;margin:2em auto;max-width:60em}"
+                                        + "td,th{padding:.1em .8em;text-align:left}td:nth-child(2){text-align:right;font-family:monospace}"
+                                        + ".bad{color:#a00}img{max-width:100%}</style><h1>")
+                        .append(safe(results.experiment()))
+                        .append("</h1><p>")
+                        .append(safe(results.about()))
+                        .append("</p><p>Driver ")
+                        .append(results.driver())
+                        .append(", seed ")
+                        .append(results.seed())
+                        .append(", load ")
+                        .append(results.load(), 0, 16)
+                        .append("…</p>");
         list(page, "Bounds that do not hold", results.missed());
         list(page, "Broken rules", results.violations());
         if (results.good()) {
             page.append("<p>All bounds hold, no rule is broken.</p>");
         }
-        plot(page, results, "Requests a second", Map.of("asked", Window::asked, "served", Window::served, "refused", Window::refused,
-                "failed", Window::failed));
-        plot(page, results, "Share of worth served", Map.of("worth", w -> w.worthAsked() == 0 ? 1 : w.worthServed() / w.worthAsked()));
-        plot(page, results, "Latency of what was served, ms", Map.of("p50", Window::p50Ms, "p99", Window::p99Ms));
-        plot(page, results, "Control level, highest of all proxies", Map.of("level", Window::level));
-        list(page, "What happened", results.marks().stream().map(m -> m.atS() + " s: " + m.what()).toList());
+        plot(
+                page,
+                results,
+                "Requests a second",
+                Map.of(
+                        "asked",
+                        Window::asked,
+                        "served",
+                        Window::served,
+                        "refused",
+                        Window::refused,
+                        "failed",
+                        Window::failed));
+        plot(
+                page,
+                results,
+                "Share of worth served",
+                Map.of("worth", w -> w.worthAsked() == 0 ? 1 : w.worthServed() / w.worthAsked()));
+        plot(
+                page,
+                results,
+                "Latency of what was served, ms",
+                Map.of("p50", Window::p50Ms, "p99", Window::p99Ms));
+        plot(
+                page,
+                results,
+                "Control level, highest of all proxies",
+                Map.of("level", Window::level));
+        list(
+                page,
+                "What happened",
+                results.marks().stream().map(m -> m.atS() + " s: " + m.what()).toList());
         page.append("<h2>Figures</h2><table>");
-        results.figures().forEach((name, value) -> page.append("<tr><td>").append(safe(name)).append("</td><td>")
-                .append(Results.plain(value)).append("</td></tr>"));
+        results.figures()
+                .forEach(
+                        (name, value) ->
+                                page.append("<tr><td>")
+                                        .append(safe(name))
+                                        .append("</td><td>")
+                                        .append(Results.plain(value))
+                                        .append("</td></tr>"));
         Files.writeString(file, page.append("</table></html>\n"));
     }
 
@@ -61,24 +105,55 @@
         }
     }
 
-    private static void plot(StringBuilder page, Results results, String title, Map<String, ToDoubleFunction<Window>> lines) throws IOException {
+    private static void plot(
+            StringBuilder page,
+            Results results,
+            String title,
+            Map<String, ToDoubleFunction<Window>> lines)
+            throws IOException {
         XYSeriesCollection data = new XYSeriesCollection();
-        lines.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(line -> {
-            XYSeries series = new XYSeries(line.getKey());
-            results.timeline().forEach(w -> series.add(w.s(), line.getValue().applyAsDouble(w)));
-            data.addSeries(series);
-        });
+        lines.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .forEach(
+                        line -> {
+                            XYSeries series = new XYSeries(line.getKey());
+                            results.timeline()
+                                    .forEach(
+                                            w ->
+                                                    series.add(
+                                                            w.s(),
+                                                            line.getValue().applyAsDouble(w)));
+                            data.addSeries(series);
+                        });
         JFreeChart chart = chart(title, "s", "", data);
         for (Mark mark : results.marks()) {
-            ValueMarker line = new ValueMarker(mark.atS(), Color.GRAY, new BasicStroke(1, BasicStroke.CAP_BUTT, BasicStroke.JOIN_BEVEL, 1,
-                    new float[] {4, 4}, 0));
+            ValueMarker line =
+                    new ValueMarker(
+                            mark.atS(),
+                            Color.GRAY,
+                            new BasicStroke(
+                                    1,
+                                    BasicStroke.CAP_BUTT,
+                                    BasicStroke.JOIN_BEVEL,
+                                    1,
+                                    new float[] {4, 4},
+                                    0));
             chart.getXYPlot().addDomainMarker(line);
         }
         picture(page, chart, title);
     }
 
     static JFreeChart chart(String title, String x, String y, XYSeriesCollection data) {
-        JFreeChart chart = ChartFactory.createXYLineChart(title, x, y, data, PlotOrientation.VERTICAL, data.getSeriesCount() > 1, false, false);
+        JFreeChart chart =
+                ChartFactory.createXYLineChart(
+                        title,
+                        x,
+                        y,
+                        data,
+                        PlotOrientation.VERTICAL,
+                        data.getSeriesCount() > 1,
+                        false,
+                        false);
         chart.getTitle().setFont(new Font(Font.SANS_SERIF, Font.PLAIN, 15));
         chart.setBackgroundPaint(Color.WHITE);
         chart.getXYPlot().setBackgroundPaint(Color.WHITE);
@@ -92,11 +167,17 @@
     static void picture(StringBuilder page, JFreeChart chart, String title) throws IOException {
         ByteArrayOutputStream png = new ByteArrayOutputStream();
         ChartUtils.writeChartAsPNG(png, chart, WIDTH, HEIGHT);
-        page.append("<p><img alt=\"").append(safe(title)).append("\" src=\"data:image/png;base64,")
-                .append(Base64.getEncoder().encodeToString(png.toByteArray())).append("\"></p>");
+        page.append("<p><img alt=\"")
+                .append(safe(title))
+                .append("\" src=\"data:image/png;base64,")
+                .append(Base64.getEncoder().encodeToString(png.toByteArray()))
+                .append("\"></p>");
     }
 
     static String safe(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return text.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;");
     }
 }
--- a/src/main/java/hopglade/lab/report/Played.java
+++ b/src/main/java/hopglade/lab/report/Played.java
@@ -15,34 +15,66 @@
 import java.util.Map;
 
 /**
- * What a driver hands in when its run is over. {@code levels} is the highest control level seen in each second, {@code seen}
- * holds what the driver itself found broken.
+ * What a driver hands in when its run is over. {@code levels} is the highest control level seen in
+ * each second, {@code seen} holds what the driver itself found broken.
  */
-public record Played(Experiment experiment, String driver, Installation plan, LoadPlan load, Ledger ledger, List<Story> stories,
-                     int[] levels, List<Mark> marks, List<Violation> seen) {
+public record Played(
+        Experiment experiment,
+        String driver,
+        Installation plan,
+        LoadPlan load,
+        Ledger ledger,
+        List<Story> stories,
+        int[] levels,
+        List<Mark> marks,
+        List<Violation> seen) {
 
     private static final int MOST_VIOLATIONS = 100;
 
-    /** Judges the run by every rule and counts its figures; {@code own} are the driver's own figures. */
+    /**
+     * Judges the run by every rule and counts its figures; {@code own} are the driver's own
+     * figures.
+     */
     public Results judged(Map<String, Double> own) {
         List<Violation> violations = new ArrayList<>(Rules.check(ledger, experiment));
         violations.addAll(seen);
         List<Results.Window> timeline = Figures.windows(experiment, stories, levels);
-        Map<String, Double> figures = Figures.of(experiment, plan, stories, ledger, violations, timeline);
+        Map<String, Double> figures =
+                Figures.of(experiment, plan, stories, ledger, violations, timeline);
         double late = figures.get("generator.late_p99_ms");
         if (late > experiment.load().latenessMs()) {
-            violations.add(new Violation(Rule.GENERATOR, "load", 0, "p99 of its lateness is " + Results.plain(late) + " ms, the bound is "
-                    + Results.plain(experiment.load().latenessMs())));
+            violations.add(
+                    new Violation(
+                            Rule.GENERATOR,
+                            "load",
+                            0,
+                            "p99 of its lateness is "
+                                    + Results.plain(late)
+                                    + " ms, the bound is "
+                                    + Results.plain(experiment.load().latenessMs())));
             figures.merge("violations.generator", 1.0, Double::sum);
             figures.merge("violations.all", 1.0, Double::sum);
         }
         figures.putAll(own);
         Experiment.Prices prices = experiment.prices();
         double asked = Math.max(1, figures.get("load.requests"));
-        figures.put("served.after_prices", figures.get("served.worth") - prices.connection() * figures.get("machines.connections_opened") / asked
-                - prices.crossing() * figures.get("attempts.crossing_share") - prices.waste() * figures.get("attempts.abandoned_work_share"));
-        return new Results(Results.FORM, experiment.name(), experiment.about(), driver, experiment.seed(), load.digest(), figures, timeline,
+        figures.put(
+                "served.after_prices",
+                figures.get("served.worth")
+                        - prices.connection() * figures.get("machines.connections_opened") / asked
+                        - prices.crossing() * figures.get("attempts.crossing_share")
+                        - prices.waste() * figures.get("attempts.abandoned_work_share"));
+        return new Results(
+                Results.FORM,
+                experiment.name(),
+                experiment.about(),
+                driver,
+                experiment.seed(),
+                load.digest(),
+                figures,
+                timeline,
                 marks.stream().sorted(Comparator.comparingDouble(Mark::atS)).toList(),
-                violations.stream().limit(MOST_VIOLATIONS).map(Violation::toString).toList(), Results.missed(figures, experiment.expects()));
+                violations.stream().limit(MOST_VIOLATIONS).map(Violation::toString).toList(),
+                Results.missed(figures, experiment.expects()));
     }
 }
--- a/src/main/java/hopglade/lab/report/Results.java
+++ b/src/main/java/hopglade/lab/report/Results.java
@@ -15,45 +15,81 @@
 import java.util.Map;
 
 /**
- * A run's results as they stand in {@code results.json}. The form is numbered: a later one adds fields and keeps these.
+ * A run's results as they stand in {@code results.json}. The form is numbered: a later one adds
+ * fields and keeps these.
  *
- * @param form       1
+ * @param form 1
  * @param experiment its name
- * @param driver     {@code sockets} or {@code virtual}
- * @param seed       the seed that the installation, load and faults were drawn from
- * @param load       SHA-256 of the planned load
- * @param figures    every figure by its dotted name, sorted
- * @param timeline   a window for each second of the run, by when requests were meant to be sent
- * @param marks      faults and other events with their times
+ * @param driver {@code sockets} or {@code virtual}
+ * @param seed the seed that the installation, load and faults were drawn from
+ * @param load SHA-256 of the planned load
+ * @param figures every figure by its dotted name, sorted
+ * @param timeline a window for each second of the run, by when requests were meant to be sent
+ * @param marks faults and other events with their times
  * @param violations broken rules, with their proof; the first hundred
- * @param missed     bounds that do not hold
+ * @param missed bounds that do not hold
  */
 @JsonInclude(JsonInclude.Include.ALWAYS)
-public record Results(int form, String experiment, String about, String driver, long seed, String load,
-                      Map<String, Double> figures, List<Window> timeline, List<Mark> marks, List<String> violations,
-                      List<String> missed) {
+public record Results(
+        int form,
+        String experiment,
+        String about,
+        String driver,
+        long seed,
+        String load,
+        Map<String, Double> figures,
+        List<Window> timeline,
+        List<Mark> marks,
+        List<String> violations,
+        List<String> missed) {
 
     public static final int FORM = 1;
 
-    /** One second: requests meant for it, what became of them, the highest control level seen, and how late the generator was at most. Latencies in ms. */
-    public record Window(int s, int asked, int served, int refused, int failed, double worthAsked, double worthServed,
-                         double p50Ms, double p99Ms, int level, double lateMaxMs) { }
+    /**
+     * One second: requests meant for it, what became of them, the highest control level seen, and
+     * how late the generator was at most. Latencies in ms.
+     */
+    public record Window(
+            int s,
+            int asked,
+            int served,
+            int refused,
+            int failed,
+            double worthAsked,
+            double worthServed,
+            double p50Ms,
+            double p99Ms,
+            int level,
+            double lateMaxMs) {}
 
     /** Something that happened at a time of the run. */
-    public record Mark(double atS, String what) { }
+    public record Mark(double atS, String what) {}
 
-    private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
-            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
+    private static final ObjectMapper JSON =
+            new ObjectMapper()
+                    .enable(SerializationFeature.INDENT_OUTPUT)
+                    .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
 
-    /** Bounds that do not hold, each with figure and bound; a figure that this run does not have holds no bound. */
-    public static List<String> missed(Map<String, Double> figures, List<Experiment.Expect> expects) {
+    /**
+     * Bounds that do not hold, each with figure and bound; a figure that this run does not have
+     * holds no bound.
+     */
+    public static List<String> missed(
+            Map<String, Double> figures, List<Experiment.Expect> expects) {
         List<String> missed = new ArrayList<>();
         for (Experiment.Expect e : expects) {
             Double found = figures.get(e.figure());
             if (found == null || !(found >= e.min() && found <= e.max())) {
-                missed.add(e.figure() + " is " + (found == null ? "not a figure of this run" : plain(found)) + ", expected "
-                        + (Double.isInfinite(e.min()) ? "at most " + plain(e.max())
-                                : Double.isInfinite(e.max()) ? "at least " + plain(e.min()) : plain(e.min()) + " to " + plain(e.max())));
+                missed.add(
+                        e.figure()
+                                + " is "
+                                + (found == null ? "not a figure of this run" : plain(found))
+                                + ", expected "
+                                + (Double.isInfinite(e.min())
+                                        ? "at most " + plain(e.max())
+                                        : Double.isInfinite(e.max())
+                                                ? "at least " + plain(e.min())
+                                                : plain(e.min()) + " to " + plain(e.max())));
             }
         }
         return List.copyOf(missed);
@@ -80,17 +116,23 @@
         try {
             Results results = JSON.readValue(Files.readString(file), Results.class);
             if (results.form() != FORM) {
-                throw new BadFileException(file + ": form " + results.form() + ", this program reads " + FORM);
+                throw new BadFileException(
+                        file + ": form " + results.form() + ", this program reads " + FORM);
             }
             return results;
         } catch (IOException e) {
-            throw new BadFileException(file + ": no results: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new BadFileException(
+                    file + ": no results: " + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
     /** Up to four digits that count. */
     public static String plain(double number) {
-        return Double.isNaN(number) ? "none" : number == Math.rint(number) && Math.abs(number) < 1e9
-                ? String.valueOf((long) number) : String.format(Locale.ROOT, Math.abs(number) >= 100 ? "%.1f" : "%.4f", number);
+        return Double.isNaN(number)
+                ? "none"
+                : number == Math.rint(number) && Math.abs(number) < 1e9
+                        ? String.valueOf((long) number)
+                        : String.format(
+                                Locale.ROOT, Math.abs(number) >= 100 ? "%.1f" : "%.4f", number);
     }
 }
--- a/src/main/java/hopglade/lab/sockets/Clients.java
+++ b/src/main/java/hopglade/lab/sockets/Clients.java
@@ -43,8 +43,9 @@
 import java.util.function.Consumer;
 
 /**
- * The clients and the plain front that spreads them over the proxies of their zone. Open loop: each first try goes out at
- * its planned time whatever became of others, and how late it really went out is kept. Runs on one event loop.
+ * The clients and the plain front that spreads them over the proxies of their zone. Open loop: each
+ * first try goes out at its planned time whatever became of others, and how late it really went out
+ * is kept. Runs on one event loop.
  */
 final class Clients implements Machines.Asked {
 
@@ -59,12 +60,16 @@
     /** How a first try and its retries ended. */
     static final class Story {
         final First first;
+
         /** How late it went out. */
         double lateMs;
+
         /** When its last answer came, or it was given up; infinite while it goes on. */
         double endedAt = Double.POSITIVE_INFINITY;
+
         /** Status of the last answer: 0 none, -1 no proxy reached. */
         int status;
+
         int tries;
 
         Story(First first) {
@@ -86,7 +91,13 @@
     private int next;
     private int open;
 
-    Clients(EventLoop loop, RunClock clock, Experiment experiment, LoadPlan plan, Ledger ledger, List<InetSocketAddress> proxies,
+    Clients(
+            EventLoop loop,
+            RunClock clock,
+            Experiment experiment,
+            LoadPlan plan,
+            Ledger ledger,
+            List<InetSocketAddress> proxies,
             List<Integer> zones) {
         this.loop = loop;
         this.clock = clock;
@@ -106,8 +117,13 @@
 
     /** How every first try that was sent has ended; read once the loop has. */
     List<hopglade.lab.load.Story> told() {
-        return java.util.Arrays.stream(stories).limit(next)
-                .map(s -> new hopglade.lab.load.Story(s.first, s.lateMs, s.endedAt, s.status, s.tries)).toList();
+        return java.util.Arrays.stream(stories)
+                .limit(next)
+                .map(
+                        s ->
+                                new hopglade.lab.load.Story(
+                                        s.first, s.lateMs, s.endedAt, s.status, s.tries))
+                .toList();
     }
 
     /** The front puts a proxy into service or takes it out. */
@@ -116,8 +132,9 @@
     }
 
     /**
-     * Asks every proxy whether it is up, many times: a generator whose own code is still being loaded would send the first
-     * requests of a run late, and lay its lateness at the proxies' door.
+     * Asks every proxy whether it is up, many times: a generator whose own code is still being
+     * loaded would send the first requests of a run late, and lay its lateness at the proxies'
+     * door.
      */
     void rehearse() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(proxies.size() * REHEARSALS);
@@ -125,7 +142,8 @@
             dial(i % proxies.size(), channel -> channel.pipeline().addLast(new Rehearsal(done)));
         }
         done.await(REHEARSAL_S, TimeUnit.SECONDS);
-        // And the way of a request: one of no known class is refused with 400 on a connection of its own.
+        // And the way of a request: one of no known class is refused with 400 on a connection of
+        // its own.
         CountDownLatch refused = new CountDownLatch(REHEARSED * proxies.size());
         for (int i = 0; i < REHEARSALS; i++) {
             loop.execute(() -> refusedIn(refused));
@@ -137,18 +155,28 @@
         if (left.getCount() == 0 || stories.length == 0) {
             return;
         }
-        Exchange exchange = new Exchange(stories[0], habits.id(stories[0].first, REHEARSALS), (int) (left.getCount() % proxies.size()), 1000);
-        dial(exchange.proxy, channel -> { }).addListener((ChannelFuture f) -> {
-            if (f.isSuccess()) {
-                FullHttpRequest request = request(exchange);
-                request.headers().set("X-Call-Class", "rehearsal");
-                f.channel().writeAndFlush(request);
-            }
-            f.channel().closeFuture().addListener(g -> {
-                left.countDown();
-                refusedIn(left);
-            });
-        });
+        Exchange exchange =
+                new Exchange(
+                        stories[0],
+                        habits.id(stories[0].first, REHEARSALS),
+                        (int) (left.getCount() % proxies.size()),
+                        1000);
+        dial(exchange.proxy, channel -> {})
+                .addListener(
+                        (ChannelFuture f) -> {
+                            if (f.isSuccess()) {
+                                FullHttpRequest request = request(exchange);
+                                request.headers().set("X-Call-Class", "rehearsal");
+                                f.channel().writeAndFlush(request);
+                            }
+                            f.channel()
+                                    .closeFuture()
+                                    .addListener(
+                                            g -> {
+                                                left.countDown();
+                                                refusedIn(left);
+                                            });
+                        });
     }
 
     private static final class Rehearsal extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -176,7 +204,8 @@
 
         private void ask(ChannelHandlerContext ctx) {
             asked++;
-            FullHttpRequest up = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/up");
+            FullHttpRequest up =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/up");
             up.headers().set(HttpHeaderNames.HOST, "service.internal");
             ctx.writeAndFlush(up);
         }
@@ -189,12 +218,17 @@
     private void count(Story story, Ending ending) {
         double worth = type(story).worth() * story.first.workMs();
         Counts c = counts;
-        counts = new Counts(c.ended() + 1, c.served() + (ending == Ending.SERVED ? 1 : 0), c.refused() + (ending == Ending.REFUSED ? 1 : 0),
-                c.worth() + worth, c.worthServed() + (ending == Ending.SERVED ? worth : 0));
+        counts =
+                new Counts(
+                        c.ended() + 1,
+                        c.served() + (ending == Ending.SERVED ? 1 : 0),
+                        c.refused() + (ending == Ending.REFUSED ? 1 : 0),
+                        c.worth() + worth,
+                        c.worthServed() + (ending == Ending.SERVED ? worth : 0));
     }
 
     /** How many first tries have ended so far, and how; worth is the class's times the work. */
-    record Counts(int ended, int served, int refused, double worth, double worthServed) { }
+    record Counts(int ended, int served, int refused, double worth, double worthServed) {}
 
     Counts counts() {
         return counts;
@@ -209,7 +243,8 @@
             attempt(story);
         }
         if (next < stories.length) {
-            loop.schedule(this::pump, clock.nanosUntil(stories[next].first.atMs()), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    this::pump, clock.nanosUntil(stories[next].first.atMs()), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -240,34 +275,55 @@
     }
 
     private void connect(Exchange exchange) {
-        dial(exchange.proxy, channel -> channel.pipeline().addLast(new Connection(channel, exchange.proxy))).addListener((ChannelFuture f) -> {
-            if (f.isSuccess()) {
-                f.channel().pipeline().get(Connection.class).send(exchange);
-            } else {
-                exchange.end(Ending.UNREACHED, -1, 0);
-            }
-        });
+        dial(
+                        exchange.proxy,
+                        channel ->
+                                channel.pipeline().addLast(new Connection(channel, exchange.proxy)))
+                .addListener(
+                        (ChannelFuture f) -> {
+                            if (f.isSuccess()) {
+                                f.channel().pipeline().get(Connection.class).send(exchange);
+                            } else {
+                                exchange.end(Ending.UNREACHED, -1, 0);
+                            }
+                        });
     }
 
     /** Opens a connection to a proxy; {@code more} adds to what reads and writes HTTP on it. */
     private ChannelFuture dial(int proxy, Consumer<Channel> more) {
-        return new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS).handler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(BODY));
-                        more.accept(channel);
-                    }
-                }).connect(proxies.get(proxy));
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .handler(
+                        new ChannelInitializer<>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(BODY));
+                                more.accept(channel);
+                            }
+                        })
+                .connect(proxies.get(proxy));
     }
 
     private FullHttpRequest request(Exchange exchange) {
         First first = exchange.story.first;
         Experiment.Class type = type(exchange.story);
         byte[] body = type.write() ? new byte[WRITE_BYTES] : new byte[0];
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, type.write() ? HttpMethod.PUT : HttpMethod.GET,
-                Habits.path(first.key()), Unpooled.wrappedBuffer(body));
-        request.headers().set(HttpHeaderNames.HOST, "service.internal").set("X-Call-Id", exchange.id).set("X-Call-Class", type.name())
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        type.write() ? HttpMethod.PUT : HttpMethod.GET,
+                        Habits.path(first.key()),
+                        Unpooled.wrappedBuffer(body));
+        request.headers()
+                .set(HttpHeaderNames.HOST, "service.internal")
+                .set("X-Call-Id", exchange.id)
+                .set("X-Call-Class", type.name())
                 .set("X-Budget", String.format(Locale.ROOT, "%.3f", exchange.budgetMs / MS_PER_S))
                 .set("X-Call-Cost", (long) (first.hintMs() * MS_PER_S));
         if (type.write()) {
@@ -306,7 +362,8 @@
             }
             over = true;
             story.status = status;
-            double again = habits.againAt(story.first, story.tries, ending, retryAfterMs, clock.now());
+            double again =
+                    habits.againAt(story.first, story.tries, ending, retryAfterMs, clock.now());
             if (!Double.isNaN(again)) {
                 loop.schedule(() -> attempt(story), clock.nanosUntil(again), TimeUnit.NANOSECONDS);
             } else {
@@ -334,29 +391,42 @@
             boolean reused = used;
             used = true;
             if (exchange.entry == null) {
-                exchange.entry = ledger.sent(exchange.id, exchange.story.first.index(), exchange.story.first.type(), exchange.story.first.key(),
-                        proxy, clock.now(),
-                        exchange.budgetMs);
+                exchange.entry =
+                        ledger.sent(
+                                exchange.id,
+                                exchange.story.first.index(),
+                                exchange.story.first.type(),
+                                exchange.story.first.key(),
+                                proxy,
+                                clock.now(),
+                                exchange.budgetMs);
             }
             exchange.again |= !reused;
             exchange.entry.fresh = !reused;
             channel.writeAndFlush(request(exchange));
-            loop.schedule(() -> gaveUp(exchange), (long) (exchange.budgetMs * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> gaveUp(exchange), (long) (exchange.budgetMs * 1e6), TimeUnit.NANOSECONDS);
         }
 
-        /** The client has given up; the connection stays a little longer, to tell a late answer from none. */
+        /**
+         * The client has given up; the connection stays a little longer, to tell a late answer from
+         * none.
+         */
         private void gaveUp(Exchange exchange) {
             if (current != exchange || exchange.over) {
                 return;
             }
             exchange.end(Ending.FAILED, 0, 0);
-            loop.schedule(() -> {
-                if (current == exchange) {
-                    exchange.entry.gaveUpAt = clock.now();
-                    current = null;
-                    channel.close();
-                }
-            }, (long) (2 * experiment.rules().slackMs() * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (current == exchange) {
+                            exchange.entry.gaveUpAt = clock.now();
+                            current = null;
+                            channel.close();
+                        }
+                    },
+                    (long) (2 * experiment.rules().slackMs() * 1e6),
+                    TimeUnit.NANOSECONDS);
         }
 
         @Override
@@ -369,7 +439,8 @@
             int status = answer.status().code();
             String wait = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
             double retryAfterMs = wait == null ? Double.NaN : Double.parseDouble(wait) * MS_PER_S;
-            exchange.entry.replies.add(new Reply(clock.now(), status, retryAfterMs, made(exchange.id, answer)));
+            exchange.entry.replies.add(
+                    new Reply(clock.now(), status, retryAfterMs, made(exchange.id, answer)));
             current = null;
             boolean keep = HttpUtil.isKeepAlive(answer);
             exchange.end(Habits.ending(status), status, retryAfterMs);
@@ -382,7 +453,12 @@
 
         /** The attempt that a served body names, if it names this request; else 0. */
         private long made(String id, FullHttpResponse answer) {
-            String body = answer.content().toString(0, Math.min(64, answer.content().readableBytes()), StandardCharsets.US_ASCII);
+            String body =
+                    answer.content()
+                            .toString(
+                                    0,
+                                    Math.min(64, answer.content().readableBytes()),
+                                    StandardCharsets.US_ASCII);
             String[] parts = body.split(":");
             return parts.length >= 3 && parts[0].equals(id) ? Long.parseLong(parts[1]) : 0;
         }
@@ -396,7 +472,8 @@
                 return;
             }
             if (!exchange.again) {
-                // The proxy's close crossed our request on a connection from before: it is sent once more on a new one.
+                // The proxy's close crossed our request on a connection from before: it is sent
+                // once more on a new one.
                 exchange.again = true;
                 connect(exchange);
                 return;
@@ -407,7 +484,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (current != null && cause instanceof io.netty.handler.codec.PrematureChannelClosureException) {
+            if (current != null
+                    && cause instanceof io.netty.handler.codec.PrematureChannelClosureException) {
                 current.entry.begun = true;
             }
             ctx.close();
--- a/src/main/java/hopglade/lab/sockets/DiscoveryServer.java
+++ b/src/main/java/hopglade/lab/sockets/DiscoveryServer.java
@@ -33,7 +33,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** One proxy's discovery agent: the whole list, and a watch that tells what the world has let it hear. Runs on the world's loop. */
+/**
+ * One proxy's discovery agent: the whole list, and a watch that tells what the world has let it
+ * hear. Runs on the world's loop.
+ */
 final class DiscoveryServer {
 
     private static final long HEARTBEAT_S = 2;
@@ -46,17 +49,28 @@
     private final Machines machines;
     private final Ledger ledger;
     private final Map<String, Entry> known = new LinkedHashMap<>();
+
     /** Entries as the proxy was told them last. */
     private final Map<String, Entry> told = new LinkedHashMap<>();
+
     private final Set<SocketChannel> watches = new HashSet<>();
     private Doors doors;
     private long version;
     private long sentBytes;
+
     /** The whole list as it was written last; null once it has changed. */
     private String wholeText;
+
     private boolean silent;
 
-    DiscoveryServer(EventLoop loop, RunClock clock, Installation plan, int proxy, Machines machines, Ledger ledger, World world) {
+    DiscoveryServer(
+            EventLoop loop,
+            RunClock clock,
+            Installation plan,
+            int proxy,
+            Machines machines,
+            Ledger ledger,
+            World world) {
         this.loop = loop;
         this.clock = clock;
         this.plan = plan;
@@ -77,16 +91,23 @@
         return doors.dial();
     }
 
-    /** Goes to another address; the old one takes nothing new, and closes what is open a while later. Returns the new one. */
+    /**
+     * Goes to another address; the old one takes nothing new, and closes what is open a while
+     * later. Returns the new one.
+     */
     String move() throws InterruptedException {
         Doors old = doors;
         Doors next = new Doors(loop, this::accepted);
         next.open();
-        loop.execute(() -> {
-            doors = next;
-            old.closeListener();
-            loop.schedule(() -> old.links().forEach(SocketChannel::close), OLD_CLOSES_MS, TimeUnit.MILLISECONDS);
-        });
+        loop.execute(
+                () -> {
+                    doors = next;
+                    old.closeListener();
+                    loop.schedule(
+                            () -> old.links().forEach(SocketChannel::close),
+                            OLD_CLOSES_MS,
+                            TimeUnit.MILLISECONDS);
+                });
         return next.dial();
     }
 
@@ -108,13 +129,14 @@
     void news(long next, List<Entry> entries) {
         version = next;
         wholeText = null;
-        entries.forEach(e -> {
-            if (e.health() == Health.REMOVED) {
-                known.remove(e.id());
-            } else {
-                known.put(e.id(), e);
-            }
-        });
+        entries.forEach(
+                e -> {
+                    if (e.health() == Health.REMOVED) {
+                        known.remove(e.id());
+                    } else {
+                        known.put(e.id(), e);
+                    }
+                });
         if (!watches.isEmpty()) {
             String line = message(false, entries) + "\n";
             watches.forEach(w -> send(w, line));
@@ -125,7 +147,9 @@
     private void noteTold(List<Entry> entries) {
         for (Entry e : entries) {
             Entry before = told.put(e.id(), e);
-            if (before == null || before.health() != e.health() || before.startedAt() != e.startedAt()) {
+            if (before == null
+                    || before.health() != e.health()
+                    || before.startedAt() != e.startedAt()) {
                 ledger.told(new Ledger.Told(proxy, e.id(), e.health(), e.startedAt(), clock.now()));
             }
         }
@@ -169,7 +193,11 @@
     }
 
     private void accepted(SocketChannel channel) {
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Agent(channel));
+        channel.pipeline()
+                .addLast(
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(1 << 16),
+                        new Agent(channel));
     }
 
     private final class Agent extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -186,7 +214,9 @@
                 return;
             }
             if (!uri.path().equals("/discovery/hosts")) {
-                FullHttpResponse none = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.NOT_FOUND);
+                FullHttpResponse none =
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1, HttpResponseStatus.NOT_FOUND);
                 none.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
                 ctx.writeAndFlush(none);
                 return;
@@ -197,14 +227,18 @@
             // What was told before and is no more on the whole list is gone with it.
             told.keySet().removeIf(id -> !known.containsKey(id));
             if (!uri.parameters().containsKey("watch")) {
-                FullHttpResponse all = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                        Unpooled.copiedBuffer(list, StandardCharsets.UTF_8));
+                FullHttpResponse all =
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                HttpResponseStatus.OK,
+                                Unpooled.copiedBuffer(list, StandardCharsets.UTF_8));
                 sentBytes += all.content().readableBytes();
                 all.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, all.content().readableBytes());
                 ctx.writeAndFlush(all);
                 return;
             }
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            DefaultHttpResponse head =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             ctx.write(head);
             send(channel, list + "\n");
--- a/src/main/java/hopglade/lab/sockets/Doors.java
+++ b/src/main/java/hopglade/lab/sockets/Doors.java
@@ -17,13 +17,15 @@
 import java.util.function.Consumer;
 
 /**
- * One listening address that belongs to one proxy alone, so that a connection tells by where it came in who it is from.
- * It can be shut (connections are refused) or made silent (they never come up): nothing is accepted any more and the queue
- * of the listener is filled, upon which the system drops further attempts as a network that is cut would.
+ * One listening address that belongs to one proxy alone, so that a connection tells by where it
+ * came in who it is from. It can be shut (connections are refused) or made silent (they never come
+ * up): nothing is accepted any more and the queue of the listener is filled, upon which the system
+ * drops further attempts as a network that is cut would.
  */
 final class Doors {
 
     private static final int BACKLOG = 32;
+
     /** The system lets in a few more than it was asked to queue. */
     private static final int FILL = BACKLOG + 8;
 
@@ -44,7 +46,12 @@
 
     /** Listens, on the address it had before if it had one. */
     void open() throws InterruptedException {
-        server = bind(address == null ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0) : address).sync().channel();
+        server =
+                bind(address == null
+                                ? new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)
+                                : address)
+                        .sync()
+                        .channel();
         address = (InetSocketAddress) server.localAddress();
     }
 
@@ -54,20 +61,26 @@
     }
 
     private io.netty.channel.ChannelFuture bind(InetSocketAddress at) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel channel) {
-                        if (fillPorts.remove(channel.remoteAddress().getPort())) {
-                            channel.close();
-                            return;
-                        }
-                        links.add(channel);
-                        channel.closeFuture().addListener(f -> links.remove(channel));
-                        onOpen.accept(channel);
-                    }
-                }).bind(at);
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel channel) {
+                                if (fillPorts.remove(channel.remoteAddress().getPort())) {
+                                    channel.close();
+                                    return;
+                                }
+                                links.add(channel);
+                                channel.closeFuture().addListener(f -> links.remove(channel));
+                                onOpen.accept(channel);
+                            }
+                        })
+                .bind(at);
     }
 
     String dial() {
@@ -115,7 +128,10 @@
         }
     }
 
-    /** Connections come up again; those from before are reset, as the other side has long given them up. */
+    /**
+     * Connections come up again; those from before are reset, as the other side has long given them
+     * up.
+     */
     void heal() {
         if (!silent) {
             return;
--- a/src/main/java/hopglade/lab/sockets/HostilePeers.java
+++ b/src/main/java/hopglade/lab/sockets/HostilePeers.java
@@ -18,13 +18,24 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.math3.random.RandomGenerator;
 
-/** Peers that are no clients: slow, endless, malformed, silent. Each is owed an error or a close within 3 s. */
+/**
+ * Peers that are no clients: slow, endless, malformed, silent. Each is owed an error or a close
+ * within 3 s.
+ */
 final class HostilePeers {
 
     /** How a peer behaves. */
-    enum Kind { SLOW, ENDLESS, MALFORMED, SILENT }
+    enum Kind {
+        SLOW,
+        ENDLESS,
+        MALFORMED,
+        SILENT
+    }
 
-    /** One peer's fate; {@code endedAt} is infinite while nothing came, {@code status} 0 for a close without an answer. */
+    /**
+     * One peer's fate; {@code endedAt} is infinite while nothing came, {@code status} 0 for a close
+     * without an answer.
+     */
     static final class Peer {
         final Kind kind;
         final int proxy;
@@ -39,13 +50,19 @@
         }
     }
 
-    private static final List<String> RUBBISH = List.of("\u0016\u0003\u0001\u0002\u0000\u0001\r\n\r\n", "GET / HTTP/9.9\r\n\r\n",
-            "GET /api/1 HTTP/1.1\r\nContent-Length: -5\r\n\r\n", "GET /api/1 HTTP/1.1\r\nX-Call-Id\r\n\r\n",
-            "GET /api/000000000001 HTTP/1.1\r\nHost: s\r\nX-Budget: soon\r\n\r\n",
-            "PUT /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nzz\r\n");
+    private static final List<String> RUBBISH =
+            List.of(
+                    "\u0016\u0003\u0001\u0002\u0000\u0001\r\n\r\n",
+                    "GET / HTTP/9.9\r\n\r\n",
+                    "GET /api/1 HTTP/1.1\r\nContent-Length: -5\r\n\r\n",
+                    "GET /api/1 HTTP/1.1\r\nX-Call-Id\r\n\r\n",
+                    "GET /api/000000000001 HTTP/1.1\r\nHost: s\r\nX-Budget: soon\r\n\r\n",
+                    "PUT /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nzz\r\n");
     private static final long DROP_MS = 200;
+
     /** Longer than a peer is owed anything, so that the end of ours is none of the proxy's. */
     private static final long LIFE_MS = 8000;
+
     private static final int CHUNK = 4096;
 
     private final EventLoop loop;
@@ -54,7 +71,11 @@
     private final RandomGenerator random;
     private final List<Peer> peers = Collections.synchronizedList(new ArrayList<>());
 
-    HostilePeers(EventLoop loop, RunClock clock, List<InetSocketAddress> proxies, RandomGenerator random) {
+    HostilePeers(
+            EventLoop loop,
+            RunClock clock,
+            List<InetSocketAddress> proxies,
+            RandomGenerator random) {
         this.loop = loop;
         this.clock = clock;
         this.proxies = proxies;
@@ -78,12 +99,17 @@
         int proxy = random.nextInt(proxies.size());
         String rubbish = RUBBISH.get(random.nextInt(RUBBISH.size()));
         Peer peer = new Peer(kind, proxy, clock.now());
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new Speaks(peer, rubbish));
-            }
-        }).connect(proxies.get(proxy));
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .handler(
+                        new ChannelInitializer<>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline().addLast(new Speaks(peer, rubbish));
+                            }
+                        })
+                .connect(proxies.get(proxy));
         loop.schedule(() -> next(perS, until), (long) (1e9 / perS), TimeUnit.NANOSECONDS);
     }
 
@@ -101,13 +127,17 @@
             peers.add(peer);
             loop.schedule(() -> ctx.close(), LIFE_MS, TimeUnit.MILLISECONDS);
             switch (peer.kind) {
-                case SLOW -> drop(ctx, "GET /api/000000000001 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: 00", 0);
+                case SLOW ->
+                        drop(
+                                ctx,
+                                "GET /api/000000000001 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: 00",
+                                0);
                 case ENDLESS -> {
                     write(ctx, "GET /api/1 HTTP/1.1\r\nX-Endless: ");
                     pour(ctx);
                 }
                 case MALFORMED -> write(ctx, rubbish);
-                case SILENT -> { }
+                case SILENT -> {}
                 default -> throw new IllegalStateException("no such kind: " + peer.kind);
             }
         }
@@ -133,9 +163,14 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof ByteBuf bytes && peer.status == 0) {
-                String head = bytes.toString(0, Math.min(16, bytes.readableBytes()), StandardCharsets.US_ASCII);
+                String head =
+                        bytes.toString(
+                                0, Math.min(16, bytes.readableBytes()), StandardCharsets.US_ASCII);
                 String[] words = head.split(" ");
-                peer.status = words.length > 1 && words[1].matches("\\d{3}.*") ? Integer.parseInt(words[1].substring(0, 3)) : 0;
+                peer.status =
+                        words.length > 1 && words[1].matches("\\d{3}.*")
+                                ? Integer.parseInt(words[1].substring(0, 3))
+                                : 0;
                 peer.endedAt = Math.min(peer.endedAt, clock.now());
             }
             ReferenceCountUtil.release(message);
--- a/src/main/java/hopglade/lab/sockets/Machines.java
+++ b/src/main/java/hopglade/lab/sockets/Machines.java
@@ -35,13 +35,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiPredicate;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BiPredicate;
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The world's cache nodes and origin on sockets, in the platform's HTTP/1.1. All of it runs on one event loop, which is the
- * world's only caller. Delays of links are waited for here; a cut or silent machine reads nothing and says nothing.
+ * The world's cache nodes and origin on sockets, in the platform's HTTP/1.1. All of it runs on one
+ * event loop, which is the world's only caller. Delays of links are waited for here; a cut or
+ * silent machine reads nothing and says nothing.
  */
 final class Machines {
 
@@ -69,7 +70,7 @@
     private int turnedAway;
 
     /** An attempt that waits for its answer, and where that goes. */
-    private record Out(Attempt attempt, Link link, double delayMs) { }
+    private record Out(Attempt attempt, Link link, double delayMs) {}
 
     private static final class Host {
         final String id;
@@ -88,8 +89,17 @@
         }
     }
 
-    Machines(EventLoop loop, RunClock clock, Installation plan, World world, World.Effects effects, Ledger ledger, Asked asked,
-             boolean[] writes, double idleMs, RandomGenerator random) {
+    Machines(
+            EventLoop loop,
+            RunClock clock,
+            Installation plan,
+            World world,
+            World.Effects effects,
+            Ledger ledger,
+            Asked asked,
+            boolean[] writes,
+            double idleMs,
+            RandomGenerator random) {
         this.loop = loop;
         this.clock = clock;
         this.plan = plan;
@@ -103,8 +113,16 @@
     }
 
     void open() throws InterruptedException {
-        plan.machines().forEach(n -> hosts.put(n.id(), new Host(n.id(), n.zone(), n.connections(), false)));
-        hosts.put(plan.origin().id(), new Host(plan.origin().id(), plan.origin().zone(), plan.origin().connections(), true));
+        plan.machines()
+                .forEach(
+                        n -> hosts.put(n.id(), new Host(n.id(), n.zone(), n.connections(), false)));
+        hosts.put(
+                plan.origin().id(),
+                new Host(
+                        plan.origin().id(),
+                        plan.origin().zone(),
+                        plan.origin().connections(),
+                        true));
         for (Host host : hosts.values()) {
             for (int proxy = 0; proxy < plan.proxyZones().size(); proxy++) {
                 int from = proxy;
@@ -142,13 +160,16 @@
     }
 
     void silence(String machine, boolean on) {
-        hosts.get(machine).doors.forEach(d -> {
-            if (on) {
-                d.silence();
-            } else {
-                d.heal();
-            }
-        });
+        hosts.get(machine)
+                .doors
+                .forEach(
+                        d -> {
+                            if (on) {
+                                d.silence();
+                            } else {
+                                d.heal();
+                            }
+                        });
     }
 
     /** Cuts or heals every link between a zone and the others. */
@@ -201,8 +222,13 @@
         }
         world.handshake(clock.now(), host.id, effects);
         Link link = new Link(channel, host, proxy, host.open > host.cap);
-        channel.pipeline().addLast(new IdleStateHandler(0, 0, (long) idleMs, TimeUnit.MILLISECONDS), link.bytes,
-                new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY), link);
+        channel.pipeline()
+                .addLast(
+                        new IdleStateHandler(0, 0, (long) idleMs, TimeUnit.MILLISECONDS),
+                        link.bytes,
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_BODY),
+                        link);
     }
 
     /** An answer leaves its machine. */
@@ -214,7 +240,8 @@
         Attempt a = o.attempt();
         a.ran = answer.ran();
         a.verdict = Verdict.of(answer);
-        loop.schedule(() -> o.link().write(a, answer), (long) (o.delayMs() * 1e6), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> o.link().write(a, answer), (long) (o.delayMs() * 1e6), TimeUnit.NANOSECONDS);
     }
 
     /** One connection from a proxy. */
@@ -224,8 +251,13 @@
         private final int proxy;
         private final ChannelInboundHandlerAdapter bytes = new FirstByte();
         private final Doors doors;
-        /** The host's table was full when it came: its first request is turned away, and it is closed. */
+
+        /**
+         * The host's table was full when it came: its first request is turned away, and it is
+         * closed.
+         */
         private final boolean beyond;
+
         private double firstByteAt = -1;
         private boolean used;
         private int out;
@@ -257,7 +289,10 @@
             String id = request.headers().get("X-Call-Id");
             if (id == null) {
                 if (!doors.silent()) {
-                    plain(request.uri().equals("/alive") ? HttpResponseStatus.OK : HttpResponseStatus.NOT_FOUND);
+                    plain(
+                            request.uri().equals("/alive")
+                                    ? HttpResponseStatus.OK
+                                    : HttpResponseStatus.NOT_FOUND);
                 }
                 return;
             }
@@ -267,11 +302,25 @@
             double there = used ? delay : 3 * delay;
             used = true;
             long number = ++attempts;
-            Job job = first == null ? null : new Job(id, first.key(), writes[first.type()], first.workMs());
-            // When the link is cut it never arrives, which its proxy cannot know, and nothing is ever said.
+            Job job =
+                    first == null
+                            ? null
+                            : new Job(id, first.key(), writes[first.type()], first.workMs());
+            // When the link is cut it never arrives, which its proxy cannot know, and nothing is
+            // ever said.
             boolean silent = doors.silent();
             double weighs = job == null || silent ? 0 : world.weight(now, host.id, job);
-            Attempt a = new Attempt(number, id, host.id, host.origin, proxy, began, now, weighs, job == null || silent ? 0 : job.workMs());
+            Attempt a =
+                    new Attempt(
+                            number,
+                            id,
+                            host.id,
+                            host.origin,
+                            proxy,
+                            began,
+                            now,
+                            weighs,
+                            job == null || silent ? 0 : job.workMs());
             a.atColdNode = !host.origin && world.cold(host.id, now);
             ledger.attempt(a);
             if (job == null) {
@@ -319,8 +368,11 @@
             }
             switch (answer.manner()) {
                 case WHOLE -> {
-                    FullHttpResponse whole = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.valueOf(answer.status()), Unpooled.wrappedBuffer(body));
+                    FullHttpResponse whole =
+                            new DefaultFullHttpResponse(
+                                    HttpVersion.HTTP_1_1,
+                                    HttpResponseStatus.valueOf(answer.status()),
+                                    Unpooled.wrappedBuffer(body));
                     head(whole, answer, body.length);
                     a.answeredAt = clock.now();
                     ChannelFuture written = channel.writeAndFlush(whole);
@@ -329,15 +381,26 @@
                     }
                 }
                 case HALF -> {
-                    DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
+                    DefaultHttpResponse head =
+                            new DefaultHttpResponse(
+                                    HttpVersion.HTTP_1_1,
+                                    HttpResponseStatus.valueOf(answer.status()));
                     head(head, answer, Math.max(2, body.length));
                     channel.write(head);
-                    channel.writeAndFlush(new io.netty.handler.codec.http.DefaultHttpContent(Unpooled.wrappedBuffer(body, 0, body.length / 2)))
+                    channel.writeAndFlush(
+                                    new io.netty.handler.codec.http.DefaultHttpContent(
+                                            Unpooled.wrappedBuffer(body, 0, body.length / 2)))
                             .addListener(ChannelFutureListener.CLOSE);
                 }
                 case SPOILT -> {
-                    ByteBuf rubbish = Unpooled.copiedBuffer("HTP/x.1 2OO \u0000\r\nthis is no answer\r\n\r\n", StandardCharsets.ISO_8859_1);
-                    channel.pipeline().firstContext().writeAndFlush(rubbish).addListener(ChannelFutureListener.CLOSE);
+                    ByteBuf rubbish =
+                            Unpooled.copiedBuffer(
+                                    "HTP/x.1 2OO \u0000\r\nthis is no answer\r\n\r\n",
+                                    StandardCharsets.ISO_8859_1);
+                    channel.pipeline()
+                            .firstContext()
+                            .writeAndFlush(rubbish)
+                            .addListener(ChannelFutureListener.CLOSE);
                 }
                 case RESET_AFTER -> Doors.reset(channel);
                 case NEVER -> out++;
@@ -345,7 +408,8 @@
             }
         }
 
-        private void head(io.netty.handler.codec.http.HttpResponse response, Answer answer, int length) {
+        private void head(
+                io.netty.handler.codec.http.HttpResponse response, Answer answer, int length) {
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, length);
             if (!answer.hit().isEmpty()) {
                 response.headers().set("X-Hit", answer.hit());
@@ -360,7 +424,9 @@
 
         /** Names request, attempt and version, so that a client can tell what it was served. */
         private byte[] body(Attempt a, Answer answer) {
-            byte[] head = (a.call + ":" + a.number + ":" + answer.version() + ":").getBytes(StandardCharsets.US_ASCII);
+            byte[] head =
+                    (a.call + ":" + a.number + ":" + answer.version() + ":")
+                            .getBytes(StandardCharsets.US_ASCII);
             if (answer.status() != HttpResponseStatus.OK.code()) {
                 return new byte[0];
             }
--- a/src/main/java/hopglade/lab/sockets/PacketRelay.java
+++ b/src/main/java/hopglade/lab/sockets/PacketRelay.java
@@ -17,8 +17,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between proxies that gossip: each is known to the others by a socket here, and what one sends to another's is passed on
- * from its own, or lost, doubled or held back as {@link PeerLinks} says. All of it runs on one loop.
+ * Stands between proxies that gossip: each is known to the others by a socket here, and what one
+ * sends to another's is passed on from its own, or lost, doubled or held back as {@link PeerLinks}
+ * says. All of it runs on one loop.
  */
 final class PacketRelay {
 
@@ -44,7 +45,13 @@
         InetAddress last = proxies.get(proxies.size() - 1).getAddress();
         for (int i = 0; i <= proxies.size(); i++) {
             InetAddress at = i < proxies.size() ? proxies.get(i).getAddress() : last;
-            var bound = new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(new Inbox(i)).bind(at, 0).await();
+            var bound =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioDatagramChannel.class)
+                            .handler(new Inbox(i))
+                            .bind(at, 0)
+                            .await();
             if (!bound.isSuccess()) {
                 throw new IOException("no socket to relay gossip: " + bound.cause().getMessage());
             }
@@ -77,7 +84,12 @@
             }
             for (double late : links.copies(from, to, clock.now())) {
                 ByteBuf copy = packet.content().copy();
-                loop.schedule(() -> sockets.get(from).writeAndFlush(new DatagramPacket(copy, members.get(to))), (long) (late * US_PER_MS), TimeUnit.MICROSECONDS);
+                loop.schedule(
+                        () ->
+                                sockets.get(from)
+                                        .writeAndFlush(new DatagramPacket(copy, members.get(to))),
+                        (long) (late * US_PER_MS),
+                        TimeUnit.MICROSECONDS);
             }
         }
 
--- a/src/main/java/hopglade/lab/sockets/ProxyProcess.java
+++ b/src/main/java/hopglade/lab/sockets/ProxyProcess.java
@@ -21,18 +21,22 @@
 import java.util.stream.Stream;
 
 /**
- * One proxy as a child process, started by the deploy file's {@code run} line through a shell that outlives it: the shell
- * holds a pipe from us, and when that ends, however we ended, it kills the proxy. CPU time, memory and descriptors are
- * read from outside.
+ * One proxy as a child process, started by the deploy file's {@code run} line through a shell that
+ * outlives it: the shell holds a pipe from us, and when that ends, however we ended, it kills the
+ * proxy. CPU time, memory and descriptors are read from outside.
  */
 final class ProxyProcess {
 
     /** Starts the program, tells its process id, and kills it when standard input ends. */
-    private static final String KEEPER = "exec 3<&0; /bin/sh -c \"$1\" </dev/null 3<&- & p=$!; echo \"pid $p\"; "
-            + "(while read -r _; do :; done <&3; kill -KILL $p) 2>/dev/null & w=$!; exec 3<&-; wait $p; c=$?; kill $w 2>/dev/null; echo \"exit $c\"";
+    private static final String KEEPER =
+            "exec 3<&0; /bin/sh -c \"$1\" </dev/null 3<&- & p=$!; echo \"pid $p\"; "
+                    + "(while read -r _; do :; done <&3; kill -KILL $p) 2>/dev/null & w=$!; exec 3<&-; wait $p; c=$?; kill $w 2>/dev/null; echo \"exit $c\"";
+
     private static final Pattern LEVEL = Pattern.compile("\\bcontrol level=(\\d+)");
-    private static final Pattern EVENT = Pattern.compile("\\b([a-z]+_[a-z_]+) subject=(\\S+) evidence=(?:\"([^\"]*)\"|(\\S*))");
-    private static final Pattern GOSSIP = Pattern.compile("\\bgossip_tally sent=(\\d+) bytes=(\\d+)");
+    private static final Pattern EVENT =
+            Pattern.compile("\\b([a-z]+_[a-z_]+) subject=(\\S+) evidence=(?:\"([^\"]*)\"|(\\S*))");
+    private static final Pattern GOSSIP =
+            Pattern.compile("\\bgossip_tally sent=(\\d+) bytes=(\\d+)");
     private static final String TEMPORARY = ".tmp";
     private static final long READY_POLL_MS = 20;
     private static final double TICKS_PER_S = 100;
@@ -43,8 +47,11 @@
         void saw(String event, String subject, String evidence);
     }
 
-    /** What a look from outside tells: CPU seconds so far, those of them in the system, resident megabytes, open descriptors. */
-    record Usage(double cpuS, double systemS, double residentMb, int descriptors) { }
+    /**
+     * What a look from outside tells: CPU seconds so far, those of them in the system, resident
+     * megabytes, open descriptors.
+     */
+    record Usage(double cpuS, double systemS, double residentMb, int descriptors) {}
 
     final String name;
     final InetSocketAddress address;
@@ -53,7 +60,7 @@
     private final String run;
     private final Path config;
     private final PrintWriter log;
-    private Events events = (event, subject, evidence) -> { };
+    private Events events = (event, subject, evidence) -> {};
     private Process keeper;
     private volatile long pid = -1;
     private volatile int level;
@@ -63,7 +70,8 @@
     private volatile boolean expected;
     private int lives;
 
-    ProxyProcess(String name, InetAddress at, Path directory, Path root, String run) throws IOException {
+    ProxyProcess(String name, InetAddress at, Path directory, Path root, String run)
+            throws IOException {
         this.name = name;
         this.directory = directory;
         this.root = root;
@@ -71,7 +79,8 @@
         this.config = directory.resolve(name + ".json");
         forget(directory.resolve(name + TEMPORARY));
         this.log = new PrintWriter(Files.newBufferedWriter(directory.resolve(name + ".log")));
-        // The address is this run's own, so nobody else takes the port between this and the proxy's own bind.
+        // The address is this run's own, so nobody else takes the port between this and the proxy's
+        // own bind.
         try (ServerSocket free = new ServerSocket()) {
             free.bind(new InetSocketAddress(at, 0));
             address = new InetSocketAddress(at, free.getLocalPort());
@@ -89,7 +98,10 @@
         }
     }
 
-    /** Names who is told of its events; before the first start. Called by the thread that reads its log. */
+    /**
+     * Names who is told of its events; before the first start. Called by the thread that reads its
+     * log.
+     */
     void onEvents(Events taker) {
         events = taker;
     }
@@ -98,15 +110,23 @@
     void configure(JsonObject json) throws IOException {
         Path beside = directory.resolve(name + ".json.new");
         Files.writeString(beside, json.toString());
-        Files.move(beside, config, java.nio.file.StandardCopyOption.ATOMIC_MOVE, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                beside,
+                config,
+                java.nio.file.StandardCopyOption.ATOMIC_MOVE,
+                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     void start(String discovery) throws IOException {
         Path temporary = Files.createDirectories(directory.resolve(name + TEMPORARY));
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", KEEPER, "keeper", run).directory(root.toFile()).redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", KEEPER, "keeper", run)
+                        .directory(root.toFile())
+                        .redirectErrorStream(true);
         Map<String, String> environment = builder.environment();
         environment.put("BALANCER_NAME", name);
-        environment.put("BALANCER_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort());
+        environment.put(
+                "BALANCER_LISTEN", address.getAddress().getHostAddress() + ":" + address.getPort());
         environment.put("BALANCER_DISCOVERY", discovery);
         environment.put("BALANCER_CONFIG", config.toString());
         environment.put("TMPDIR", temporary.toString());
@@ -123,7 +143,9 @@
     }
 
     private void read(Process mine) {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(mine.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(mine.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 Matcher control = LEVEL.matcher(line);
                 Matcher gossip = GOSSIP.matcher(line);
@@ -136,10 +158,15 @@
                 }
                 Matcher event = EVENT.matcher(line);
                 if (event.find()) {
-                    events.saw(event.group(1), event.group(2), event.group(3) == null ? event.group(4) : event.group(3));
+                    events.saw(
+                            event.group(1),
+                            event.group(2),
+                            event.group(3) == null ? event.group(4) : event.group(3));
                 }
                 if (gossip.find()) {
-                    double bytes = Double.parseDouble(gossip.group(2)) + Gossip.HEADERS * Double.parseDouble(gossip.group(1));
+                    double bytes =
+                            Double.parseDouble(gossip.group(2))
+                                    + Gossip.HEADERS * Double.parseDouble(gossip.group(1));
                     gossipBytesPerS = bytes / ((System.nanoTime() - startedNs) / 1e9);
                 }
                 synchronized (log) {
@@ -172,7 +199,10 @@
         try (Socket socket = new Socket()) {
             socket.connect(address, 200);
             socket.setSoTimeout(1000);
-            socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            "GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n"
+                                    .getBytes(StandardCharsets.US_ASCII));
             byte[] answer = socket.getInputStream().readNBytes(12);
             return new String(answer, StandardCharsets.US_ASCII).endsWith("200");
         } catch (IOException e) {
@@ -184,7 +214,10 @@
     void signal(String signal) throws IOException, InterruptedException {
         expected |= signal.equals("TERM") || signal.equals("KILL");
         if (pid > 0) {
-            new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + pid).redirectErrorStream(true).start().waitFor(5, TimeUnit.SECONDS);
+            new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + pid)
+                    .redirectErrorStream(true)
+                    .start()
+                    .waitFor(5, TimeUnit.SECONDS);
         }
     }
 
@@ -217,8 +250,13 @@
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             double system = Long.parseLong(fields[12]) / TICKS_PER_S;
             double cpu = Long.parseLong(fields[11]) / TICKS_PER_S + system;
-            double resident = Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream().filter(l -> l.startsWith("VmRSS:"))
-                    .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / KB_PER_MB).findFirst().orElse(0);
+            double resident =
+                    Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
+                            .filter(l -> l.startsWith("VmRSS:"))
+                            .mapToDouble(
+                                    l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / KB_PER_MB)
+                            .findFirst()
+                            .orElse(0);
             try (Stream<Path> open = Files.list(Path.of("/proc/" + pid + "/fd"))) {
                 return new Usage(cpu, system, resident, (int) open.count());
             }
--- a/src/main/java/hopglade/lab/sockets/RunClock.java
+++ b/src/main/java/hopglade/lab/sockets/RunClock.java
@@ -1,6 +1,8 @@
 package hopglade.lab.sockets;
 
-/** Milliseconds of the run, by the monotonic clock; negative before it begins. One for all parties. */
+/**
+ * Milliseconds of the run, by the monotonic clock; negative before it begins. One for all parties.
+ */
 final class RunClock {
 
     private static final double NANOS_PER_MS = 1e6;
--- a/src/main/java/hopglade/lab/sockets/SocketPolicy.java
+++ b/src/main/java/hopglade/lab/sockets/SocketPolicy.java
@@ -17,7 +17,10 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The fleet's policy among proxies on sockets: their options, the relays between them, proposals, and what their logs tell. */
+/**
+ * The fleet's policy among proxies on sockets: their options, the relays between them, proposals,
+ * and what their logs tell.
+ */
 final class SocketPolicy {
 
     private static final double NS_PER_MS = 1e6;
@@ -32,7 +35,12 @@
     private final AtomicInteger proposals = new AtomicInteger();
     private volatile int leader = -1;
 
-    SocketPolicy(Experiment experiment, RunClock clock, PeerLinks links, Path directory, EventLoop loop) {
+    SocketPolicy(
+            Experiment experiment,
+            RunClock clock,
+            PeerLinks links,
+            Path directory,
+            EventLoop loop) {
         this.experiment = experiment;
         this.clock = clock;
         this.directory = directory;
@@ -49,7 +57,8 @@
         for (int to = 0; to < experiment.policy().voters(); to++) {
             try (ServerSocket free = new ServerSocket()) {
                 free.bind(new InetSocketAddress(proxies.get(to).getAddress(), 0));
-                voters.add(new InetSocketAddress(proxies.get(to).getAddress(), free.getLocalPort()));
+                voters.add(
+                        new InetSocketAddress(proxies.get(to).getAddress(), free.getLocalPort()));
             }
             for (int from = 0; from < proxies.size(); from++) {
                 if (from != to) {
@@ -63,7 +72,9 @@
         return directory.resolve("p" + proxy + ".sock");
     }
 
-    /** What stands in a proxy's options; a voter's own place among the voters is its true address. */
+    /**
+     * What stands in a proxy's options; a voter's own place among the voters is its true address.
+     */
     String options(int proxy) {
         if (!on()) {
             return "";
@@ -73,8 +84,17 @@
             InetSocketAddress at = v == proxy ? voters.get(v) : relay.address(proxy, v);
             named.add("\"proxy-" + v + "=" + NumericAddress.text(at) + "\"");
         }
-        String listen = proxy < voters.size() ? "listen = \"" + NumericAddress.text(voters.get(proxy)) + "\"\n" : "";
-        return "\n[policy]\nvoters = [" + String.join(", ", named) + "]\n" + listen + "socket = \"" + socket(proxy) + "\"\n";
+        String listen =
+                proxy < voters.size()
+                        ? "listen = \"" + NumericAddress.text(voters.get(proxy)) + "\"\n"
+                        : "";
+        return "\n[policy]\nvoters = ["
+                + String.join(", ", named)
+                + "]\n"
+                + listen
+                + "socket = \""
+                + socket(proxy)
+                + "\"\n";
     }
 
     /** An event of a proxy's log; its own time is that of the machine's monotonic clock. */
@@ -82,7 +102,10 @@
         if (!on() || !event.startsWith(EVENTS) || !evidence.startsWith("at:")) {
             return;
         }
-        double at = clock.now() - (System.nanoTime() / NS_PER_MS - Double.parseDouble(evidence.substring("at:".length())));
+        double at =
+                clock.now()
+                        - (System.nanoTime() / NS_PER_MS
+                                - Double.parseDouble(evidence.substring("at:".length())));
         long epoch = Long.parseLong(subject);
         switch (event.substring(EVENTS.length()).toUpperCase(Locale.ROOT)) {
             case "APPLIED" -> ledger.applied(proxy, epoch, content(proxy, epoch), at);
@@ -90,7 +113,7 @@
             case "NOT_CURRENT" -> ledger.notCurrent(proxy, at);
             case "FENCED" -> ledger.fenced();
             case "LEADS" -> leader = proxy;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -98,7 +121,11 @@
     private String content(int proxy, long epoch) {
         try {
             String all = PolicySocket.ask(socket(proxy), "history", "", 0).text();
-            String mine = List.of(all.split("(?m)^# epoch ")).stream().filter(e -> e.startsWith(epoch + ",")).findFirst().orElse(null);
+            String mine =
+                    List.of(all.split("(?m)^# epoch ")).stream()
+                            .filter(e -> e.startsWith(epoch + ","))
+                            .findFirst()
+                            .orElse(null);
             return mine == null ? null : mine.substring(mine.indexOf('\n') + 1).strip() + "\n";
         } catch (IOException e) {
             return null;
--- a/src/main/java/hopglade/lab/sockets/SocketRun.java
+++ b/src/main/java/hopglade/lab/sockets/SocketRun.java
@@ -46,11 +46,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 
-/** One experiment on sockets: starts everything, plays load and faults, ends everything, and counts. */
+/**
+ * One experiment on sockets: starts everything, plays load and faults, ends everything, and counts.
+ */
 public final class SocketRun {
 
     /** How a run is going; told a few times a second. */
-    public record Progress(double atS, double ofS, int asked, int served, int refused, int failed, double worthShare, int level) { }
+    public record Progress(
+            double atS,
+            double ofS,
+            int asked,
+            int served,
+            int refused,
+            int failed,
+            double worthShare,
+            int level) {}
 
     private static final AtomicInteger RUNS = new AtomicInteger();
     private static final double IDLE_MS = 10_000;
@@ -60,14 +70,20 @@
     private static final long LOOK_MS = 100;
     private static final int TICK_MS = 1;
     private static final double MS_PER_S = 1000;
+
     /** Room after the last deadline in which late answers still show. */
     private static final double SETTLE_MS = 500;
+
     /** What SIGTERM leaves before SIGKILL, beyond the longest deadline. */
     private static final double KILL_MS = 700;
+
     private static final double LONGEST_MS = 3000;
+
     /** Clients that are on their way still come for so long after SIGTERM. */
     private static final double FRONT_MS = 300;
+
     private static final double HOSTILE_MS = 3000;
+
     /** What the names of gossip's events in a log begin with. */
     private static final String GOSSIP = "gossip_";
 
@@ -81,8 +97,10 @@
     private final Installation plan;
     private final LoadPlan load;
     private final World world;
-    private final MultiThreadIoEventLoopGroup worldGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final MultiThreadIoEventLoopGroup clientGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup worldGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final MultiThreadIoEventLoopGroup clientGroup =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final ScheduledExecutorService hands = Executors.newScheduledThreadPool(8);
     private final EventLoop loop = worldGroup.next();
     private final List<ProxyProcess> proxies = new ArrayList<>();
@@ -96,13 +114,18 @@
     private Clients clients;
     private HostilePeers hostile;
     private final PeerLinks peerLinks;
+
     /** Null without gossip. */
     private PacketRelay relay;
+
     private final SocketPolicy policy;
     private final World.Effects effects = new Acts();
     private final Strikes strikes;
 
-    /** {@code directory} takes the proxies' logs and configurations; {@code run} starts one from {@code root}. */
+    /**
+     * {@code directory} takes the proxies' logs and configurations; {@code run} starts one from
+     * {@code root}.
+     */
     public SocketRun(Experiment experiment, Path directory, Path root, String run) {
         this.experiment = experiment;
         this.directory = directory.toAbsolutePath();
@@ -112,10 +135,18 @@
         this.plan = Draw.installation(experiment);
         this.load = LoadPlan.of(experiment);
         this.levels = new int[(int) Math.ceil(experiment.durationS())];
-        this.world = new World(plan, Draw.limits(experiment, load.meanReadMs()), Draw.generator(experiment.seed(), Draw.Stream.WORLD));
+        this.world =
+                new World(
+                        plan,
+                        Draw.limits(experiment, load.meanReadMs()),
+                        Draw.generator(experiment.seed(), Draw.Stream.WORLD));
         this.strikes = new Strikes(world, effects, plan, ledger);
-        this.peerLinks = new PeerLinks(experiment.proxies().count(), Draw.generator(experiment.seed(), Draw.Stream.GOSSIP));
-        this.policy = new SocketPolicy(experiment, clock, peerLinks, this.directory, clientGroup.next());
+        this.peerLinks =
+                new PeerLinks(
+                        experiment.proxies().count(),
+                        Draw.generator(experiment.seed(), Draw.Stream.GOSSIP));
+        this.policy =
+                new SocketPolicy(experiment, clock, peerLinks, this.directory, clientGroup.next());
     }
 
     private final class Acts implements World.Effects {
@@ -181,8 +212,12 @@
     private void endAll() {
         hands.shutdownNow();
         proxies.forEach(ProxyProcess::end);
-        worldGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2, TimeUnit.SECONDS);
-        clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2, TimeUnit.SECONDS);
+        worldGroup
+                .shutdownGracefully(0, 1, TimeUnit.SECONDS)
+                .awaitUninterruptibly(2, TimeUnit.SECONDS);
+        clientGroup
+                .shutdownGracefully(0, 1, TimeUnit.SECONDS)
+                .awaitUninterruptibly(2, TimeUnit.SECONDS);
     }
 
     private void open() throws IOException, InterruptedException {
@@ -194,16 +229,38 @@
         long pid = ProcessHandle.current().pid();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < experiment.proxies().count(); i++) {
-            InetAddress at = InetAddress.getByAddress(new byte[] {127, (byte) (64 + pid % 64), (byte) RUNS.incrementAndGet(), (byte) (10 + i)});
-            proxies.add(new ProxyProcess("proxy-" + i, at, directory, root, experiment.gossip().enabled() ? SocketPeers.command(run, directory, i) : run));
+            InetAddress at =
+                    InetAddress.getByAddress(
+                            new byte[] {
+                                127,
+                                (byte) (64 + pid % 64),
+                                (byte) RUNS.incrementAndGet(),
+                                (byte) (10 + i)
+                            });
+            proxies.add(
+                    new ProxyProcess(
+                            "proxy-" + i,
+                            at,
+                            directory,
+                            root,
+                            experiment.gossip().enabled()
+                                    ? SocketPeers.command(run, directory, i)
+                                    : run));
             addresses.add(proxies.get(i).address);
             int proxy = i;
-            proxies.get(i).onEvents((event, subject, evidence) -> {
-                policy.saw(proxy, event, subject, evidence);
-                if (event.startsWith(GOSSIP)) {
-                    membership.saw(proxy, event.substring(GOSSIP.length()), subject, evidence, clock.now());
-                }
-            });
+            proxies.get(i)
+                    .onEvents(
+                            (event, subject, evidence) -> {
+                                policy.saw(proxy, event, subject, evidence);
+                                if (event.startsWith(GOSSIP)) {
+                                    membership.saw(
+                                            proxy,
+                                            event.substring(GOSSIP.length()),
+                                            subject,
+                                            evidence,
+                                            clock.now());
+                                }
+                            });
         }
         if (experiment.gossip().enabled()) {
             relay = new PacketRelay(clientGroup.next(), clock, peerLinks, addresses);
@@ -211,16 +268,43 @@
             policy.open(addresses);
             SocketPeers.write(directory, experiment, addresses, relay, policy);
         }
-        clients = new Clients(clientGroup.next(), clock, experiment, load, ledger, addresses, plan.proxyZones());
-        machines = new Machines(loop, clock, plan, world, effects, ledger, clients, writes, IDLE_MS,
-                Draw.generator(experiment.seed(), Draw.Stream.CLIENTS));
+        clients =
+                new Clients(
+                        clientGroup.next(),
+                        clock,
+                        experiment,
+                        load,
+                        ledger,
+                        addresses,
+                        plan.proxyZones());
+        machines =
+                new Machines(
+                        loop,
+                        clock,
+                        plan,
+                        world,
+                        effects,
+                        ledger,
+                        clients,
+                        writes,
+                        IDLE_MS,
+                        Draw.generator(experiment.seed(), Draw.Stream.CLIENTS));
         machines.open();
         for (int i = 0; i < proxies.size(); i++) {
             discoveries.add(new DiscoveryServer(loop, clock, plan, i, machines, ledger, world));
             discoveries.get(i).open();
         }
-        hostile = new HostilePeers(clientGroup.next(), clock, addresses, Draw.generator(experiment.seed(), Draw.Stream.HOSTILE));
-        Oracle.fill(world, experiment, plan, ProxySettings.read(experiment, plan, 0, IDLE_MS, CONNECT_MS));
+        hostile =
+                new HostilePeers(
+                        clientGroup.next(),
+                        clock,
+                        addresses,
+                        Draw.generator(experiment.seed(), Draw.Stream.HOSTILE));
+        Oracle.fill(
+                world,
+                experiment,
+                plan,
+                ProxySettings.read(experiment, plan, 0, IDLE_MS, CONNECT_MS));
     }
 
     private void startAll() throws IOException, InterruptedException {
@@ -232,8 +316,13 @@
         double slowest = 0;
         for (int i = 0; i < proxies.size(); i++) {
             if (!proxies.get(i).awaitReady(READY_MS)) {
-                throw new IOException("proxy-" + i + " is not ready after " + READY_MS / MS_PER_S + " s; see "
-                        + directory.resolve(proxies.get(i).name + ".log"));
+                throw new IOException(
+                        "proxy-"
+                                + i
+                                + " is not ready after "
+                                + READY_MS / MS_PER_S
+                                + " s; see "
+                                + directory.resolve(proxies.get(i).name + ".log"));
             }
             slowest = Math.max(slowest, (System.nanoTime() - begun) / 1e6);
             clients.inService(i, true);
@@ -245,20 +334,37 @@
         }
         outside.put("proxy.start_cpu_s", startCpu);
         outside.put("proxy.ready_ms_max", slowest);
-        outside.put("discovery.list_bytes", loop.submit((Callable<Double>) () -> (double) discoveries.get(0).whole().toString().length()).sync().getNow());
+        outside.put(
+                "discovery.list_bytes",
+                loop.submit(
+                                (Callable<Double>)
+                                        () ->
+                                                (double)
+                                                        discoveries
+                                                                .get(0)
+                                                                .whole()
+                                                                .toString()
+                                                                .length())
+                        .sync()
+                        .getNow());
         clients.rehearse();
     }
 
     private void begin() {
         clock.beginIn(BEGIN_MS);
-        loop.scheduleAtFixedRate(() -> {
-            if (clock.now() >= 0) {
-                world.advance(clock.now(), effects);
-            }
-        }, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> {
+                    if (clock.now() >= 0) {
+                        world.advance(clock.now(), effects);
+                    }
+                },
+                TICK_MS,
+                TICK_MS,
+                TimeUnit.MILLISECONDS);
         for (Fault fault : experiment.faults()) {
             if (!fault.what().ofLoad()) {
-                hands.schedule(() -> guarded(fault), clock.nanosUntil(fault.atMs()), TimeUnit.NANOSECONDS);
+                hands.schedule(
+                        () -> guarded(fault), clock.nanosUntil(fault.atMs()), TimeUnit.NANOSECONDS);
             }
         }
         clients.start();
@@ -270,7 +376,12 @@
             new FaultHand(fault).play();
         } catch (IOException | ExecutionException e) {
             mark("fault failed: " + e);
-            seen.add(new Violation(Rule.CRASH, fault.label(), clock.now(), "the laboratory could not cause it: " + e));
+            seen.add(
+                    new Violation(
+                            Rule.CRASH,
+                            fault.label(),
+                            clock.now(),
+                            "the laboratory could not cause it: " + e));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -286,21 +397,30 @@
 
         void play() throws IOException, InterruptedException, ExecutionException {
             switch (fault.what()) {
-                case NODE_SILENT -> between(id -> {
-                    world.stall(clock.now(), id, fault.endMs(), effects);
-                    machines.silence(id, true);
-                }, id -> machines.silence(id, false));
-                case RESET_BEFORE -> between(id -> machines.resets(id, fault.share()), id -> machines.resets(id, 0));
+                case NODE_SILENT ->
+                        between(
+                                id -> {
+                                    world.stall(clock.now(), id, fault.endMs(), effects);
+                                    machines.silence(id, true);
+                                },
+                                id -> machines.silence(id, false));
+                case RESET_BEFORE ->
+                        between(
+                                id -> machines.resets(id, fault.share()),
+                                id -> machines.resets(id, 0));
                 case ZONE_CUT -> {
                     int zone = plan.zones().indexOf(fault.target());
                     onLoop(() -> machines.cut(zone, true));
                     atEnd(() -> machines.cut(zone, false));
                 }
                 case DISCOVERY_SILENT -> {
-                    onLoop(() -> agents(i -> {
-                        world.holdNews(i, fault.endMs());
-                        discoveries.get(i).silent(true);
-                    }));
+                    onLoop(
+                            () ->
+                                    agents(
+                                            i -> {
+                                                world.holdNews(i, fault.endMs());
+                                                discoveries.get(i).silent(true);
+                                            }));
                     atEnd(() -> agents(i -> discoveries.get(i).silent(false)));
                 }
                 case HOSTILE -> hostile.come(fault.factor(), fault.endMs());
@@ -311,11 +431,20 @@
                 case PROXY_STARVED -> eachProxy(this::starve);
                 case MACHINE_BUSY -> busy();
                 case LIAR_ACCUSES, LIAR_PRAISES, LIAR_FLIPS -> lie();
-                case GOSSIP_CUT, GOSSIP_SPLIT, GOSSIP_LOSS, GOSSIP_DEAF, GOSSIP_MUTE, GOSSIP_ONEWAY -> {
+                case GOSSIP_CUT,
+                        GOSSIP_SPLIT,
+                        GOSSIP_LOSS,
+                        GOSSIP_DEAF,
+                        GOSSIP_MUTE,
+                        GOSSIP_ONEWAY -> {
                     clientGroup.next().execute(() -> peerLinks.begin(fault));
-                    hands.schedule(policy::healed, clock.nanosUntil(fault.endMs() + LOOK_MS), TimeUnit.NANOSECONDS);
+                    hands.schedule(
+                            policy::healed,
+                            clock.nanosUntil(fault.endMs() + LOOK_MS),
+                            TimeUnit.NANOSECONDS);
                 }
-                case POLICY_PROPOSE -> eachProxy(i -> mark("proxy-" + i + " proposed: " + policy.propose(i)));
+                case POLICY_PROPOSE ->
+                        eachProxy(i -> mark("proxy-" + i + " proposed: " + policy.propose(i)));
                 case LEADER_KILL -> {
                     int leader = policy.leader();
                     mark("the leader is " + (leader < 0 ? "nobody" : "proxy-" + leader));
@@ -327,7 +456,8 @@
                     onLoop(() -> agents(i -> machines.blind(i, true)));
                     atEnd(() -> agents(i -> machines.blind(i, false)));
                 }
-                case PROXY_CLOCK, NODE_MAINTENANCE -> mark(fault.what().word() + " is not played on sockets");
+                case PROXY_CLOCK, NODE_MAINTENANCE ->
+                        mark(fault.what().word() + " is not played on sockets");
                 default -> {
                     onLoop(() -> strikes.begin(fault, clock.now()));
                     if (fault.forS() > 0) {
@@ -341,10 +471,19 @@
             if (!experiment.gossip().enabled()) {
                 return;
             }
-            List<Router.Node> nodes = loop.submit((Callable<List<Entry>>) world::truth).get().stream()
-                    .filter(e -> !e.id().equals(plan.origin().id())).map(e -> ProxySettings.node(plan, e)).toList();
-            Runnable end = SocketPeers.liar(clientGroup.next(), directory, experiment, relay, nodes,
-                    fault::accuses);
+            List<Router.Node> nodes =
+                    loop.submit((Callable<List<Entry>>) world::truth).get().stream()
+                            .filter(e -> !e.id().equals(plan.origin().id()))
+                            .map(e -> ProxySettings.node(plan, e))
+                            .toList();
+            Runnable end =
+                    SocketPeers.liar(
+                            clientGroup.next(),
+                            directory,
+                            experiment,
+                            relay,
+                            nodes,
+                            fault::accuses);
             atEnd(end);
         }
 
@@ -353,10 +492,13 @@
         }
 
         private void atEnd(Runnable act) {
-            loop.schedule(() -> {
-                mark("end of " + fault.label());
-                act.run();
-            }, clock.nanosUntil(fault.endMs()), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        mark("end of " + fault.label());
+                        act.run();
+                    },
+                    clock.nanosUntil(fault.endMs()),
+                    TimeUnit.NANOSECONDS);
         }
 
         private void nodes(Consumer<String> act) {
@@ -386,21 +528,36 @@
         }
 
         private void term(int i) {
-            attempt(() -> {
-                proxies.get(i).signal("TERM");
-                hands.schedule(() -> clients.inService(i, false), (long) FRONT_MS, TimeUnit.MILLISECONDS);
-                double longest = experiment.load().longestMs();
-                if (!proxies.get(i).awaitExit((long) (KILL_MS + Math.min(LONGEST_MS, longest) + SETTLE_MS))) {
-                    seen.add(new Violation(Rule.CRASH, "proxy-" + i, clock.now(), "it had not ended when SIGKILL was due"));
-                    proxies.get(i).signal("KILL");
-                    ledger.excuse(new Ledger.Excuse(i, clock.now(), clock.now(), "SIGKILL"));
-                }
-                proxies.get(i).end();
-                ended(i);
-                clients.inService(i, false);
-                startAgain(i);
-                return null;
-            });
+            attempt(
+                    () -> {
+                        proxies.get(i).signal("TERM");
+                        hands.schedule(
+                                () -> clients.inService(i, false),
+                                (long) FRONT_MS,
+                                TimeUnit.MILLISECONDS);
+                        double longest = experiment.load().longestMs();
+                        if (!proxies.get(i)
+                                .awaitExit(
+                                        (long)
+                                                (KILL_MS
+                                                        + Math.min(LONGEST_MS, longest)
+                                                        + SETTLE_MS))) {
+                            seen.add(
+                                    new Violation(
+                                            Rule.CRASH,
+                                            "proxy-" + i,
+                                            clock.now(),
+                                            "it had not ended when SIGKILL was due"));
+                            proxies.get(i).signal("KILL");
+                            ledger.excuse(
+                                    new Ledger.Excuse(i, clock.now(), clock.now(), "SIGKILL"));
+                        }
+                        proxies.get(i).end();
+                        ended(i);
+                        clients.inService(i, false);
+                        startAgain(i);
+                        return null;
+                    });
         }
 
         private void kill(int i) {
@@ -408,19 +565,31 @@
                 // It is on its way back already; a second start would take the first one's address.
                 return;
             }
-            attempt(() -> {
-                ledger.excuse(new Ledger.Excuse(i, clock.now(), clock.now() + experiment.proxies().noticeS() * MS_PER_S, "SIGKILL"));
-                proxies.get(i).signal("KILL");
-                ended(i);
-                hands.schedule(() -> clients.inService(i, false), (long) (experiment.proxies().noticeS() * MS_PER_S), TimeUnit.MILLISECONDS);
-                proxies.get(i).awaitExit(READY_MS);
-                startAgain(i);
-                return null;
-            });
-        }
-
-        private void startAgain(int i) throws IOException, InterruptedException, ExecutionException {
-            Thread.sleep(TimeUnit.NANOSECONDS.toMillis(clock.nanosUntil(clock.now() + fault.forS() * MS_PER_S)));
+            attempt(
+                    () -> {
+                        ledger.excuse(
+                                new Ledger.Excuse(
+                                        i,
+                                        clock.now(),
+                                        clock.now() + experiment.proxies().noticeS() * MS_PER_S,
+                                        "SIGKILL"));
+                        proxies.get(i).signal("KILL");
+                        ended(i);
+                        hands.schedule(
+                                () -> clients.inService(i, false),
+                                (long) (experiment.proxies().noticeS() * MS_PER_S),
+                                TimeUnit.MILLISECONDS);
+                        proxies.get(i).awaitExit(READY_MS);
+                        startAgain(i);
+                        return null;
+                    });
+        }
+
+        private void startAgain(int i)
+                throws IOException, InterruptedException, ExecutionException {
+            Thread.sleep(
+                    TimeUnit.NANOSECONDS.toMillis(
+                            clock.nanosUntil(clock.now() + fault.forS() * MS_PER_S)));
             proxies.get(i).configure(loop.submit((Callable<JsonObject>) () -> config(i)).get());
             membership.started(i, clock.now());
             policy.started(i);
@@ -430,60 +599,84 @@
             if (proxies.get(i).awaitReady(READY_MS)) {
                 clients.inService(i, true);
                 policy.back(i);
-                mark("proxy-" + i + " is ready again after " + Math.round(clock.now() - begun) + " ms");
+                mark(
+                        "proxy-"
+                                + i
+                                + " is ready again after "
+                                + Math.round(clock.now() - begun)
+                                + " ms");
                 synchronized (outside) {
                     outside.merge("proxy.ready_again_ms_max", clock.now() - begun, Math::max);
                 }
             } else {
-                seen.add(new Violation(Rule.CRASH, "proxy-" + i, clock.now(), "it did not come back"));
+                seen.add(
+                        new Violation(
+                                Rule.CRASH, "proxy-" + i, clock.now(), "it did not come back"));
             }
         }
 
         private void hup(int i) {
-            attempt(() -> {
-                String dial = discoveries.get(i).move();
-                JsonObject config = loop.submit((Callable<JsonObject>) () -> config(i)).get();
-                config.addProperty("discovery", dial);
-                proxies.get(i).configure(config);
-                proxies.get(i).signal("HUP");
-                return null;
-            });
+            attempt(
+                    () -> {
+                        String dial = discoveries.get(i).move();
+                        JsonObject config =
+                                loop.submit((Callable<JsonObject>) () -> config(i)).get();
+                        config.addProperty("discovery", dial);
+                        proxies.get(i).configure(config);
+                        proxies.get(i).signal("HUP");
+                        return null;
+                    });
         }
 
         private void stop(int i) {
-            attempt(() -> {
-                double until = clock.now() + fault.forS() * MS_PER_S;
-                ledger.excuse(new Ledger.Excuse(i, clock.now(), until + SETTLE_MS, "SIGSTOP"));
-                policy.stopped(i, until);
-                proxies.get(i).signal("STOP");
-                Thread.sleep(TimeUnit.NANOSECONDS.toMillis(clock.nanosUntil(until)));
-                proxies.get(i).signal("CONT");
-                policy.back(i);
-                return null;
-            });
+            attempt(
+                    () -> {
+                        double until = clock.now() + fault.forS() * MS_PER_S;
+                        ledger.excuse(
+                                new Ledger.Excuse(i, clock.now(), until + SETTLE_MS, "SIGSTOP"));
+                        policy.stopped(i, until);
+                        proxies.get(i).signal("STOP");
+                        Thread.sleep(TimeUnit.NANOSECONDS.toMillis(clock.nanosUntil(until)));
+                        proxies.get(i).signal("CONT");
+                        policy.back(i);
+                        return null;
+                    });
         }
 
         private void starve(int i) {
-            attempt(() -> {
-                ledger.excuse(new Ledger.Excuse(i, clock.now(), fault.endMs() + SETTLE_MS, "starved"));
-                long stopped = (long) (fault.share() * Fault.STARVE_EVERY_MS);
-                for (double begun = clock.now(); begun < fault.endMs(); begun += Fault.STARVE_EVERY_MS) {
-                    proxies.get(i).signal("STOP");
-                    Thread.sleep(stopped);
-                    proxies.get(i).signal("CONT");
-                    Thread.sleep(Math.max(0, TimeUnit.NANOSECONDS.toMillis(clock.nanosUntil(begun + Fault.STARVE_EVERY_MS))));
-                }
-                return null;
-            });
+            attempt(
+                    () -> {
+                        ledger.excuse(
+                                new Ledger.Excuse(
+                                        i, clock.now(), fault.endMs() + SETTLE_MS, "starved"));
+                        long stopped = (long) (fault.share() * Fault.STARVE_EVERY_MS);
+                        for (double begun = clock.now();
+                                begun < fault.endMs();
+                                begun += Fault.STARVE_EVERY_MS) {
+                            proxies.get(i).signal("STOP");
+                            Thread.sleep(stopped);
+                            proxies.get(i).signal("CONT");
+                            Thread.sleep(
+                                    Math.max(
+                                            0,
+                                            TimeUnit.NANOSECONDS.toMillis(
+                                                    clock.nanosUntil(
+                                                            begun + Fault.STARVE_EVERY_MS))));
+                        }
+                        return null;
+                    });
         }
 
         private void busy() {
             for (int i = 0; i < fault.factor(); i++) {
-                Thread burner = new Thread(() -> {
-                    while (clock.now() < fault.endMs() && !hands.isShutdown()) {
-                        Thread.onSpinWait();
-                    }
-                }, "busy-" + i);
+                Thread burner =
+                        new Thread(
+                                () -> {
+                                    while (clock.now() < fault.endMs() && !hands.isShutdown()) {
+                                        Thread.onSpinWait();
+                                    }
+                                },
+                                "busy-" + i);
                 burner.setDaemon(true);
                 burner.start();
             }
@@ -495,7 +688,12 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (Exception e) {
-                seen.add(new Violation(Rule.CRASH, fault.label(), clock.now(), "the laboratory could not cause it: " + e));
+                seen.add(
+                        new Violation(
+                                Rule.CRASH,
+                                fault.label(),
+                                clock.now(),
+                                "the laboratory could not cause it: " + e));
             }
         }
     }
@@ -504,8 +702,15 @@
     private void watch(Consumer<Progress> progress) throws InterruptedException {
         double longest = experiment.load().longestMs();
         double faultsEnd = experiment.faults().stream().mapToDouble(Fault::endMs).max().orElse(0);
-        double last = Math.max(experiment.durationS() * MS_PER_S + longest + SETTLE_MS + 2 * experiment.rules().slackMs(),
-                experiment.faults().stream().anyMatch(f -> f.what() == Fault.Kind.HOSTILE) ? faultsEnd + HOSTILE_MS + SETTLE_MS : 0);
+        double last =
+                Math.max(
+                        experiment.durationS() * MS_PER_S
+                                + longest
+                                + SETTLE_MS
+                                + 2 * experiment.rules().slackMs(),
+                        experiment.faults().stream().anyMatch(f -> f.what() == Fault.Kind.HOSTILE)
+                                ? faultsEnd + HOSTILE_MS + SETTLE_MS
+                                : 0);
         double[] cpu = new double[proxies.size()];
         double[] cpuBefore = new double[proxies.size()];
         double[] system = new double[proxies.size()];
@@ -520,15 +725,38 @@
                 ProxyProcess.Usage usage = proxy.usage();
                 if (usage != null) {
                     // What a start costs is none of the requests'; a new life counts from nothing.
-                    cpu[i] += clock.now() < 0 ? 0 : Math.max(0, usage.cpuS() - (usage.cpuS() >= cpuBefore[i] ? cpuBefore[i] : 0));
-                    system[i] += clock.now() < 0 ? 0 : Math.max(0, usage.systemS() - (usage.cpuS() >= cpuBefore[i] ? systemBefore[i] : 0));
+                    cpu[i] +=
+                            clock.now() < 0
+                                    ? 0
+                                    : Math.max(
+                                            0,
+                                            usage.cpuS()
+                                                    - (usage.cpuS() >= cpuBefore[i]
+                                                            ? cpuBefore[i]
+                                                            : 0));
+                    system[i] +=
+                            clock.now() < 0
+                                    ? 0
+                                    : Math.max(
+                                            0,
+                                            usage.systemS()
+                                                    - (usage.cpuS() >= cpuBefore[i]
+                                                            ? systemBefore[i]
+                                                            : 0));
                     cpuBefore[i] = usage.cpuS();
                     systemBefore[i] = usage.systemS();
                     resident = Math.max(resident, usage.residentMb());
                     descriptors = Math.max(descriptors, usage.descriptors());
                 }
                 if (proxy.crashed() != null) {
-                    seen.add(new Violation(Rule.CRASH, proxy.name, clock.now(), "exit code " + proxy.crashed() + " though nobody had told it to end"));
+                    seen.add(
+                            new Violation(
+                                    Rule.CRASH,
+                                    proxy.name,
+                                    clock.now(),
+                                    "exit code "
+                                            + proxy.crashed()
+                                            + " though nobody had told it to end"));
                     return;
                 }
             }
@@ -545,7 +773,9 @@
                 outside.putAll(policy.ledger().figures());
                 seen.addAll(policy.ledger().violations());
             }
-            outside.put("gossip.bytes_per_s", proxies.stream().mapToDouble(ProxyProcess::gossipBytesPerS).max().orElse(0));
+            outside.put(
+                    "gossip.bytes_per_s",
+                    proxies.stream().mapToDouble(ProxyProcess::gossipBytesPerS).max().orElse(0));
         }
         outside.put("proxy.cpu_s", java.util.Arrays.stream(cpu).sum());
         outside.put("proxy.cpu_system_s", java.util.Arrays.stream(system).sum());
@@ -555,20 +785,30 @@
 
     private Progress now(int level) {
         Clients.Counts c = clients.counts();
-        return new Progress(clock.now() / MS_PER_S, experiment.durationS(), c.ended(), c.served(), c.refused(),
-                c.ended() - c.served() - c.refused(), c.worth() == 0 ? 1 : c.worthServed() / c.worth(), level);
+        return new Progress(
+                clock.now() / MS_PER_S,
+                experiment.durationS(),
+                c.ended(),
+                c.served(),
+                c.refused(),
+                c.ended() - c.served() - c.refused(),
+                c.worth() == 0 ? 1 : c.worthServed() / c.worth(),
+                level);
     }
 
     private Results results() {
         endAll();
         List<Story> stories = clients.told();
         hostileVerdict();
-        outside.put("proxy.cpu_ms_per_request", 1000 * outside.getOrDefault("proxy.cpu_s", 0.0) / Math.max(1, stories.size()));
+        outside.put(
+                "proxy.cpu_ms_per_request",
+                1000 * outside.getOrDefault("proxy.cpu_s", 0.0) / Math.max(1, stories.size()));
         double listBytes = discoveries.stream().mapToDouble(DiscoveryServer::sentBytes).sum();
         outside.put("discovery.sent_bytes", listBytes / discoveries.size());
         outside.put("machines.connections_opened", (double) machines.connections());
         outside.put("machines.connections_turned_away", (double) machines.turnedAway());
-        return new Played(experiment, "sockets", plan, load, ledger, stories, levels, marks, seen).judged(outside);
+        return new Played(experiment, "sockets", plan, load, ledger, stories, levels, marks, seen)
+                .judged(outside);
     }
 
     private void hostileVerdict() {
@@ -578,9 +818,21 @@
             boolean inTime = p.endedAt - p.at <= HOSTILE_MS + experiment.rules().slackMs();
             dealt += inTime && p.status != 200 ? 1 : 0;
             if (p.status >= 200 && p.status < 400) {
-                seen.add(new Violation(Rule.BAD_INPUT, p.kind.name().toLowerCase(Locale.ROOT), p.at, "served with " + p.status));
+                seen.add(
+                        new Violation(
+                                Rule.BAD_INPUT,
+                                p.kind.name().toLowerCase(Locale.ROOT),
+                                p.at,
+                                "served with " + p.status));
             } else if (!inTime) {
-                seen.add(new Violation(Rule.BAD_INPUT, p.kind.name().toLowerCase(Locale.ROOT), p.at, "proxy-" + p.proxy + " gave it neither an error nor a close in 3 s"));
+                seen.add(
+                        new Violation(
+                                Rule.BAD_INPUT,
+                                p.kind.name().toLowerCase(Locale.ROOT),
+                                p.at,
+                                "proxy-"
+                                        + p.proxy
+                                        + " gave it neither an error nor a close in 3 s"));
             }
         }
         outside.put("hostile.peers", (double) peers.size());
@@ -592,9 +844,16 @@
     private JsonObject config(int proxy) {
         JsonObject o = new JsonObject();
         o.addProperty("name", "proxy-" + proxy);
-        o.addProperty("listen", proxies.get(proxy).address.getAddress().getHostAddress() + ":" + proxies.get(proxy).address.getPort());
+        o.addProperty(
+                "listen",
+                proxies.get(proxy).address.getAddress().getHostAddress()
+                        + ":"
+                        + proxies.get(proxy).address.getPort());
         o.addProperty("discovery", discoveries.get(proxy).dial());
-        o.addProperty("seed", Long.toHexString(experiment.seed() * 31 + proxy * 7919L + proxies.get(proxy).lives()));
+        o.addProperty(
+                "seed",
+                Long.toHexString(
+                        experiment.seed() * 31 + proxy * 7919L + proxies.get(proxy).lives()));
         JsonObject limits = new JsonObject();
         limits.addProperty("cores", 1.0);
         limits.addProperty("memory_mb", experiment.proxies().memoryMb());
--- a/src/main/java/hopglade/lab/sockets/StreamRelay.java
+++ b/src/main/java/hopglade/lab/sockets/StreamRelay.java
@@ -22,8 +22,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in each connection between two proxies: every pair has an address of its own, so that it is known who connects. While one
- * direction is cut neither carries anything, as TCP needs both; what was sent meanwhile arrives after the cut, if both ends still wait.
+ * Stands in each connection between two proxies: every pair has an address of its own, so that it
+ * is known who connects. While one direction is cut neither carries anything, as TCP needs both;
+ * what was sent meanwhile arrives after the cut, if both ends still wait.
  */
 final class StreamRelay {
 
@@ -41,14 +42,22 @@
     }
 
     /** Opens the way from one proxy to another, whose own address is given. */
-    void open(int from, int to, InetAddress at, InetSocketAddress own) throws IOException, InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).childOption(ChannelOption.AUTO_READ, false)
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        new Way(from, to, channel).reach(own);
-                    }
-                }).bind(new InetSocketAddress(at, 0)).await();
+    void open(int from, int to, InetAddress at, InetSocketAddress own)
+            throws IOException, InterruptedException {
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .childOption(ChannelOption.AUTO_READ, false)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        new Way(from, to, channel).reach(own);
+                                    }
+                                })
+                        .bind(new InetSocketAddress(at, 0))
+                        .await();
         if (!bound.isSuccess()) {
             throw new IOException("no socket to relay connections: " + bound.cause().getMessage());
         }
@@ -85,17 +94,23 @@
                 }
                 return;
             }
-            ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.AUTO_READ, false)
-                    .handler(new Pump(near)).connect(own);
+            ChannelFuture connecting =
+                    new Bootstrap()
+                            .group(loop)
+                            .channel(NioSocketChannel.class)
+                            .option(ChannelOption.AUTO_READ, false)
+                            .handler(new Pump(near))
+                            .connect(own);
             far = connecting.channel();
-            connecting.addListener(f -> {
-                if (f.isSuccess()) {
-                    near.pipeline().addLast(new Pump(far));
-                    look();
-                } else {
-                    near.close();
-                }
-            });
+            connecting.addListener(
+                    f -> {
+                        if (f.isSuccess()) {
+                            near.pipeline().addLast(new Pump(far));
+                            look();
+                        } else {
+                            near.close();
+                        }
+                    });
         }
 
         private void look() {
--- a/src/main/java/hopglade/lab/stream/HollowProxies.java
+++ b/src/main/java/hopglade/lab/stream/HollowProxies.java
@@ -23,8 +23,10 @@
 import java.util.function.Function;
 
 /**
- * A process that holds many proxies' ends of the stream, each with a connection of its own, on one loop. Arguments: the first one's number, how
- * many, and the control machines' ports. A line {@code count}, {@code stat}, {@code heap} or {@code marks} on its standard input is answered on the output; its end ends the process.
+ * A process that holds many proxies' ends of the stream, each with a connection of its own, on one
+ * loop. Arguments: the first one's number, how many, and the control machines' ports. A line {@code
+ * count}, {@code stat}, {@code heap} or {@code marks} on its standard input is answered on the
+ * output; its end ends the process.
  */
 final class HollowProxies {
 
@@ -36,8 +38,17 @@
 
         Proxy(HollowProxies all, int index, Map<String, InetSocketAddress> servers) {
             this.all = all;
-            subscriber = new Subscriber(new Subscriber.Parts("proxy-" + index, List.copyOf(servers.keySet()), Subscriber.PACE_BYTES_PER_S,
-                    Subscriber.BURST_BYTES, new Random(index)), 0, 0, nowMs());
+            subscriber =
+                    new Subscriber(
+                            new Subscriber.Parts(
+                                    "proxy-" + index,
+                                    List.copyOf(servers.keySet()),
+                                    Subscriber.PACE_BYTES_PER_S,
+                                    Subscriber.BURST_BYTES,
+                                    new Random(index)),
+                            0,
+                            0,
+                            nowMs());
             client = new StreamClient(all.loop, servers, subscriber, HollowProxies::nowMs, this);
         }
 
@@ -63,9 +74,10 @@
         }
     }
 
-    private record Mark(int count, long last) { }
+    private record Mark(int count, long last) {}
 
-    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final EventLoop loop =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final List<Proxy> proxies = new ArrayList<>();
     private final Map<Long, Mark> marks = new LinkedHashMap<>();
     private int resets;
@@ -82,22 +94,46 @@
 
     private String answer(String asked) {
         return switch (asked) {
-            case "count" -> "count " + proxies.stream().filter(p -> p.began && p.subscriber.server() != null).count();
-            case "stat" -> "stat " + ProcessUse.cpuMs() + " " + proxies.stream().mapToLong(p -> p.client.bytesIn()).sum() + " "
-                    + proxies.stream().mapToLong(p -> p.client.bytesOut()).sum() + " " + resets + " " + moves;
+            case "count" ->
+                    "count "
+                            + proxies.stream()
+                                    .filter(p -> p.began && p.subscriber.server() != null)
+                                    .count();
+            case "stat" ->
+                    "stat "
+                            + ProcessUse.cpuMs()
+                            + " "
+                            + proxies.stream().mapToLong(p -> p.client.bytesIn()).sum()
+                            + " "
+                            + proxies.stream().mapToLong(p -> p.client.bytesOut()).sum()
+                            + " "
+                            + resets
+                            + " "
+                            + moves;
             case "heap" -> "heap " + ProcessUse.retainedBytes();
             case "marks" -> {
                 StringBuilder all = new StringBuilder("marks");
-                marks.forEach((seq, m) -> all.append(' ').append(seq).append(':').append(m.count()).append(':').append(m.last()));
+                marks.forEach(
+                        (seq, m) ->
+                                all.append(' ')
+                                        .append(seq)
+                                        .append(':')
+                                        .append(m.count())
+                                        .append(':')
+                                        .append(m.last()));
                 yield all.toString();
             }
             default -> "?";
         };
     }
 
-    /** Answers what comes on the standard input by what the loop says, in any order, until it ends. */
-    static void serve(EventLoop loop, Function<String, CompletableFuture<String>> answer) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+    /**
+     * Answers what comes on the standard input by what the loop says, in any order, until it ends.
+     */
+    static void serve(EventLoop loop, Function<String, CompletableFuture<String>> answer)
+            throws IOException {
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String asked = line;
             loop.execute(() -> answer.apply(asked).thenAccept(System.out::println));
@@ -109,16 +145,22 @@
         HollowProxies all = new HollowProxies();
         Map<String, InetSocketAddress> servers = new LinkedHashMap<>();
         for (int i = 2; i < args.length; i++) {
-            servers.put("control-" + (i - 2), new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[i])));
+            servers.put(
+                    "control-" + (i - 2),
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), Integer.parseInt(args[i])));
         }
         int first = Integer.parseInt(args[0]);
-        all.loop.submit(() -> {
-            for (int i = 0; i < Integer.parseInt(args[1]); i++) {
-                Proxy made = new Proxy(all, first + i, servers);
-                all.proxies.add(made);
-                made.client.start();
-            }
-        }).sync();
+        all.loop
+                .submit(
+                        () -> {
+                            for (int i = 0; i < Integer.parseInt(args[1]); i++) {
+                                Proxy made = new Proxy(all, first + i, servers);
+                                all.proxies.add(made);
+                                made.client.start();
+                            }
+                        })
+                .sync();
         serve(all.loop, asked -> CompletableFuture.completedFuture(all.answer(asked)));
     }
 }
--- a/src/main/java/hopglade/lab/stream/StreamPlan.java
+++ b/src/main/java/hopglade/lab/stream/StreamPlan.java
@@ -7,14 +7,28 @@
 import java.util.Map;
 
 /**
- * What a run of the stream on sockets plays, and the bounds that it is held to. {@code killS} and {@code backS} say when a control machine ends
- * and is started again; 0 for never.
+ * What a run of the stream on sockets plays, and the bounds that it is held to. {@code killS} and
+ * {@code backS} say when a control machine ends and is started again; 0 for never.
  */
-record StreamPlan(String name, long seed, int proxies, int processes, int controls, double durationS, double purgesPerS, double epochsPerS,
-                  int epochBytes, double killS, double backS, Bounds bounds) {
+record StreamPlan(
+        String name,
+        long seed,
+        int proxies,
+        int processes,
+        int controls,
+        double durationS,
+        double purgesPerS,
+        double epochsPerS,
+        int epochBytes,
+        double killS,
+        double backS,
+        Bounds bounds) {
 
-    /** What has to hold: milliseconds until everywhere at the 99.9th percentile, bytes a second of a proxy, parts of a core of a control machine. */
-    record Bounds(double everywhereMs, double proxyBytesPerS, double controlCores) { }
+    /**
+     * What has to hold: milliseconds until everywhere at the 99.9th percentile, bytes a second of a
+     * proxy, parts of a core of a control machine.
+     */
+    record Bounds(double everywhereMs, double proxyBytesPerS, double controlCores) {}
 
     static StreamPlan read(Path file, Map<String, String> set) throws BadFileException {
         Toml toml = Toml.read(file);
@@ -27,12 +41,23 @@
         Toml.Table fault = root.table("fault");
         Toml.Table bounds = root.table("bounds");
         root.text("about", "");
-        StreamPlan plan = new StreamPlan(root.text("name", "stream"), root.whole("seed", 1, 0, Integer.MAX_VALUE), fleet.whole("proxies", 780, 1, 2000),
-                fleet.whole("processes", 8, 1, 32), fleet.whole("controls", 4, 1, 8), root.number("duration_s", 60, 1, 3600),
-                load.number("purges_per_s", 3.9, 0, 1000), load.number("epochs_per_s", 0.0255, 0, 100), load.whole("epoch_bytes", 2000, 0, 16_384),
-                fault.number("kill_s", 0, 0, 3600), fault.number("back_s", 0, 0, 3600),
-                new Bounds(bounds.number("everywhere_ms", 2600, 1, 1e6), bounds.number("proxy_bytes_per_s", 5000, 1, 1e9),
-                        bounds.number("control_cores", 1, 0.001, 64)));
+        StreamPlan plan =
+                new StreamPlan(
+                        root.text("name", "stream"),
+                        root.whole("seed", 1, 0, Integer.MAX_VALUE),
+                        fleet.whole("proxies", 780, 1, 2000),
+                        fleet.whole("processes", 8, 1, 32),
+                        fleet.whole("controls", 4, 1, 8),
+                        root.number("duration_s", 60, 1, 3600),
+                        load.number("purges_per_s", 3.9, 0, 1000),
+                        load.number("epochs_per_s", 0.0255, 0, 100),
+                        load.whole("epoch_bytes", 2000, 0, 16_384),
+                        fault.number("kill_s", 0, 0, 3600),
+                        fault.number("back_s", 0, 0, 3600),
+                        new Bounds(
+                                bounds.number("everywhere_ms", 2600, 1, 1e6),
+                                bounds.number("proxy_bytes_per_s", 5000, 1, 1e9),
+                                bounds.number("control_cores", 1, 0.001, 64)));
         for (Toml.Table table : List.of(root, fleet, load, fault, bounds)) {
             table.done();
         }
--- a/src/main/java/hopglade/lab/virtual/Agenda.java
+++ b/src/main/java/hopglade/lab/virtual/Agenda.java
@@ -17,7 +17,10 @@
         }
     }
 
-    /** Most of what is asked for is a time-out far ahead; a heap of all of it would not fit a processor's cache. */
+    /**
+     * Most of what is asked for is a time-out far ahead; a heap of all of it would not fit a
+     * processor's cache.
+     */
     private static final double BUCKET_MS = 4;
 
     private final PriorityQueue<Item> near = new PriorityQueue<>();
@@ -38,10 +41,13 @@
         if (bucket <= nearest) {
             near.add(item);
         } else {
-            far.computeIfAbsent(bucket, b -> {
-                buckets.add(b);
-                return new ArrayList<>();
-            }).add(item);
+            far.computeIfAbsent(
+                            bucket,
+                            b -> {
+                                buckets.add(b);
+                                return new ArrayList<>();
+                            })
+                    .add(item);
         }
     }
 
--- a/src/main/java/hopglade/lab/virtual/HashIdentity.java
+++ b/src/main/java/hopglade/lab/virtual/HashIdentity.java
@@ -5,7 +5,8 @@
 import java.util.Set;
 
 /**
- * Signs by a hash that depends on the name, where signatures must differ and cost nothing. Anybody could forge it.
+ * Signs by a hash that depends on the name, where signatures must differ and cost nothing. Anybody
+ * could forge it.
  *
  * @param strangers names without a key in the ring
  */
--- a/src/main/java/hopglade/lab/virtual/MemoryDisk.java
+++ b/src/main/java/hopglade/lab/virtual/MemoryDisk.java
@@ -12,7 +12,9 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A voter's disk in virtual time: what was flushed outlasts a crash, what was not is lost with it. */
+/**
+ * A voter's disk in virtual time: what was flushed outlasts a crash, what was not is lost with it.
+ */
 final class MemoryDisk implements RaftStore {
 
     private RaftEndpointPersistentState self;
@@ -20,8 +22,10 @@
     private RaftTermPersistentState term;
     private TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private TreeMap<Long, LogEntry> flushed = new TreeMap<>();
+
     /** Parts of snapshots by the index that they stand for. */
     private TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
+
     private TreeMap<Long, TreeMap<Integer, SnapshotChunk>> flushedSnapshots = new TreeMap<>();
 
     /** The process has ended without a word. */
@@ -30,7 +34,8 @@
         snapshots = copy(flushedSnapshots);
     }
 
-    private static TreeMap<Long, TreeMap<Integer, SnapshotChunk>> copy(TreeMap<Long, TreeMap<Integer, SnapshotChunk>> all) {
+    private static TreeMap<Long, TreeMap<Integer, SnapshotChunk>> copy(
+            TreeMap<Long, TreeMap<Integer, SnapshotChunk>> all) {
         TreeMap<Long, TreeMap<Integer, SnapshotChunk>> copied = new TreeMap<>();
         all.forEach((index, chunks) -> copied.put(index, new TreeMap<>(chunks)));
         return copied;
@@ -41,15 +46,30 @@
         if (self == null || members == null || term == null) {
             return null;
         }
-        TreeMap<Integer, SnapshotChunk> last = snapshots.descendingMap().values().stream()
-                .filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount()).findFirst().orElse(null);
+        TreeMap<Integer, SnapshotChunk> last =
+                snapshots.descendingMap().values().stream()
+                        .filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount())
+                        .findFirst()
+                        .orElse(null);
         if (last == null) {
-            return new RestoredRaftState(self, members, term, null, new ArrayList<>(entries.values()));
+            return new RestoredRaftState(
+                    self, members, term, null, new ArrayList<>(entries.values()));
         }
         SnapshotChunk first = last.firstEntry().getValue();
-        var snapshot = new DefaultRaftModelFactory().createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
-                .setSnapshotChunks(List.copyOf(last.values())).setGroupMembersView(first.getGroupMembersView()).build();
-        return new RestoredRaftState(self, members, term, snapshot, new ArrayList<>(entries.tailMap(first.getIndex(), false).values()));
+        var snapshot =
+                new DefaultRaftModelFactory()
+                        .createSnapshotEntryBuilder()
+                        .setIndex(first.getIndex())
+                        .setTerm(first.getTerm())
+                        .setSnapshotChunks(List.copyOf(last.values()))
+                        .setGroupMembersView(first.getGroupMembersView())
+                        .build();
+        return new RestoredRaftState(
+                self,
+                members,
+                term,
+                snapshot,
+                new ArrayList<>(entries.tailMap(first.getIndex(), false).values()));
     }
 
     @Override
@@ -85,7 +105,9 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) {
-        snapshots.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
+        snapshots
+                .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
+                .put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
     @Override
--- a/src/main/java/hopglade/lab/virtual/ModuleCost.java
+++ b/src/main/java/hopglade/lab/virtual/ModuleCost.java
@@ -27,33 +27,42 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * What the module itself costs: one router is told of a fleet and of requests, whose attempts all end well some time later,
- * and nothing else runs. Time is the thread's CPU time; it differs from machine to machine, and between two columns of one
- * run it can be compared.
+ * What the module itself costs: one router is told of a fleet and of requests, whose attempts all
+ * end well some time later, and nothing else runs. Time is the thread's CPU time; it differs from
+ * machine to machine, and between two columns of one run it can be compared.
  */
 public final class ModuleCost extends QuietActions {
 
     /**
-     * CPU time of a request in microseconds, with its standard deviation over blocks, bytes allocated for it, and the heap in bytes that the
-     * router still holds when all are over: by difference of two collected heaps, so true to some tens of KB.
+     * CPU time of a request in microseconds, with its standard deviation over blocks, bytes
+     * allocated for it, and the heap in bytes that the router still holds when all are over: by
+     * difference of two collected heaps, so true to some tens of KB.
      */
     public record Cost(double cpuUs, double spreadUs, double allocatedBytes, double retainedBytes) {
 
         /** Its figures by dotted names, as a run has them. */
         public Map<String, Double> figures() {
-            return Map.of("module.cpu_us", cpuUs, "module.allocated_bytes", allocatedBytes, "module.retained_bytes", retainedBytes);
+            return Map.of(
+                    "module.cpu_us",
+                    cpuUs,
+                    "module.allocated_bytes",
+                    allocatedBytes,
+                    "module.retained_bytes",
+                    retainedBytes);
         }
     }
 
     private static final int BLOCK = 20_000;
     private static final int WARM_BLOCKS = 3;
     private static final int BLOCKS = 7;
+
     /** One proxy's part of the load: what a proxy on one small core is given. */
     private static final double PER_S = 480;
+
     private static final double ANSWER_MS = 30;
     private static final double MISSES = 0.15;
 
-    private record Sent(String request, int attempt, String node, double at) { }
+    private record Sent(String request, int attempt, String node, double at) {}
 
     private record Due(double at, String token) implements Comparable<Due> {
         @Override
@@ -78,16 +87,40 @@
         this.router = new Decide(settings, experiment.seed());
         this.origin = plan.origin().id();
         this.random = Draw.generator(experiment.seed(), Draw.Stream.KEYS);
-        this.keys = new ZipfDistribution(random, (int) experiment.fleet().keys(), experiment.load().zipf());
+        this.keys =
+                new ZipfDistribution(
+                        random, (int) experiment.fleet().keys(), experiment.load().zipf());
         this.service = experiment.load().classes().get(0).name();
         router.started(now, this);
         List<Node> nodes = new ArrayList<>();
-        plan.nodes().forEach(n -> nodes.add(new Node(n.id(), n.kind(), plan.zones().get(n.zone()), 0, n.machine().cores(), 0, Router.Availability.UP)));
-        nodes.add(new Node(origin, "origin", plan.zones().get(plan.origin().zone()), 0, plan.origin().machine().cores(), 0, Router.Availability.UP));
+        plan.nodes()
+                .forEach(
+                        n ->
+                                nodes.add(
+                                        new Node(
+                                                n.id(),
+                                                n.kind(),
+                                                plan.zones().get(n.zone()),
+                                                0,
+                                                n.machine().cores(),
+                                                0,
+                                                Router.Availability.UP)));
+        nodes.add(
+                new Node(
+                        origin,
+                        "origin",
+                        plan.zones().get(plan.origin().zone()),
+                        0,
+                        plan.origin().machine().cores(),
+                        0,
+                        Router.Availability.UP));
         router.nodes(now, ListKind.FULL, 1, nodes, this);
     }
 
-    /** Measures one fleet. The experiment's nodes, proxies and keys count; its load and faults are not played. */
+    /**
+     * Measures one fleet. The experiment's nodes, proxies and keys count; its load and faults are
+     * not played.
+     */
     public static Cost measure(Experiment experiment) {
         ModuleCost cost = new ModuleCost(experiment);
         var threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -106,14 +139,19 @@
             }
             if (block >= WARM_BLOCKS) {
                 cpu.addValue((threads.getCurrentThreadCpuTime() - begun) / 1000.0 / BLOCK);
-                bytes.addValue((threads.getCurrentThreadAllocatedBytes() - allocated) / (double) BLOCK);
+                bytes.addValue(
+                        (threads.getCurrentThreadAllocatedBytes() - allocated) / (double) BLOCK);
             }
         }
         double held = ProcessUse.retainedBytes();
         // Without this the router may be collected as soon as its last request is over.
         Reference.reachabilityFence(cost);
         cost = null;
-        return new Cost(cpu.getMean(), cpu.getStandardDeviation(), bytes.getMean(), held - ProcessUse.retainedBytes());
+        return new Cost(
+                cpu.getMean(),
+                cpu.getStandardDeviation(),
+                bytes.getMean(),
+                held - ProcessUse.retainedBytes());
     }
 
     private void one(long key) {
@@ -124,10 +162,21 @@
         while (!out.isEmpty() && out.peek().at() <= now - ANSWER_MS) {
             Sent done = out.remove();
             boolean missed = !done.node().equals(origin) && random.nextDouble() < MISSES;
-            router.attemptEnded(now, new AttemptEnd(done.request(), done.attempt(), done.node(), missed ? Outcome.MISS : Outcome.OK, ANSWER_MS,
-                    !missed, missed ? 2 : 1, Map.of()), this);
+            router.attemptEnded(
+                    now,
+                    new AttemptEnd(
+                            done.request(),
+                            done.attempt(),
+                            done.node(),
+                            missed ? Outcome.MISS : Outcome.OK,
+                            ANSWER_MS,
+                            !missed,
+                            missed ? 2 : 1,
+                            Map.of()),
+                    this);
         }
-        router.request(now, new Request("c" + asked++, service, null, key, 35, 1000, false, false), this);
+        router.request(
+                now, new Request("c" + asked++, service, null, key, 35, 1000, false, false), this);
     }
 
     @Override
--- a/src/main/java/hopglade/lab/virtual/VirtualPeers.java
+++ b/src/main/java/hopglade/lab/virtual/VirtualPeers.java
@@ -28,8 +28,9 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The proxies' gossip in virtual time: each proxy's {@link Gossip}, the links between them, clocks that are wrong, and liars. A
- * liar runs the same code on what it pretends to have seen, so that its lies are as well signed as the truth.
+ * The proxies' gossip in virtual time: each proxy's {@link Gossip}, the links between them, clocks
+ * that are wrong, and liars. A liar runs the same code on what it pretends to have seen, so that
+ * its lies are as well signed as the truth.
  */
 final class VirtualPeers {
 
@@ -52,9 +53,16 @@
             for (int i = 0; i < Math.min(PeerLinks.SEEDS, experiment.proxies().count()); i++) {
                 seeds.add(address(i));
             }
-            gossip = new Gossip(new Gossip.Settings(address(proxy.index), seeds, experiment.gossip().bytesPerS(), VERIFICATIONS_PER_S,
-                    experiment.gossip().health() ? Gossip.Settings.HEALTH_MOST : 0),
-                    new HashIdentity("proxy-" + proxy.index, Set.of()), experiment.seed() * 131 + proxy.index * 7919L + life);
+            gossip =
+                    new Gossip(
+                            new Gossip.Settings(
+                                    address(proxy.index),
+                                    seeds,
+                                    experiment.gossip().bytesPerS(),
+                                    VERIFICATIONS_PER_S,
+                                    experiment.gossip().health() ? Gossip.Settings.HEALTH_MOST : 0),
+                            new HashIdentity("proxy-" + proxy.index, Set.of()),
+                            experiment.seed() * 131 + proxy.index * 7919L + life);
         }
 
         void tick() {
@@ -89,12 +97,25 @@
         @Override
         public void event(What what, String subject, String evidence) {
             events.merge(what, 1, Integer::sum);
-            membership.saw(proxy.index, what.name().toLowerCase(Locale.ROOT), subject, evidence, agenda.now());
+            membership.saw(
+                    proxy.index,
+                    what.name().toLowerCase(Locale.ROOT),
+                    subject,
+                    evidence,
+                    agenda.now());
             if (what == What.DIED && killed.containsKey(subject)) {
                 known.merge(subject, agenda.now() - killed.get(subject), Math::max);
             }
             if (what != What.MEMBER && marks++ < MOST_MARKS) {
-                mark.accept("proxy-" + proxy.index + " " + what.name().toLowerCase(Locale.ROOT) + " " + subject + " " + evidence);
+                mark.accept(
+                        "proxy-"
+                                + proxy.index
+                                + " "
+                                + what.name().toLowerCase(Locale.ROOT)
+                                + " "
+                                + subject
+                                + " "
+                                + evidence);
             }
         }
     }
@@ -107,8 +128,13 @@
     private final RandomGenerator random;
     private final Voice[] voices;
     private final int[][] bytes;
-    /** Of each proxy's clock: what it showed when it last changed its pace, when that was, and the pace. */
+
+    /**
+     * Of each proxy's clock: what it showed when it last changed its pace, when that was, and the
+     * pace.
+     */
     private final double[] shown;
+
     private final double[] changedAt;
     private final double[] pace;
     private final PeerLinks links;
@@ -126,7 +152,12 @@
     private double learnedMs;
 
     /** {@code bad} tells whether a node truly is dead or silent now. */
-    VirtualPeers(Experiment experiment, Installation plan, Agenda agenda, Consumer<String> mark, Predicate<String> bad) {
+    VirtualPeers(
+            Experiment experiment,
+            Installation plan,
+            Agenda agenda,
+            Consumer<String> mark,
+            Predicate<String> bad) {
         this.experiment = experiment;
         this.plan = plan;
         this.agenda = agenda;
@@ -214,7 +245,10 @@
         }
     }
 
-    /** The voice of a proxy's present life; null without gossip, and where it tells lies instead of what it sees. */
+    /**
+     * The voice of a proxy's present life; null without gossip, and where it tells lies instead of
+     * what it sees.
+     */
     private Voice honest(VirtualProxy proxy) {
         Voice voice = voices[proxy.index];
         return voice != null && voice.proxy == proxy && lies[proxy.index] == null ? voice : null;
@@ -227,7 +261,9 @@
         }
     }
 
-    /** A process that stands still finds in its socket, when it goes on, what has come meanwhile. */
+    /**
+     * A process that stands still finds in its socket, when it goes on, what has come meanwhile.
+     */
     private void arrive(int from, int to, byte[] packet) {
         Voice voice = voices[to];
         if (agenda.now() < stoppedUntil[to]) {
@@ -263,7 +299,7 @@
                         agenda.at(fault.endMs(), () -> lies[proxy] = null);
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -293,31 +329,67 @@
         Map<String, Double> figures = new TreeMap<>();
         if (plan.nodes().size() <= 20) {
             plan.nodes().forEach(n -> figures.put("sent." + n.id(), 0.0));
-            ledger.attempts().stream().filter(a -> !a.origin).map((Attempt a) -> a.machine).forEach(m -> figures.merge("sent." + m, 1.0, Double::sum));
+            ledger.attempts().stream()
+                    .filter(a -> !a.origin)
+                    .map((Attempt a) -> a.machine)
+                    .forEach(m -> figures.merge("sent." + m, 1.0, Double::sum));
         }
         if (!experiment.gossip().enabled()) {
             return figures;
         }
         double seconds = experiment.durationS();
-        figures.put("gossip.bytes_per_s", Arrays.stream(bytes).mapToDouble(b -> Arrays.stream(b).sum() / seconds).max().orElse(0));
-        figures.put("gossip.bytes_per_s_peak", (double) Arrays.stream(bytes).flatMapToInt(Arrays::stream).max().orElse(0));
+        figures.put(
+                "gossip.bytes_per_s",
+                Arrays.stream(bytes)
+                        .mapToDouble(b -> Arrays.stream(b).sum() / seconds)
+                        .max()
+                        .orElse(0));
+        figures.put(
+                "gossip.bytes_per_s_peak",
+                (double) Arrays.stream(bytes).flatMapToInt(Arrays::stream).max().orElse(0));
         figures.put("gossip.doubts", (double) doubts);
         figures.put("gossip.false_doubts", (double) falseDoubts);
         figures.put("gossip.distrusts", (double) events.getOrDefault(What.DISTRUSTED, 0));
-        figures.put("gossip.held_back", Arrays.stream(voices).mapToDouble(v -> v.gossip.counts().heldBack()).sum());
-        figures.put("gossip.replays_refused", Arrays.stream(voices).mapToDouble(v -> v.gossip.counts().replayed()).sum());
-        figures.put("gossip.verified_per_s", Arrays.stream(voices).mapToDouble(v -> v.gossip.counts().verified() / Math.max(1, (agenda.now() - v.bornAt) / MS_PER_S)).max().orElse(0));
-        figures.put("gossip.death_known_ms", known.values().stream().mapToDouble(d -> d).max().orElse(0));
-        figures.put("gossip.doubt_spread_ms", firstDoubt.keySet().stream().mapToDouble(n -> lastDoubt.get(n) - firstDoubt.get(n)).max().orElse(0));
+        figures.put(
+                "gossip.held_back",
+                Arrays.stream(voices).mapToDouble(v -> v.gossip.counts().heldBack()).sum());
+        figures.put(
+                "gossip.replays_refused",
+                Arrays.stream(voices).mapToDouble(v -> v.gossip.counts().replayed()).sum());
+        figures.put(
+                "gossip.verified_per_s",
+                Arrays.stream(voices)
+                        .mapToDouble(
+                                v ->
+                                        v.gossip.counts().verified()
+                                                / Math.max(1, (agenda.now() - v.bornAt) / MS_PER_S))
+                        .max()
+                        .orElse(0));
+        figures.put(
+                "gossip.death_known_ms",
+                known.values().stream().mapToDouble(d -> d).max().orElse(0));
+        figures.put(
+                "gossip.doubt_spread_ms",
+                firstDoubt.keySet().stream()
+                        .mapToDouble(n -> lastDoubt.get(n) - firstDoubt.get(n))
+                        .max()
+                        .orElse(0));
         figures.put("gossip.learned_ms_max", learnedMs);
         figures.putAll(membership.figures());
         int most = alive.size();
         List<String> present = alive.stream().map(p -> "proxy-" + p.index).toList();
         double least = most;
         for (VirtualProxy p : alive) {
-            List<String> seen = voices[p.index].gossip.table().stream().filter(Member::present).map(Member::name).toList();
+            List<String> seen =
+                    voices[p.index].gossip.table().stream()
+                            .filter(Member::present)
+                            .map(Member::name)
+                            .toList();
             least = Math.min(least, present.stream().filter(seen::contains).count());
-            figures.merge("gossip.ghosts", (double) seen.stream().filter(n -> !present.contains(n)).count(), Math::max);
+            figures.merge(
+                    "gossip.ghosts",
+                    (double) seen.stream().filter(n -> !present.contains(n)).count(),
+                    Math::max);
         }
         figures.put("gossip.known_share", most == 0 ? 1 : least / most);
         return figures;
--- a/src/main/java/hopglade/lab/virtual/VirtualPolicy.java
+++ b/src/main/java/hopglade/lab/virtual/VirtualPolicy.java
@@ -1,6 +1,5 @@
 package hopglade.lab.virtual;
 
-import com.google.gson.JsonObject;
 import hopglade.epoch.Epochs;
 import hopglade.epoch.Epochs.Epoch;
 import hopglade.epoch.Message;
@@ -24,8 +23,9 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The proxies' policy in virtual time: each proxy's {@link PolicyMember}, a {@link RaftLog} where it votes, the links between them, and
- * what outlasts a process. The same code as in a proxy but for its sockets and its file.
+ * The proxies' policy in virtual time: each proxy's {@link PolicyMember}, a {@link RaftLog} where
+ * it votes, the links between them, and what outlasts a process. The same code as in a proxy but
+ * for its sockets and its file.
  */
 final class VirtualPolicy {
 
@@ -43,8 +43,25 @@
         Life(int proxy, int life) {
             this.proxy = proxy;
             boolean votes = proxy < voters.size();
-            log = votes ? new RaftLog(new RaftLog.Parts(name(proxy), voters, epochs, this, agenda::now, experiment.seed() * 31 + proxy * 7919L + life,
-                    disks[proxy], disks[proxy].restored()), (to, json) -> carry(proxy, index(to), l -> l.log.received(name(proxy), json)), this::committed) : null;
+            log =
+                    votes
+                            ? new RaftLog(
+                                    new RaftLog.Parts(
+                                            name(proxy),
+                                            voters,
+                                            epochs,
+                                            this,
+                                            agenda::now,
+                                            experiment.seed() * 31 + proxy * 7919L + life,
+                                            disks[proxy],
+                                            disks[proxy].restored()),
+                                    (to, json) ->
+                                            carry(
+                                                    proxy,
+                                                    index(to),
+                                                    l -> l.log.received(name(proxy), json)),
+                                    this::committed)
+                            : null;
             member = new PolicyMember(name(proxy), voters, log, epochs, kept[proxy], agenda.now());
             if (kept[proxy] != null) {
                 ledger.applied(proxy, kept[proxy].number(), kept[proxy].content(), agenda.now());
@@ -59,13 +76,14 @@
         }
 
         private void tick() {
-            when(() -> {
-                if (log != null) {
-                    log.tick(agenda.now());
-                }
-                member.tick(agenda.now(), this);
-                agenda.in(TICK_MS, this::tick);
-            });
+            when(
+                    () -> {
+                        if (log != null) {
+                            log.tick(agenda.now());
+                        }
+                        member.tick(agenda.now(), this);
+                        agenda.in(TICK_MS, this::tick);
+                    });
         }
 
         /** Now, or when the process goes on; never once it has ended. */
@@ -100,7 +118,7 @@
                 case CURRENT -> ledger.current(proxy, epoch, atMs);
                 case NOT_CURRENT -> ledger.notCurrent(proxy, atMs);
                 case FENCED -> ledger.fenced();
-                default -> { }
+                default -> {}
             }
         }
 
@@ -138,14 +156,22 @@
     private final RandomGenerator random;
     private int proposals;
 
-    VirtualPolicy(Experiment experiment, Installation plan, Agenda agenda, PeerLinks links, Consumer<String> mark) {
+    VirtualPolicy(
+            Experiment experiment,
+            Installation plan,
+            Agenda agenda,
+            PeerLinks links,
+            Consumer<String> mark) {
         this.experiment = experiment;
         this.plan = plan;
         this.agenda = agenda;
         this.links = links;
         this.mark = mark;
         int count = experiment.proxies().count();
-        voters = IntStream.range(0, experiment.policy().voters()).mapToObj(VirtualPolicy::name).toList();
+        voters =
+                IntStream.range(0, experiment.policy().voters())
+                        .mapToObj(VirtualPolicy::name)
+                        .toList();
         lives = new Life[count];
         disks = new MemoryDisk[count];
         kept = new Epoch[count];
@@ -196,19 +222,24 @@
         agenda.at(at, () -> ledger.back(proxy, agenda.now()));
     }
 
-    /** A stream between two proxies: what is cut off is lost with its connection, and a lossy link is slow. */
+    /**
+     * A stream between two proxies: what is cut off is lost with its connection, and a lossy link
+     * is slow.
+     */
     private void carry(int from, int to, Arrival arrival) {
         double now = agenda.now();
         if (links.cut(from, to, now) || links.cut(to, from, now)) {
             return;
         }
         double late = links.lossy(now) ? random.nextDouble() * SLOW_MS : 0;
-        agenda.in(plan.delayMs(from, plan.proxyZones().get(to)) + late, () -> {
-            Life life = lives[to];
-            if (life != null) {
-                life.when(() -> arrival.at(life));
-            }
-        });
+        agenda.in(
+                plan.delayMs(from, plan.proxyZones().get(to)) + late,
+                () -> {
+                    Life life = lives[to];
+                    if (life != null) {
+                        life.when(() -> arrival.at(life));
+                    }
+                });
     }
 
     void begin(Fault fault) {
@@ -216,7 +247,9 @@
             return;
         }
         if (fault.what() == Fault.Kind.POLICY_PROPOSE) {
-            IntStream.range(0, lives.length).filter(i -> fault.strikes("proxy-", i, lives.length)).forEach(this::propose);
+            IntStream.range(0, lives.length)
+                    .filter(i -> fault.strikes("proxy-", i, lives.length))
+                    .forEach(this::propose);
         } else {
             IntStream.range(0, lives.length).forEach(i -> backSoon(i, fault.endMs()));
         }
@@ -229,15 +262,24 @@
         }
         String content = PolicyText.number(++proposals);
         ledger.proposed(content, agenda.now());
-        life.when(() -> life.member.propose(agenda.now(), content, life, a -> {
-            mark.accept(name(proxy) + " proposed: " + a.text());
-            ledger.answered(content, a.ending(), agenda.now());
-        }));
+        life.when(
+                () ->
+                        life.member.propose(
+                                agenda.now(),
+                                content,
+                                life,
+                                a -> {
+                                    mark.accept(name(proxy) + " proposed: " + a.text());
+                                    ledger.answered(content, a.ending(), agenda.now());
+                                }));
     }
 
     /** The proxy that leads the log, or -1. */
     int leader() {
-        return IntStream.range(0, voters.size()).filter(i -> lives[i] != null && !lives[i].over && lives[i].log.led()).findFirst().orElse(-1);
+        return IntStream.range(0, voters.size())
+                .filter(i -> lives[i] != null && !lives[i].over && lives[i].log.led())
+                .findFirst()
+                .orElse(-1);
     }
 
     Map<String, Double> figures() {
--- a/src/main/java/hopglade/lab/virtual/VirtualPool.java
+++ b/src/main/java/hopglade/lab/virtual/VirtualPool.java
@@ -10,9 +10,10 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The connections of all proxies to all machines, kept as {@code hopglade.proxy.NodePool} keeps those of one: an exchange
- * each, the newest idle one first, spare ones closed soon, a pause where a machine's table is full. What lies idle for too
- * long is closed when somebody next looks, which nobody can tell from closing it in time.
+ * The connections of all proxies to all machines, kept as {@code hopglade.proxy.NodePool} keeps
+ * those of one: an exchange each, the newest idle one first, spare ones closed soon, a pause where
+ * a machine's table is full. What lies idle for too long is closed when somebody next looks, which
+ * nobody can tell from closing it in time.
  */
 final class VirtualPool {
 
@@ -43,7 +44,9 @@
         }
 
         void closeAged() {
-            while (!idle.isEmpty() && agenda.now() - idle.peekFirst() >= (open > 1 ? Math.min(idleMs, FullTable.SPARE_MS) : idleMs)) {
+            while (!idle.isEmpty()
+                    && agenda.now() - idle.peekFirst()
+                            >= (open > 1 ? Math.min(idleMs, FullTable.SPARE_MS) : idleMs)) {
                 idle.removeFirst();
                 count(-1);
             }
@@ -97,8 +100,10 @@
     static final class Link {
         /** It was made for this exchange. */
         final boolean fresh;
+
         /** The machine's table was full when it was made. */
         final boolean beyond;
+
         private final Line line;
         private final boolean tried;
         private boolean closed;
@@ -121,7 +126,12 @@
     private int opened;
     private int turnedAway;
 
-    VirtualPool(Agenda agenda, Installation plan, double idleMs, double connectMs, RandomGenerator random) {
+    VirtualPool(
+            Agenda agenda,
+            Installation plan,
+            double idleMs,
+            double connectMs,
+            RandomGenerator random) {
         this.agenda = agenda;
         this.idleMs = idleMs;
         this.connectMs = connectMs;
@@ -170,11 +180,13 @@
         } else if (line.full.pausing(nanos())) {
             Waiting waiting = new Waiting(exchange);
             line.waiting.addLast(waiting);
-            agenda.in(connectMs, () -> {
-                if (waiting.stillWanted()) {
-                    waiting.took().unconnected();
-                }
-            });
+            agenda.in(
+                    connectMs,
+                    () -> {
+                        if (waiting.stillWanted()) {
+                            waiting.took().unconnected();
+                        }
+                    });
             openLater(line);
         } else {
             connect(line, exchange);
@@ -193,16 +205,18 @@
     private void openLater(Line line) {
         if (!line.opening && !line.waiting.isEmpty()) {
             line.opening = true;
-            agenda.in(Math.max(REST_MS, line.full.leftNanos(nanos()) / 1e6), () -> {
-                line.opening = false;
-                if (!line.full.pausing(nanos())) {
-                    Exchange first = line.nextWaiting();
-                    if (first != null) {
-                        connect(line, first);
-                    }
-                }
-                openLater(line);
-            });
+            agenda.in(
+                    Math.max(REST_MS, line.full.leftNanos(nanos()) / 1e6),
+                    () -> {
+                        line.opening = false;
+                        if (!line.full.pausing(nanos())) {
+                            Exchange first = line.nextWaiting();
+                            if (first != null) {
+                                connect(line, first);
+                            }
+                        }
+                        openLater(line);
+                    });
         }
     }
 
@@ -219,14 +233,16 @@
         if (line.waiting.isEmpty()) {
             line.idle.addLast(agenda.now());
         } else {
-            agenda.in(REST_MS, () -> {
-                Exchange next = line.nextWaiting();
-                if (next != null) {
-                    next.go(new Link(line, false, false));
-                } else {
-                    line.idle.addLast(agenda.now());
-                }
-            });
+            agenda.in(
+                    REST_MS,
+                    () -> {
+                        Exchange next = line.nextWaiting();
+                        if (next != null) {
+                            next.go(new Link(line, false, false));
+                        } else {
+                            line.idle.addLast(agenda.now());
+                        }
+                    });
         }
     }
 
--- a/src/main/java/hopglade/lab/virtual/VirtualProxy.java
+++ b/src/main/java/hopglade/lab/virtual/VirtualProxy.java
@@ -16,8 +16,9 @@
 import java.util.Map;
 
 /**
- * One proxy around one router, as {@code hopglade.proxy.Proxy} is on sockets: the same table of requests, the same limits on
- * attempts, the same backstop, wishes done in order after each call. It costs no time itself.
+ * One proxy around one router, as {@code hopglade.proxy.Proxy} is on sockets: the same table of
+ * requests, the same limits on attempts, the same backstop, wishes done in order after each call.
+ * It costs no time itself.
  */
 final class VirtualProxy extends QuietActions {
 
@@ -197,13 +198,27 @@
         report(id, call, attempt, call.outAt, outcome, agenda.now() - call.sentAt, note);
     }
 
-    private void report(String id, Call call, int attempt, String node, Outcome outcome, double elapsedMs, int note) {
+    private void report(
+            String id,
+            Call call,
+            int attempt,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            int note) {
         boolean finished = call == null || call.over;
         if (call != null && call.over && call.out < 0) {
             calls.remove(id, call);
         }
         network.seen(this, node, outcome, elapsedMs, false);
-        tell(() -> router.attemptEnded(agenda.now(), new AttemptEnd(id, attempt, node, outcome, elapsedMs, finished, note, Map.of()), this));
+        tell(
+                () ->
+                        router.attemptEnded(
+                                agenda.now(),
+                                new AttemptEnd(
+                                        id, attempt, node, outcome, elapsedMs, finished, note,
+                                        Map.of()),
+                                this));
     }
 
     void probed(String node, Outcome outcome, double elapsedMs) {
@@ -289,21 +304,26 @@
 
     @Override
     public void send(String request, String node, double timeoutMs) {
-        wishes.add(() -> {
-            Call call = calls.get(request);
-            int attempt = call == null ? 0 : call.attempts++;
-            double left = call == null ? 0 : call.deadline - agenda.now();
-            double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-            if (call == null || call.over || call.out >= 0 || wait <= 0 || attempt >= settings.limits().maxAttempts()) {
-                report(request, call, attempt, node, Outcome.NEVER_SENT, 0, 0);
-                return;
-            }
-            call.out = attempt;
-            call.outAt = node;
-            call.sentAt = agenda.now();
-            agenda.in(wait, () -> timedOut(request, attempt));
-            network.send(this, request, attempt, node, wait);
-        });
+        wishes.add(
+                () -> {
+                    Call call = calls.get(request);
+                    int attempt = call == null ? 0 : call.attempts++;
+                    double left = call == null ? 0 : call.deadline - agenda.now();
+                    double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
+                    if (call == null
+                            || call.over
+                            || call.out >= 0
+                            || wait <= 0
+                            || attempt >= settings.limits().maxAttempts()) {
+                        report(request, call, attempt, node, Outcome.NEVER_SENT, 0, 0);
+                        return;
+                    }
+                    call.out = attempt;
+                    call.outAt = node;
+                    call.sentAt = agenda.now();
+                    agenda.in(wait, () -> timedOut(request, attempt));
+                    network.send(this, request, attempt, node, wait);
+                });
     }
 
     @Override
@@ -313,17 +333,26 @@
 
     @Override
     public void cancel(String request, int attempt) {
-        wishes.add(() -> {
-            Call call = calls.get(request);
-            if (call != null && call.out == attempt) {
-                cancelNow(call);
-            }
-        });
+        wishes.add(
+                () -> {
+                    Call call = calls.get(request);
+                    if (call != null && call.out == attempt) {
+                        cancelNow(call);
+                    }
+                });
     }
 
     @Override
     public void refuse(String request, double retryAfterMs) {
-        wishes.add(() -> ifOpen(request, call -> answer(call, REFUSED, retryAfterMs > 0 ? retryAfterMs : Double.NaN)));
+        wishes.add(
+                () ->
+                        ifOpen(
+                                request,
+                                call ->
+                                        answer(
+                                                call,
+                                                REFUSED,
+                                                retryAfterMs > 0 ? retryAfterMs : Double.NaN)));
     }
 
     @Override
@@ -340,12 +369,15 @@
 
     @Override
     public void timer(double atMs, String token) {
-        wishes.add(() -> {
-            timers++;
-            agenda.at(atMs, () -> {
-                timers--;
-                tell(() -> router.timer(agenda.now(), token, this));
-            });
-        });
+        wishes.add(
+                () -> {
+                    timers++;
+                    agenda.at(
+                            atMs,
+                            () -> {
+                                timers--;
+                                tell(() -> router.timer(agenda.now(), token, this));
+                            });
+                });
     }
 }
