--- a/src/main/java/hopglade/lab/virtual/VirtualStream.java
+++ b/src/main/java/hopglade/lab/virtual/VirtualStream.java
@@ -25,10 +25,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The change stream in virtual time: each proxy's {@link Subscriber}, four {@link ControlMachine}s with disks that lose what was not flushed, and
- * connections as TCP makes them: in order, a lost segment late by its retransmissions, a reset or a silence at the end. The same code as in
- * processes but for sockets and files; every message to a proxy passes through {@link Frames}. What proxies are given is held against one
- * another at every entry, and against what its author was told.
+ * The change stream in virtual time: each proxy's {@link Subscriber}, four {@link ControlMachine}s
+ * with disks that lose what was not flushed, and connections as TCP makes them: in order, a lost
+ * segment late by its retransmissions, a reset or a silence at the end. The same code as in
+ * processes but for sockets and files; every message to a proxy passes through {@link Frames}. What
+ * proxies are given is held against one another at every entry, and against what its author was
+ * told.
  */
 final class VirtualStream {
 
@@ -36,12 +38,27 @@
     private static final double SERVER_STEP_MS = 50;
     private static final double AGAIN_MS = 50;
     private static final double RTO_MS = 200;
-    /** The length before a frame, TCP and IP's headers, and an acknowledgement of its own for each. */
+
+    /**
+     * The length before a frame, TCP and IP's headers, and an acknowledgement of its own for each.
+     */
     private static final int PACKET_BYTES = 4 + 52 + 52;
+
     private static final int SNAPSHOT_EVERY = 1000;
 
-    /** What is played; links take {@code delayMs} to three times that, a share of the segments is lost, and a share of the messages resets. */
-    record Plan(int subscribers, int servers, long seed, double delayMs, double lossShare, double resetShare, Window.Bounds bounds, double paceBytesPerS) { }
+    /**
+     * What is played; links take {@code delayMs} to three times that, a share of the segments is
+     * lost, and a share of the messages resets.
+     */
+    record Plan(
+            int subscribers,
+            int servers,
+            long seed,
+            double delayMs,
+            double lossShare,
+            double resetShare,
+            Window.Bounds bounds,
+            double paceBytesPerS) {}
 
     /** A connection, seen by both ends. */
     private final class Link {
@@ -61,7 +78,10 @@
             this.life = server.life;
         }
 
-        /** Carries something; what meets a cut is gone, and the connection with it, though nobody hears of that. */
+        /**
+         * Carries something; what meets a cut is gone, and the connection with it, though nobody
+         * hears of that.
+         */
         void carry(boolean down, int bytes, Runnable arrives) {
             if (over || proxy.cut) {
                 over = true;
@@ -74,22 +94,26 @@
             }
             int way = down ? 0 : 1;
             last[way] = Math.max(last[way], agenda.now() + delayMs + lateMs());
-            agenda.at(last[way], () -> {
-                if (!over && !proxy.cut && server.life == life && server.up) {
-                    arrives.run();
-                }
-            });
+            agenda.at(
+                    last[way],
+                    () -> {
+                        if (!over && !proxy.cut && server.life == life && server.up) {
+                            arrives.run();
+                        }
+                    });
         }
 
         /** Both ends hear of the end. */
         void reset() {
             over = true;
-            agenda.in(delayMs, () -> {
-                server.closed(id, life);
-                if (!proxy.cut) {
-                    proxy.when(() -> proxy.subscriber.closed(agenda.now(), attempt, proxy));
-                }
-            });
+            agenda.in(
+                    delayMs,
+                    () -> {
+                        server.closed(id, life);
+                        if (!proxy.cut) {
+                            proxy.when(() -> proxy.subscriber.closed(agenda.now(), attempt, proxy));
+                        }
+                    });
         }
     }
 
@@ -108,8 +132,10 @@
         final String name;
         final MemoryDisk disk = new MemoryDisk();
         final Map<Long, Link> connections = new HashMap<>();
+
         /** When what was sent last to another one comes there: its connections keep their order. */
         final Map<String, Double> arrival = new HashMap<>();
+
         ControlMachine machine;
         boolean up;
         boolean apart;
@@ -123,8 +149,19 @@
         void start() {
             up = true;
             life++;
-            machine = new ControlMachine(new ControlMachine.Parts(name, servers.stream().map(s -> s.name).toList(), plan.bounds(), this, agenda::now,
-                    plan.seed() * 31 + index * 7919L + life, disk, disk.restored(), SNAPSHOT_EVERY), this);
+            machine =
+                    new ControlMachine(
+                            new ControlMachine.Parts(
+                                    name,
+                                    servers.stream().map(s -> s.name).toList(),
+                                    plan.bounds(),
+                                    this,
+                                    agenda::now,
+                                    plan.seed() * 31 + index * 7919L + life,
+                                    disk,
+                                    disk.restored(),
+                                    SNAPSHOT_EVERY),
+                            this);
             machine.start();
             step(life);
         }
@@ -132,20 +169,33 @@
         void end(boolean silently) {
             up = false;
             disk.crash();
-            connections.values().forEach(l -> {
-                l.over = true;
-                if (!silently) {
-                    agenda.in(l.delayMs, () -> l.proxy.when(() -> l.proxy.subscriber.closed(agenda.now(), l.attempt, l.proxy)));
-                }
-            });
+            connections
+                    .values()
+                    .forEach(
+                            l -> {
+                                l.over = true;
+                                if (!silently) {
+                                    agenda.in(
+                                            l.delayMs,
+                                            () ->
+                                                    l.proxy.when(
+                                                            () ->
+                                                                    l.proxy.subscriber.closed(
+                                                                            agenda.now(),
+                                                                            l.attempt,
+                                                                            l.proxy)));
+                                }
+                            });
             connections.clear();
         }
 
         private void step(int of) {
-            when(of, () -> {
-                machine.tick(agenda.now());
-                agenda.in(SERVER_STEP_MS, () -> step(of));
-            });
+            when(
+                    of,
+                    () -> {
+                        machine.tick(agenda.now());
+                        agenda.in(SERVER_STEP_MS, () -> step(of));
+                    });
         }
 
         private void when(int of, Runnable act) {
@@ -164,7 +214,12 @@
             Server to = servers.get(Integer.parseInt(control.substring("control-".length())));
             if (!apart && !to.apart) {
                 int of = to.life;
-                double at = Math.max(arrival.getOrDefault(control, 0.0), agenda.now() + plan.delayMs() * (1 + random.nextDouble()) + lateMs());
+                double at =
+                        Math.max(
+                                arrival.getOrDefault(control, 0.0),
+                                agenda.now()
+                                        + plan.delayMs() * (1 + random.nextDouble())
+                                        + lateMs());
                 arrival.put(control, at);
                 agenda.at(at, () -> to.when(of, () -> to.machine.received(name, message)));
             }
@@ -197,10 +252,19 @@
             Link link = connections.get(connection);
             byte[] frame = Frames.encode(message);
             link.proxy.onTheWay += frame.length;
-            link.carry(true, frame.length, () -> link.proxy.when(() -> {
-                link.proxy.onTheWay -= frame.length;
-                link.proxy.subscriber.received(agenda.now(), link.attempt, Frames.decode(ByteBuffer.wrap(frame)), link.proxy);
-            }));
+            link.carry(
+                    true,
+                    frame.length,
+                    () ->
+                            link.proxy.when(
+                                    () -> {
+                                        link.proxy.onTheWay -= frame.length;
+                                        link.proxy.subscriber.received(
+                                                agenda.now(),
+                                                link.attempt,
+                                                Frames.decode(ByteBuffer.wrap(frame)),
+                                                link.proxy);
+                                    }));
         }
 
         @Override
@@ -228,8 +292,17 @@
 
         Proxy(int index) {
             this.index = index;
-            subscriber = new Subscriber(new Subscriber.Parts("proxy-" + index, servers.stream().map(s -> s.name).toList(), plan.paceBytesPerS(),
-                    Subscriber.BURST_BYTES, new Random(plan.seed() * 1_000_003 + index)), 0, 0, agenda.now());
+            subscriber =
+                    new Subscriber(
+                            new Subscriber.Parts(
+                                    "proxy-" + index,
+                                    servers.stream().map(s -> s.name).toList(),
+                                    plan.paceBytesPerS(),
+                                    Subscriber.BURST_BYTES,
+                                    new Random(plan.seed() * 1_000_003 + index)),
+                            0,
+                            0,
+                            agenda.now());
             last = -1;
         }
 
@@ -246,27 +319,41 @@
         }
 
         void step() {
-            when(() -> {
-                subscriber.tick(agenda.now(), this);
-                agenda.in(STEP_MS, this::step);
-            });
+            when(
+                    () -> {
+                        subscriber.tick(agenda.now(), this);
+                        agenda.in(STEP_MS, this::step);
+                    });
         }
 
         @Override
         public void connect(String to, int attempt) {
-            Server server = servers.stream().filter(s -> s.name.equals(to)).findFirst().orElseThrow();
+            Server server =
+                    servers.stream().filter(s -> s.name.equals(to)).findFirst().orElseThrow();
             Link made = new Link(this, attempt, server);
             link = made;
             if (!server.up) {
                 if (!silent) {
-                    agenda.in(2 * made.delayMs, () -> when(() -> subscriber.closed(agenda.now(), attempt, this)));
+                    agenda.in(
+                            2 * made.delayMs,
+                            () -> when(() -> subscriber.closed(agenda.now(), attempt, this)));
                 }
                 return;
             }
-            made.carry(false, 0, () -> made.carry(true, 0, () -> when(() -> {
-                server.connections.put(made.id, made);
-                subscriber.connected(agenda.now(), attempt, this);
-            })));
+            made.carry(
+                    false,
+                    0,
+                    () ->
+                            made.carry(
+                                    true,
+                                    0,
+                                    () ->
+                                            when(
+                                                    () -> {
+                                                        server.connections.put(made.id, made);
+                                                        subscriber.connected(
+                                                                agenda.now(), attempt, this);
+                                                    })));
         }
 
         @Override
@@ -274,9 +361,11 @@
             Link old = link;
             old.over = true;
             if (!cut) {
-                agenda.in(old.delayMs, () -> {
-                    old.server.closed(old.id, old.life);
-                });
+                agenda.in(
+                        old.delayMs,
+                        () -> {
+                            old.server.closed(old.id, old.life);
+                        });
             }
         }
 
@@ -284,14 +373,21 @@
         public void send(Message message) {
             Link used = link;
             byte[] frame = Frames.encode(message);
-            used.carry(false, frame.length, () -> used.server.machine.received(used.id, Frames.decode(ByteBuffer.wrap(frame))));
+            used.carry(
+                    false,
+                    frame.length,
+                    () ->
+                            used.server.machine.received(
+                                    used.id, Frames.decode(ByteBuffer.wrap(frame))));
         }
 
         @Override
         public boolean apply(List<Entry> entries) {
             for (Entry e : entries) {
-                if (e.seq() != ++last || !e.change().equals(given.computeIfAbsent(e.seq(), n -> e.change()))) {
-                    throw new IllegalStateException("proxy-" + index + " at " + (last - 1) + " was given " + e);
+                if (e.seq() != ++last
+                        || !e.change().equals(given.computeIfAbsent(e.seq(), n -> e.change()))) {
+                    throw new IllegalStateException(
+                            "proxy-" + index + " at " + (last - 1) + " was given " + e);
                 }
                 applied(e.seq());
                 head = Math.max(head, e.seq());
@@ -352,10 +448,13 @@
     private final Random random;
     private final List<Server> servers = new ArrayList<>();
     final List<Proxy> proxies = new ArrayList<>();
+
     /** What was given at each place, as the first proxy heard it. */
     private final Map<Long, Change> given = new HashMap<>();
+
     /** What authors were told is kept. */
     private final Map<Long, Change> confirmed = new TreeMap<>();
+
     private final Map<Change, Double> askedAt = new HashMap<>();
     final List<Everywhere> summed = new ArrayList<>();
     final Map<Subscriber.What, Integer> events = new TreeMap<>();
@@ -391,46 +490,67 @@
     /** An entry is asked for, of whoever leads, until it is confirmed. */
     void publish(Change change) {
         askedAt.putIfAbsent(change, agenda.now());
-        Server leader = servers.stream().filter(s -> s.up && s.machine.leads()).findFirst().orElse(null);
+        Server leader =
+                servers.stream().filter(s -> s.up && s.machine.leads()).findFirst().orElse(null);
         if (leader == null) {
             agenda.in(AGAIN_MS, () -> publish(change));
             return;
         }
         boolean[] answered = new boolean[1];
-        leader.machine.publish(change, seq -> {
-            answered[0] = true;
-            if (seq != null && seq > 0) {
-                confirmed.put(seq, change);
-            } else if (seq == null || seq < 0) {
-                agenda.in(AGAIN_MS, () -> publish(change));
-            }
-        });
+        leader.machine.publish(
+                change,
+                seq -> {
+                    answered[0] = true;
+                    if (seq != null && seq > 0) {
+                        confirmed.put(seq, change);
+                    } else if (seq == null || seq < 0) {
+                        agenda.in(AGAIN_MS, () -> publish(change));
+                    }
+                });
         // One that dies answers nobody: its author asks again.
         int of = leader.life;
-        agenda.in(1000, () -> {
-            if (!answered[0] && !(leader.up && leader.life == of)) {
-                publish(change);
-            }
-        });
+        agenda.in(
+                1000,
+                () -> {
+                    if (!answered[0] && !(leader.up && leader.life == of)) {
+                        publish(change);
+                    }
+                });
     }
 
-    /** Purges at a rate, each as likely at one time as at another, and a configuration now and then, until a time. */
+    /**
+     * Purges at a rate, each as likely at one time as at another, and a configuration now and then,
+     * until a time.
+     */
     void load(double purgesPerS, double epochsPerS, double untilMs) {
         double all = purgesPerS + epochsPerS;
-        agenda.in(-Math.log(1 - random.nextDouble()) / all * 1000, () -> {
-            if (agenda.now() < untilMs) {
-                publish(random.nextDouble() * all < epochsPerS ? new Change.Epoch(++epochs, "[log]\n# " + "x".repeat(1990) + epochs)
-                        : new Change.Purge(String.format("/objects/%016x/%06x", random.nextLong(), random.nextInt(1 << 24)), random.nextInt(50) == 0));
-                load(purgesPerS, epochsPerS, untilMs);
-            }
-        });
+        agenda.in(
+                -Math.log(1 - random.nextDouble()) / all * 1000,
+                () -> {
+                    if (agenda.now() < untilMs) {
+                        publish(
+                                random.nextDouble() * all < epochsPerS
+                                        ? new Change.Epoch(
+                                                ++epochs, "[log]\n# " + "x".repeat(1990) + epochs)
+                                        : new Change.Purge(
+                                                String.format(
+                                                        "/objects/%016x/%06x",
+                                                        random.nextLong(), random.nextInt(1 << 24)),
+                                                random.nextInt(50) == 0));
+                        load(purgesPerS, epochsPerS, untilMs);
+                    }
+                });
     }
 
     /** So many purges at once, as a backlog. */
     void backlog(int purges, int changes) {
         for (int i = 0; i < purges + changes; i++) {
-            publish(i % (1 + purges / Math.max(1, changes)) == 0 ? new Change.Epoch(++epochs, "[log]\n# " + "x".repeat(1990) + epochs)
-                    : new Change.Purge(String.format("/objects/%016x/%06x", random.nextLong(), i), false));
+            publish(
+                    i % (1 + purges / Math.max(1, changes)) == 0
+                            ? new Change.Epoch(++epochs, "[log]\n# " + "x".repeat(1990) + epochs)
+                            : new Change.Purge(
+                                    String.format("/objects/%016x/%06x", random.nextLong(), i),
+                                    false));
         }
     }
 
@@ -443,7 +563,10 @@
         return this;
     }
 
-    /** A control machine ends, its connections with a reset, or as a machine that loses its power: without a word. */
+    /**
+     * A control machine ends, its connections with a reset, or as a machine that loses its power:
+     * without a word.
+     */
     void kill(int server, boolean silently) {
         silent = silently;
         servers.get(server).end(silently);
@@ -462,7 +585,11 @@
 
     /** Who leads; -1 for nobody. */
     int leader() {
-        return servers.stream().filter(s -> s.up && s.machine.leads()).mapToInt(s -> s.index).findFirst().orElse(-1);
+        return servers.stream()
+                .filter(s -> s.up && s.machine.leads())
+                .mapToInt(s -> s.index)
+                .findFirst()
+                .orElse(-1);
     }
 
     /** Those whom the leader misses, or who lack its last entry, by name. */
@@ -495,13 +622,25 @@
         return servers.stream().mapToInt(s -> s.up ? s.machine.publisher().readers() : 0).toArray();
     }
 
-    /** From when each entry was asked for until the last of these had applied it, in ms; one that somebody lacks, or that was confirmed as another, throws. */
+    /**
+     * From when each entry was asked for until the last of these had applied it, in ms; one that
+     * somebody lacks, or that was confirmed as another, throws.
+     */
     Histogram everywhere(IntPredicate which) {
-        confirmed.forEach((seq, change) -> {
-            if (given.containsKey(seq) && !change.equals(given.get(seq)) || seq > head) {
-                throw new IllegalStateException("confirmed at " + seq + " of " + head + ": " + change + ", given: " + given.get(seq));
-            }
-        });
+        confirmed.forEach(
+                (seq, change) -> {
+                    if (given.containsKey(seq) && !change.equals(given.get(seq)) || seq > head) {
+                        throw new IllegalStateException(
+                                "confirmed at "
+                                        + seq
+                                        + " of "
+                                        + head
+                                        + ": "
+                                        + change
+                                        + ", given: "
+                                        + given.get(seq));
+                    }
+                });
         Histogram times = new Histogram(3);
         for (long seq = 1; seq <= head; seq++) {
             double last = 0;
@@ -509,7 +648,8 @@
                 if (which.test(p.index)) {
                     float at = p.appliedAt((int) seq);
                     if (Float.isNaN(at)) {
-                        throw new IllegalStateException("proxy-" + p.index + " lacks " + seq + " of " + head);
+                        throw new IllegalStateException(
+                                "proxy-" + p.index + " lacks " + seq + " of " + head);
                     }
                     last = Math.max(last, at);
                 }
--- a/src/main/java/hopglade/lab/world/ColdWindow.java
+++ b/src/main/java/hopglade/lab/world/ColdWindow.java
@@ -2,7 +2,10 @@
 
 import hopglade.measure.SlidingSum;
 
-/** What a node was sent since it started, over the latest window. Times are milliseconds of the run and never run back. */
+/**
+ * What a node was sent since it started, over the latest window. Times are milliseconds of the run
+ * and never run back.
+ */
 public final class ColdWindow {
 
     private final ColdAllowance allowance;
@@ -22,7 +25,10 @@
         return at >= startedAt && at - startedAt < allowance.coldMs();
     }
 
-    /** Adds a call that weighs {@code size} of a call of mean work, and returns all in the window over what is allowed. */
+    /**
+     * Adds a call that weighs {@code size} of a call of mean work, and returns all in the window
+     * over what is allowed.
+     */
     public double add(double at, double size) {
         calls.add(at, size);
         return calls.from(at - allowance.windowMs()) / allowance.most(capacity, at - startedAt);
--- a/src/main/java/hopglade/lab/world/Installation.java
+++ b/src/main/java/hopglade/lab/world/Installation.java
@@ -6,43 +6,72 @@
 import java.util.stream.Stream;
 
 /**
- * One installation as it was drawn: every figure is fixed here and told to no proxy. Times are in milliseconds.
+ * One installation as it was drawn: every figure is fixed here and told to no proxy. Times are in
+ * milliseconds.
  *
- * @param zones         names of the zones
- * @param linkMs        one-way delay between two zones, by their places in {@code zones}
- * @param nodes         the cache nodes that run when the day begins
- * @param spares        cache nodes that a fault may start in the place of others
- * @param origin        the central database
- * @param proxyZones    each proxy's zone, by its number
- * @param roster        how late news of the list comes
- * @param storing       objects and copies
+ * @param zones names of the zones
+ * @param linkMs one-way delay between two zones, by their places in {@code zones}
+ * @param nodes the cache nodes that run when the day begins
+ * @param spares cache nodes that a fault may start in the place of others
+ * @param origin the central database
+ * @param proxyZones each proxy's zone, by its number
+ * @param roster how late news of the list comes
+ * @param storing objects and copies
  */
-public record Installation(List<String> zones, double[][] linkMs, List<NodeMake> nodes, List<NodeMake> spares, OriginMake origin,
-                           List<Integer> proxyZones, Roster roster, Storing storing) {
+public record Installation(
+        List<String> zones,
+        double[][] linkMs,
+        List<NodeMake> nodes,
+        List<NodeMake> spares,
+        OriginMake origin,
+        List<Integer> proxyZones,
+        Roster roster,
+        Storing storing) {
 
     /**
-     * A cache node. {@code missWorkMs} is what finding nothing costs; {@code handshakeMs} is work for a new connection
-     * and {@code connections} how many it can hold.
+     * A cache node. {@code missWorkMs} is what finding nothing costs; {@code handshakeMs} is work
+     * for a new connection and {@code connections} how many it can hold.
      */
-    public record NodeMake(String id, String kind, int zone, Machine.Make machine, long memoryBytes, double missWorkMs,
-                           double handshakeMs, int connections, double errorShare) { }
+    public record NodeMake(
+            String id,
+            String kind,
+            int zone,
+            Machine.Make machine,
+            long memoryBytes,
+            double missWorkMs,
+            double handshakeMs,
+            int connections,
+            double errorShare) {}
 
     /**
-     * The origin. Sent more than {@code fallMultiple} times its capacity over {@code fallMs}, it stops for a time drawn
-     * from {@code downMs}; a multiple of 0 means that it never does. A fetch costs {@code fetchShare} of the request's
-     * work and a write {@code writeTimes} as much.
+     * The origin. Sent more than {@code fallMultiple} times its capacity over {@code fallMs}, it
+     * stops for a time drawn from {@code downMs}; a multiple of 0 means that it never does. A fetch
+     * costs {@code fetchShare} of the request's work and a write {@code writeTimes} as much.
      */
-    public record OriginMake(String id, int zone, Machine.Make machine, double fetchShare, double writeTimes,
-                             double fallMultiple, double fallMs, double[] downMs, double handshakeMs, int connections) { }
+    public record OriginMake(
+            String id,
+            int zone,
+            Machine.Make machine,
+            double fetchShare,
+            double writeTimes,
+            double fallMultiple,
+            double fallMs,
+            double[] downMs,
+            double handshakeMs,
+            int connections) {}
 
     /**
-     * News of the list reaches a proxy after a delay from {@code delayMs}; weights are renewed at spans from {@code weightMs}.
-     * A whole list, for a proxy that starts, takes discovery {@code listMs}, one after the other.
+     * News of the list reaches a proxy after a delay from {@code delayMs}; weights are renewed at
+     * spans from {@code weightMs}. A whole list, for a proxy that starts, takes discovery {@code
+     * listMs}, one after the other.
      */
-    public record Roster(double[] delayMs, double[] weightMs, double listMs) { }
+    public record Roster(double[] delayMs, double[] weightMs, double listMs) {}
 
-    /** Objects: how many keys there are, the bytes of one (least and most), and for how long a copy is kept. */
-    public record Storing(long keys, double[] bytes, double ttlMs) { }
+    /**
+     * Objects: how many keys there are, the bytes of one (least and most), and for how long a copy
+     * is kept.
+     */
+    public record Storing(long keys, double[] bytes, double ttlMs) {}
 
     /** Every cache node that may ever run. */
     public List<NodeMake> machines() {
--- a/src/main/java/hopglade/lab/world/Machine.java
+++ b/src/main/java/hopglade/lab/world/Machine.java
@@ -7,10 +7,11 @@
 import java.util.PriorityQueue;
 
 /**
- * The processor of one machine: its cores are shared evenly among the requests in its slots, what comes beyond waits in
- * turn, and what comes beyond the waiting room is turned away. Work is in core-milliseconds of a core of speed 1. Started
- * cold, its capacity grows evenly from a share to the whole. Cancelling stops nothing here: whatever was taken is worked on
- * to its end, as the fleet's nodes do.
+ * The processor of one machine: its cores are shared evenly among the requests in its slots, what
+ * comes beyond waits in turn, and what comes beyond the waiting room is turned away. Work is in
+ * core-milliseconds of a core of speed 1. Started cold, its capacity grows evenly from a share to
+ * the whole. Cancelling stops nothing here: whatever was taken is worked on to its end, as the
+ * fleet's nodes do.
  *
  * <p>An event costs O(log n) of the requests in slots.
  */
@@ -18,32 +19,48 @@
 
     /** While capacity grows it is taken as constant over steps of this length. */
     private static final double STEP_MS = 20;
+
     private static final double NEVER = Double.POSITIVE_INFINITY;
+
     /** Below this a rest of work is rounding. */
     private static final double ROUNDING = 1e-9;
 
-    /** What the machine is made of. {@code crowding} is the part of its capacity that each request in a slot beyond its cores takes. */
-    public record Make(int cores, double speed, int slots, int room, double coldFrom, double coldMs, double crowding) { }
+    /**
+     * What the machine is made of. {@code crowding} is the part of its capacity that each request
+     * in a slot beyond its cores takes.
+     */
+    public record Make(
+            int cores,
+            double speed,
+            int slots,
+            int room,
+            double coldFrom,
+            double coldMs,
+            double crowding) {}
 
     /** A piece of work that is done. */
-    record Done(long job, double atMs) { }
+    record Done(long job, double atMs) {}
 
     private record Running(long job, double until) implements Comparable<Running> {
 
         @Override
         public int compareTo(Running other) {
-            return until < other.until ? -1 : until > other.until ? 1 : Long.compare(job, other.job);
+            return until < other.until
+                    ? -1
+                    : until > other.until ? 1 : Long.compare(job, other.job);
         }
     }
 
-    private record Waiting(long job, double workMs) { }
+    private record Waiting(long job, double workMs) {}
 
     private final Make make;
     private final PriorityQueue<Running> running = new PriorityQueue<>();
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private double at;
+
     /** Work that each request in a slot has had so far, were it there from the beginning. */
     private double served;
+
     private double startedAt;
     private boolean cold;
     private double slowness = 1;
@@ -55,9 +72,19 @@
         this.startedAt = now;
     }
 
-    /** Capacity in core-milliseconds a millisecond at a time, without crowding, stalls and slowness. */
+    /**
+     * Capacity in core-milliseconds a millisecond at a time, without crowding, stalls and slowness.
+     */
     double capacity(double now) {
-        double warmth = !cold ? 1 : Math.min(1, make.coldFrom() + (1 - make.coldFrom()) * (now - startedAt) / make.coldMs());
+        double warmth =
+                !cold
+                        ? 1
+                        : Math.min(
+                                1,
+                                make.coldFrom()
+                                        + (1 - make.coldFrom())
+                                                * (now - startedAt)
+                                                / make.coldMs());
         return make.cores() * make.speed() * warmth;
     }
 
@@ -119,7 +146,11 @@
             return 0;
         }
         double crowd = 1 / (1 + make.crowding() * Math.max(0, n - make.cores()));
-        return capacity(at) / make.cores() / slowness * crowd * Math.min(1, (double) make.cores() / n);
+        return capacity(at)
+                / make.cores()
+                / slowness
+                * crowd
+                * Math.min(1, (double) make.cores() / n);
     }
 
     /** When it next has something to say; infinite if it is idle. */
--- a/src/main/java/hopglade/lab/world/Store.java
+++ b/src/main/java/hopglade/lab/world/Store.java
@@ -8,8 +8,11 @@
 /** What a cache node keeps: copies up to its memory; those used longest ago go first. */
 final class Store {
 
-    /** A kept copy: its size, the version it was made of, and when it goes void (Unix-free run time, ms). */
-    record Copy(int bytes, long version, double voidAt) { }
+    /**
+     * A kept copy: its size, the version it was made of, and when it goes void (Unix-free run time,
+     * ms).
+     */
+    record Copy(int bytes, long version, double voidAt) {}
 
     private final long memoryBytes;
     private final Map<Long, Copy> copies = new LinkedHashMap<>(16, 0.75f, true);
@@ -50,10 +53,12 @@
     }
 
     void dropIf(LongPredicate goes) {
-        copies.entrySet().removeIf(e -> {
-            boolean gone = goes.test(e.getKey());
-            used -= gone ? e.getValue().bytes() : 0;
-            return gone;
-        });
+        copies.entrySet()
+                .removeIf(
+                        e -> {
+                            boolean gone = goes.test(e.getKey());
+                            used -= gone ? e.getValue().bytes() : 0;
+                            return gone;
+                        });
     }
 }
--- a/src/main/java/hopglade/lab/world/World.java
+++ b/src/main/java/hopglade/lab/world/World.java
@@ -16,29 +16,47 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The installation's machines and list. A driver reports what reaches a machine and asks it to go on to a time; the world
- * answers with effects. Times are milliseconds of the run and never run back. The same calls with the same generator give
- * the same effects.
+ * The installation's machines and list. A driver reports what reaches a machine and asks it to go
+ * on to a time; the world answers with effects. Times are milliseconds of the run and never run
+ * back. The same calls with the same generator give the same effects.
  */
 public final class World {
 
     /** What a request is, whichever attempt of it comes. {@code workMs} is core time at speed 1. */
-    public record Job(String call, long key, boolean write, double workMs) { }
+    public record Job(String call, long key, boolean write, double workMs) {}
 
     /** How an answer ends. */
-    public enum Manner { WHOLE, HALF, SPOILT, RESET_AFTER, NEVER }
+    public enum Manner {
+        WHOLE,
+        HALF,
+        SPOILT,
+        RESET_AFTER,
+        NEVER
+    }
 
     /**
-     * An attempt's answer. {@code hit} is what the node tells of a read, {@code version} that of the value in the body,
-     * {@code ran} whether the request had its effect or was worked on.
+     * An attempt's answer. {@code hit} is what the node tells of a read, {@code version} that of
+     * the value in the body, {@code ran} whether the request had its effect or was worked on.
      */
-    public record Answer(int status, String hit, boolean rejected, Manner manner, int bytes, long version, boolean ran) { }
+    public record Answer(
+            int status,
+            String hit,
+            boolean rejected,
+            Manner manner,
+            int bytes,
+            long version,
+            boolean ran) {}
 
     /** What the list says of a machine. */
-    public enum Health { UP, DRAINING, REMOVED }
+    public enum Health {
+        UP,
+        DRAINING,
+        REMOVED
+    }
 
     /** One entry of a list. {@code startedAt} is a time of the run, or negative for long ago. */
-    public record Entry(String id, String kind, int zone, Health health, double weight, double startedAt) { }
+    public record Entry(
+            String id, String kind, int zone, Health health, double weight, double startedAt) {}
 
     /** What the world wants done. */
     public interface Effects {
@@ -58,15 +76,20 @@
         /** The origin was pushed over, and stops for a while. */
         void originStopped();
 
-        /** Something that belongs into the results: an origin that stops, a node that falls over. */
+        /**
+         * Something that belongs into the results: an origin that stops, a node that falls over.
+         */
         void note(String text);
     }
 
-    private record Open(long attempt, Job job, int proxy, String machine) { }
+    private record Open(long attempt, Job job, int proxy, String machine) {}
 
-    private record News(double at, long version, List<Entry> entries) { }
+    private record News(double at, long version, List<Entry> entries) {}
 
-    /** A machine has something to say at a time, unless it has been stamped anew; {@code order} settles ties. */
+    /**
+     * A machine has something to say at a time, unless it has been stamped anew; {@code order}
+     * settles ties.
+     */
     private record Wake(double at, long order, Unit unit, long stamp) implements Comparable<Wake> {
 
         @Override
@@ -75,10 +98,11 @@
         }
     }
 
-    private record Due(int proxy, News news) { }
+    private record Due(int proxy, News news) {}
 
     private static final double LONG_AGO = -1;
     private static final String ORIGIN_KIND = "origin";
+
     /** Stops of the origin that a load can cause in one run; later ones would say nothing new. */
     private static final int MOST_STOPS = 2;
 
@@ -88,17 +112,24 @@
     private final Map<Long, Open> open = new HashMap<>();
     private final Map<String, List<String>> missedAt = new HashMap<>();
     private final Map<Long, Long> versions = new HashMap<>();
+
     /** Nodes that may hold a key, so that a write need not ask every node. */
     private final Map<Long, List<Unit>> holdersOf = new HashMap<>();
+
     private final List<Deque<News>> news = new ArrayList<>();
     private final PriorityQueue<Wake> due = new PriorityQueue<>();
-    private final PriorityQueue<Due> told = new PriorityQueue<>(Comparator.comparingDouble((Due d) -> d.news().at())
-            .thenComparingLong(d -> d.news().version()).thenComparingInt(Due::proxy));
+    private final PriorityQueue<Due> told =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble((Due d) -> d.news().at())
+                            .thenComparingLong(d -> d.news().version())
+                            .thenComparingInt(Due::proxy));
     private long wakes;
     private final double[] lastNews;
     private final double[] rosterDelay;
+
     /** Work that was sent to the origin, in core-milliseconds. */
     private final SlidingSum originWork = new SlidingSum();
+
     private double originOverSince = -1;
     private int originStops;
     private double nextWeights;
@@ -145,7 +176,7 @@
     }
 
     /** What a cold node may be sent, and whether it falls over when it gets more. */
-    public record Limits(ColdAllowance cold, boolean coldFalls) { }
+    public record Limits(ColdAllowance cold, boolean coldFalls) {}
 
     private final Limits limits;
 
@@ -154,7 +185,9 @@
         this.limits = limits;
         this.random = random;
         for (NodeMake node : plan.machines()) {
-            units.put(node.id(), new Unit(node.id(), node.kind(), node.zone(), node.machine(), node, 0));
+            units.put(
+                    node.id(),
+                    new Unit(node.id(), node.kind(), node.zone(), node.machine(), node, 0));
         }
         for (NodeMake spare : plan.spares()) {
             units.get(spare.id()).alive = false;
@@ -176,7 +209,10 @@
 
     /** The whole list as it is now, in truth. */
     public List<Entry> truth() {
-        return units.values().stream().filter(u -> u.health != Health.REMOVED).map(Unit::entry).toList();
+        return units.values().stream()
+                .filter(u -> u.health != Health.REMOVED)
+                .map(Unit::entry)
+                .toList();
     }
 
     public long version() {
@@ -205,7 +241,10 @@
         return units.get(machine).alive;
     }
 
-    /** Fills each node with what it would have been asked for lately: the keys of these ranks at these nodes. */
+    /**
+     * Fills each node with what it would have been asked for lately: the keys of these ranks at
+     * these nodes.
+     */
     public void keep(String node, long key, double voidAt) {
         store(units.get(node), key, new Store.Copy(bytes(key), versionOf(key), voidAt));
     }
@@ -240,7 +279,12 @@
         }
         if (now >= nextWeights) {
             renewWeights();
-            change(now, units.values().stream().filter(u -> u.health != Health.REMOVED).map(Unit::entry).toList());
+            change(
+                    now,
+                    units.values().stream()
+                            .filter(u -> u.health != Health.REMOVED)
+                            .map(Unit::entry)
+                            .toList());
             nextWeights = now + draw(plan.roster().weightMs());
         }
         while (!told.isEmpty() && told.peek().news().at() <= now) {
@@ -287,7 +331,10 @@
         }
     }
 
-    /** The last byte of an attempt has come to a machine. {@code attempt} is above 0 and never used again. */
+    /**
+     * The last byte of an attempt has come to a machine. {@code attempt} is above 0 and never used
+     * again.
+     */
     public void request(double now, String machine, long attempt, int proxy, Job job, Effects out) {
         advance(now, out);
         Unit unit = units.get(machine);
@@ -313,18 +360,25 @@
         }
     }
 
-    /** What a request weighs at a machine now, in core-milliseconds, whether it is taken or turned away. */
+    /**
+     * What a request weighs at a machine now, in core-milliseconds, whether it is taken or turned
+     * away.
+     */
     public double weight(double now, String machine, Job job) {
         Unit unit = units.get(machine);
         return unit.origin() ? originWork(job) : nodeWork(now, unit, job);
     }
 
     private double originWork(Job job) {
-        return job.workMs() * plan.origin().fetchShare() * (job.write() ? plan.origin().writeTimes() : 1);
+        return job.workMs()
+                * plan.origin().fetchShare()
+                * (job.write() ? plan.origin().writeTimes() : 1);
     }
 
     private double nodeWork(double now, Unit unit, Job job) {
-        return job.write() || unit.store.get(job.key(), now) == null ? unit.node.missWorkMs() : job.workMs();
+        return job.write() || unit.store.get(job.key(), now) == null
+                ? unit.node.missWorkMs()
+                : job.workMs();
     }
 
     /** The answer of a machine that turns a request or its connection away. */
@@ -347,7 +401,8 @@
         if (random.nextDouble() < unit.errors) {
             out.answer(attempt, new Answer(500, "", false, Manner.WHOLE, 0, 0, true));
         } else if (unit.origin()) {
-            long made = job.write() ? versions.merge(job.key(), 1L, Long::sum) : versionOf(job.key());
+            long made =
+                    job.write() ? versions.merge(job.key(), 1L, Long::sum) : versionOf(job.key());
             if (job.write()) {
                 List<Unit> holders = holdersOf.remove(job.key());
                 (holders == null ? List.<Unit>of() : holders).forEach(u -> u.store.drop(job.key()));
@@ -363,7 +418,9 @@
                 out.answer(attempt, new Answer(404, "miss", false, manner, 0, 0, false));
             } else {
                 missedAt.remove(job.call());
-                out.answer(attempt, new Answer(200, "hit", false, manner, copy.bytes(), copy.version(), true));
+                out.answer(
+                        attempt,
+                        new Answer(200, "hit", false, manner, copy.bytes(), copy.version(), true));
             }
         }
     }
@@ -385,16 +442,24 @@
         for (String node : missed.subList(0, Math.min(2, missed.size()))) {
             Unit unit = units.get(node);
             if (unit.alive) {
-                store(unit, job.key(), new Store.Copy(bytes(job.key()), made, now + plan.storing().ttlMs()));
+                store(
+                        unit,
+                        job.key(),
+                        new Store.Copy(bytes(job.key()), made, now + plan.storing().ttlMs()));
             }
         }
     }
 
-    /** Adds what a machine was sent to its budget: a cold node falls over for good, the origin stops for a while. */
+    /**
+     * Adds what a machine was sent to its budget: a cold node falls over for good, the origin stops
+     * for a while.
+     */
     private void weigh(double now, Unit unit, Job job, Effects out) {
         if (unit.origin()) {
             weighOrigin(now, unit, originWork(job), out);
-        } else if (unit.cold != null && unit.cold.cold(now) && unit.cold.add(now, job.workMs() / limits.cold().meanWorkMs()) > 1
+        } else if (unit.cold != null
+                && unit.cold.cold(now)
+                && unit.cold.add(now, job.workMs() / limits.cold().meanWorkMs()) > 1
                 && limits.coldFalls()) {
             out.note(unit.id + " was pushed over while cold");
             kill(now, unit.id, out);
@@ -405,11 +470,18 @@
         OriginMake o = plan.origin();
         originWork.add(now, work);
         double latest = originWork.from(now - o.fallMs());
-        boolean over = o.fallMultiple() > 0 && latest > o.fallMultiple() * unit.machine.fullCapacity() * o.fallMs();
+        boolean over =
+                o.fallMultiple() > 0
+                        && latest > o.fallMultiple() * unit.machine.fullCapacity() * o.fallMs();
         if (over && originStops < MOST_STOPS && !unit.machine.stalled(now)) {
             originStops++;
             double down = draw(o.downMs());
-            out.note("the origin was sent " + o.fallMultiple() + " times its capacity and stops for " + Math.round(down) + " ms");
+            out.note(
+                    "the origin was sent "
+                            + o.fallMultiple()
+                            + " times its capacity and stops for "
+                            + Math.round(down)
+                            + " ms");
             out.originStopped();
             work(unit, now, out);
             unit.machine.stall(now + down);
@@ -422,7 +494,9 @@
 
     private void renewWeights() {
         for (Unit unit : units.values()) {
-            unit.weight = unit.machine.cores() / (1 + (double) unit.machine.held() / unit.machine.cores());
+            unit.weight =
+                    unit.machine.cores()
+                            / (1 + (double) unit.machine.held() / unit.machine.cores());
         }
     }
 
@@ -503,7 +577,10 @@
         rearm(unit);
     }
 
-    /** Shares of answers that are cut in half, make no sense, or end in a reset instead, from now on. */
+    /**
+     * Shares of answers that are cut in half, make no sense, or end in a reset instead, from now
+     * on.
+     */
     public void spoil(String machine, double half, double spoilt, double resets) {
         Unit unit = units.get(machine);
         unit.half = half;
@@ -520,8 +597,14 @@
     /** This share of the keys goes void at every node at once. */
     public void voidCopies(double share) {
         // By key, not by draw: a key is void at all its nodes or at none.
-        units.values().stream().filter(u -> !u.origin())
-                .forEach(u -> u.store.dropIf(key -> ((key * 0xD1B54A32D192ED03L) >>> 11) * 0x1.0p-53 < share));
+        units.values().stream()
+                .filter(u -> !u.origin())
+                .forEach(
+                        u ->
+                                u.store.dropIf(
+                                        key ->
+                                                ((key * 0xD1B54A32D192ED03L) >>> 11) * 0x1.0p-53
+                                                        < share));
     }
 
     /** News waits until then for a proxy, what is on its way already too. */
@@ -529,7 +612,8 @@
         rosterDelay[proxy] = until;
         List<News> waiting = new ArrayList<>(news.get(proxy));
         news.get(proxy).clear();
-        waiting.forEach(n -> tell(proxy, new News(Math.max(n.at(), until), n.version(), n.entries())));
+        waiting.forEach(
+                n -> tell(proxy, new News(Math.max(n.at(), until), n.version(), n.entries())));
         lastNews[proxy] = Math.max(lastNews[proxy], until);
     }
 
--- a/src/main/java/hopglade/maintenance/Outages.java
+++ b/src/main/java/hopglade/maintenance/Outages.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * The cache nodes that the operators have taken out, and every id that a list ever named. An outage outlasts whatever
- * discovery says of its node, and ends by the operators' word alone. Calls cost a look into a hash table.
+ * The cache nodes that the operators have taken out, and every id that a list ever named. An outage
+ * outlasts whatever discovery says of its node, and ends by the operators' word alone. Calls cost a
+ * look into a hash table.
  */
 public final class Outages {
 
--- a/src/main/java/hopglade/measure/GroupedRatio.java
+++ b/src/main/java/hopglade/measure/GroupedRatio.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Ratios of two sums, one ratio for each named group and one for all groups together. With a divisor of 1 for each value it is the
- * arithmetic mean. Costs a map entry for each group.
+ * Ratios of two sums, one ratio for each named group and one for all groups together. With a
+ * divisor of 1 for each value it is the arithmetic mean. Costs a map entry for each group.
  */
 public final class GroupedRatio {
 
--- a/src/main/java/hopglade/measure/Hash.java
+++ b/src/main/java/hopglade/measure/Hash.java
@@ -3,7 +3,7 @@
 /** Hashes that are the same at every proxy and at every start. */
 public final class Hash {
 
-    private Hash() { }
+    private Hash() {}
 
     /** FNV-1a over a text's characters. */
     public static long hashText(String text) {
--- a/src/main/java/hopglade/measure/Incarnation.java
+++ b/src/main/java/hopglade/measure/Incarnation.java
@@ -27,21 +27,24 @@
     private static final double LONG_AGO = 0;
 
     private double statedMs = LONG_AGO;
+
     /** The stated start of the incarnation before: an older list may still name it. */
     private double statedBeforeMs = LONG_AGO;
+
     private double startedAt = Double.NEGATIVE_INFINITY;
 
     /**
      * Takes in the start that a list states, and tells whether that is a new incarnation. A start
      * long ago is none, nor is that of the incarnation before this one, which an older list states.
      *
-     * @param now       when the list came, by our clock
-     * @param statedMs  the stated start, Unix time, or 0 for long ago
+     * @param now when the list came, by our clock
+     * @param statedMs the stated start, Unix time, or 0 for long ago
      * @param firstList whether the list may tell of what was so before our own process began: a
-     *                  node may then have run for any time, and one far back is taken to be warm
+     *     node may then have run for any time, and one far back is taken to be warm
      */
     public boolean notified(double now, double statedMs, boolean firstList) {
-        if (statedMs == LONG_AGO || isSame(statedMs, this.statedMs)
+        if (statedMs == LONG_AGO
+                || isSame(statedMs, this.statedMs)
                 || isSame(statedMs, statedBeforeMs)) {
             return false;
         }
--- a/src/main/java/hopglade/measure/Incarnations.java
+++ b/src/main/java/hopglade/measure/Incarnations.java
@@ -12,12 +12,13 @@
     /** Nodes that are remembered: more than the largest fleet has, 3,200. The oldest go first. */
     static final int REMEMBERED = 4096;
 
-    private final Map<String, Incarnation> byNode = new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Incarnation> eldest) {
-            return size() > REMEMBERED;
-        }
-    };
+    private final Map<String, Incarnation> byNode =
+            new LinkedHashMap<>() {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Incarnation> eldest) {
+                    return size() > REMEMBERED;
+                }
+            };
 
     private double startedAt = Double.NEGATIVE_INFINITY;
     private boolean notified;
@@ -32,8 +33,7 @@
      * has told nothing, and while what it had before we started may still be on its way.
      */
     public boolean isFirstList(double now) {
-        return byNode.isEmpty()
-                || !notified && now - startedAt <= Incarnation.LATEST_NOTICE_MS;
+        return byNode.isEmpty() || !notified && now - startedAt <= Incarnation.LATEST_NOTICE_MS;
     }
 
     /** Discovery has told of nodes, other than by a list saved before our process began. */
--- a/src/main/java/hopglade/measure/Quotas.java
+++ b/src/main/java/hopglade/measure/Quotas.java
@@ -14,7 +14,10 @@
         quotas.put(tenant, perS);
     }
 
-    /** Counts a request of a tenant's and tells whether it stays inside; those without a quota always do. */
+    /**
+     * Counts a request of a tenant's and tells whether it stays inside; those without a quota
+     * always do.
+     */
     public boolean takes(double now, String tenant) {
         Double quota = quotas.get(tenant);
         if (quota == null) {
--- a/src/main/java/hopglade/measure/RecentKeys.java
+++ b/src/main/java/hopglade/measure/RecentKeys.java
@@ -4,12 +4,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The latest keys that came by, and how often each stands among them. Adding one and counting one cost a look-up. */
+/**
+ * The latest keys that came by, and how often each stands among them. Adding one and counting one
+ * cost a look-up.
+ */
 public final class RecentKeys {
 
     private final Map<Integer, Integer> often = new HashMap<>();
     private int[] latest;
-    /** Keys taken in so far: a busy balancer hears more of them in its life than an int can count. */
+
+    /**
+     * Keys taken in so far: a busy balancer hears more of them in its life than an int can count.
+     */
     private long seen;
 
     /** Remembers so many. */
@@ -17,9 +23,12 @@
         latest = new int[keys];
     }
 
-    /** Takes in all keys of a buffer from its start and rewinds it; what is no whole key at its end is dropped. */
+    /**
+     * Takes in all keys of a buffer from its start and rewinds it; what is no whole key at its end
+     * is dropped.
+     */
     public void addAll(ByteBuffer keys) {
-        for (keys.rewind(); keys.remaining() >= Integer.BYTES;) {
+        for (keys.rewind(); keys.remaining() >= Integer.BYTES; ) {
             int place = (int) (seen++ % latest.length);
             if (seen > latest.length) {
                 often.computeIfPresent(latest[place], (k, n) -> n > 1 ? n - 1 : null);
--- a/src/main/java/hopglade/measure/SlidingSum.java
+++ b/src/main/java/hopglade/measure/SlidingSum.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /**
- * A sum over a sliding window. Times are the caller's and never run back, neither those of amounts nor those of windows; what a window
- * has left behind is forgotten.
+ * A sum over a sliding window. Times are the caller's and never run back, neither those of amounts
+ * nor those of windows; what a window has left behind is forgotten.
  */
 public final class SlidingSum {
 
-    private record Amount(double at, double size) { }
+    private record Amount(double at, double size) {}
 
     private final Deque<Amount> amounts = new ArrayDeque<>();
     private double sum;
--- a/src/main/java/hopglade/membership/Evidence.java
+++ b/src/main/java/hopglade/membership/Evidence.java
@@ -13,53 +13,84 @@
 import java.util.TreeSet;
 
 /**
- * What this proxy and others saw of the nodes, and how far others are believed. Claims only ever accuse, so praise can hide
- * nothing. A node is doubted when a quorum says the same; what follows from a doubt is for the module to find out by its own
- * probe. Whoever accuses nodes that answer us loses weight, and regains it slowly. All claims fade, by our own clock alone.
+ * What this proxy and others saw of the nodes, and how far others are believed. Claims only ever
+ * accuse, so praise can hide nothing. A node is doubted when a quorum says the same; what follows
+ * from a doubt is for the module to find out by its own probe. Whoever accuses nodes that answer us
+ * loses weight, and regains it slowly. All claims fade, by our own clock alone.
  */
 final class Evidence {
 
     /** How a doubt began or ended, with who claims what. */
-    record Change(String node, boolean doubted, String by) { }
+    record Change(String node, boolean doubted, String by) {}
 
-    /** Attempts, over all that accuse a node, below which chance explains them; one alone is lost every day. */
+    /**
+     * Attempts, over all that accuse a node, below which chance explains them; one alone is lost
+     * every day.
+     */
     private static final int ATTEMPTS = 3;
+
     /**
-     * An attempt that is out for so many times its node's usual time, and mean deviations beyond it, counts as unanswered,
-     * unless the node has answered anything since it went out. Waiting for its end would cost most of what can be saved.
+     * An attempt that is out for so many times its node's usual time, and mean deviations beyond
+     * it, counts as unanswered, unless the node has answered anything since it went out. Waiting
+     * for its end would cost most of what can be saved.
      */
     private static final double OVERDUE_TIMES = 3;
+
     private static final double OVERDUE_DEVIATIONS = 8;
     private static final double OVERDUE_LEAST_MS = 120;
     private static final double OVERDUE_UNKNOWN_MS = 400;
+
     /** How long a claim counts after it was last renewed, and how often its observer renews it. */
     static final double FADE_MS = 6000;
+
     static final double RENEW_MS = 2000;
+
     /** How long own bad attempts are held against a node that was not tried again. */
     private static final double KEEP_MS = 5000;
-    /** Weight left after a claim that our own attempts contradict, what each second gives back, and what agreement does. */
+
+    /**
+     * Weight left after a claim that our own attempts contradict, what each second gives back, and
+     * what agreement does.
+     */
     private static final double DISAGREED = 0.6;
+
     private static final double REGAINED_PER_S = 0.01;
     private static final double AGREED = 0.05;
+
     /** Weight below which a peer's claims are worth a word in the log. */
     private static final double DISTRUSTED = 0.5;
-    /** What the times of two proxies may be apart when one's answer is held against the other's claim. */
+
+    /**
+     * What the times of two proxies may be apart when one's answer is held against the other's
+     * claim.
+     */
     private static final double MARGIN_MS = 250;
-    /** Times its usual time, and mean deviations beyond it, from which an answer is slow; and slow ones in a row that tell. */
+
+    /**
+     * Times its usual time, and mean deviations beyond it, from which an answer is slow; and slow
+     * ones in a row that tell.
+     */
     private static final double SLOW_TIMES = 3;
+
     private static final double SLOW_DEVIATIONS = 6;
     private static final int SLOW_RUN = 6;
     private static final double SMOOTH = 0.1;
     private static final int MOST_ATTEMPTS = 255;
-    /** What the claims of a proxy that is suspected weigh, of what they would: it may be the one that is cut off. */
+
+    /**
+     * What the claims of a proxy that is suspected weigh, of what they would: it may be the one
+     * that is cut off.
+     */
     private static final double SUSPECTED_WEIGHT = 0.5;
 
     private final Set<String> suspected = new TreeSet<>();
 
     private static final class Heard {
         Claim claim;
+
         /** When it was made, by our clock and what those who passed it on say of its age. */
         double statedAt;
+
         /** Our own attempts said the same since it came. */
         boolean agreed;
     }
@@ -68,11 +99,20 @@
         final long born;
         int run;
         int slow;
+
         /** When each attempt that is out was sent, and how many of them are overdue. */
         final List<Double> out = new ArrayList<>();
+
         int overdue;
-        /** The latest answers, those before it a little apart: the very latest may be too new to contradict anyone. */
-        final double[] answers = {Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY};
+
+        /**
+         * The latest answers, those before it a little apart: the very latest may be too new to
+         * contradict anyone.
+         */
+        final double[] answers = {
+            Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY
+        };
+
         Claim.Kind kind = Claim.Kind.SILENT;
         double since;
         double lastBad;
@@ -99,7 +139,8 @@
         }
 
         boolean answeredBetween(double from, double to) {
-            return java.util.Arrays.stream(answers).anyMatch(at -> at > from + MARGIN_MS && at < to - MARGIN_MS);
+            return java.util.Arrays.stream(answers)
+                    .anyMatch(at -> at > from + MARGIN_MS && at < to - MARGIN_MS);
         }
 
         int unanswered() {
@@ -107,7 +148,14 @@
         }
 
         void countOverdue(double now) {
-            double patience = usualMs == 0 ? OVERDUE_UNKNOWN_MS : Math.max(OVERDUE_LEAST_MS, Math.max(OVERDUE_TIMES * usualMs, usualMs + OVERDUE_DEVIATIONS * deviationMs));
+            double patience =
+                    usualMs == 0
+                            ? OVERDUE_UNKNOWN_MS
+                            : Math.max(
+                                    OVERDUE_LEAST_MS,
+                                    Math.max(
+                                            OVERDUE_TIMES * usualMs,
+                                            usualMs + OVERDUE_DEVIATIONS * deviationMs));
             overdue = 0;
             for (double sentAt : out) {
                 overdue += sentAt >= answeredAt() && now - sentAt > patience ? 1 : 0;
@@ -119,11 +167,19 @@
             }
         }
 
-        /** One that was sent at this time has ended; the clock may have changed its pace, so the nearest is taken. */
+        /**
+         * One that was sent at this time has ended; the clock may have changed its pace, so the
+         * nearest is taken.
+         */
         void over(double sentAt) {
             int nearest = -1;
             for (int i = 0; i < out.size(); i++) {
-                nearest = nearest < 0 || Math.abs(out.get(i) - sentAt) < Math.abs(out.get(nearest) - sentAt) ? i : nearest;
+                nearest =
+                        nearest < 0
+                                        || Math.abs(out.get(i) - sentAt)
+                                                < Math.abs(out.get(nearest) - sentAt)
+                                ? i
+                                : nearest;
             }
             if (nearest >= 0) {
                 out.remove(nearest);
@@ -139,10 +195,13 @@
 
     private final Map<String, Seen> nodes = new TreeMap<>();
     private final Map<String, Trust> trusts = new HashMap<>();
+
     /** Nodes of which anything is held against: all others need no look. */
     private final Set<String> accused = new TreeSet<>();
+
     /** Nodes with attempts out. */
     private final Set<String> waiting = new TreeSet<>();
+
     private List<Claim> published = List.of();
     private double publishedAt = Double.NEGATIVE_INFINITY;
 
@@ -152,8 +211,9 @@
     }
 
     /**
-     * The nodes of the server list. One that started anew has nothing held against it; one that left is forgotten. Returns those
-     * that are new here: what was said of them before was not taken in.
+     * The nodes of the server list. One that started anew has nothing held against it; one that
+     * left is forgotten. Returns those that are new here: what was said of them before was not
+     * taken in.
      */
     Set<String> listed(Collection<Node> list) {
         Map<String, Seen> next = new TreeMap<>();
@@ -170,7 +230,12 @@
         nodes.clear();
         nodes.putAll(next);
         waiting.removeIf(id -> !nodes.containsKey(id) || nodes.get(id).out.isEmpty());
-        accused.removeIf(id -> !nodes.containsKey(id) || nodes.get(id).unanswered() == 0 && nodes.get(id).heard.isEmpty() && !nodes.get(id).doubted);
+        accused.removeIf(
+                id ->
+                        !nodes.containsKey(id)
+                                || nodes.get(id).unanswered() == 0
+                                        && nodes.get(id).heard.isEmpty()
+                                        && !nodes.get(id).doubted);
         return fresh;
     }
 
@@ -196,15 +261,19 @@
         switch (outcome) {
             case OK, MISS -> answered(now, node, s, elapsedMs);
             case TIMEOUT -> bad(now, node, s, Claim.Kind.SILENT);
-            // One that is full says so: it lives, and how much it is sent is the module's own affair.
+            // One that is full says so: it lives, and how much it is sent is the module's own
+            // affair.
             case CONNECT_FAILED, RESET -> bad(now, node, s, Claim.Kind.REFUSING);
             case ERROR -> bad(now, node, s, Claim.Kind.ERRING);
-            default -> { }
+            default -> {}
         }
     }
 
     private void answered(double now, String node, Seen s, double elapsedMs) {
-        boolean slow = s.usualMs > 0 && elapsedMs > SLOW_TIMES * s.usualMs && elapsedMs > s.usualMs + SLOW_DEVIATIONS * s.deviationMs;
+        boolean slow =
+                s.usualMs > 0
+                        && elapsedMs > SLOW_TIMES * s.usualMs
+                        && elapsedMs > s.usualMs + SLOW_DEVIATIONS * s.deviationMs;
         s.answered(now);
         s.slow = slow ? s.slow + 1 : 0;
         if (s.slow >= SLOW_RUN) {
@@ -222,13 +291,14 @@
         s.kind = kind;
         s.lastBad = now;
         accused.add(node);
-        s.heard.forEach((observer, h) -> {
-            if (!h.agreed) {
-                h.agreed = true;
-                Trust t = trust(now, observer);
-                t.weight = Math.min(1, t.weight + AGREED);
-            }
-        });
+        s.heard.forEach(
+                (observer, h) -> {
+                    if (!h.agreed) {
+                        h.agreed = true;
+                        Trust t = trust(now, observer);
+                        t.weight = Math.min(1, t.weight + AGREED);
+                    }
+                });
     }
 
     /** An own probe has ended; one that is answered outweighs all that was said before it. */
@@ -263,8 +333,16 @@
         return trust(now, observer).weight;
     }
 
-    /** What an observer holds against nodes; it replaces all that it said before. Names observers that lost much of their weight. */
-    void stated(double now, String observer, List<Claim> claims, double ageMs, List<String> distrusted) {
+    /**
+     * What an observer holds against nodes; it replaces all that it said before. Names observers
+     * that lost much of their weight.
+     */
+    void stated(
+            double now,
+            String observer,
+            List<Claim> claims,
+            double ageMs,
+            List<String> distrusted) {
         double statedAt = now - ageMs;
         withdraw(now, statedAt, observer, claims.stream().map(Claim::node).toList(), distrusted);
         for (Claim c : claims) {
@@ -272,15 +350,21 @@
             if (s == null || s.born != c.born() || ageMs >= FADE_MS) {
                 continue;
             }
-            // The node answered us while it is said to have answered nothing: one of us is wrong, and it is not we.
-            if (s.answeredBetween(statedAt - c.sinceMs(), statedAt) && c.attempts() > 1 && c.kind() != Claim.Kind.SLOW) {
+            // The node answered us while it is said to have answered nothing: one of us is wrong,
+            // and it is not we.
+            if (s.answeredBetween(statedAt - c.sinceMs(), statedAt)
+                    && c.attempts() > 1
+                    && c.kind() != Claim.Kind.SLOW) {
                 disagree(now, observer, distrusted);
             }
             hear(observer, c, statedAt);
         }
     }
 
-    /** Takes in a claim alone; one about another life of the node, or a node that is not listed, says nothing. */
+    /**
+     * Takes in a claim alone; one about another life of the node, or a node that is not listed,
+     * says nothing.
+     */
     void hear(String observer, Claim claim, double statedAt) {
         Seen s = nodes.get(claim.node());
         if (s != null && s.born == claim.born()) {
@@ -292,7 +376,12 @@
     }
 
     /** One that accuses and withdraws in turns is contradicted by answers in between. */
-    private void withdraw(double now, double statedAt, String observer, List<String> but, List<String> distrusted) {
+    private void withdraw(
+            double now,
+            double statedAt,
+            String observer,
+            List<String> but,
+            List<String> distrusted) {
         for (String node : accused) {
             Seen s = nodes.get(node);
             Heard h = s == null || but.contains(node) ? null : s.heard.remove(observer);
@@ -351,7 +440,9 @@
         for (Map.Entry<String, Heard> e : s.heard.entrySet()) {
             // What was said before it last answered us is overtaken.
             if (e.getValue().statedAt >= s.answeredAt()) {
-                weight += weight(now, e.getKey()) * (suspected.contains(e.getKey()) ? SUSPECTED_WEIGHT : 1);
+                weight +=
+                        weight(now, e.getKey())
+                                * (suspected.contains(e.getKey()) ? SUSPECTED_WEIGHT : 1);
                 attempts += e.getValue().claim.attempts();
                 heard = true;
             }
@@ -362,15 +453,24 @@
     }
 
     private static String account(Seen s) {
-        StringBuilder by = new StringBuilder(s.unanswered() > 0 ? "self:" + s.kind + "*" + s.unanswered() : "");
-        s.heard.forEach((observer, h) -> by.append(by.isEmpty() ? "" : " ").append(observer).append(':').append(h.claim.kind())
-                .append('*').append(h.claim.attempts()));
+        StringBuilder by =
+                new StringBuilder(
+                        s.unanswered() > 0 ? "self:" + s.kind + "*" + s.unanswered() : "");
+        s.heard.forEach(
+                (observer, h) ->
+                        by.append(by.isEmpty() ? "" : " ")
+                                .append(observer)
+                                .append(':')
+                                .append(h.claim.kind())
+                                .append('*')
+                                .append(h.claim.attempts()));
         return by.toString().toLowerCase(java.util.Locale.ROOT);
     }
 
     /**
-     * What this proxy has to say now, or null if that is no news: its own claims alone, the worst first. A node that a quorum
-     * accuses already needs no further voice; in a large fleet this is what bounds the traffic.
+     * What this proxy has to say now, or null if that is no news: its own claims alone, the worst
+     * first. A node that a quorum accuses already needs no further voice; in a large fleet this is
+     * what bounds the traffic.
      */
     List<Claim> toTell(double now, int proxies) {
         List<Claim> claims = new ArrayList<>();
@@ -379,12 +479,25 @@
             boolean known = published.stream().anyMatch(c -> c.node().equals(node));
             boolean needed = known || s.heard.size() < quorum(proxies);
             if (s.unanswered() >= (s.kind == Claim.Kind.ERRING ? ATTEMPTS : 1) && needed) {
-                claims.add(new Claim(node, s.born, s.kind, s.unanswered(), (int) Math.min(Integer.MAX_VALUE, now - s.since)));
+                claims.add(
+                        new Claim(
+                                node,
+                                s.born,
+                                s.kind,
+                                s.unanswered(),
+                                (int) Math.min(Integer.MAX_VALUE, now - s.since)));
             }
         }
         claims.sort(Comparator.comparingInt((Claim c) -> -c.attempts()).thenComparing(Claim::node));
-        List<Claim> worst = claims.size() > Statement.MOST_CLAIMS ? List.copyOf(claims.subList(0, Statement.MOST_CLAIMS)) : claims;
-        boolean changed = !worst.stream().map(Claim::node).toList().equals(published.stream().map(Claim::node).toList());
+        List<Claim> worst =
+                claims.size() > Statement.MOST_CLAIMS
+                        ? List.copyOf(claims.subList(0, Statement.MOST_CLAIMS))
+                        : claims;
+        boolean changed =
+                !worst.stream()
+                        .map(Claim::node)
+                        .toList()
+                        .equals(published.stream().map(Claim::node).toList());
         boolean due = !worst.isEmpty() && now - publishedAt >= RENEW_MS;
         if (!changed && !due) {
             return null;
--- a/src/main/java/hopglade/membership/Message.java
+++ b/src/main/java/hopglade/membership/Message.java
@@ -6,15 +6,17 @@
  * What a packet says beside its envelope.
  *
  * @param number of the probe that it belongs to; 0 without
- * @param about  whom a probe on another's behalf is for; null without
+ * @param about whom a probe on another's behalf is for; null without
  * @param digest of the sender's table of members
  */
-record Message(Kind kind, int number, Member about, long digest, List<Member> members, List<Heard> heard) {
+record Message(
+        Kind kind, int number, Member about, long digest, List<Member> members, List<Heard> heard) {
 
     enum Kind {
         /** Shows the receiver what its packets must carry, to prove that they are no replay. */
         WELCOME,
-        PING, ACK,
+        PING,
+        ACK,
         /** Asks for a ping of {@code about}. */
         ASK,
         NEWS,
@@ -22,6 +24,9 @@
         NACK
     }
 
-    /** A statement and its age so far, as summed up by those that passed it on, each by its own clock. */
-    record Heard(Statement statement, int ageMs) { }
+    /**
+     * A statement and its age so far, as summed up by those that passed it on, each by its own
+     * clock.
+     */
+    record Heard(Statement statement, int ageMs) {}
 }
--- a/src/main/java/hopglade/membership/Swim.java
+++ b/src/main/java/hopglade/membership/Swim.java
@@ -11,56 +11,96 @@
 import java.util.TreeMap;
 
 /**
- * Who is there: each period one member is pinged, in an order drawn anew for each round; one that does not answer is asked
- * after by others, then suspected, and taken for dead unless it refutes the suspicion by a higher incarnation (SWIM, Das, Gupta and
- * Motivala 2002). Members that died, and seeds, are called now and then, so that the parts of a fleet that was cut in two find one
+ * Who is there: each period one member is pinged, in an order drawn anew for each round; one that
+ * does not answer is asked after by others, then suspected, and taken for dead unless it refutes
+ * the suspicion by a higher incarnation (SWIM, Das, Gupta and Motivala 2002). Members that died,
+ * and seeds, are called now and then, so that the parts of a fleet that was cut in two find one
  * another.
  *
- * <p>After Lifeguard (Dadgar, Phillips and Currey 2018): a local health score from 0 to {@code healthMost} rises with each probe
- * that went unanswered and that not every relay answered for, and with each suspicion of itself that it had to refute, falls with each
- * answered probe, and stretches its own period and wait by {@code 1 + health}, so that a proxy that is slow itself accuses late. A
- * suspicion lasts from six times its least down to the least, {@code 3 · period · max(1, log10 n)}, as independent members confirm
- * it; one that hears of a suspicion probes the suspect next, and tells it. Beyond the paper: time in which the process stood still
- * (a gap between calls above {@link #STALL_MS}) or its event loop was held up (a tick that comes later than {@link #LATE_TICK_MS})
- * counts for no timer, and a proxy whose probes nobody has answered, directly, through
- * others or by a negative answer, three at least and for {@link #ISOLATED_MS} of its own time, is cut off: it steps down, starts no suspicion and ends
- * none for {@link #HOLD_MS}, until any answer comes.
+ * <p>After Lifeguard (Dadgar, Phillips and Currey 2018): a local health score from 0 to {@code
+ * healthMost} rises with each probe that went unanswered and that not every relay answered for, and
+ * with each suspicion of itself that it had to refute, falls with each answered probe, and
+ * stretches its own period and wait by {@code 1 + health}, so that a proxy that is slow itself
+ * accuses late. A suspicion lasts from six times its least down to the least, {@code 3 · period ·
+ * max(1, log10 n)}, as independent members confirm it; one that hears of a suspicion probes the
+ * suspect next, and tells it. Beyond the paper: time in which the process stood still (a gap
+ * between calls above {@link #STALL_MS}) or its event loop was held up (a tick that comes later
+ * than {@link #LATE_TICK_MS}) counts for no timer, and a proxy whose probes nobody has answered,
+ * directly, through others or by a negative answer, three at least and for {@link #ISOLATED_MS} of
+ * its own time, is cut off: it steps down, starts no suspicion and ends none for {@link #HOLD_MS},
+ * until any answer comes.
  *
- * <p>All times are this proxy's own milliseconds, which never run back; none is compared with another proxy's.
+ * <p>All times are this proxy's own milliseconds, which never run back; none is compared with
+ * another proxy's.
  */
 final class Swim {
 
     static final double PERIOD_MS = 500;
+
     /** Of a period, the part that an answer may take before others are asked. */
     static final double ANSWER_SHARE = 0.4;
-    /** Of the wait, the part after which a relay that heard nothing says so (Lifeguard's nack, 80%). */
+
+    /**
+     * Of the wait, the part after which a relay that heard nothing says so (Lifeguard's nack, 80%).
+     */
     static final double NACK_SHARE = 0.8;
+
     /** Others that are asked after one that is silent. */
     static final int ASKED = 3;
-    /** A gap between two calls that is longer was a pause of the process: it voids the probe that is out. */
+
+    /**
+     * A gap between two calls that is longer was a pause of the process: it voids the probe that is
+     * out.
+     */
     static final double STALL_MS = 300;
+
     /** A longer gap between two ticks was a hold-up of the event loop; it counts as one tick. */
     static final double LATE_TICK_MS = 3 * Gossip.TICK_MS;
-    /** No answer of any kind for so long since a first probe without one, with two others at least, and this proxy is cut off. */
+
+    /**
+     * No answer of any kind for so long since a first probe without one, with two others at least,
+     * and this proxy is cut off.
+     */
     static final double ISOLATED_MS = 3000;
-    /** Nor before so many probes: a proxy of bad health sends them seconds apart, and one or two are lost by chance. */
+
+    /**
+     * Nor before so many probes: a proxy of bad health sends them seconds apart, and one or two are
+     * lost by chance.
+     */
     private static final int ISOLATED_PROBES = 3;
+
     /** So many relays that were asked and say nothing at all are a sign of our own link. */
     private static final int VOICES = 2;
+
     /** An answer to one of so many probes proves that we are heard. */
     private static final int HEARD_PROBES = 8;
-    /** Longest that a cut-off proxy holds back deaths: a fleet that truly died around it is let go then. */
+
+    /**
+     * Longest that a cut-off proxy holds back deaths: a fleet that truly died around it is let go
+     * then.
+     */
     static final double HOLD_MS = 60_000;
-    /** Periods of the least suspicion, for each power of ten of the fleet (memberlist's 4 at a period of 1 s, Lifeguard's α). */
+
+    /**
+     * Periods of the least suspicion, for each power of ten of the fleet (memberlist's 4 at a
+     * period of 1 s, Lifeguard's α).
+     */
     private static final double SUSPECT_PERIODS = 2;
+
     /** The longest over the least (Lifeguard's β). */
     private static final double SUSPECT_MOST_TIMES = 6;
-    /** Independent confirmations after which the least holds (Lifeguard's K; memberlist's 4 - 2). */
+
+    /**
+     * Independent confirmations after which the least holds (Lifeguard's K; memberlist's 4 - 2).
+     */
     private static final int CONFIRMATIONS = 2;
+
     /** Accusers that are kept of one suspicion. */
     private static final int MOST_ACCUSERS = 8;
+
     /** One that is gone, or a seed, is called so often. */
     private static final double RECALL_MS = 3000;
+
     /** How long a death is remembered, so that older news of that life is known as such. */
     private static final double REMEMBER_MS = 600_000;
 
@@ -103,8 +143,10 @@
     private List<String> round = new ArrayList<>();
     private double lastNow = Double.NaN;
     private double awake;
+
     /** When the last tick was, by the clock and in the time that counts. */
     private double lastTick;
+
     private double awakeAtLastTick;
     private double periodAt;
     private double nextRecall;
@@ -117,15 +159,21 @@
     private int nacksAsked;
     private int nacks;
     private int health;
-    /** When the first probe went out of those since the last answer of any kind, and how many have. */
+
+    /**
+     * When the first probe went out of those since the last answer of any kind, and how many have.
+     */
     private double unheardSince;
+
     private int unheardProbes;
     private boolean isolated;
     private double isolatedAt;
     private long digest;
     private long stalls;
 
-    /** @param healthMost the highest local health score; 0 holds timeouts as they are */
+    /**
+     * @param healthMost the highest local health score; 0 holds timeouts as they are
+     */
     Swim(Member self, List<String> seeds, SplittableRandom random, int healthMost) {
         this.self = self;
         this.seeds = seeds.stream().filter(s -> !s.equals(self.address())).toList();
@@ -156,7 +204,10 @@
         return peers.values().stream().map(p -> p.member).filter(Member::present).toList();
     }
 
-    /** The same for two proxies that hold the same of everyone; deaths count, as they too must be agreed on. */
+    /**
+     * The same for two proxies that hold the same of everyone; deaths count, as they too must be
+     * agreed on.
+     */
     long digest() {
         return digest;
     }
@@ -176,7 +227,10 @@
         return stalls;
     }
 
-    /** Milliseconds of its own awake time since a packet of this member was last taken; -1 for one unknown. */
+    /**
+     * Milliseconds of its own awake time since a packet of this member was last taken; -1 for one
+     * unknown.
+     */
     double heardAgoMs(double now, String name) {
         Peer p = peers.get(name);
         return p == null ? -1 : awake(now) - p.heardAt;
@@ -197,7 +251,10 @@
         return (h ^ (h >>> 29)) * 0xbf58476d1ce4e5b9L;
     }
 
-    /** Time that counts: the own clock, less what passed while the process stood still or its event loop was held up. */
+    /**
+     * Time that counts: the own clock, less what passed while the process stood still or its event
+     * loop was held up.
+     */
     private double awake(double now) {
         if (Double.isNaN(lastNow)) {
             lastNow = now;
@@ -207,7 +264,8 @@
         lastNow = Math.max(lastNow, now);
         if (gap > STALL_MS) {
             stalls++;
-            // What was asked before the pause is void: the answer may wait in the socket, and the fault was ours.
+            // What was asked before the pause is void: the answer may wait in the socket, and the
+            // fault was ours.
             answered = true;
             asked = true;
             well(+1);
@@ -222,8 +280,8 @@
     }
 
     /**
-     * Ends a tick. A late one counts only now, after its timers were judged, and as one tick: what came during the hold-up may lie
-     * unread in the socket, and is read before the next tick.
+     * Ends a tick. A late one counts only now, after its timers were judged, and as one tick: what
+     * came during the hold-up may lie unread in the socket, and is read before the next tick.
      */
     private void endTick() {
         if (lastNow - lastTick > LATE_TICK_MS) {
@@ -237,12 +295,19 @@
         health = Math.max(0, Math.min(healthMost, health + change));
     }
 
-    /** While nothing answers at all, probes show whether we are cut off and accuse nobody: they go on at a pace that tells soon. */
+    /**
+     * While nothing answers at all, probes show whether we are cut off and accuse nobody: they go
+     * on at a pace that tells soon.
+     */
     private double period() {
-        return Math.min(PERIOD_MS * (1 + health), unheardProbes == 0 ? Double.POSITIVE_INFINITY : ISOLATED_MS / ISOLATED_PROBES);
+        return Math.min(
+                PERIOD_MS * (1 + health),
+                unheardProbes == 0 ? Double.POSITIVE_INFINITY : ISOLATED_MS / ISOLATED_PROBES);
     }
 
-    /** How long this proxy waits for an answer now; a relay says no after {@link #NACK_SHARE} of it. */
+    /**
+     * How long this proxy waits for an answer now; a relay says no after {@link #NACK_SHARE} of it.
+     */
     double answerMs() {
         return ANSWER_SHARE * period();
     }
@@ -276,18 +341,25 @@
 
     /** A probe that failed starts a suspicion, or confirms one that others hold. */
     private void accuse(double at, Member target, Out out) {
-        // Where not one of several relays says anything, the silence is our own link's as likely as the member's.
+        // Where not one of several relays says anything, the silence is our own link's as likely as
+        // the member's.
         boolean voiceless = unheardProbes > 0 && nacksAsked >= VOICES;
-        // One that has refuted since the probe went out hears and is heard: the probe was late, not the member.
+        // One that has refuted since the probe went out hears and is heard: the probe was late, not
+        // the member.
         boolean refuted = target != null && target.incarnation() > probedIncarnation;
-        if (target != null && target.present() && !refuted && !holds(at) && (!voiceless || isolated)) {
+        if (target != null
+                && target.present()
+                && !refuted
+                && !holds(at)
+                && (!voiceless || isolated)) {
             apply(at, target.suspectedBy(self.name()), out);
         }
     }
 
     private void endPeriod(double at, Out out) {
         if (!answered) {
-            // As memberlist counts: where every relay says that it was not answered either, the member's silence is none of ours.
+            // As memberlist counts: where every relay says that it was not answered either, the
+            // member's silence is none of ours.
             well(nacksAsked == 0 || nacks < nacksAsked ? +1 : 0);
             accuse(at, find(probed), out);
         }
@@ -315,8 +387,12 @@
     }
 
     private void recall(Out out) {
-        List<String> gone = new ArrayList<>(peers.values().stream().filter(p -> p.member.status() == Status.DEAD)
-                .map(p -> p.member.address()).toList());
+        List<String> gone =
+                new ArrayList<>(
+                        peers.values().stream()
+                                .filter(p -> p.member.status() == Status.DEAD)
+                                .map(p -> p.member.address())
+                                .toList());
         List<String> present = others().stream().map(Member::address).toList();
         seeds.stream().filter(s -> !present.contains(s) && !gone.contains(s)).forEach(gone::add);
         if (!gone.isEmpty()) {
@@ -348,7 +424,10 @@
         return drawn;
     }
 
-    /** How long a suspicion lasts with so many independent confirmations beyond the first (Lifeguard, section 4.2). */
+    /**
+     * How long a suspicion lasts with so many independent confirmations beyond the first
+     * (Lifeguard, section 4.2).
+     */
     double suspicionMs(int confirmations) {
         int members = others().size() + 1;
         double least = SUSPECT_PERIODS * PERIOD_MS * Math.max(1, Math.log10(members));
@@ -367,7 +446,9 @@
 
     private void age(double at, Out out) {
         for (Peer p : List.copyOf(peers.values())) {
-            if (p.member.status() == Status.SUSPECT && !holds(at) && at - p.since >= suspicionMs(p.accusers.size() - 1)) {
+            if (p.member.status() == Status.SUSPECT
+                    && !holds(at)
+                    && at - p.since >= suspicionMs(p.accusers.size() - 1)) {
                 apply(at, p.member.with(Status.DEAD), out);
             } else if (!p.member.present() && at - p.since >= REMEMBER_MS) {
                 digest ^= hash(p.member);
@@ -378,15 +459,27 @@
 
     /** Steps down once nothing has answered for long, and up at the first answer. */
     private void step(double at, Out out) {
-        boolean cut = others().size() >= 2 && unheardProbes >= ISOLATED_PROBES && at - unheardSince >= ISOLATED_MS;
+        boolean cut =
+                others().size() >= 2
+                        && unheardProbes >= ISOLATED_PROBES
+                        && at - unheardSince >= ISOLATED_MS;
         if (cut && !isolated) {
             isolated = true;
             isolatedAt = at;
             withdraw(out);
-            out.stepped(true, String.format(Locale.ROOT, "unanswered_ms:%.0f probes:%d health:%d", at - unheardSince, unheardProbes, health));
+            out.stepped(
+                    true,
+                    String.format(
+                            Locale.ROOT,
+                            "unanswered_ms:%.0f probes:%d health:%d",
+                            at - unheardSince,
+                            unheardProbes,
+                            health));
         } else if (!cut && isolated) {
             isolated = false;
-            out.stepped(false, String.format(Locale.ROOT, "down_ms:%.0f health:%d", at - isolatedAt, health));
+            out.stepped(
+                    false,
+                    String.format(Locale.ROOT, "down_ms:%.0f health:%d", at - isolatedAt, health));
         }
     }
 
@@ -404,7 +497,10 @@
         }
     }
 
-    /** An answer to a probe has come, from the member itself or by way of another; a late one too proves that we are heard. */
+    /**
+     * An answer to a probe has come, from the member itself or by way of another; a late one too
+     * proves that we are heard.
+     */
     void answered(double now, int probe, String from, Out out) {
         double at = awake(now);
         if (probe == number && from.equals(probed) && !answered) {
@@ -414,7 +510,10 @@
         heardBack(at, probe, out);
     }
 
-    /** A relay says that the member that it was asked to ping gave it no answer; it proves our own link. */
+    /**
+     * A relay says that the member that it was asked to ping gave it no answer; it proves our own
+     * link.
+     */
     void nacked(double now, int probe, Out out) {
         double at = awake(now);
         nacks += probe == number ? 1 : 0;
@@ -437,8 +536,9 @@
     }
 
     /**
-     * News of a member; returns whether it was new here. News of ourselves that is wrong is refuted: this raises the
-     * incarnation past it. A suspicion that is held already counts once more for each member that holds it too.
+     * News of a member; returns whether it was new here. News of ourselves that is wrong is
+     * refuted: this raises the incarnation past it. A suspicion that is held already counts once
+     * more for each member that holds it too.
      */
     boolean take(double now, Member news, Out out) {
         return apply(awake(now), news, out);
@@ -449,7 +549,9 @@
             return refute(news, out);
         }
         Peer known = peers.get(news.name());
-        if (known != null && news.status() == Status.SUSPECT && known.member.status() == Status.SUSPECT
+        if (known != null
+                && news.status() == Status.SUSPECT
+                && known.member.status() == Status.SUSPECT
                 && news.incarnation() == known.member.incarnation()) {
             return confirm(known, news, out);
         }
@@ -469,7 +571,8 @@
         if (news.status() == Status.SUSPECT) {
             known.accusers.add(news.by().isEmpty() ? self.name() : news.by());
             if (!news.by().equals(self.name())) {
-                // Its own probe confirms it, or tells it of the suspicion in time to refute: it comes next, in place of its turn.
+                // Its own probe confirms it, or tells it of the suspicion in time to refute: it
+                // comes next, in place of its turn.
                 round.remove(news.name());
                 round.add(news.name());
             }
@@ -480,8 +583,11 @@
     }
 
     private boolean refute(Member news, Out out) {
-        boolean wrong = news.incarnation() > self.incarnation()
-                || news.incarnation() == self.incarnation() && news.status() != Status.ALIVE && self.status() == Status.ALIVE;
+        boolean wrong =
+                news.incarnation() > self.incarnation()
+                        || news.incarnation() == self.incarnation()
+                                && news.status() != Status.ALIVE
+                                && self.status() == Status.ALIVE;
         if (wrong && news.incarnation() < Integer.MAX_VALUE) {
             Member before = self;
             become(new Member(self.name(), self.address(), news.incarnation() + 1, self.status()));
@@ -493,7 +599,9 @@
     }
 
     private boolean confirm(Peer known, Member news, Out out) {
-        if (news.by().isEmpty() || known.accusers.contains(news.by()) || known.accusers.size() >= MOST_ACCUSERS) {
+        if (news.by().isEmpty()
+                || known.accusers.contains(news.by())
+                || known.accusers.size() >= MOST_ACCUSERS) {
             return false;
         }
         known.accusers.add(news.by());
--- a/src/main/java/hopglade/membership/Wire.java
+++ b/src/main/java/hopglade/membership/Wire.java
@@ -9,49 +9,68 @@
 import java.util.List;
 
 /**
- * Packets as bytes: an envelope, a message and a signature over both, at most {@link #MOST_BYTES} in all, which fits one UDP
- * packet of any usual path. Numbers are big-endian; a text is its length in one byte and its bytes.
+ * Packets as bytes: an envelope, a message and a signature over both, at most {@link #MOST_BYTES}
+ * in all, which fits one UDP packet of any usual path. Numbers are big-endian; a text is its length
+ * in one byte and its bytes.
  */
 final class Wire {
 
     static final int MOST_BYTES = 1200;
+
     /** What envelope, counts and signature of a packet take at most, rounded up. */
     static final int MOST_ENVELOPE = 250;
+
     static final int MOST_NAME = 32;
     static final int MOST_ADDRESS = 64;
     static final int MOST_NODE = 64;
     private static final int MAGIC = 0x464c;
+
     /** 2: members carry who suspects them, and relays answer no (Lifeguard). */
     private static final int VERSION = 2;
+
     private static final int MOST_AGE_MS = 0xffff;
     private static final int MOST_COUNT = 0xff;
 
     /**
-     * Who sends, and what shows that the packet is fresh: {@code nonce} names the sender's life, {@code echo} the receiver's as
-     * the sender knows it, {@code token} is what the receiver granted to this life, {@code grant} what it may use in turn, and
-     * {@code counter} rises with each packet.
+     * Who sends, and what shows that the packet is fresh: {@code nonce} names the sender's life,
+     * {@code echo} the receiver's as the sender knows it, {@code token} is what the receiver
+     * granted to this life, {@code grant} what it may use in turn, and {@code counter} rises with
+     * each packet.
      */
-    record Envelope(String from, int keyId, long nonce, long echo, long token, long grant, int counter) { }
+    record Envelope(
+            String from, int keyId, long nonce, long echo, long token, long grant, int counter) {}
 
-    record Packet(Envelope envelope, Message message, int signedBytes, byte[] signature) { }
+    record Packet(Envelope envelope, Message message, int signedBytes, byte[] signature) {}
 
-    private Wire() { }
+    private Wire() {}
 
-    /** Fills one packet; of members and statements as many as fit, the first ones first. Returns the bytes to sign and their count. */
+    /**
+     * Fills one packet; of members and statements as many as fit, the first ones first. Returns the
+     * bytes to sign and their count.
+     */
     static ByteBuffer encode(Envelope e, Message m) {
         ByteBuffer out = ByteBuffer.allocate(MOST_BYTES - Identity.SIGNATURE_BYTES);
         out.putShort((short) MAGIC).put((byte) VERSION).put((byte) m.kind().ordinal());
         text(out, e.from());
-        out.putInt(e.keyId()).putLong(e.nonce()).putLong(e.echo()).putLong(e.token()).putLong(e.grant()).putInt(e.counter());
+        out.putInt(e.keyId())
+                .putLong(e.nonce())
+                .putLong(e.echo())
+                .putLong(e.token())
+                .putLong(e.grant())
+                .putInt(e.counter());
         out.putInt(m.number()).putLong(m.digest()).put((byte) (m.about() == null ? 0 : 1));
         if (m.about() != null) {
             member(out, m.about());
         }
         // Evidence first: it saves requests, and the table is made good by the digest.
-        list(out, m.heard(), (o, h) -> {
-            o.putShort((short) Math.min(MOST_AGE_MS, Math.max(0, h.ageMs())));
-            o.put(signed(h.statement())).put(h.statement().signature());
-        }, 1);
+        list(
+                out,
+                m.heard(),
+                (o, h) -> {
+                    o.putShort((short) Math.min(MOST_AGE_MS, Math.max(0, h.ageMs())));
+                    o.put(signed(h.statement())).put(h.statement().signature());
+                },
+                1);
         list(out, m.members(), Wire::member, 0);
         return out;
     }
@@ -88,7 +107,10 @@
         out.putInt(s.incarnation()).putInt(s.number()).put((byte) s.claims().size());
         for (Claim c : s.claims()) {
             text(out, c.node());
-            out.putLong(c.born()).put((byte) c.kind().ordinal()).put((byte) c.attempts()).putInt(c.sinceMs());
+            out.putLong(c.born())
+                    .put((byte) c.kind().ordinal())
+                    .put((byte) c.attempts())
+                    .putInt(c.sinceMs());
         }
         byte[] bytes = new byte[out.position()];
         out.get(0, bytes);
@@ -117,10 +139,14 @@
         out.put((byte) bytes.length).put(bytes);
     }
 
-    /** Who claims to have sent it, before anything is verified; null where it is no packet of ours. */
+    /**
+     * Who claims to have sent it, before anything is verified; null where it is no packet of ours.
+     */
     static Packet decode(byte[] bytes) {
         try {
-            return bytes.length > MOST_BYTES || bytes.length <= Identity.SIGNATURE_BYTES ? null : read(bytes);
+            return bytes.length > MOST_BYTES || bytes.length <= Identity.SIGNATURE_BYTES
+                    ? null
+                    : read(bytes);
         } catch (BufferUnderflowException | IllegalArgumentException malformed) {
             return null;
         }
@@ -132,7 +158,15 @@
         check((in.getShort() & 0xffff) == MAGIC && in.get() == VERSION);
         Message.Kind kind = of(Message.Kind.values(), in.get());
         String from = text(in, 1, MOST_NAME);
-        Envelope envelope = new Envelope(from, in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getLong(), in.getInt());
+        Envelope envelope =
+                new Envelope(
+                        from,
+                        in.getInt(),
+                        in.getLong(),
+                        in.getLong(),
+                        in.getLong(),
+                        in.getLong(),
+                        in.getInt());
         int number = in.getInt();
         long digest = in.getLong();
         Member about = in.get() == 0 ? null : member(in);
@@ -148,7 +182,8 @@
         check(!in.hasRemaining());
         byte[] signature = new byte[Identity.SIGNATURE_BYTES];
         System.arraycopy(bytes, end, signature, 0, signature.length);
-        return new Packet(envelope, new Message(kind, number, about, digest, members, heard), end, signature);
+        return new Packet(
+                envelope, new Message(kind, number, about, digest, members, heard), end, signature);
     }
 
     private static Statement statement(ByteBuffer in) {
--- a/src/main/java/hopglade/proxy/Addresses.java
+++ b/src/main/java/hopglade/proxy/Addresses.java
@@ -9,11 +9,14 @@
 
     private static final int MAX_PORT = 65535;
 
-    private Addresses() { }
+    private Addresses() {}
 
     static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        InetAddress host = colon < 0 ? null : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
+        InetAddress host =
+                colon < 0
+                        ? null
+                        : NetUtil.createInetAddressFromIpAddressString(text.substring(0, colon));
         if (host == null) {
             throw new IllegalArgumentException("not a numeric address and port: " + text);
         }
--- a/src/main/java/hopglade/proxy/ClientChannel.java
+++ b/src/main/java/hopglade/proxy/ClientChannel.java
@@ -13,20 +13,24 @@
 import java.util.List;
 
 /**
- * A client's socket that can be asked, at any moment and without the loop's next look, whether its client has left. What lies
- * unread before an end is read ahead for that and handed on in its order when reading goes on; so much is held for one
- * connection and for all of a listener. An end behind more than that is found when what is before it has been handed on.
+ * A client's socket that can be asked, at any moment and without the loop's next look, whether its
+ * client has left. What lies unread before an end is read ahead for that and handed on in its order
+ * when reading goes on; so much is held for one connection and for all of a listener. An end behind
+ * more than that is found when what is before it has been handed on.
  */
 final class ClientChannel extends NioSocketChannel {
 
     /** More than a system lets lie unread on a connection that nobody reads. */
     static final int MOST_AHEAD = 128 * 1024;
+
     private static final int MOST_AHEAD_IN_ALL = 2 * 1024 * 1024;
     private static final int ONE_READ = 16 * 1024;
 
     private final Listener listener;
+
     /** What was read ahead and is not handed on yet; null where there is nothing. */
     private ByteBuf ahead;
+
     private boolean handingOn;
     private boolean left;
 
@@ -35,7 +39,10 @@
         this.listener = listener;
     }
 
-    /** Whether the client has ended its half or reset the connection. Costs one read that does not wait. */
+    /**
+     * Whether the client has ended its half or reset the connection. Costs one read that does not
+     * wait.
+     */
     boolean hasLeft() {
         while (!left && mayReadAhead()) {
             int read = readAhead();
@@ -49,15 +56,17 @@
     }
 
     /**
-     * Whether something lies unread: bytes, which are handed on to their handlers next, or an end. Where it also serves a close
-     * that follows, nothing is left in the kernel for which the system would reset the connection.
+     * Whether something lies unread: bytes, which are handed on to their handlers next, or an end.
+     * Where it also serves a close that follows, nothing is left in the kernel for which the system
+     * would reset the connection.
      */
     boolean hasUnread() {
         return hasLeft() || ahead != null;
     }
 
     private boolean mayReadAhead() {
-        return (ahead == null || ahead.readableBytes() < MOST_AHEAD) && listener.ahead < MOST_AHEAD_IN_ALL;
+        return (ahead == null || ahead.readableBytes() < MOST_AHEAD)
+                && listener.ahead < MOST_AHEAD_IN_ALL;
     }
 
     /** Bytes that were read, and below 0 at an end or where the connection broke. */
@@ -80,12 +89,14 @@
     private void handOn() {
         if (ahead != null && !handingOn && config().isAutoRead()) {
             handingOn = true;
-            eventLoop().execute(() -> {
-                handingOn = false;
-                if (ahead != null && config().isAutoRead()) {
-                    unsafe().read();
-                }
-            });
+            eventLoop()
+                    .execute(
+                            () -> {
+                                handingOn = false;
+                                if (ahead != null && config().isAutoRead()) {
+                                    unsafe().read();
+                                }
+                            });
         }
     }
 
@@ -129,10 +140,11 @@
     /** Takes clients in, all on one loop. */
     static final class Listener extends NioServerSocketChannel {
         private final ByteBuffer scratch = ByteBuffer.allocateDirect(ONE_READ);
+
         /** Bytes read ahead on all of its connections. */
         private int ahead;
 
-        Listener() { }
+        Listener() {}
 
         /** Over a socket that listens already. */
         Listener(ServerSocketChannel passed) {
@@ -140,8 +152,9 @@
         }
 
         /**
-         * Accepts connections until none waits, {@code most} were accepted or accepting fails; they are registered when this
-         * returns. What still waits when a listener closes is reset by the system.
+         * Accepts connections until none waits, {@code most} were accepted or accepting fails; they
+         * are registered when this returns. What still waits when a listener closes is reset by the
+         * system.
          */
         void acceptWaiting(int most) {
             List<Object> accepted = new ArrayList<>();
@@ -167,7 +180,8 @@
                 accepted.add(new ClientChannel(this, socket));
                 return 1;
             } catch (ChannelException e) {
-                // It can't be set up, which is no fault of the listener's: passed on, this would close it.
+                // It can't be set up, which is no fault of the listener's: passed on, this would
+                // close it.
                 socket.close();
                 return 0;
             }
--- a/src/main/java/hopglade/proxy/ClientServer.java
+++ b/src/main/java/hopglade/proxy/ClientServer.java
@@ -28,8 +28,8 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
@@ -55,38 +55,63 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 
-/** Takes clients' requests in and their answers out. What no node could make sense of is answered here. */
+/**
+ * Takes clients' requests in and their answers out. What no node could make sense of is answered
+ * here.
+ */
 final class ClientServer {
 
     private static final String API = "/api/";
     private static final Pattern ID = Pattern.compile("[0-9A-Za-z_-]{1,64}");
+
     /** A budget past this is a mistake, and as a timer would outlive the process. */
     private static final double MAX_BUDGET_S = 3600;
+
     private static final int MAX_PIPELINED = 16;
-    /** How often the limits in time are looked at: one timer for all, as most connections never reach one. */
+
+    /**
+     * How often the limits in time are looked at: one timer for all, as most connections never
+     * reach one.
+     */
     private static final long SWEEP_MS = 100;
+
     /** How long a connection may say nothing at first. */
     private static final long SILENT_MS = 2000;
+
     /**
-     * A usual client takes 2 s for a head and then sends 64 kB a second, in bursts. One that sent nothing of use is owed an end
-     * 3 s after it came.
+     * A usual client takes 2 s for a head and then sends 64 kB a second, in bursts. One that sent
+     * nothing of use is owed an end 3 s after it came.
      */
     private static final long READING_MS = 2600;
+
     /** How long one may pause in the middle of a request; an end is owed within 3 s. */
     private static final long PAUSE_MS = 2600;
+
     private static final long LEAST_BYTES_PER_S = 48_000;
     private static final long STALLED_MS = 10_000;
-    /** How long one that was served is kept for its next request: some clients ask once and stay for good. */
+
+    /**
+     * How long one that was served is kept for its next request: some clients ask once and stay for
+     * good.
+     */
     private static final long IDLE_MS = 4000;
+
     /**
-     * Part of the connections that may be kept for a next request. Past it each answer is its connection's last and idle
-     * ones go sooner: clients that ask once and stay would else use up the connections that clients may hold, and all
-     * others would find none. Could do harm where that many clients do ask again: each request then opens a connection.
+     * Part of the connections that may be kept for a next request. Past it each answer is its
+     * connection's last and idle ones go sooner: clients that ask once and stay would else use up
+     * the connections that clients may hold, and all others would find none. Could do harm where
+     * that many clients do ask again: each request then opens a connection.
      */
     private static final int KEPT_PART = 4;
+
     private static final long CROWDED_IDLE_MS = 2000;
-    /** When accepting is tried again after it failed: what is out of descriptors would fail at once, and for all. */
+
+    /**
+     * When accepting is tried again after it failed: what is out of descriptors would fail at once,
+     * and for all.
+     */
     private static final long ACCEPT_AGAIN_MS = 100;
+
     /** Part of the connections that may have no request and never had a good one. */
     private static final int UNPROVEN_PART = 4;
 
@@ -96,17 +121,23 @@
     private final Map<String, ServiceClass> classes = new HashMap<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final Log log = new Log();
+
     /** Null before clients are let in. */
     private Channel listener;
+
     private boolean ready;
+
     /** When the last sweep ran. */
     private long sweptAt = System.nanoTime();
+
     private boolean full;
     private int idle;
     private boolean draining;
     private boolean emptied;
+
     /** Whether other processes listen on the same socket. */
     private boolean shared;
+
     private boolean stopped;
 
     ClientServer(EventLoop loop, Proxy proxy, Settings settings, int maxConnections) {
@@ -117,14 +148,18 @@
     }
 
     /**
-     * On the loop; null where a drain has begun, after which nobody is let in any more. May be called again after it has failed: there
-     * may then be no socket, only a channel that can't be closed either.
+     * On the loop; null where a drain has begun, after which nobody is let in any more. May be
+     * called again after it has failed: there may then be no socket, only a channel that can't be
+     * closed either.
      */
     ChannelFuture listen(Transport transport, SocketAddress address) {
         return draining ? null : listens(serving(transport.server(loop)).bind(address));
     }
 
-    /** Takes clients from a socket that listens already and that other processes take them from as well. */
+    /**
+     * Takes clients from a socket that listens already and that other processes take them from as
+     * well.
+     */
     ChannelFuture listen(ServerSocketChannel passed) {
         shared = true;
         return draining ? null : listens(serving(Transport.server(loop, passed)).register());
@@ -143,16 +178,23 @@
     }
 
     private ServerBootstrap serving(ServerBootstrap server) {
-        return server.handler(new AcceptFailures()).childHandler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                Connection connection = new Connection(channel);
-                channel.pipeline().addLast(connection.bytes, connection.decoder,
-                        new HttpResponseEncoder(), new Bodies(), connection);
-                makeRoom();
-                connections.add(connection);
-            }
-        });
+        return server.handler(new AcceptFailures())
+                .childHandler(
+                        new ChannelInitializer<>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                Connection connection = new Connection(channel);
+                                channel.pipeline()
+                                        .addLast(
+                                                connection.bytes,
+                                                connection.decoder,
+                                                new HttpResponseEncoder(),
+                                                new Bodies(),
+                                                connection);
+                                makeRoom();
+                                connections.add(connection);
+                            }
+                        });
     }
 
     private void sweep() {
@@ -180,9 +222,9 @@
     }
 
     /**
-     * From now on each answer is its connection's last, but for clients that were served before: they may have nowhere
-     * else to go, as another proxy may be just starting. Where another process listens on the same socket all have, and
-     * whoever comes is its client.
+     * From now on each answer is its connection's last, but for clients that were served before:
+     * they may have nowhere else to go, as another proxy may be just starting. Where another
+     * process listens on the same socket all have, and whoever comes is its client.
      */
     void drain() {
         draining = true;
@@ -194,8 +236,8 @@
     }
 
     /**
-     * The operators empty this proxy, or end that. Each answer is then its connection's last; clients have elsewhere to go,
-     * so those that were served before are not kept either.
+     * The operators empty this proxy, or end that. Each answer is then its connection's last;
+     * clients have elsewhere to go, so those that were served before are not kept either.
      */
     void empty(boolean begins) {
         emptied = begins;
@@ -220,8 +262,9 @@
     }
 
     /**
-     * No new connections, and none is kept that has no request. One that has begun to come is still read and served, and so is
-     * one on a connection that waits to be accepted: closing the listener would reset it.
+     * No new connections, and none is kept that has no request. One that has begun to come is still
+     * read and served, and so is one on a connection that waits to be accepted: closing the
+     * listener would reset it.
      */
     void stop() {
         boolean first = !stopped;
@@ -242,8 +285,8 @@
     }
 
     /**
-     * Nothing more is taken: whose request has only begun to come is told to ask elsewhere. Called again until no connection is
-     * left, as bytes may lie unread at the first call.
+     * Nothing more is taken: whose request has only begun to come is told to ask elsewhere. Called
+     * again until no connection is left, as bytes may lie unread at the first call.
      */
     void end() {
         List.copyOf(connections).forEach(Connection::endIfIdle);
@@ -251,10 +294,11 @@
     }
 
     /**
-     * Keeps below the descriptors that are ours. Of those that never had a good request a part may stay, so that a crowd
-     * that says nothing takes no usual client's place; then the one that has waited longest goes, at once, as it may never end
-     * its half. Else the idle one that was used longest ago is ended. If every one is busy the next clients wait in the
-     * listener's backlog until one has its answer: accepting past the limit would fail for all.
+     * Keeps below the descriptors that are ours. Of those that never had a good request a part may
+     * stay, so that a crowd that says nothing takes no usual client's place; then the one that has
+     * waited longest goes, at once, as it may never end its half. Else the idle one that was used
+     * longest ago is ended. If every one is busy the next clients wait in the listener's backlog
+     * until one has its answer: accepting past the limit would fail for all.
      */
     private void makeRoom() {
         boolean crowded = connections.size() + 1 >= maxConnections;
@@ -266,9 +310,13 @@
     }
 
     private void makeRoom(boolean crowded) {
-        List<Connection> unproven = connections.stream().filter(c -> !c.proven && c.hasNoAnswer()).toList();
-        if (!unproven.isEmpty() && (crowded || unproven.size() >= Math.max(1, maxConnections / UNPROVEN_PART))) {
-            unproven.stream().min(Comparator.comparingLong(c -> c.since)).ifPresent(Connection::giveWay);
+        List<Connection> unproven =
+                connections.stream().filter(c -> !c.proven && c.hasNoAnswer()).toList();
+        if (!unproven.isEmpty()
+                && (crowded || unproven.size() >= Math.max(1, maxConnections / UNPROVEN_PART))) {
+            unproven.stream()
+                    .min(Comparator.comparingLong(c -> c.since))
+                    .ifPresent(Connection::giveWay);
         } else if (crowded) {
             endFirstIdle();
         }
@@ -283,8 +331,9 @@
     }
 
     /**
-     * Descriptors are out before the connections that may be held are: one that asks for nothing is let go, and accepting
-     * rests for a moment. Left to Netty it would rest for a second and then go on whatever has been decided meanwhile.
+     * Descriptors are out before the connections that may be held are: one that asks for nothing is
+     * let go, and accepting rests for a moment. Left to Netty it would rest for a second and then
+     * go on whatever has been decided meanwhile.
      */
     private final class AcceptFailures extends ChannelInboundHandlerAdapter {
         @Override
@@ -292,7 +341,10 @@
             log.odd("accept_failed", "cause", cause.getMessage(), "clients", connections.size());
             makeRoom(true);
             accept(false);
-            loop.schedule(() -> accept(!full && !handsOver() && !stopped), ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> accept(!full && !handsOver() && !stopped),
+                    ACCEPT_AGAIN_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -308,57 +360,95 @@
         }
     }
 
-    /** Puts requests together; one whose body is longer than any may be is told of by an exception. */
+    /**
+     * Puts requests together; one whose body is longer than any may be is told of by an exception.
+     */
     private static final class Bodies extends Gatherer {
         @Override
         void accepted(ChannelHandlerContext ctx, HttpMessage message) {
             if (HttpUtil.is100ContinueExpected(message)) {
-                ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                ctx.writeAndFlush(
+                        new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1,
+                                HttpResponseStatus.CONTINUE,
+                                Unpooled.EMPTY_BUFFER));
             }
         }
 
         @Override
         FullHttpMessage whole(HttpMessage head, CompositeByteBuf body) {
             HttpRequest request = (HttpRequest) head;
-            return new DefaultFullHttpRequest(request.protocolVersion(), request.method(), request.uri(), body,
-                    request.headers(), EmptyHttpHeaders.INSTANCE);
+            return new DefaultFullHttpRequest(
+                    request.protocolVersion(),
+                    request.method(),
+                    request.uri(),
+                    body,
+                    request.headers(),
+                    EmptyHttpHeaders.INSTANCE);
         }
     }
 
     /** What a connection is doing; the limits in time go by it. */
-    private enum Phase { SILENT, READING, BUSY, FLOWING, IDLE, CLOSING }
+    private enum Phase {
+        SILENT,
+        READING,
+        BUSY,
+        FLOWING,
+        IDLE,
+        CLOSING
+    }
 
     /** One client's connection: its requests are answered one at a time, in their order. */
-    private final class Connection extends SimpleChannelInboundHandler<HttpObject> implements Proxy.Client {
+    private final class Connection extends SimpleChannelInboundHandler<HttpObject>
+            implements Proxy.Client {
         private final Channel channel;
         private final Bytes bytes = new Bytes();
         private final StrictHttp.Requests decoder = new StrictHttp.Requests();
         private final Queue<Pipelined> pipelined = new ArrayDeque<>();
         private final HalfClose halfClose;
-        /** More came behind an open request than may wait: what waits is refused in its turn, and the rest dropped. */
+
+        /**
+         * More came behind an open request than may wait: what waits is refused in its turn, and
+         * the rest dropped.
+         */
         private boolean flooded;
+
         private Phase phase = Phase.SILENT;
         private long since = System.nanoTime();
         private ChannelFuture written;
+
         /** Whether it ever had a request that could be taken. */
         private boolean proven;
+
         /** Whether it had one before the drain began. */
         private boolean kept;
+
         private String open;
         private boolean keepAlive;
         private boolean speaksChunks;
+
         /** Whether nothing but the end of the connection ends the answer. */
         private boolean endsByClose;
-        /** The body that is coming in parts, and that of the request that is open; null where there is none. */
+
+        /**
+         * The body that is coming in parts, and that of the request that is open; null where there
+         * is none.
+         */
         private Upload coming;
+
         private Upload upload;
+
         /** Bytes read since {@link #since}, and what was left to write when last looked at. */
         private long received;
+
         private long unwritten;
+
         /** When its latest bytes came, or {@link #since} if that is later. */
         private long heardAt = since;
+
         /** Whether bytes have come of a request that has not come whole. */
         private boolean begun;
+
         /** The long answer that is being passed on. */
         private Flow flow;
 
@@ -393,8 +483,9 @@
         }
 
         /**
-         * Ends it where nothing has come on it since its last answer, and tells whether that is so: what has come, read or not, is
-         * still served or refused. The one place by which a connection without a request is ended.
+         * Ends it where nothing has come on it since its last answer, and tells whether that is so:
+         * what has come, read or not, is still served or refused. The one place by which a
+         * connection without a request is ended.
          */
         boolean endIfIdle() {
             boolean idle = (phase == Phase.SILENT || phase == Phase.IDLE) && !hasUnread();
@@ -404,7 +495,10 @@
             return idle;
         }
 
-        /** Gives up its place at once. What has come of a request is refused first, as a close alone would lose it. */
+        /**
+         * Gives up its place at once. What has come of a request is refused first, as a close alone
+         * would lose it.
+         */
         void giveWay() {
             boolean unread = hasUnread();
             if (phase == Phase.READING || phase == Phase.SILENT && unread) {
@@ -426,7 +520,10 @@
             halfClose.begin(written);
         }
 
-        /** A client that sends no end, reads no answer or just stays would hold its descriptor for good. */
+        /**
+         * A client that sends no end, reads no answer or just stays would hold its descriptor for
+         * good.
+         */
         void sweep(long now) {
             if (madeWay()) {
                 restart();
@@ -458,13 +555,16 @@
 
         private boolean tooSlow(long now, long ms) {
             boolean stopped = TimeUnit.NANOSECONDS.toMillis(now - heardAt) >= PAUSE_MS;
-            return stopped || ms >= READING_MS && received < LEAST_BYTES_PER_S * (ms - READING_MS) / 1000;
+            return stopped
+                    || ms >= READING_MS && received < LEAST_BYTES_PER_S * (ms - READING_MS) / 1000;
         }
 
         /** Whether the client has taken something of what it is sent since this was last asked. */
         private boolean madeWay() {
-            ChannelOutboundBuffer out = phase == Phase.BUSY || phase == Phase.READING || phase == Phase.SILENT ? null
-                    : channel.unsafe().outboundBuffer();
+            ChannelOutboundBuffer out =
+                    phase == Phase.BUSY || phase == Phase.READING || phase == Phase.SILENT
+                            ? null
+                            : channel.unsafe().outboundBuffer();
             long before = unwritten;
             unwritten = out == null ? 0 : out.totalPendingWriteBytes() - out.currentProgress();
             return unwritten > 0 && unwritten != before;
@@ -478,7 +578,9 @@
 
         @Override
         public boolean hasLeft() {
-            boolean left = !channel.isActive() || channel instanceof ClientChannel socket && socket.hasLeft();
+            boolean left =
+                    !channel.isActive()
+                            || channel instanceof ClientChannel socket && socket.hasLeft();
             if (left) {
                 // The id may be another's by the time at which the loop tells of the close.
                 open = null;
@@ -559,7 +661,10 @@
             } else if (!method.equals(HttpMethod.GET) && !(api && method.equals(HttpMethod.PUT))) {
                 decline(HttpResponseStatus.METHOD_NOT_ALLOWED);
             } else if (!api) {
-                answer(isReady() && !emptied ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+                answer(
+                        isReady() && !emptied
+                                ? HttpResponseStatus.OK
+                                : HttpResponseStatus.SERVICE_UNAVAILABLE);
             } else {
                 call(request, path, arrived);
             }
@@ -571,31 +676,62 @@
             ServiceClass service = classes.get(headers.get("X-Call-Class", ""));
             double budgetS = number(headers.get("X-Budget"), -1);
             boolean write = in.method().equals(HttpMethod.PUT);
-            boolean unkeyed = write && service != null && service.effect() == Effect.KEYED
-                    && headers.get("Idempotency-Key", "").isEmpty();
-            // Without its key a keyed write's repeat would not be dropped, and it may be sent again.
-            if (!ID.matcher(id).matches() || service == null || unkeyed || proxy.isOpen(id)
+            boolean unkeyed =
+                    write
+                            && service != null
+                            && service.effect() == Effect.KEYED
+                            && headers.get("Idempotency-Key", "").isEmpty();
+            // Without its key a keyed write's repeat would not be dropped, and it may be sent
+            // again.
+            if (!ID.matcher(id).matches()
+                    || service == null
+                    || unkeyed
+                    || proxy.isOpen(id)
                     || !(budgetS >= 0 && budgetS <= MAX_BUDGET_S)) {
                 decline(HttpResponseStatus.BAD_REQUEST);
                 return;
             }
             // A request that came behind another has waited here already.
             double waitedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrived) / 1e3;
-            Request request = new Request(id, service.name(), headers.get("X-Caller"), PathKey.of(path),
-                    Math.max(0, number(headers.get("X-Call-Cost"), 0)) / 1000, Math.max(0, budgetS * 1000 - waitedMs),
-                    write, "1".equals(headers.get("X-Again")), uploadMs(in));
+            Request request =
+                    new Request(
+                            id,
+                            service.name(),
+                            headers.get("X-Caller"),
+                            PathKey.of(path),
+                            Math.max(0, number(headers.get("X-Call-Cost"), 0)) / 1000,
+                            Math.max(0, budgetS * 1000 - waitedMs),
+                            write,
+                            "1".equals(headers.get("X-Again")),
+                            uploadMs(in));
             enter(Phase.BUSY);
             proven = true;
             open = id;
-            byte[] body = in instanceof FullHttpRequest whole ? ByteBufUtil.getBytes(whole.content()) : new byte[0];
-            proxy.request(request, new Proxy.Payload(in.method(), in.uri(), body, headers.get("Idempotency-Key"),
-                    headers.get(HttpHeaderNames.CONTENT_TYPE), upload, HttpUtil.getContentLength(in, -1L)), this);
+            byte[] body =
+                    in instanceof FullHttpRequest whole
+                            ? ByteBufUtil.getBytes(whole.content())
+                            : new byte[0];
+            proxy.request(
+                    request,
+                    new Proxy.Payload(
+                            in.method(),
+                            in.uri(),
+                            body,
+                            headers.get("Idempotency-Key"),
+                            headers.get(HttpHeaderNames.CONTENT_TYPE),
+                            upload,
+                            HttpUtil.getContentLength(in, -1L)),
+                    this);
         }
 
         /** How long the rest of its body may take to come. */
         private double uploadMs(HttpRequest in) {
-            long left = HttpUtil.getContentLength(in, Gatherer.LONGEST) - (upload == null ? 0 : upload.bytes());
-            return upload == null || upload.ended() ? 0 : READING_MS + 1000.0 * Math.max(0, left) / LEAST_BYTES_PER_S;
+            long left =
+                    HttpUtil.getContentLength(in, Gatherer.LONGEST)
+                            - (upload == null ? 0 : upload.bytes());
+            return upload == null || upload.ended()
+                    ? 0
+                    : READING_MS + 1000.0 * Math.max(0, left) / LEAST_BYTES_PER_S;
         }
 
         @Override
@@ -614,10 +750,14 @@
 
         @Override
         public void refused(double retryAfterMs) {
-            FullHttpResponse answer = response(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+            FullHttpResponse answer =
+                    response(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
             if (retryAfterMs > 0) {
-                answer.headers().set(HttpHeaderNames.RETRY_AFTER,
-                        BigDecimal.valueOf((long) Math.ceil(retryAfterMs), 3).toPlainString());
+                answer.headers()
+                        .set(
+                                HttpHeaderNames.RETRY_AFTER,
+                                BigDecimal.valueOf((long) Math.ceil(retryAfterMs), 3)
+                                        .toPlainString());
             }
             answer(answer);
         }
@@ -632,7 +772,8 @@
         }
 
         private FullHttpResponse response(HttpResponseStatus status, ByteBuf body) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
             HttpUtil.setContentLength(response, body.readableBytes());
             return response;
         }
@@ -646,9 +787,13 @@
             return upload != null && !upload.ended();
         }
 
-        /** Whether this answer is its connection's last; if so it says that. What was read already is answered first. */
+        /**
+         * Whether this answer is its connection's last; if so it says that. What was read already
+         * is answered first.
+         */
         private boolean lasts(HttpResponse answer) {
-            // While clients wait to be accepted, a connection that is kept would keep one of them out.
+            // While clients wait to be accepted, a connection that is kept would keep one of them
+            // out.
             boolean ends = stopped || emptying() || draining && !kept || full || crowded();
             boolean last = ends && pipelined.isEmpty() && !begun || !keepAlive || unread();
             if (last) {
@@ -657,7 +802,10 @@
             return last;
         }
 
-        /** The answer has been handed over to be written. What is still coming of its request is read on and dropped. */
+        /**
+         * The answer has been handed over to be written. What is still coming of its request is
+         * read on and dropped.
+         */
         private void ended(boolean last, ChannelFuture handedOver) {
             open = null;
             written = handedOver;
@@ -673,7 +821,10 @@
             }
         }
 
-        /** Answers what is no request for this proxy. Its end is known, so what came behind it still has its answer. */
+        /**
+         * Answers what is no request for this proxy. Its end is known, so what came behind it still
+         * has its answer.
+         */
         private void decline(HttpResponseStatus status) {
             if (upload == null && (begun || !pipelined.isEmpty())) {
                 answer(status);
@@ -695,7 +846,8 @@
 
         @Override
         public Exchange.Rest flows(HttpResponse head, Exchange exchange) {
-            HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            HttpResponse answer =
+                    new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             passType(head, answer);
             long length = HttpUtil.getContentLength(head, -1L);
             if (length >= 0) {
@@ -760,7 +912,8 @@
             if (request != null) {
                 take(request);
             } else if (begun) {
-                // Part of the next one came behind the last: it is owed an answer, or an error in time.
+                // Part of the next one came behind the last: it is owed an answer, or an error in
+                // time.
                 enter(Phase.READING);
             }
         }
@@ -771,7 +924,8 @@
                 each.drop();
                 keepAlive = !pipelined.isEmpty();
                 upload = null;
-                FullHttpResponse answer = response(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+                FullHttpResponse answer =
+                        response(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
                 lasts(answer);
                 written = channel.writeAndFlush(answer);
             }
@@ -797,8 +951,10 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            HttpResponseStatus status = cause instanceof TooLongHttpContentException
-                    ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.INTERNAL_SERVER_ERROR;
+            HttpResponseStatus status =
+                    cause instanceof TooLongHttpContentException
+                            ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
+                            : HttpResponseStatus.INTERNAL_SERVER_ERROR;
             if (cause instanceof IOException) {
                 // The connection is broken: no answer can reach its client.
                 ctx.close();
@@ -834,7 +990,10 @@
         }
     }
 
-    /** A request that came while another was open on its connection, and when, as its time runs from then. */
+    /**
+     * A request that came while another was open on its connection, and when, as its time runs from
+     * then.
+     */
     private record Pipelined(HttpRequest request, Upload upload, long arrived) {
         void drop() {
             ReferenceCountUtil.release(request);
--- a/src/main/java/hopglade/proxy/Clock.java
+++ b/src/main/java/hopglade/proxy/Clock.java
@@ -4,9 +4,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in milliseconds that never runs back: read once from the wall clock and carried on by the monotonic one, so
- * that a step of the wall clock moves no deadline. A step before the start leaves it off by that much for the life of
- * the process: the difference to a Unix time from elsewhere is no span of time (see {@link hopglade.measure.Incarnation}).
+ * Unix time in milliseconds that never runs back: read once from the wall clock and carried on by
+ * the monotonic one, so that a step of the wall clock moves no deadline. A step before the start
+ * leaves it off by that much for the life of the process: the difference to a Unix time from
+ * elsewhere is no span of time (see {@link hopglade.measure.Incarnation}).
  */
 final class Clock {
 
@@ -33,7 +34,10 @@
         return originMs + (nanos.getAsLong() - originNanos) / NANOS_PER_MS;
     }
 
-    /** Nanoseconds until a time of this clock, rounded up so that a timer never fires early; 0 if it has passed. */
+    /**
+     * Nanoseconds until a time of this clock, rounded up so that a timer never fires early; 0 if it
+     * has passed.
+     */
     long nanosUntil(double atMs) {
         return Math.max(0, (long) Math.ceil((atMs - now()) * NANOS_PER_MS));
     }
--- a/src/main/java/hopglade/proxy/Config.java
+++ b/src/main/java/hopglade/proxy/Config.java
@@ -16,15 +16,27 @@
 import java.util.Map;
 
 /**
- * What the deployment tells a proxy. {@code peerListen} and {@code peersAll} are null and {@code peers} empty where
- * proxies may not talk to one another; {@code known} is null where the proxy has never had a list. {@code admin}, the operators'
- * address, is null where there is none, {@code passedSocket} where the proxy binds its clients' socket itself, and
- * {@code shared}, the folder that it shares with the process it replaces, where neither is there.
+ * What the deployment tells a proxy. {@code peerListen} and {@code peersAll} are null and {@code
+ * peers} empty where proxies may not talk to one another; {@code known} is null where the proxy has
+ * never had a list. {@code admin}, the operators' address, is null where there is none, {@code
+ * passedSocket} where the proxy binds its clients' socket itself, and {@code shared}, the folder
+ * that it shares with the process it replaces, where neither is there.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                     InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
-                     HostList known, Settings settings, int maxOpen, InetSocketAddress admin, String passedSocket,
-                     Path shared) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress peersAll,
+        HostList known,
+        Settings settings,
+        int maxOpen,
+        InetSocketAddress admin,
+        String passedSocket,
+        Path shared) {
 
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int HEX = 16;
@@ -49,7 +61,10 @@
         return parse(json, environment);
     }
 
-    /** Reads the file again: what it says of discovery now is newer than the variable that the start was given. */
+    /**
+     * Reads the file again: what it says of discovery now is newer than the variable that the start
+     * was given.
+     */
     static Config reread(Map<String, String> environment) throws ConfigException {
         Map<String, String> others = new HashMap<>(environment);
         others.remove("BALANCER_DISCOVERY");
@@ -65,15 +80,25 @@
             }
             InetSocketAddress admin = optional(o, "admin", environment.get("BALANCER_ADMIN"));
             String passed = environment.get("BALANCER_PASSED_SOCKET");
-            return new Config(text(o, "name", environment.get("BALANCER_NAME")),
+            return new Config(
+                    text(o, "name", environment.get("BALANCER_NAME")),
                     required(o, "listen", environment.get("BALANCER_LISTEN")),
-                    required(o, "discovery", environment.get("BALANCER_DISCOVERY")), seed(o), sockets(o),
-                    optional(o, "peer_listen", null), peers(o), optional(o, "peers_all", null),
-                    known(o), SettingsReader.read(settings), maxOpen(settings),
-                    admin, passed, admin == null && passed == null ? null : shared(environment));
+                    required(o, "discovery", environment.get("BALANCER_DISCOVERY")),
+                    seed(o),
+                    sockets(o),
+                    optional(o, "peer_listen", null),
+                    peers(o),
+                    optional(o, "peers_all", null),
+                    known(o),
+                    SettingsReader.read(settings),
+                    maxOpen(settings),
+                    admin,
+                    passed,
+                    admin == null && passed == null ? null : shared(environment));
         } catch (RuntimeException e) {
             // Gson and the settings' own checks report what is wrong by several unchecked types.
-            throw new ConfigException(String.valueOf(e.getMessage()).lines().findFirst().orElse("malformed"));
+            throw new ConfigException(
+                    String.valueOf(e.getMessage()).lines().findFirst().orElse("malformed"));
         }
     }
 
@@ -85,7 +110,8 @@
         return value == null || value.isJsonNull() ? null : value.getAsString();
     }
 
-    private static InetSocketAddress required(JsonObject o, String field, String override) throws ConfigException {
+    private static InetSocketAddress required(JsonObject o, String field, String override)
+            throws ConfigException {
         String value = text(o, field, override);
         if (value == null) {
             throw new ConfigException(field + ": missing");
@@ -128,11 +154,15 @@
 
     private static int sockets(JsonObject o) {
         JsonObject limits = o.getAsJsonObject("limits");
-        return limits != null && limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_SOCKETS;
+        return limits != null && limits.has("sockets")
+                ? limits.get("sockets").getAsInt()
+                : DEFAULT_SOCKETS;
     }
 
     private static int maxOpen(JsonObject settings) {
         JsonObject limits = settings.getAsJsonObject("limits");
-        return limits != null && limits.has("max_open") ? limits.get("max_open").getAsInt() : Integer.MAX_VALUE;
+        return limits != null && limits.has("max_open")
+                ? limits.get("max_open").getAsInt()
+                : Integer.MAX_VALUE;
     }
 }
--- a/src/main/java/hopglade/proxy/ConfigFileWatch.java
+++ b/src/main/java/hopglade/proxy/ConfigFileWatch.java
@@ -19,16 +19,20 @@
 
     /** Time from the end of one look at the file to the next. */
     static final long INTERVAL_MS = 500;
+
     /** Stands for the checksum of a content that could not be read; no checksum is negative. */
     private static final long UNREADABLE = -1;
 
     /** What the file system says of a regular file. */
-    private record Attributes(Object inode, long size, FileTime modified) { }
+    private record Attributes(Object inode, long size, FileTime modified) {}
 
     private final String file;
+
     /** Null where there is no regular file, or none that can be read. */
     private Attributes attributes;
+
     private long checksum;
+
     /**
      * Whether the attributes were the same at the last two looks. The clock of a file system is
      * coarse, so a write right after a look may leave them as they were: the content is compared
@@ -63,7 +67,8 @@
                     Files.readAttributes(Path.of(file), BasicFileAttributes.class);
             // Reading anything else, as a pipe, might wait without end.
             return read.isRegularFile()
-                    ? new Attributes(read.fileKey(), read.size(), read.lastModifiedTime()) : null;
+                    ? new Attributes(read.fileKey(), read.size(), read.lastModifiedTime())
+                    : null;
         } catch (IOException | InvalidPathException e) {
             return null;
         }
--- a/src/main/java/hopglade/proxy/Discovery.java
+++ b/src/main/java/hopglade/proxy/Discovery.java
@@ -32,45 +32,59 @@
 import java.util.function.LongSupplier;
 
 /**
- * The watch on the list of hosts. Where lists are pushed it is kept up from the start. Where discovery is asked the module has the first
- * call and decides how soon one follows that failed; whatever it decides, this side lets no more than {@link Times#firstWordMs} go by
- * from one call to the next while nobody speaks, as a change counts as told 6 s after discovery had it and could be reached.
+ * The watch on the list of hosts. Where lists are pushed it is kept up from the start. Where
+ * discovery is asked the module has the first call and decides how soon one follows that failed;
+ * whatever it decides, this side lets no more than {@link Times#firstWordMs} go by from one call to
+ * the next while nobody speaks, as a change counts as told 6 s after discovery had it and could be
+ * reached.
  *
- * <p>One watch is the present one. Those that were opened to follow it are asked beside it, and the first that says a whole word, a list or a
- * heartbeat, takes its place: nobody stops listening to one that may still speak. One timer, {@link #alarm}, owns what happens next.
+ * <p>One watch is the present one. Those that were opened to follow it are asked beside it, and the
+ * first that says a whole word, a list or a heartbeat, takes its place: nobody stops listening to
+ * one that may still speak. One timer, {@link #alarm}, owns what happens next.
  */
 final class Discovery {
 
     /**
-     * How long a watch may say nothing, how soon another is opened beside one that has not said its first word, and the longest that goes
-     * by after the end of one that had spoken, or after something that could not be read.
+     * How long a watch may say nothing, how soon another is opened beside one that has not said its
+     * first word, and the longest that goes by after the end of one that had spoken, or after
+     * something that could not be read.
      */
     record Times(long silentMs, long firstWordMs, long backoffMostMs) {
         /**
-         * A heartbeat comes every 2 s, and what a silent watch misses counts as told 6 s after its last: two missed, and the rest
-         * is for a new one. The agent that pushes is on this machine and answers at once, at no cost.
+         * A heartbeat comes every 2 s, and what a silent watch misses counts as told 6 s after its
+         * last: two missed, and the rest is for a new one. The agent that pushes is on this machine
+         * and answers at once, at no cost.
          */
         static final Times PUSHED = new Times(4500, 150, 150);
+
         /**
-         * A service that is asked serves calls in turn, and gives them up after 2 s: one that is reached just after a call was lost has
-         * the next within 1.9 s and its answer here within 3.9. Where a watch that had spoken breaks, the module's own call comes before 400 ms.
+         * A service that is asked serves calls in turn, and gives them up after 2 s: one that is
+         * reached just after a call was lost has the next within 1.9 s and its answer here within
+         * 3.9. Where a watch that had spoken breaks, the module's own call comes before 400 ms.
          */
         static final Times ASKED = new Times(4500, 1900, 400);
     }
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final long FIRST_BACKOFF_MS = 50;
+
     /**
-     * A list that comes on is waited for, as another would bring the same bytes again and be later: the whole list of a large fleet
-     * takes longer than {@link Times#firstWordMs} to read. It comes on if so much was read since the last look, and is waited for
-     * so long at most.
+     * A list that comes on is waited for, as another would bring the same bytes again and be later:
+     * the whole list of a large fleet takes longer than {@link Times#firstWordMs} to read. It comes
+     * on if so much was read since the last look, and is waited for so long at most.
      */
     private static final int FLOWING_BYTES = 16_384;
+
     private static final long FLOWING_MOST_MS = 1000;
     private static final long FLOWING_LOOK_MS = 150;
+
     /** Watches that may be waited for at once. */
     private static final int MOST_ASKED = 4;
-    /** For so many that are opened after its last byte the quietest of them stays: an agent that is late is late for each. */
+
+    /**
+     * For so many that are opened after its last byte the quietest of them stays: an agent that is
+     * late is late for each.
+     */
     private static final int PATIENT_FOR = 20;
 
     private final EventLoop loop;
@@ -85,30 +99,59 @@
     private final DiscoveryOutage outage;
     private final ListChanges changes = new ListChanges();
     private final Deque<Watch> asked = new ArrayDeque<>();
+
     /** How many watches were opened. */
     private long opened;
+
     private Watch present;
     private long heardAt;
     private long version;
-    /** Whether something that the present watch told could not be read; {@link #version} stands still from then on. */
+
+    /**
+     * Whether something that the present watch told could not be read; {@link #version} stands
+     * still from then on.
+     */
     private boolean missed;
+
     private long backoffMs = FIRST_BACKOFF_MS;
     private Future<?> alarm;
 
     /** {@code heard} runs at every list and heartbeat. */
-    Discovery(EventLoop loop, InetSocketAddress address, Proxy proxy, HostList known, boolean pushed, Times times, Runnable heard) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            Proxy proxy,
+            HostList known,
+            boolean pushed,
+            Times times,
+            Runnable heard) {
         this(loop, address, proxy, known, pushed, times, heard, NioSocketChannel::new);
     }
 
     /** For tests: with channels that may fail to be made, as where no descriptor is left. */
-    Discovery(EventLoop loop, InetSocketAddress address, Proxy proxy, HostList known, boolean pushed, Times times, Runnable heard,
-              ChannelFactory<Channel> channels) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            Proxy proxy,
+            HostList known,
+            boolean pushed,
+            Times times,
+            Runnable heard,
+            ChannelFactory<Channel> channels) {
         this(loop, address, proxy, known, pushed, times, heard, channels, System::nanoTime);
     }
 
     /** For tests: with a monotonic clock of theirs too, in nanoseconds. */
-    Discovery(EventLoop loop, InetSocketAddress address, Proxy proxy, HostList known, boolean pushed, Times times, Runnable heard,
-              ChannelFactory<Channel> channels, LongSupplier nanos) {
+    Discovery(
+            EventLoop loop,
+            InetSocketAddress address,
+            Proxy proxy,
+            HostList known,
+            boolean pushed,
+            Times times,
+            Runnable heard,
+            ChannelFactory<Channel> channels,
+            LongSupplier nanos) {
         this.loop = loop;
         this.address = address;
         this.proxy = proxy;
@@ -131,8 +174,9 @@
     }
 
     /**
-     * Goes on at another address, from nothing: what the old one numbered may mean something else there. The module
-     * keeps its list until the new one has told its own; nothing more of the old watch is heard.
+     * Goes on at another address, from nothing: what the old one numbered may mean something else
+     * there. The module keeps its list until the new one has told its own; nothing more of the old
+     * watch is heard.
      */
     void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -152,14 +196,20 @@
         subscribe();
     }
 
-    /** The module's call; without effect while one is out already or the watch is well, as it may come late. */
+    /**
+     * The module's call; without effect while one is out already or the watch is well, as it may
+     * come late.
+     */
     void subscribe() {
         if (asked.isEmpty() && (present == null || missed || quietMs() >= times.silentMs)) {
             open();
         }
     }
 
-    /** Asks for a watch from the last version seen; the present one is heard until the new one has spoken. */
+    /**
+     * Asks for a watch from the last version seen; the present one is heard until the new one has
+     * spoken.
+     */
     private void open() {
         if (asked.size() >= MOST_ASKED) {
             Watch least = leastHopeful();
@@ -185,9 +235,13 @@
         }
     }
 
-    /** Those that have begun to speak stay as long as the quietest may, and so does the first of those that have not. */
+    /**
+     * Those that have begun to speak stay as long as the quietest may, and so does the first of
+     * those that have not.
+     */
     private Watch leastHopeful() {
-        List<Watch> quietest = asked.stream().sorted(Comparator.comparingLong(w -> w.openedThen)).toList();
+        List<Watch> quietest =
+                asked.stream().sorted(Comparator.comparingLong(w -> w.openedThen)).toList();
         List<Watch> mute = quietest.stream().filter(w -> !w.begun).toList();
         if (mute.isEmpty() || opened - quietest.get(0).openedThen >= PATIENT_FOR) {
             return quietest.get(0);
@@ -206,7 +260,10 @@
         return TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong() - heardAt);
     }
 
-    /** A watch has said a whole word: it is the present one from here on, and no other is waited for. */
+    /**
+     * A watch has said a whole word: it is the present one from here on, and no other is waited
+     * for.
+     */
     private void spoke(Watch watch) {
         heardAt = nanos.getAsLong();
         outage.heard(address);
@@ -225,13 +282,18 @@
     }
 
     private void closeAsked() {
-        List.copyOf(asked).forEach(w -> {
-            asked.remove(w);
-            w.close();
-        });
+        List.copyOf(asked)
+                .forEach(
+                        w -> {
+                            asked.remove(w);
+                            w.close();
+                        });
     }
 
-    /** Looks whether the present watch has fallen silent: then it is broken, as missed heartbeats are the only sign of that. */
+    /**
+     * Looks whether the present watch has fallen silent: then it is broken, as missed heartbeats
+     * are the only sign of that.
+     */
     private void listen() {
         long quietMs = quietMs();
         if (quietMs < times.silentMs) {
@@ -282,7 +344,10 @@
         proxy.discoveryRefused();
     }
 
-    /** The pause grows until a list has been read: one that never can be is not to be asked for without end. */
+    /**
+     * The pause grows until a list has been read: one that never can be is not to be asked for
+     * without end.
+     */
     private void againLater() {
         alarm(backoffMs, this::open);
         backoffMs = Math.min(pushed ? times.backoffMostMs : times.firstWordMs, 2 * backoffMs);
@@ -293,40 +358,57 @@
         private final ChannelFuture connecting;
         private final Channel channel;
         private final JsonObjects objects = new JsonObjects(this);
+
         /** What it was asked to go on from. */
         private final long from = version;
+
         /** How many had been opened when its last byte came. */
         private long openedThen = opened;
+
         private boolean begun;
+
         /** What was wrong with the answer; null where it was only closed. */
         private String fault;
+
         private long begunAt;
+
         /** Bytes of its body so far, and those that there were at the last look. */
         private long read;
+
         private long readBefore;
 
         Watch() {
-            connecting = new Bootstrap().group(loop).channelFactory(channels)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                    .handler(new ChannelInitializer<>() {
-                        @Override
-                        protected void initChannel(Channel opened) {
-                            opened.pipeline().addLast(new HttpClientCodec(), new Body());
-                        }
-                    }).connect(address);
+            connecting =
+                    new Bootstrap()
+                            .group(loop)
+                            .channelFactory(channels)
+                            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                            .handler(
+                                    new ChannelInitializer<>() {
+                                        @Override
+                                        protected void initChannel(Channel opened) {
+                                            opened.pipeline()
+                                                    .addLast(new HttpClientCodec(), new Body());
+                                        }
+                                    })
+                            .connect(address);
             channel = connecting.channel();
             channel.closeFuture().addListener(f -> ended(this));
-            connecting.addListener((ChannelFuture f) -> {
-                if (f.isSuccess()) {
-                    var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                            "/discovery/hosts?watch=1&from=" + from);
-                    request.headers().set(HttpHeaderNames.HOST, "discovery.internal");
-                    channel.writeAndFlush(request);
-                } else if (!loop.isShuttingDown()) {
-                    // Without a descriptor there was no channel, and none that closes.
-                    loop.execute(() -> ended(this));
-                }
-            });
+            connecting.addListener(
+                    (ChannelFuture f) -> {
+                        if (f.isSuccess()) {
+                            var request =
+                                    new DefaultFullHttpRequest(
+                                            HttpVersion.HTTP_1_1,
+                                            HttpMethod.GET,
+                                            "/discovery/hosts?watch=1&from=" + from);
+                            request.headers().set(HttpHeaderNames.HOST, "discovery.internal");
+                            channel.writeAndFlush(request);
+                        } else if (!loop.isShuttingDown()) {
+                            // Without a descriptor there was no channel, and none that closes.
+                            loop.execute(() -> ended(this));
+                        }
+                    });
         }
 
         void close() {
@@ -347,7 +429,8 @@
         private boolean flows() {
             boolean much = read - readBefore >= FLOWING_BYTES;
             readBefore = read;
-            return much && nanos.getAsLong() - begunAt < TimeUnit.MILLISECONDS.toNanos(FLOWING_MOST_MS);
+            return much
+                    && nanos.getAsLong() - begunAt < TimeUnit.MILLISECONDS.toNanos(FLOWING_MOST_MS);
         }
 
         private void took(int bytes) {
@@ -372,8 +455,19 @@
                 if (behindSpoilt) {
                     spoilt();
                 }
-                changes.of(list).forEach(h -> Log.event("list", "version", list.version(), "node", h.node().id(),
-                        "availability", h.node().availability(), "dial", h.dial()));
+                changes.of(list)
+                        .forEach(
+                                h ->
+                                        Log.event(
+                                                "list",
+                                                "version",
+                                                list.version(),
+                                                "node",
+                                                h.node().id(),
+                                                "availability",
+                                                h.node().availability(),
+                                                "dial",
+                                                h.dial()));
                 proxy.hosts(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
                 if (missed && list.whole()) {
                     missed = false;
@@ -423,7 +517,9 @@
                         && !head.status().equals(HttpResponseStatus.OK)) {
                     fault = "HTTP status " + head.status().code();
                     ctx.close();
-                } else if (part instanceof HttpContent content && content.content().isReadable() && counts()) {
+                } else if (part instanceof HttpContent content
+                        && content.content().isReadable()
+                        && counts()) {
                     took(content.content().readableBytes());
                     objects.read(content.content());
                 }
--- a/src/main/java/hopglade/proxy/DiscoveryOutage.java
+++ b/src/main/java/hopglade/proxy/DiscoveryOutage.java
@@ -12,17 +12,24 @@
 
     /** How long nothing may be heard before that is worth a line of the log. */
     static final long UNREACHABLE_MS = 4000;
+
     private static final String NO_ANSWER = "no answer";
 
     private final LongSupplier nanos;
+
     /** When the last word came from discovery, or else the first attempt began. */
     private long quietSince;
+
     private boolean begun;
+
     /** Attempts since the last word, or since the last move to another address. */
     private int attempts;
+
     /** Whether one has failed since then. */
     private boolean failed;
+
     private String lastError = NO_ANSWER;
+
     /** The address that the log told of as unreachable; null where it told of no outage. */
     private InetSocketAddress reported;
 
@@ -39,8 +46,14 @@
         }
         if (attempts > 0 && quietMs() > UNREACHABLE_MS && !address.equals(reported)) {
             reported = address;
-            Log.warn("discovery_unreachable", "address", address, "since_ms", quietMs(),
-                    "cause", lastError);
+            Log.warn(
+                    "discovery_unreachable",
+                    "address",
+                    address,
+                    "since_ms",
+                    quietMs(),
+                    "cause",
+                    lastError);
         }
         attempts++;
     }
--- a/src/main/java/hopglade/proxy/Exchange.java
+++ b/src/main/java/hopglade/proxy/Exchange.java
@@ -13,21 +13,31 @@
 import java.util.function.Supplier;
 
 /**
- * One request to one node and its one outcome. Until its last byte is written nothing of it has run: it can be given up
- * without a trace, and is where nobody waits for it any more or its time for being written is over.
+ * One request to one node and its one outcome. Until its last byte is written nothing of it has
+ * run: it can be given up without a trace, and is where nobody waits for it any more or its time
+ * for being written is over.
  */
 final class Exchange {
 
-    /** Takes how an exchange ended; {@code response} is null where no whole answer came and is released afterwards. */
+    /**
+     * Takes how an exchange ended; {@code response} is null where no whole answer came and is
+     * released afterwards.
+     */
     interface Done {
         void ended(Exchange exchange, Outcome outcome, FullHttpResponse response);
 
-        /** Whether somebody still waits for its answer; asked in the moment in which its first byte could be written. */
+        /**
+         * Whether somebody still waits for its answer; asked in the moment in which its first byte
+         * could be written.
+         */
         default boolean isWanted() {
             return true;
         }
 
-        /** A good answer that is too long to be gathered has begun; null where nobody takes its rest. */
+        /**
+         * A good answer that is too long to be gathered has begun; null where nobody takes its
+         * rest.
+         */
         default Rest began(Exchange exchange, HttpResponse head) {
             return null;
         }
@@ -48,21 +58,36 @@
     private final LongSupplier nanos;
     private final Done done;
     final Upload upload;
+
     /** Who takes the rest of a long answer; null where there is none, or none is left. */
     Rest rest;
+
     /** Its connection, which may be coming up still; null while it waits for one. */
     Channel channel;
+
     /** Whether its last byte is. */
     boolean written;
+
     boolean over;
-    /** How long its connection had been idle, 0 for a new one; and whether bytes of an answer have come. */
+
+    /**
+     * How long its connection had been idle, 0 for a new one; and whether bytes of an answer have
+     * come.
+     */
     double idleMs;
+
     boolean answering;
     private Future<?> timer;
     private Future<?> writeTimer;
     private long writeBy;
 
-    Exchange(Supplier<? extends HttpRequest> request, Upload upload, Done done, EventLoop loop, IdleAges ages, LongSupplier nanos) {
+    Exchange(
+            Supplier<? extends HttpRequest> request,
+            Upload upload,
+            Done done,
+            EventLoop loop,
+            IdleAges ages,
+            LongSupplier nanos) {
         this.request = request;
         this.upload = upload;
         this.done = done;
@@ -75,7 +100,10 @@
         return request.get();
     }
 
-    /** Gives it up. The connection goes too: its answer may still come and would be taken for another's. */
+    /**
+     * Gives it up. The connection goes too: its answer may still come and would be taken for
+     * another's.
+     */
     void cancel() {
         abandon(Outcome.CANCELLED);
         if (rest != null) {
@@ -91,20 +119,31 @@
         }
     }
 
-    /** Gives it up after so long from now; said again for a request whose body flows, as its time begins with its last byte. */
+    /**
+     * Gives it up after so long from now; said again for a request whose body flows, as its time
+     * begins with its last byte.
+     */
     void limit(double timeoutMs) {
         if (!over) {
             stop(timer);
-            timer = loop.schedule(this::timedOut, (long) (Math.max(0, timeoutMs) * 1e6), TimeUnit.NANOSECONDS);
+            timer =
+                    loop.schedule(
+                            this::timedOut,
+                            (long) (Math.max(0, timeoutMs) * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Has its last byte written within so long, or never: what may not run twice may be repeated for a short while only. */
+    /**
+     * Has its last byte written within so long, or never: what may not run twice may be repeated
+     * for a short while only.
+     */
     void writeWithin(double ms) {
         if (ms < Long.MAX_VALUE / 1e6) {
             long left = (long) (ms * 1e6);
             writeBy = nanos.getAsLong() + left;
-            writeTimer = loop.schedule(this::dropUnlessWritten, Math.max(0, left), TimeUnit.NANOSECONDS);
+            writeTimer =
+                    loop.schedule(this::dropUnlessWritten, Math.max(0, left), TimeUnit.NANOSECONDS);
         }
     }
 
@@ -119,7 +158,10 @@
         return !over;
     }
 
-    /** Gives it up if it can't have run, whatever the settings say of giving up: then nothing was sent. */
+    /**
+     * Gives it up if it can't have run, whatever the settings say of giving up: then nothing was
+     * sent.
+     */
     void dropUnlessWritten() {
         if (!written) {
             abandon(Outcome.NEVER_SENT);
--- a/src/main/java/hopglade/proxy/FullTable.java
+++ b/src/main/java/hopglade/proxy/FullTable.java
@@ -3,16 +3,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a proxy keeps to at a node whose table of connections is full: no further connection is opened for a pause, at first
- * {@link #FIRST_MS} and, doubling with each one turned away, at most {@link #MOST_MS}. Times are nanoseconds of one clock.
+ * What a proxy keeps to at a node whose table of connections is full: no further connection is
+ * opened for a pause, at first {@link #FIRST_MS} and, doubling with each one turned away, at most
+ * {@link #MOST_MS}. Times are nanoseconds of one clock.
  */
 public final class FullTable {
 
     /**
-     * A connection beyond the first to a node closes after so long without a use. Nodes hold only so many, and what the
-     * proxies keep for their own next burst is missing for another's present one; opening one costs a handshake.
+     * A connection beyond the first to a node closes after so long without a use. Nodes hold only
+     * so many, and what the proxies keep for their own next burst is missing for another's present
+     * one; opening one costs a handshake.
      */
     public static final double SPARE_MS = 250;
+
     private static final double FIRST_MS = 50;
     private static final double MOST_MS = 1000;
 
@@ -25,7 +28,10 @@
         return met;
     }
 
-    /** Whether the node turned a new connection away so lately that another is not worth its handshake. */
+    /**
+     * Whether the node turned a new connection away so lately that another is not worth its
+     * handshake.
+     */
     public boolean pausing(long now) {
         return met && now - until < 0;
     }
--- a/src/main/java/hopglade/proxy/Gatherer.java
+++ b/src/main/java/hopglade/proxy/Gatherer.java
@@ -15,13 +15,15 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Puts messages of up to 64 KiB together and hands each on whole. Of a longer one it hands on the head as soon as it knows,
- * and then the parts as they come; so no more than those 64 KiB are ever held for a connection.
+ * Puts messages of up to 64 KiB together and hands each on whole. Of a longer one it hands on the
+ * head as soon as it knows, and then the parts as they come; so no more than those 64 KiB are ever
+ * held for a connection.
  */
 abstract class Gatherer extends ChannelInboundHandlerAdapter {
 
     /** What is still gathered, and the longest message of all: peers may send 32 MB. */
     static final int MOST_GATHERED = 64 * 1024;
+
     static final long LONGEST = 33L << 20;
 
     /** Of more pieces one is made: each holds a whole read, however few bytes it has. */
@@ -31,6 +33,7 @@
     private CompositeByteBuf body;
     private long bytes;
     private boolean flows;
+
     /** Of a message that was given up, the rest is dropped. */
     private boolean drops;
 
@@ -38,7 +41,7 @@
     abstract FullHttpMessage whole(HttpMessage head, CompositeByteBuf body);
 
     /** The head was read, and the rest may come. */
-    void accepted(ChannelHandlerContext ctx, HttpMessage message) { }
+    void accepted(ChannelHandlerContext ctx, HttpMessage message) {}
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -71,7 +74,10 @@
         }
     }
 
-    /** The length that it names, 0 without one; one that is no number makes the message one that can't be read. */
+    /**
+     * The length that it names, 0 without one; one that is no number makes the message one that
+     * can't be read.
+     */
     private static long length(HttpMessage message) {
         try {
             return HttpUtil.getContentLength(message, 0L);
@@ -88,7 +94,8 @@
     }
 
     private void tooLong(ChannelHandlerContext ctx) {
-        ctx.fireExceptionCaught(new TooLongHttpContentException("a message of over " + LONGEST + " bytes"));
+        ctx.fireExceptionCaught(
+                new TooLongHttpContentException("a message of over " + LONGEST + " bytes"));
     }
 
     private void part(ChannelHandlerContext ctx, HttpContent part) {
--- a/src/main/java/hopglade/proxy/Governing.java
+++ b/src/main/java/hopglade/proxy/Governing.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Joins a proxy to the fleet's policy. Held apart, so that a proxy that goes by its own file loads nothing of it. */
+/**
+ * Joins a proxy to the fleet's policy. Held apart, so that a proxy that goes by its own file loads
+ * nothing of it.
+ */
 final class Governing {
 
     private final Proxy proxy;
@@ -28,24 +31,40 @@
     /**
      * Begins; {@code configure} takes what an epoch says, on the loop.
      *
-     * @param outByOperators whether this proxy's own operators hold a node out, which no policy ends
+     * @param outByOperators whether this proxy's own operators hold a node out, which no policy
+     *     ends
      */
-    static Governing open(EventLoop loop, Options own, long seed, Proxy proxy, Predicate<String> outByOperators, Consumer<Options> configure)
+    static Governing open(
+            EventLoop loop,
+            Options own,
+            long seed,
+            Proxy proxy,
+            Predicate<String> outByOperators,
+            Consumer<Options> configure)
             throws IOException, InterruptedException {
         Governing governing = new Governing(proxy, outByOperators);
         loop.submit(() -> governing.want(own.nodes().out())).sync();
-        governing.service = PolicyService.open(loop, own, Path.of(System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))), seed, new PolicyService.Hooks() {
-            @Override
-            public void apply(Options options) {
-                configure.accept(options);
-                governing.want(options.nodes().out());
-            }
+        governing.service =
+                PolicyService.open(
+                        loop,
+                        own,
+                        Path.of(
+                                System.getenv()
+                                        .getOrDefault(
+                                                "TMPDIR", System.getProperty("java.io.tmpdir"))),
+                        seed,
+                        new PolicyService.Hooks() {
+                            @Override
+                            public void apply(Options options) {
+                                configure.accept(options);
+                                governing.want(options.nodes().out());
+                            }
 
-            @Override
-            public void event(String name, Object... fields) {
-                Log.event(name, fields);
-            }
-        });
+                            @Override
+                            public void event(String name, Object... fields) {
+                                Log.event(name, fields);
+                            }
+                        });
         return governing;
     }
 
--- a/src/main/java/hopglade/proxy/HalfClose.java
+++ b/src/main/java/hopglade/proxy/HalfClose.java
@@ -8,15 +8,17 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * The way in which a client's connection is ended: our half once what was written is out, so that the client reads the last answer
- * and then the end. What it still sends is read and dropped until it has ended its own half, for a bounded time and so many bytes:
- * a close over input that lies unread resets the connection, and takes the last answer along. Nothing that is read from then on
+ * The way in which a client's connection is ended: our half once what was written is out, so that
+ * the client reads the last answer and then the end. What it still sends is read and dropped until
+ * it has ended its own half, for a bounded time and so many bytes: a close over input that lies
+ * unread resets the connection, and takes the last answer along. Nothing that is read from then on
  * is sent on, so a request that crosses the end never ran, and its client sends it once more.
  */
 final class HalfClose {
 
     private static final long LINGER_MS = 1000;
     private static final long LINGER_BYTES = 1 << 20;
+
     /** How long an answer may make no way at all to a client. */
     private static final long UNREAD_MS = 5000;
 
@@ -28,7 +30,9 @@
         this.channel = channel;
     }
 
-    /** {@code written} is the last that was handed over to be written; null where nothing ever was. */
+    /**
+     * {@code written} is the last that was handed over to be written; null where nothing ever was.
+     */
     void begin(ChannelFuture written) {
         lastWrite = written;
         channel.config().setAutoRead(true);
@@ -47,7 +51,10 @@
         }
     }
 
-    /** Something more that was read; past what is read for courtesy the rest waits on the client's side. */
+    /**
+     * Something more that was read; past what is read for courtesy the rest waits on the client's
+     * side.
+     */
     void drop(Object message) {
         dropped += message instanceof ByteBuf in ? in.readableBytes() : 0;
         ReferenceCountUtil.release(message);
@@ -56,7 +63,10 @@
         }
     }
 
-    /** Closes both halves when the client has had its time, {@code ms} since it last took or sent something. */
+    /**
+     * Closes both halves when the client has had its time, {@code ms} since it last took or sent
+     * something.
+     */
     void sweep(long ms) {
         if (ms >= (isWritten() ? LINGER_MS : UNREAD_MS)) {
             channel.close();
@@ -68,7 +78,10 @@
         return lastWrite == null || lastWrite.isDone();
     }
 
-    /** Resets the connection: only so can a client tell that an answer is not whole which nothing but the end would have ended. */
+    /**
+     * Resets the connection: only so can a client tell that an answer is not whole which nothing
+     * but the end would have ended.
+     */
     void reset() {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
--- a/src/main/java/hopglade/proxy/Hangup.java
+++ b/src/main/java/hopglade/proxy/Hangup.java
@@ -6,12 +6,13 @@
 import java.lang.invoke.MethodType;
 
 /**
- * SIGHUP, the usual sign for a new configuration; unhandled it ends a process. The Java machine's interface to signals
- * is supported but not standard, so it is looked up by name: the compiler warns of any other use.
+ * SIGHUP, the usual sign for a new configuration; unhandled it ends a process. The Java machine's
+ * interface to signals is supported but not standard, so it is looked up by name: the compiler
+ * warns of any other use.
  */
 public final class Hangup {
 
-    private Hangup() { }
+    private Hangup() {}
 
     /**
      * Runs {@code reload} at each signal from now on, on a thread of the Java machine's. False
@@ -23,12 +24,18 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             MethodHandles.Lookup lookup = MethodHandles.publicLookup();
-            MethodHandle run = lookup.findVirtual(Runnable.class, "run", MethodType.methodType(void.class))
-                    .bindTo(reload);
-            Object handling = MethodHandleProxies.asInterfaceInstance(handler,
-                    MethodHandles.dropArguments(run, 0, signal));
-            Object previous = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
+            MethodHandle run =
+                    lookup.findVirtual(Runnable.class, "run", MethodType.methodType(void.class))
+                            .bindTo(reload);
+            Object handling =
+                    MethodHandleProxies.asInterfaceInstance(
+                            handler, MethodHandles.dropArguments(run, 0, signal));
+            Object previous =
+                    signal.getMethod("handle", signal, handler)
+                            .invoke(
+                                    null,
+                                    signal.getConstructor(String.class).newInstance("HUP"),
+                                    handling);
             return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIGHUP cannot be handled here", e);
--- a/src/main/java/hopglade/proxy/HostList.java
+++ b/src/main/java/hopglade/proxy/HostList.java
@@ -14,7 +14,7 @@
 public record HostList(long version, boolean whole, List<Host> hosts) {
 
     /** A host and where this proxy reaches it. */
-    record Host(Node node, SocketAddress dial) { }
+    record Host(Node node, SocketAddress dial) {}
 
     public HostList {
         hosts = List.copyOf(hosts);
@@ -32,23 +32,35 @@
             for (JsonElement entry : entries == null ? new JsonArray() : entries) {
                 hosts.add(host(entry.getAsJsonObject()));
             }
-            return new HostList(field(o, "seq").getAsLong(), field(o, "whole").getAsBoolean(), hosts);
+            return new HostList(
+                    field(o, "seq").getAsLong(), field(o, "whole").getAsBoolean(), hosts);
         } catch (IllegalStateException | UnsupportedOperationException | ClassCastException e) {
             throw new IllegalArgumentException("host list: " + e.getMessage());
         }
     }
 
     private static Host host(JsonObject o) {
-        Availability availability = switch (field(o, "health").getAsString()) {
-            case "up" -> Availability.UP;
-            case "draining" -> Availability.DRAINING;
-            case "removed" -> Availability.GONE;
-            default -> throw new IllegalArgumentException("host list: unknown health " + o.get("health"));
-        };
-        boolean dialled = availability != Availability.GONE || o.has("dial") && !o.get("dial").isJsonNull();
+        Availability availability =
+                switch (field(o, "health").getAsString()) {
+                    case "up" -> Availability.UP;
+                    case "draining" -> Availability.DRAINING;
+                    case "removed" -> Availability.GONE;
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "host list: unknown health " + o.get("health"));
+                };
+        boolean dialled =
+                availability != Availability.GONE || o.has("dial") && !o.get("dial").isJsonNull();
         InetSocketAddress dial = dialled ? Addresses.parse(field(o, "dial").getAsString()) : null;
-        Node node = new Node(field(o, "host").getAsString(), text(o, "class", null), text(o, "site", ""),
-                (int) number(o, "block", 0), number(o, "share", 1), number(o, "born_ms", 0), availability);
+        Node node =
+                new Node(
+                        field(o, "host").getAsString(),
+                        text(o, "class", null),
+                        text(o, "site", ""),
+                        (int) number(o, "block", 0),
+                        number(o, "share", 1),
+                        number(o, "born_ms", 0),
+                        availability);
         return new Host(node, dial);
     }
 
--- a/src/main/java/hopglade/proxy/JsonObjects.java
+++ b/src/main/java/hopglade/proxy/JsonObjects.java
@@ -8,16 +8,21 @@
 import java.util.List;
 
 /**
- * Cuts a stream into its JSON objects, whether each stands on one line or is indented over many, and tells empty lines, the
- * heartbeats, from them. One that is spoilt or breaks off costs itself alone: an object that begins at the start of a line may
- * be a new one inside a broken one, so it is followed beside it, and the first that makes sense wins. Netty's JsonObjectDecoder
- * passes over heartbeats, takes what follows a broken object for its inside, and after nonsense says nothing more.
+ * Cuts a stream into its JSON objects, whether each stands on one line or is indented over many,
+ * and tells empty lines, the heartbeats, from them. One that is spoilt or breaks off costs itself
+ * alone: an object that begins at the start of a line may be a new one inside a broken one, so it
+ * is followed beside it, and the first that makes sense wins. Netty's JsonObjectDecoder passes over
+ * heartbeats, takes what follows a broken object for its inside, and after nonsense says nothing
+ * more.
  */
 final class JsonObjects {
 
     /** Takes what was cut out. */
     interface Sink {
-        /** Braces that balance, perhaps behind one that broke off; returns whether it is an object that makes sense. */
+        /**
+         * Braces that balance, perhaps behind one that broke off; returns whether it is an object
+         * that makes sense.
+         */
         boolean object(String text, boolean behindSpoilt);
 
         void emptyLine();
@@ -26,20 +31,32 @@
         void spoilt();
     }
 
-    /** Bytes of the longest object: the whole list of 3,200 hosts takes 1.2 MB where it comes indented. */
+    /**
+     * Bytes of the longest object: the whole list of 3,200 hosts takes 1.2 MB where it comes
+     * indented.
+     */
     static final int LONGEST = 1 << 22;
+
     private static final int MOST_BEGUN = 8;
     private static final int FIRST_BYTES = 4096;
-    /** Whether a byte, taken as unsigned, neither begins nor ends a text, an object, an array or a line. */
+
+    /**
+     * Whether a byte, taken as unsigned, neither begins nor ends a text, an object, an array or a
+     * line.
+     */
     private static final boolean[] PLAIN = plain();
 
     private final Sink sink;
+
     /** Oldest first. */
     private final List<Begun> begun = new ArrayList<>();
+
     private byte[] bytes = new byte[FIRST_BYTES];
     private int length;
+
     /** Whether the line that comes has shown nothing yet, and nothing but blanks. */
     private boolean lineStarts = true;
+
     private boolean lineEmpty = true;
 
     JsonObjects(Sink sink) {
@@ -58,7 +75,7 @@
     void read(ByteBuf in) {
         byte[] piece = ByteBufUtil.getBytes(in);
         in.skipBytes(piece.length);
-        for (int at = 0; at < piece.length;) {
+        for (int at = 0; at < piece.length; ) {
             int run = plainRun(piece, at);
             if (run == 0) {
                 take(piece[at]);
@@ -71,8 +88,9 @@
     }
 
     /**
-     * How many bytes from here on change nothing but the length of what is kept: all but quotes, brackets, escapes and line ends,
-     * inside an object and behind the first byte of a line. Nearly all bytes of a long list are such.
+     * How many bytes from here on change nothing but the length of what is kept: all but quotes,
+     * brackets, escapes and line ends, inside an object and behind the first byte of a line. Nearly
+     * all bytes of a long list are such.
      */
     private int plainRun(byte[] piece, int from) {
         if (begun.isEmpty() || lineEmpty || isEscaped()) {
@@ -149,7 +167,7 @@
     }
 
     private void follow(byte b) {
-        for (int i = 0; i < begun.size();) {
+        for (int i = 0; i < begun.size(); ) {
             Begun open = begun.get(i);
             if (!open.follow(b)) {
                 begun.remove(i);
@@ -161,7 +179,9 @@
                 continue;
             }
             begun.remove(i);
-            if (sink.object(new String(bytes, open.from, length - open.from, StandardCharsets.UTF_8), !begun.isEmpty())) {
+            if (sink.object(
+                    new String(bytes, open.from, length - open.from, StandardCharsets.UTF_8),
+                    !begun.isEmpty())) {
                 drop();
                 return;
             }
@@ -212,7 +232,7 @@
                 case '"' -> text = true;
                 case '{', '[' -> depth++;
                 case '}', ']' -> depth--;
-                default -> { }
+                default -> {}
             }
             return true;
         }
--- a/src/main/java/hopglade/proxy/ListChanges.java
+++ b/src/main/java/hopglade/proxy/ListChanges.java
@@ -10,12 +10,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Picks what is worth a line of the log from each list: weights alone change many times a second in a large fleet. */
+/**
+ * Picks what is worth a line of the log from each list: weights alone change many times a second in
+ * a large fleet.
+ */
 final class ListChanges {
 
     private final Map<String, Host> told = new HashMap<>();
 
-    /** Hosts that came, went, moved, started anew or changed their availability since the list before. */
+    /**
+     * Hosts that came, went, moved, started anew or changed their availability since the list
+     * before.
+     */
     List<Host> of(HostList list) {
         List<Host> changed = new ArrayList<>();
         Set<String> named = new HashSet<>();
@@ -27,19 +33,32 @@
             }
         }
         if (list.whole()) {
-            told.values().stream().filter(h -> !named.contains(h.node().id()) && h.node().availability() != Availability.GONE)
-                    .map(h -> new Host(gone(h.node()), h.dial())).forEach(changed::add);
+            told.values().stream()
+                    .filter(
+                            h ->
+                                    !named.contains(h.node().id())
+                                            && h.node().availability() != Availability.GONE)
+                    .map(h -> new Host(gone(h.node()), h.dial()))
+                    .forEach(changed::add);
             told.keySet().retainAll(named);
         }
         return changed;
     }
 
     private static boolean same(Host a, Host b) {
-        return a.node().availability() == b.node().availability() && a.node().startedAtMs() == b.node().startedAtMs()
+        return a.node().availability() == b.node().availability()
+                && a.node().startedAtMs() == b.node().startedAtMs()
                 && (a.dial() == null ? b.dial() == null : a.dial().equals(b.dial()));
     }
 
     private static Node gone(Node node) {
-        return new Node(node.id(), node.model(), node.zone(), node.cell(), node.weight(), node.startedAtMs(), Availability.GONE);
+        return new Node(
+                node.id(),
+                node.model(),
+                node.zone(),
+                node.cell(),
+                node.weight(),
+                node.startedAtMs(),
+                Availability.GONE);
     }
 }
--- a/src/main/java/hopglade/proxy/Log.java
+++ b/src/main/java/hopglade/proxy/Log.java
@@ -7,9 +7,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The log: events with a name and named fields. A brake holds back what strangers can cause at any rate: a flood of bad
- * input must not become a flood of lines. The platform's text form is written by slf4j-simple, JSON by logback, which is
- * loaded only where it was asked for.
+ * The log: events with a name and named fields. A brake holds back what strangers can cause at any
+ * rate: a flood of bad input must not become a flood of lines. The platform's text form is written
+ * by slf4j-simple, JSON by logback, which is loaded only where it was asked for.
  */
 public final class Log {
 
@@ -35,8 +35,11 @@
         Options.Format format = chosen ? options.format() : next.format();
         if (!chosen) {
             System.setProperty("slf4j.internal.verbosity", "WARN");
-            System.setProperty(PROVIDER, format == Options.Format.JSON
-                    ? "ch.qos.logback.classic.spi.LogbackServiceProvider" : "org.slf4j.simple.SimpleServiceProvider");
+            System.setProperty(
+                    PROVIDER,
+                    format == Options.Format.JSON
+                            ? "ch.qos.logback.classic.spi.LogbackServiceProvider"
+                            : "org.slf4j.simple.SimpleServiceProvider");
             System.setProperty("logback.configurationFile", "hopglade-logback.xml");
         }
         chosen = true;
--- a/src/main/java/hopglade/proxy/LoopWatch.java
+++ b/src/main/java/hopglade/proxy/LoopWatch.java
@@ -10,10 +10,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Times each turn of an event loop: first what its connections brought is read, then its tasks and timers run. A slow one is told of
- * with both times and how many connections were ready, as everything else waits for it. So is a wait that ends late, for which the
- * loop did nothing: the machine had no core for it, or another thread held what it needed. Costs four readings of the clock a turn.
- * And it has the loop sleep until a timer is due, where the last part of a millisecond would be spent on asking the system again.
+ * Times each turn of an event loop: first what its connections brought is read, then its tasks and
+ * timers run. A slow one is told of with both times and how many connections were ready, as
+ * everything else waits for it. So is a wait that ends late, for which the loop did nothing: the
+ * machine had no core for it, or another thread held what it needed. Costs four readings of the
+ * clock a turn. And it has the loop sleep until a timer is due, where the last part of a
+ * millisecond would be spent on asking the system again.
  */
 final class LoopWatch implements IoHandler {
 
@@ -22,12 +24,19 @@
         /** A turn that worked for so long. */
         void turn(long inputMs, int ready, long tasksMs);
 
-        /** A wait that ended so long after the first timer was due: the loop had nothing to do with that. */
+        /**
+         * A wait that ended so long after the first timer was due: the loop had nothing to do with
+         * that.
+         */
         void woke(long lateMs);
     }
 
-    /** A client's patience is some hundreds of milliseconds, and 100 ms after it has left nothing may begin for it. */
+    /**
+     * A client's patience is some hundreds of milliseconds, and 100 ms after it has left nothing
+     * may begin for it.
+     */
     static final long SLOW_MS = 100;
+
     private static final long A_MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler handler;
@@ -36,8 +45,10 @@
     private final Measured measured = new Measured();
     private long inputNanos;
     private int ready;
+
     /** When the tasks of this turn began. */
     private long tasksSince;
+
     private boolean turned;
 
     LoopWatch(IoHandler handler, LongSupplier nanos, Slow slow) {
@@ -61,7 +72,10 @@
         if (turned) {
             long tasksNanos = began - tasksSince;
             if (inputNanos + tasksNanos >= TimeUnit.MILLISECONDS.toNanos(SLOW_MS)) {
-                slow.turn(TimeUnit.NANOSECONDS.toMillis(inputNanos), ready, TimeUnit.NANOSECONDS.toMillis(tasksNanos));
+                slow.turn(
+                        TimeUnit.NANOSECONDS.toMillis(inputNanos),
+                        ready,
+                        TimeUnit.NANOSECONDS.toMillis(tasksNanos));
             }
         }
         inputNanos = 0;
@@ -117,14 +131,17 @@
         }
 
         /**
-         * The selector waits for whole milliseconds, and its handler rounds to the nearest: what is left of less than a half it would
-         * spend asking the system over and over. Rounded up it is slept through; a timer comes at most a millisecond later.
+         * The selector waits for whole milliseconds, and its handler rounds to the nearest: what is
+         * left of less than a half it would spend asking the system over and over. Rounded up it is
+         * slept through; a timer comes at most a millisecond later.
          */
         @Override
         public long delayNanos(long nowNanos) {
             long delay = context.delayNanos(nowNanos);
             long over = delay % A_MILLISECOND;
-            return delay <= 0 || over == 0 || delay > Long.MAX_VALUE - A_MILLISECOND ? delay : delay + A_MILLISECOND - over;
+            return delay <= 0 || over == 0 || delay > Long.MAX_VALUE - A_MILLISECOND
+                    ? delay
+                    : delay + A_MILLISECOND - over;
         }
 
         @Override
