--- a/src/main/java/hopglade/proxy/NodeChannel.java
+++ b/src/main/java/hopglade/proxy/NodeChannel.java
@@ -5,10 +5,13 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.spi.SelectorProvider;
 
-/** A socket to a node that can be asked whether anything has come on it that the loop has not read yet. */
+/**
+ * A socket to a node that can be asked whether anything has come on it that the loop has not read
+ * yet.
+ */
 final class NodeChannel extends NioSocketChannel {
 
-    NodeChannel() { }
+    NodeChannel() {}
 
     /** Over a socket of the given provider. */
     NodeChannel(SelectorProvider provider) {
@@ -16,8 +19,8 @@
     }
 
     /**
-     * Whether neither bytes nor an end wait in the kernel. One byte is taken if there is one, so a connection that is not quiet is
-     * of no use any more.
+     * Whether neither bytes nor an end wait in the kernel. One byte is taken if there is one, so a
+     * connection that is not quiet is of no use any more.
      */
     boolean isQuiet() {
         try {
--- a/src/main/java/hopglade/proxy/NodePool.java
+++ b/src/main/java/hopglade/proxy/NodePool.java
@@ -53,26 +53,35 @@
 import java.util.stream.Collectors;
 
 /**
- * Connections to the cache nodes and the origin. Each carries one exchange at a time; the newest idle one is used
- * first, so that the rest age and close. Nothing is ever sent a second time from here: every exchange ends once, with
- * the outcome that its own connection showed.
+ * Connections to the cache nodes and the origin. Each carries one exchange at a time; the newest
+ * idle one is used first, so that the rest age and close. Nothing is ever sent a second time from
+ * here: every exchange ends once, with the outcome that its own connection showed.
  */
 final class NodePool {
 
-    /** Idle connections close at this part of the node's own limit: one that it closes first loses a request. */
+    /**
+     * Idle connections close at this part of the node's own limit: one that it closes first loses a
+     * request.
+     */
     private static final double IDLE_PART = 0.75;
+
     /**
-     * How long a connection rests between two exchanges: a second copy of the answer that comes a moment late would be
-     * taken for the next one's. Counted by timers, which run after all that has arrived was read, also after a pause.
+     * How long a connection rests between two exchanges: a second copy of the answer that comes a
+     * moment late would be taken for the next one's. Counted by timers, which run after all that
+     * has arrived was read, also after a pause.
      */
     private static final long REST_MS = 4;
+
     /** Idle connections are looked through so often in the time that they may stand. */
     private static final double IDLE_SWEEPS = 10;
+
     /**
-     * An answer that has begun and does not end in this part of the shortest aim, or at most in so long, is spoilt: nodes
-     * write theirs in one go, and where one came in part its rest never did. It can then still be had elsewhere in time.
+     * An answer that has begun and does not end in this part of the shortest aim, or at most in so
+     * long, is spoilt: nodes write theirs in one go, and where one came in part its rest never did.
+     * It can then still be had elsewhere in time.
      */
     private static final double STALL_PART = 0.25;
+
     private static final double STALL_MOST_MS = 200;
     private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
@@ -91,20 +100,40 @@
     private boolean idleWatched;
     private int connections;
 
-    NodePool(EventLoop loop, Transport transport, double connectTimeoutMs, double idleMs, int maxConnections,
-             long seed) {
+    NodePool(
+            EventLoop loop,
+            Transport transport,
+            double connectTimeoutMs,
+            double idleMs,
+            int maxConnections,
+            long seed) {
         this(loop, transport, connectTimeoutMs, idleMs, maxConnections, seed, System::nanoTime);
     }
 
-    /** {@code nanos} is the clock that idle times and pauses are read from; {@code seed} spreads the pauses. */
-    NodePool(EventLoop loop, Transport transport, double connectTimeoutMs, double idleMs, int maxConnections,
-             long seed, LongSupplier nanos) {
+    /**
+     * {@code nanos} is the clock that idle times and pauses are read from; {@code seed} spreads the
+     * pauses.
+     */
+    NodePool(
+            EventLoop loop,
+            Transport transport,
+            double connectTimeoutMs,
+            double idleMs,
+            int maxConnections,
+            long seed,
+            LongSupplier nanos) {
         this(loop, transport.client(loop), connectTimeoutMs, idleMs, maxConnections, seed, nanos);
     }
 
     /** {@code client} says over what connections are made. */
-    NodePool(EventLoop loop, Bootstrap client, double connectTimeoutMs, double idleMs, int maxConnections,
-             long seed, LongSupplier nanos) {
+    NodePool(
+            EventLoop loop,
+            Bootstrap client,
+            double connectTimeoutMs,
+            double idleMs,
+            int maxConnections,
+            long seed,
+            LongSupplier nanos) {
         this.loop = loop;
         this.nanos = nanos;
         this.random = new SplittableRandom(seed);
@@ -120,25 +149,35 @@
     }
 
     static double stallMs(List<ServiceClass> classes) {
-        double aim = classes.stream().mapToDouble(ServiceClass::aimMs).min().orElse(Double.POSITIVE_INFINITY);
+        double aim =
+                classes.stream()
+                        .mapToDouble(ServiceClass::aimMs)
+                        .min()
+                        .orElse(Double.POSITIVE_INFINITY);
         return Math.max(1, Math.min(STALL_MOST_MS, STALL_PART * aim));
     }
 
     /**
-     * Takes in the list. Idle connections to a host that drains, left, moved or started anew are of no use, and what has not been
-     * written there is not to be any more. The latter ends when the result runs: whoever is told of it then has to know the list.
+     * Takes in the list. Idle connections to a host that drains, left, moved or started anew are of
+     * no use, and what has not been written there is not to be any more. The latter ends when the
+     * result runs: whoever is told of it then has to know the list.
      */
     Runnable list(HostList list) {
         List<Runnable> endings = new ArrayList<>();
         if (list.whole()) {
-            Set<String> named = list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
-            List.copyOf(targets.keySet()).stream().filter(id -> !named.contains(id)).forEach(id -> forget(id, endings));
+            Set<String> named =
+                    list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
+            List.copyOf(targets.keySet()).stream()
+                    .filter(id -> !named.contains(id))
+                    .forEach(id -> forget(id, endings));
         }
         for (HostList.Host host : list.hosts()) {
             Target known = targets.get(host.node().id());
             if (host.node().availability() == Availability.GONE) {
                 forget(host.node().id(), endings);
-            } else if (known == null || !known.dial.equals(host.dial()) || known.bornMs != host.node().startedAtMs()) {
+            } else if (known == null
+                    || !known.dial.equals(host.dial())
+                    || known.bornMs != host.node().startedAtMs()) {
                 forget(host.node().id(), endings);
                 targets.put(host.node().id(), new Target(host.dial(), host.node().startedAtMs()));
             } else if (host.node().availability() == Availability.DRAINING) {
@@ -166,7 +205,10 @@
         }
     }
 
-    /** Closes what carries nothing there, and ends what waits for a connection: its request has not been written. */
+    /**
+     * Closes what carries nothing there, and ends what waits for a connection: its request has not
+     * been written.
+     */
     void closeIdle(String node) {
         Target target = targets.get(node);
         if (target != null) {
@@ -199,19 +241,25 @@
     }
 
     /**
-     * Starts an exchange that is given up after {@code timeoutMs}. The request is made when a connection is there to
-     * write it to, so that the budget it names is what is left then.
+     * Starts an exchange that is given up after {@code timeoutMs}. The request is made when a
+     * connection is there to write it to, so that the budget it names is what is left then.
      */
-    Exchange send(String node, Supplier<FullHttpRequest> request, double timeoutMs, Exchange.Done done) {
+    Exchange send(
+            String node, Supplier<FullHttpRequest> request, double timeoutMs, Exchange.Done done) {
         return send(node, request, null, timeoutMs, Double.POSITIVE_INFINITY, done);
     }
 
     /**
-     * As above, with a body that flows behind the request's head, null where the request is whole, and with its last byte written
-     * within {@code writeWithinMs} or never.
+     * As above, with a body that flows behind the request's head, null where the request is whole,
+     * and with its last byte written within {@code writeWithinMs} or never.
      */
-    Exchange send(String node, Supplier<? extends HttpRequest> request, Upload upload, double timeoutMs, double writeWithinMs,
-                  Exchange.Done done) {
+    Exchange send(
+            String node,
+            Supplier<? extends HttpRequest> request,
+            Upload upload,
+            double timeoutMs,
+            double writeWithinMs,
+            Exchange.Done done) {
         Exchange exchange = new Exchange(request, upload, done, loop, ages, nanos);
         exchange.limit(timeoutMs);
         exchange.writeWithin(writeWithinMs);
@@ -231,7 +279,8 @@
         } else if (connections < maxConnections || closeOldestIdle()) {
             connect(target, exchange);
         } else {
-            // Out of descriptors: opening one more could leave none for a client that is being accepted. The node is
+            // Out of descriptors: opening one more could leave none for a client that is being
+            // accepted. The node is
             // not to blame, so this must not look like a failure of its own.
             exchange.end(Outcome.NEVER_SENT, null);
         }
@@ -239,8 +288,9 @@
     }
 
     /**
-     * Until a connection of ours comes free or one more may be tried, and no longer than making one may take: what waits
-     * until its own time is up is answered late, and the module learns of it too late.
+     * Until a connection of ours comes free or one more may be tried, and no longer than making one
+     * may take: what waits until its own time is up is answered late, and the module learns of it
+     * too late.
      */
     private void waitFor(Target target, Exchange exchange) {
         target.waiting.addLast(exchange);
@@ -251,7 +301,10 @@
     private void openLater(Target target) {
         if (!target.opening && !target.waiting.isEmpty()) {
             target.opening = true;
-            long pause = Math.max(TimeUnit.MILLISECONDS.toNanos(REST_MS), target.table.leftNanos(nanos.getAsLong()));
+            long pause =
+                    Math.max(
+                            TimeUnit.MILLISECONDS.toNanos(REST_MS),
+                            target.table.leftNanos(nanos.getAsLong()));
             loop.schedule(() -> open(target), pause, TimeUnit.NANOSECONDS);
         }
     }
@@ -259,7 +312,8 @@
     /** Tries one more connection for the exchange that has waited longest. */
     private void open(Target target) {
         target.opening = false;
-        if (!target.table.pausing(nanos.getAsLong()) && (connections < maxConnections || closeOldestIdle())) {
+        if (!target.table.pausing(nanos.getAsLong())
+                && (connections < maxConnections || closeOldestIdle())) {
             Exchange first = target.nextWaiting();
             if (first != null) {
                 connect(target, first);
@@ -287,7 +341,10 @@
     private void watchIdle() {
         if (!idleWatched && idleMs < Long.MAX_VALUE / 1e6) {
             idleWatched = true;
-            loop.schedule(this::closeAged, (long) (Math.min(idleMs / IDLE_SWEEPS, FullTable.SPARE_MS) * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    this::closeAged,
+                    (long) (Math.min(idleMs / IDLE_SWEEPS, FullTable.SPARE_MS) * 1e6),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -298,7 +355,9 @@
         for (Target target : targets.values()) {
             int spare = target.connections - 1;
             for (Connection c = target.idle.peekLast();
-                    c != null && c.idleMs(now) >= (spare > 0 ? Math.min(limit, FullTable.SPARE_MS) : limit);
+                    c != null
+                            && c.idleMs(now)
+                                    >= (spare > 0 ? Math.min(limit, FullTable.SPARE_MS) : limit);
                     c = target.idle.peekLast()) {
                 spare--;
                 target.idle.removeLast();
@@ -314,15 +373,26 @@
 
     private void connect(Target target, Exchange exchange) {
         Connection connection = new Connection(target);
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpRequestEncoder(), connection.bytes, connection.decoder,
-                        new Answers(), connection);
-            }
-        }).connect(target.dial);
+        ChannelFuture connecting =
+                bootstrap
+                        .clone()
+                        .handler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        channel.pipeline()
+                                                .addLast(
+                                                        new HttpRequestEncoder(),
+                                                        connection.bytes,
+                                                        connection.decoder,
+                                                        new Answers(),
+                                                        connection);
+                                    }
+                                })
+                        .connect(target.dial);
         if (connecting.isDone()) {
-            // Connecting itself is a later step: no socket could be made, as descriptors are out, and the node is not to blame.
+            // Connecting itself is a later step: no socket could be made, as descriptors are out,
+            // and the node is not to blame.
             exchange.end(Outcome.NEVER_SENT, null);
             return;
         }
@@ -330,19 +400,24 @@
         target.connections++;
         exchange.channel = connecting.channel();
         target.connecting.add(exchange);
-        connecting.channel().closeFuture().addListener(f -> {
-            connections--;
-            target.connections--;
-        });
-        connecting.addListener(f -> {
-            if (!f.isSuccess()) {
-                target.connecting.remove(exchange);
-                connecting.channel().close();
-                exchange.end(Outcome.CONNECT_FAILED, null);
-            } else {
-                connected(target, connection, exchange);
-            }
-        });
+        connecting
+                .channel()
+                .closeFuture()
+                .addListener(
+                        f -> {
+                            connections--;
+                            target.connections--;
+                        });
+        connecting.addListener(
+                f -> {
+                    if (!f.isSuccess()) {
+                        target.connecting.remove(exchange);
+                        connecting.channel().close();
+                        exchange.end(Outcome.CONNECT_FAILED, null);
+                    } else {
+                        connected(target, connection, exchange);
+                    }
+                });
     }
 
     private static void connected(Target target, Connection connection, Exchange exchange) {
@@ -360,7 +435,8 @@
         Connection oldest = resting.peekFirst();
         for (Target target : targets.values()) {
             Connection candidate = target.idle.peekLast();
-            if (candidate != null && (oldest == null || candidate.idleSince - oldest.idleSince < 0)) {
+            if (candidate != null
+                    && (oldest == null || candidate.idleSince - oldest.idleSince < 0)) {
                 oldest = candidate;
             }
         }
@@ -377,11 +453,18 @@
         final SocketAddress dial;
         final double bornMs;
         final Deque<Connection> idle = new ArrayDeque<>();
-        /** False once the list has moved on: connections that come free then must not wait for a use. */
+
+        /**
+         * False once the list has moved on: connections that come free then must not wait for a
+         * use.
+         */
         boolean current = true;
+
         final Deque<Exchange> waiting = new ArrayDeque<>();
+
         /** Those for which a connection is being opened. */
         final Set<Exchange> connecting = new HashSet<>();
+
         int connections;
         final FullTable table = new FullTable();
         private boolean opening;
@@ -403,7 +486,8 @@
     /** Hands connections back whose rest is over; runs as long as some are left. */
     private void endRests() {
         long now = nanos.getAsLong();
-        while (!resting.isEmpty() && now - resting.peekFirst().idleSince >= TimeUnit.MILLISECONDS.toNanos(REST_MS)) {
+        while (!resting.isEmpty()
+                && now - resting.peekFirst().idleSince >= TimeUnit.MILLISECONDS.toNanos(REST_MS)) {
             resting.removeFirst().rested();
         }
         restsWatched = false;
@@ -424,22 +508,38 @@
         private final Bytes bytes = new Bytes();
         private ChannelHandlerContext context;
         private Exchange current;
-        /** The whole answer, until the read that brought it is over and shows whether more came with it. */
+
+        /**
+         * The whole answer, until the read that brought it is over and shows whether more came with
+         * it.
+         */
         private FullHttpResponse answer;
+
         private boolean more;
         private int begun;
+
         /** When its latest bytes came. */
         private long lastFlowed;
+
         /** Whether the long answer that flows on it leaves it open. */
         private boolean keeps;
-        /** Whether nothing but the connection's end ends the long answer; and whether the node has ended its half, no reset. */
+
+        /**
+         * Whether nothing but the connection's end ends the long answer; and whether the node has
+         * ended its half, no reset.
+         */
         private boolean endsByClose;
+
         private boolean ended;
         private Future<?> stallTimer;
         private long idleSince;
         private boolean used;
         private boolean answered;
-        /** Opened after one was turned away: only such a one tells whether the node takes connections again. */
+
+        /**
+         * Opened after one was turned away: only such a one tells whether the node takes
+         * connections again.
+         */
         private final boolean tried;
 
         Connection(Target target) {
@@ -458,15 +558,18 @@
             exchange.idleMs = used ? idleMs(nanos.getAsLong()) : 0;
             used = true;
             exchange.channel = context.channel();
-            // The promise covers head and body: it fails if the connection breaks before the last byte is written.
-            context.writeAndFlush(exchange.request()).addListener(f -> {
-                if (!f.isSuccess()) {
-                    context.close();
-                    exchange.broken();
-                } else if (exchange.upload == null) {
-                    exchange.written = true;
-                }
-            });
+            // The promise covers head and body: it fails if the connection breaks before the last
+            // byte is written.
+            context.writeAndFlush(exchange.request())
+                    .addListener(
+                            f -> {
+                                if (!f.isSuccess()) {
+                                    context.close();
+                                    exchange.broken();
+                                } else if (exchange.upload == null) {
+                                    exchange.written = true;
+                                }
+                            });
             if (exchange.upload != null) {
                 exchange.upload.take(context.channel(), () -> exchange.written = true);
             }
@@ -479,9 +582,13 @@
             }
         }
 
-        /** Whether nothing has come on it since its last answer: neither an end nor bytes that the next answer would begin with. */
+        /**
+         * Whether nothing has come on it since its last answer: neither an end nor bytes that the
+         * next answer would begin with.
+         */
         boolean isQuiet() {
-            return context.channel().isActive() && (!(context.channel() instanceof NodeChannel node) || node.isQuiet());
+            return context.channel().isActive()
+                    && (!(context.channel() instanceof NodeChannel node) || node.isQuiet());
         }
 
         double idleMs(long now) {
@@ -490,10 +597,14 @@
 
         /** Whether bytes that have come can belong to the answer that is awaited. */
         private boolean expected(ByteBuf in) {
-            if (current == null || current.over && current.rest == null || !current.written && current.upload == null) {
+            if (current == null
+                    || current.over && current.rest == null
+                    || !current.written && current.upload == null) {
                 return false;
             }
-            for (int i = in.readerIndex(); begun < START.length && i < in.writerIndex(); i++, begun++) {
+            for (int i = in.readerIndex();
+                    begun < START.length && i < in.writerIndex();
+                    i++, begun++) {
                 if (in.getByte(i) != START[begun]) {
                     return false;
                 }
@@ -513,7 +624,10 @@
             }
         }
 
-        /** A long answer: what is not good would be passed on in vain, and of one by far too long the rest never ends. */
+        /**
+         * A long answer: what is not good would be passed on in vain, and of one by far too long
+         * the rest never ends.
+         */
         private void begin(ChannelHandlerContext ctx, HttpResponse head) {
             if (current == null || answer != null) {
                 more = true;
@@ -548,7 +662,10 @@
             }
         }
 
-        /** The node has answered on it: if it was tried after one was turned away, there is room again. */
+        /**
+         * The node has answered on it: if it was tried after one was turned away, there is room
+         * again.
+         */
         private void taken() {
             if (!answered && tried) {
                 target.table.tookOne();
@@ -564,7 +681,8 @@
             } else if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
                 begun = 0;
             } else if (!tellsLength(response) && !(ended && saidToClose(response))) {
-                // Nothing but the end of the connection ended it, so nobody can tell whether it is whole; a reset is no end.
+                // Nothing but the end of the connection ended it, so nobody can tell whether it is
+                // whole; a reset is no end.
                 current.broken();
             } else {
                 answer = response.retain();
@@ -582,17 +700,21 @@
 
         /** An answer that comes on in pieces is waited for; one that has stopped is not. */
         private void watchStall(ChannelHandlerContext ctx, Exchange watched, double waitMs) {
-            stallTimer = loop.schedule(() -> {
-                stallTimer = null;
-                double quietMs = (nanos.getAsLong() - lastFlowed) / 1e6;
-                if (current != watched || begun == 0) {
-                    return;
-                } else if (quietMs >= stallMs) {
-                    fail(ctx, null);
-                } else {
-                    watchStall(ctx, watched, stallMs - quietMs);
-                }
-            }, (long) (waitMs * 1e6), TimeUnit.NANOSECONDS);
+            stallTimer =
+                    loop.schedule(
+                            () -> {
+                                stallTimer = null;
+                                double quietMs = (nanos.getAsLong() - lastFlowed) / 1e6;
+                                if (current != watched || begun == 0) {
+                                    return;
+                                } else if (quietMs >= stallMs) {
+                                    fail(ctx, null);
+                                } else {
+                                    watchStall(ctx, watched, stallMs - quietMs);
+                                }
+                            },
+                            (long) (waitMs * 1e6),
+                            TimeUnit.NANOSECONDS);
         }
 
         private void stopStallTimer() {
@@ -602,7 +724,9 @@
             }
         }
 
-        /** Ends the exchange with its answer. What came behind it would be taken for the next one's. */
+        /**
+         * Ends the exchange with its answer. What came behind it would be taken for the next one's.
+         */
         private void finish() {
             FullHttpResponse response = answer;
             Exchange exchange = current;
@@ -612,7 +736,8 @@
             release(exchange, !more && HttpUtil.isKeepAlive(response));
             Outcome outcome = outcome(response);
             if (!answered && outcome == Outcome.REJECTED && !HttpUtil.isKeepAlive(response)) {
-                // A new connection that is closed again unheard: the node's table is full, whatever its cores do.
+                // A new connection that is closed again unheard: the node's table is full, whatever
+                // its cores do.
                 outcome = Outcome.CONNECT_FAILED;
                 target.table.turnedAway(nanos.getAsLong(), random.nextDouble());
                 answered = true;
@@ -626,7 +751,10 @@
             }
         }
 
-        /** Keeps the connection for another exchange if it may be, and if all was read and written on it that was due. */
+        /**
+         * Keeps the connection for another exchange if it may be, and if all was read and written
+         * on it that was due.
+         */
         private void release(Exchange done, boolean mayKeep) {
             // The last part may have come while the connection was held back for its reader.
             context.channel().config().setAutoRead(true);
@@ -679,9 +807,14 @@
             fail(ctx, cause);
         }
 
-        /** A connection that broke ends its exchange as such, also inside an answer; else the answer makes no sense. */
+        /**
+         * A connection that broke ends its exchange as such, also inside an answer; else the answer
+         * makes no sense.
+         */
         private void fail(ChannelHandlerContext ctx, Throwable cause) {
-            boolean broke = cause instanceof IOException || cause instanceof PrematureChannelClosureException;
+            boolean broke =
+                    cause instanceof IOException
+                            || cause instanceof PrematureChannelClosureException;
             if (answer != null) {
                 more = true;
                 finish();
@@ -696,8 +829,9 @@
         }
 
         /**
-         * Sees bytes before they are decoded. Those that come while nothing is awaited, or before the request is out,
-         * belong to an older one, and those that start no answer would only be seen as such at the end of a line.
+         * Sees bytes before they are decoded. Those that come while nothing is awaited, or before
+         * the request is out, belong to an older one, and those that start no answer would only be
+         * seen as such at the end of a line.
          */
         private final class Bytes extends ChannelInboundHandlerAdapter {
             @Override
@@ -727,23 +861,32 @@
         @Override
         FullHttpMessage whole(HttpMessage head, CompositeByteBuf body) {
             HttpResponse response = (HttpResponse) head;
-            return new DefaultFullHttpResponse(response.protocolVersion(), response.status(), body, response.headers(),
+            return new DefaultFullHttpResponse(
+                    response.protocolVersion(),
+                    response.status(),
+                    body,
+                    response.headers(),
                     EmptyHttpHeaders.INSTANCE);
         }
     }
 
-    /** Whether the end of an answer can be told from its being cut off, as far as a connection's end can tell it. */
+    /**
+     * Whether the end of an answer can be told from its being cut off, as far as a connection's end
+     * can tell it.
+     */
     private static boolean tellsItsEnd(HttpResponse response) {
         return tellsLength(response) || saidToClose(response);
     }
 
     private static boolean tellsLength(HttpResponse response) {
-        return HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
+        return HttpUtil.isContentLengthSet(response)
+                || HttpUtil.isTransferEncodingChunked(response);
     }
 
     /** Whether an answer that names no length said that its connection's end would be its own. */
     private static boolean saidToClose(HttpResponse response) {
-        return response.headers().contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
+        return response.headers()
+                .contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
     }
 
     private static Outcome outcome(HttpResponse response) {
@@ -751,7 +894,10 @@
         return switch (status.code()) {
             case 200 -> Outcome.OK;
             case 404 -> Outcome.MISS;
-            case 503, 504 -> "1".equals(response.headers().get("X-Rejected")) ? Outcome.REJECTED : Outcome.ERROR;
+            case 503, 504 ->
+                    "1".equals(response.headers().get("X-Rejected"))
+                            ? Outcome.REJECTED
+                            : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
     }
--- a/src/main/java/hopglade/proxy/Operations.java
+++ b/src/main/java/hopglade/proxy/Operations.java
@@ -17,24 +17,34 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Carries the operators' calls to the module and the clients' side, and keeps what has to outlast this process. */
+/**
+ * Carries the operators' calls to the module and the clients' side, and keeps what has to outlast
+ * this process.
+ */
 final class Operations implements Desk {
 
-    /** How often the other process's calls are looked for; a yes of its own holds here that much later. */
+    /**
+     * How often the other process's calls are looked for; a yes of its own holds here that much
+     * later.
+     */
     private static final long LOOK_MS = 100;
+
     /**
      * The drain's name as a state that is written; a cache node's is its id after {@link
      * #NODE_STATE}.
      */
     private static final String DRAIN_STATE = "drain";
+
     private static final String NODE_STATE = "cache node ";
 
     private final EventLoop loop;
     private final Proxy proxy;
     private final ClientServer clients;
     private final AdminServer server;
+
     /** Null where nothing outlasts this process; a test puts another in its place. */
     private OutageFiles files;
+
     private final StateWriter writer;
     private final Set<String> out = new HashSet<>();
     private final Log log = new Log();
@@ -61,14 +71,20 @@
     }
 
     ChannelFuture listen(SocketAddress address) {
-        return server.listen(address).addListener((ChannelFuture f) -> listening = (InetSocketAddress) f.channel().localAddress());
+        return server.listen(address)
+                .addListener(
+                        (ChannelFuture f) ->
+                                listening = (InetSocketAddress) f.channel().localAddress());
     }
 
     InetSocketAddress listening() {
         return listening;
     }
 
-    /** The module has its first list: calls are taken from now on, and those that an earlier process took hold. */
+    /**
+     * The module has its first list: calls are taken from now on, and those that an earlier process
+     * took hold.
+     */
     void open() {
         open = true;
         if (files != null) {
@@ -108,10 +124,13 @@
         if (kept.drained() != clients.isEmptied() && !writer.isOwed(DRAIN_STATE)) {
             drained(kept.drained());
         }
-        List.copyOf(out).stream().filter(n -> !kept.out().contains(n) && !isOwed(n)).forEach(n -> {
-            proxy.maintain(n, false);
-            taken(n, false);
-        });
+        List.copyOf(out).stream()
+                .filter(n -> !kept.out().contains(n) && !isOwed(n))
+                .forEach(
+                        n -> {
+                            proxy.maintain(n, false);
+                            taken(n, false);
+                        });
     }
 
     private boolean isOwed(String node) {
@@ -136,7 +155,8 @@
 
     @Override
     public Reply health() {
-        return clients.isReady() ? Reply.yes(clients.isEmptied() ? "ready; drained by an operator" : "ready")
+        return clients.isReady()
+                ? Reply.yes(clients.isEmptied() ? "ready; drained by an operator" : "ready")
                 : Reply.no(open ? "not ready: waiting for discovery, or ending" : "starting");
     }
 
@@ -153,9 +173,16 @@
             answer.accept(Reply.unknown("no list ever named a cache node " + node));
         } else {
             CallTime call = CallTime.now();
-            keep(node, begins, call, failure -> {
-                answer.accept(failure == null ? kept(node, begins) : notKept(node, call, failure));
-            });
+            keep(
+                    node,
+                    begins,
+                    call,
+                    failure -> {
+                        answer.accept(
+                                failure == null
+                                        ? kept(node, begins)
+                                        : notKept(node, call, failure));
+                    });
         }
     }
 
@@ -175,13 +202,17 @@
     private Reply kept(String node, boolean begins) {
         proxy.maintain(node, begins);
         taken(node, begins);
-        return Reply.yes(node + (begins ? " is out: nothing new goes there until it is put back" : " may serve again"));
+        return Reply.yes(
+                node
+                        + (begins
+                                ? " is out: nothing new goes there until it is put back"
+                                : " may serve again"));
     }
 
     /**
      * The next process would not know of it, and break a yes. What a failed write may have left is
-     * taken back too, as a part of the failed call: it gives way to a later one. A superseded
-     * write has left nothing.
+     * taken back too, as a part of the failed call: it gives way to a later one. A superseded write
+     * has left nothing.
      */
     private Reply notKept(String node, CallTime call, IOException failure) {
         if (failure instanceof SupersededException) {
@@ -190,16 +221,17 @@
         Log.error("outage_not_kept", failure);
         if (!writer.isAnswerDue(NODE_STATE + node)) {
             StateWriter.Change takingBack = change(node, out.contains(node), call);
-            writer.write(NODE_STATE + node, takingBack, ignored -> { });
+            writer.write(NODE_STATE + node, takingBack, ignored -> {});
         }
-        return Reply.no("nothing changed: it could not be kept for the next process: "
-                + failure.getMessage());
+        return Reply.no(
+                "nothing changed: it could not be kept for the next process: "
+                        + failure.getMessage());
     }
 
     /**
-     * Always a yes: the days' page counts what is due from the call on, and knows no refusal of
-     * it. It is done at once, and where it can't be kept for the next process it is written again
-     * until it is, or until a later call at another process has been written.
+     * Always a yes: the days' page counts what is due from the call on, and knows no refusal of it.
+     * It is done at once, and where it can't be kept for the next process it is written again until
+     * it is, or until a later call at another process has been written.
      */
     @Override
     public void drain(boolean begins, Consumer<Reply> answer) {
@@ -210,15 +242,19 @@
         if (begins != clients.isEmptied()) {
             drained(begins);
         }
-        String done = begins ? "emptying: /up says no, each answer ends its connection"
-                : "serving: /up says yes";
+        String done =
+                begins
+                        ? "emptying: /up says no, each answer ends its connection"
+                        : "serving: /up says yes";
         if (files == null) {
             answer.accept(Reply.yes(done));
             return;
         }
         OutageFiles kept = files;
         CallTime call = CallTime.now();
-        writer.write(DRAIN_STATE, () -> kept.drain(begins, call),
+        writer.write(
+                DRAIN_STATE,
+                () -> kept.drain(begins, call),
                 failure -> answer.accept(Reply.yes(done + shortfall(failure))));
     }
 
--- a/src/main/java/hopglade/proxy/PassedSocket.java
+++ b/src/main/java/hopglade/proxy/PassedSocket.java
@@ -5,19 +5,21 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket, where the platform holds it and passes it on as descriptor 0. It is never closed here:
- * that would lay descriptors 1 and 2, and with them the log, on the null device. Whoever wants no more of it stops reading.
+ * The clients' listening socket, where the platform holds it and passes it on as descriptor 0. It
+ * is never closed here: that would lay descriptors 1 and 2, and with them the log, on the null
+ * device. Whoever wants no more of it stops reading.
  */
 final class PassedSocket {
 
     private static final String OURS = "0";
 
-    private PassedSocket() { }
+    private PassedSocket() {}
 
     /** {@code name} is what the platform calls it. */
     static ServerSocketChannel take(String name) throws ConfigException {
         if (name.chars().allMatch(Character::isDigit) && !name.equals(OURS)) {
-            throw new ConfigException("passed socket: descriptor " + name + " cannot be taken, only 0");
+            throw new ConfigException(
+                    "passed socket: descriptor " + name + " cannot be taken, only 0");
         }
         Channel inherited;
         try {
--- a/src/main/java/hopglade/proxy/PeerEar.java
+++ b/src/main/java/hopglade/proxy/PeerEar.java
@@ -9,14 +9,16 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Listens where peers' messages arrive before the proxy itself does. Peers speak only while they serve clients, so
- * hearing one during a start tells a restart in a fleet at work from the first start of all. Without peers, or where the
- * address can't be had yet, nothing is heard; the proxy's own attempt to listen reports why.
+ * Listens where peers' messages arrive before the proxy itself does. Peers speak only while they
+ * serve clients, so hearing one during a start tells a restart in a fleet at work from the first
+ * start of all. Without peers, or where the address can't be had yet, nothing is heard; the proxy's
+ * own attempt to listen reports why.
  */
 final class PeerEar implements Closeable {
 
     /** Null where there was no descriptor for them; nothing is heard then. */
     private Selector selector;
+
     private DatagramChannel channel;
 
     PeerEar(InetSocketAddress address) {
@@ -28,7 +30,9 @@
             selector = provider.openSelector();
             channel = provider.openDatagramChannel();
             if (address != null) {
-                channel.bind(address).configureBlocking(false).register(selector, SelectionKey.OP_READ);
+                channel.bind(address)
+                        .configureBlocking(false)
+                        .register(selector, SelectionKey.OP_READ);
             }
         } catch (IOException e) {
             Log.event("peers_unheard", "cause", e.getMessage());
@@ -45,7 +49,8 @@
         if (selector == null) {
             return false;
         }
-        return (waitMs <= 0 ? selector.selectNow() : selector.select(waitMs)) > 0 || !selector.selectedKeys().isEmpty();
+        return (waitMs <= 0 ? selector.selectNow() : selector.select(waitMs)) > 0
+                || !selector.selectedKeys().isEmpty();
     }
 
     @Override
--- a/src/main/java/hopglade/proxy/Peers.java
+++ b/src/main/java/hopglade/proxy/Peers.java
@@ -33,7 +33,11 @@
     }
 
     /** With a socket whose system calls may fail, as tests have it. */
-    Peers(EventLoop loop, Config config, Proxy proxy, ChannelFactory<? extends DatagramChannel> channels) {
+    Peers(
+            EventLoop loop,
+            Config config,
+            Proxy proxy,
+            ChannelFactory<? extends DatagramChannel> channels) {
         this.loop = loop;
         this.channels = channels;
         this.config = config;
@@ -42,8 +46,12 @@
     }
 
     ChannelFuture listen() {
-        ChannelFuture bound = new Bootstrap().group(loop).channelFactory(channels).handler(new Inbox())
-                .bind(config.peerListen());
+        ChannelFuture bound =
+                new Bootstrap()
+                        .group(loop)
+                        .channelFactory(channels)
+                        .handler(new Inbox())
+                        .bind(config.peerListen());
         channel = bound.channel();
         return bound;
     }
--- a/src/main/java/hopglade/proxy/Proxy.java
+++ b/src/main/java/hopglade/proxy/Proxy.java
@@ -32,26 +32,37 @@
 import java.util.stream.Collectors;
 
 /**
- * Joins the decision module to the sockets: every event becomes one call of the module, and what the module asks for
- * is done in order once that call has returned. All of it runs on the one event loop, so there are no locks.
+ * Joins the decision module to the sockets: every event becomes one call of the module, and what
+ * the module asks for is done in order once that call has returned. All of it runs on the one event
+ * loop, so there are no locks.
  */
 final class Proxy implements Actions {
 
     /** A time that the module gives to an attempt when it names none. */
     private static final double UNTIL_DEADLINE = 0;
+
     /**
-     * How late a request may have been read: its client's time runs from when it was sent. Taken off what a node is told, but no
-     * more than a part of it, so that with a hold-up of {@link Router#HOLD_UP_MS} the node is still told of no more than the client
-     * has left and the slack of 0.15 s that the terms give.
+     * How late a request may have been read: its client's time runs from when it was sent. Taken
+     * off what a node is told, but no more than a part of it, so that with a hold-up of {@link
+     * Router#HOLD_UP_MS} the node is still told of no more than the client has left and the slack
+     * of 0.15 s that the terms give.
      */
     private static final double READ_LATE_MS = 25;
+
     private static final double READ_LATE_MOST_PART = 0.25;
-    /** When a timer whose handling failed is tried again: without it one fault would end all later intervals. */
+
+    /**
+     * When a timer whose handling failed is tried again: without it one fault would end all later
+     * intervals.
+     */
     private static final double RETRY_TIMER_MS = 1000;
 
     /** The client's side of one request. */
     interface Client {
-        /** Whether it waits for no answer any more, as far as it has told up to now; if so its connection ends. */
+        /**
+         * Whether it waits for no answer any more, as far as it has told up to now; if so its
+         * connection ends.
+         */
         boolean hasLeft();
 
         void served(FullHttpResponse response);
@@ -60,11 +71,16 @@
 
         void failed();
 
-        /** A long answer begins; the request is over with it, and the client's side has what follows. */
+        /**
+         * A long answer begins; the request is over with it, and the client's side has what
+         * follows.
+         */
         Exchange.Rest flows(HttpResponse head, Exchange exchange);
     }
 
-    /** Who shares with other proxies what this one sees of the nodes; told of it on the event loop. */
+    /**
+     * Who shares with other proxies what this one sees of the nodes; told of it on the event loop.
+     */
     interface Watch {
         void listed(ListKind kind, List<Router.Node> nodes);
 
@@ -76,17 +92,33 @@
     }
 
     /**
-     * A request as it goes on to nodes. {@code key} and {@code contentType} are null where it has none. Of one that is too
-     * long to be gathered {@code body} is empty, {@code upload} has it, and {@code length} says how long it is, or is negative.
+     * A request as it goes on to nodes. {@code key} and {@code contentType} are null where it has
+     * none. Of one that is too long to be gathered {@code body} is empty, {@code upload} has it,
+     * and {@code length} says how long it is, or is negative.
      */
-    record Payload(HttpMethod method, String uri, byte[] body, String key, String contentType, Upload upload, long length) { }
+    record Payload(
+            HttpMethod method,
+            String uri,
+            byte[] body,
+            String key,
+            String contentType,
+            Upload upload,
+            long length) {}
 
-    /** Counts for the log. Fetches are counted apart: an origin that falters shows in nothing else as soon. */
+    /**
+     * Counts for the log. Fetches are counted apart: an origin that falters shows in nothing else
+     * as soon.
+     */
     static final class Tally {
         final int[] lookUps = new int[Outcome.values().length];
         final int[] fetches = new int[Outcome.values().length];
-        /** Refusals by how the request's last attempt had ended: what a proxy gives up on, and after what. */
+
+        /**
+         * Refusals by how the request's last attempt had ended: what a proxy gives up on, and after
+         * what.
+         */
         final int[] refusedAfter = new int[Outcome.values().length];
+
         int refusedUntried;
         private double fetchedMs;
         int requests;
@@ -105,7 +137,7 @@
         void tell(double now);
     }
 
-    private record Pending(Event event, Runnable rescue) { }
+    private record Pending(Event event, Runnable rescue) {}
 
     private final EventLoop loop;
     private final Clock clock;
@@ -114,32 +146,50 @@
     private final NodePool pool;
     private final int maxOpen;
     private final Map<String, Call> calls = new HashMap<>();
+
     /** For how long each keyed class may be repeated. */
     private final Map<String, Double> windows;
+
     private final Queue<Pending> events = new ArrayDeque<>();
     private final List<Runnable> actions = new ArrayList<>();
     private final Log log = new Log();
     private final Tally tally = new Tally();
-    private Runnable subscribe = () -> { };
-    private Runnable listed = () -> { };
-    private Consumer<byte[]> tell = contents -> { };
+    private Runnable subscribe = () -> {};
+    private Runnable listed = () -> {};
+    private Consumer<byte[]> tell = contents -> {};
+
     /** Null where nothing is shared. */
     private Watch watch;
+
     private boolean telling;
+
     /** Whether the last answers have been given, as the process ends. */
     private boolean ending;
+
     private int owed;
     private String origin = "";
 
-    Proxy(EventLoop loop, Clock clock, Settings settings, Router router, NodePool pool, int maxOpen) {
+    Proxy(
+            EventLoop loop,
+            Clock clock,
+            Settings settings,
+            Router router,
+            NodePool pool,
+            int maxOpen) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
         this.router = router;
         this.pool = pool;
         this.maxOpen = maxOpen;
-        this.windows = settings.classes().stream().filter(c -> c.effect() == Router.Effect.KEYED)
-                .collect(Collectors.toMap(Router.ServiceClass::name, Router.ServiceClass::repeatWindowMs, (a, b) -> b));
+        this.windows =
+                settings.classes().stream()
+                        .filter(c -> c.effect() == Router.Effect.KEYED)
+                        .collect(
+                                Collectors.toMap(
+                                        Router.ServiceClass::name,
+                                        Router.ServiceClass::repeatWindowMs,
+                                        (a, b) -> b));
     }
 
     /** Names what asks discovery and what tells peers; both need this proxy to be made first. */
@@ -159,7 +209,7 @@
     }
 
     void start(HostList known) {
-        tell(now -> router.started(now, this), () -> { });
+        tell(now -> router.started(now, this), () -> {});
         if (known != null) {
             hosts(ListKind.REMEMBERED, known);
         }
@@ -191,13 +241,14 @@
     }
 
     void hosts(ListKind kind, HostList list) {
-        list.nodes().stream().filter(n -> n.model() != null && n.model().equals(settings.originModel()))
+        list.nodes().stream()
+                .filter(n -> n.model() != null && n.model().equals(settings.originModel()))
                 .forEach(n -> origin = n.id());
         Runnable endings = pool.list(list);
         if (watch != null) {
             watch.listed(kind, list.nodes().stream().filter(n -> !n.id().equals(origin)).toList());
         }
-        tell(now -> router.nodes(now, kind, list.version(), list.nodes(), this), () -> { });
+        tell(now -> router.nodes(now, kind, list.version(), list.nodes(), this), () -> {});
         endings.run();
         listed.run();
     }
@@ -207,24 +258,27 @@
         return router.knows(node);
     }
 
-    /** The operators take a cache node out or put it back; false where the module has not taken that. */
+    /**
+     * The operators take a cache node out or put it back; false where the module has not taken
+     * that.
+     */
     boolean maintain(String node, boolean begins) {
         boolean[] taken = new boolean[1];
-        tell(now -> taken[0] = router.maintain(now, node, begins, this), () -> { });
+        tell(now -> taken[0] = router.maintain(now, node, begins, this), () -> {});
         return taken[0];
     }
 
     void discoveryRefused() {
-        tell(now -> router.nodes(now, ListKind.REFUSED, 0, List.of(), this), () -> { });
+        tell(now -> router.nodes(now, ListKind.REFUSED, 0, List.of(), this), () -> {});
     }
 
     /** Peers doubt a node, or no longer do. */
     void standing(String node, boolean doubted) {
-        tell(now -> router.standing(now, node, doubted, this), () -> { });
+        tell(now -> router.standing(now, node, doubted, this), () -> {});
     }
 
     void peerMessage(int from, byte[] contents) {
-        tell(now -> router.peerMessage(now, from, contents, this), () -> { });
+        tell(now -> router.peerMessage(now, from, contents, this), () -> {});
     }
 
     /** Whether a request with this id is open: its answer and another's could not be told apart. */
@@ -235,7 +289,8 @@
     void request(Request in, Payload payload, Client client) {
         tally.requests++;
         if (ending || calls.size() >= maxOpen) {
-            // Beyond what the settings allow, or after the last answers, the module is not asked; nothing ran, so this promise is true.
+            // Beyond what the settings allow, or after the last answers, the module is not asked;
+            // nothing ran, so this promise is true.
             tally.refused++;
             client.refused(0);
             return;
@@ -243,15 +298,21 @@
         Call call = new Call(in, payload, client, clock.now() + in.uploadMs() + in.budgetMs());
         calls.put(in.id(), call);
         owed++;
-        call.backstop = loop.schedule(() -> overdue(call),
-                clock.nanosUntil(call.deadline + settings.rules().answerSlackMs()), TimeUnit.NANOSECONDS);
+        call.backstop =
+                loop.schedule(
+                        () -> overdue(call),
+                        clock.nanosUntil(call.deadline + settings.rules().answerSlackMs()),
+                        TimeUnit.NANOSECONDS);
         if (payload.upload() != null) {
             payload.upload().whenEnded(() -> bodyEnded(call));
         }
         tell(now -> router.request(now, in, this), () -> answerInstead(call));
     }
 
-    /** The client's time runs from here; the module knows no closer end of it than the latest, so this side keeps it. */
+    /**
+     * The client's time runs from here; the module knows no closer end of it than the latest, so
+     * this side keeps it.
+     */
     private void bodyEnded(Call call) {
         if (call.over) {
             return;
@@ -260,7 +321,8 @@
         call.deadline = call.bodyEnded + call.in.budgetMs();
         double last = call.deadline - 2 * settings.tickMs();
         call.backstop.cancel(false);
-        call.backstop = loop.schedule(() -> overdue(call), clock.nanosUntil(last), TimeUnit.NANOSECONDS);
+        call.backstop =
+                loop.schedule(() -> overdue(call), clock.nanosUntil(last), TimeUnit.NANOSECONDS);
         if (call.out != null && call.out.exchange != null) {
             call.out.exchange.limit(last - call.bodyEnded);
         }
@@ -276,10 +338,13 @@
     private void gone(Call call) {
         tally.gone++;
         settle(call);
-        tell(now -> router.clientGone(now, call.in.id(), this), () -> { });
+        tell(now -> router.clientGone(now, call.in.id(), this), () -> {});
     }
 
-    /** Asks the client's own side: that it has left may lie unread, as the loop is late or reading is held back. */
+    /**
+     * Asks the client's own side: that it has left may lie unread, as the loop is late or reading
+     * is held back.
+     */
     private boolean isWanted(Call call) {
         if (!call.over && call.client.hasLeft()) {
             gone(call);
@@ -287,7 +352,13 @@
         return !call.over;
     }
 
-    private void ended(Call call, int attempt, String node, double sentAt, Outcome outcome, FullHttpResponse response) {
+    private void ended(
+            Call call,
+            int attempt,
+            String node,
+            double sentAt,
+            Outcome outcome,
+            FullHttpResponse response) {
         call.out = null;
         call.proven &= outcome.provesNotRun();
         call.last = outcome;
@@ -300,10 +371,17 @@
             settle(call);
             call.client.served(response);
         }
-        told(call, attempt, node, outcome, clock.now() - Math.max(sentAt, call.bodyEnded), note(response));
+        told(
+                call,
+                attempt,
+                node,
+                outcome,
+                clock.now() - Math.max(sentAt, call.bodyEnded),
+                note(response));
     }
 
-    private void told(Call call, int attempt, String node, Outcome outcome, double elapsedMs, int note) {
+    private void told(
+            Call call, int attempt, String node, Outcome outcome, double elapsedMs, int note) {
         if (watch != null && !node.equals(origin)) {
             watch.ended(node, outcome, elapsedMs);
         }
@@ -311,10 +389,17 @@
     }
 
     /**
-     * A long answer has begun: all that can be decided on the request has been, as it can't be made elsewhere any more. The
-     * module is told that it was answered, after the time until its first bytes.
+     * A long answer has begun: all that can be decided on the request has been, as it can't be made
+     * elsewhere any more. The module is told that it was answered, after the time until its first
+     * bytes.
      */
-    private Exchange.Rest began(Call call, int attempt, String node, double sentAt, Exchange exchange, HttpResponse head) {
+    private Exchange.Rest began(
+            Call call,
+            int attempt,
+            String node,
+            double sentAt,
+            Exchange exchange,
+            HttpResponse head) {
         call.out = null;
         call.last = Outcome.OK;
         count(node, Outcome.OK);
@@ -324,7 +409,13 @@
             settle(call);
             rest = call.client.flows(head, exchange);
         }
-        told(call, attempt, node, Outcome.OK, clock.now() - Math.max(sentAt, call.bodyEnded), note(head));
+        told(
+                call,
+                attempt,
+                node,
+                Outcome.OK,
+                clock.now() - Math.max(sentAt, call.bodyEnded),
+                note(head));
         return rest;
     }
 
@@ -332,21 +423,31 @@
         (node.equals(origin) ? tally.fetches : tally.lookUps)[outcome.ordinal()]++;
     }
 
-    private void report(String id, Call call, int attempt, String node, Outcome outcome, double elapsedMs,
-                        int note) {
+    private void report(
+            String id,
+            Call call,
+            int attempt,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            int note) {
         boolean finished = call == null || call.over;
         if (call != null) {
             forgetIfDone(call);
         }
-        AttemptEnd end = new AttemptEnd(id, attempt, node, outcome, elapsedMs, finished, note, Map.of());
-        tell(now -> router.attemptEnded(now, end, this), call == null ? () -> { } : () -> answerInstead(call));
+        AttemptEnd end =
+                new AttemptEnd(id, attempt, node, outcome, elapsedMs, finished, note, Map.of());
+        tell(
+                now -> router.attemptEnded(now, end, this),
+                call == null ? () -> {} : () -> answerInstead(call));
     }
 
     // The module's calls, one at a time.
 
     /**
-     * Tells the module of an event, or queues it if the module is being told of one or its wishes are being done: it
-     * must never be entered from within itself, and its wishes must take effect in the order it had them.
+     * Tells the module of an event, or queues it if the module is being told of one or its wishes
+     * are being done: it must never be entered from within itself, and its wishes must take effect
+     * in the order it had them.
      */
     private void tell(Event event, Runnable rescue) {
         events.add(new Pending(event, rescue));
@@ -377,7 +478,10 @@
         }
     }
 
-    /** Answers for a module that failed: a refusal only where provably nothing ran, as it promises just that. */
+    /**
+     * Answers for a module that failed: a refusal only where provably nothing ran, as it promises
+     * just that.
+     */
     private void answerInstead(Call call) {
         if (call.over || call.out != null) {
             return;
@@ -387,7 +491,7 @@
         } else {
             failNow(call);
         }
-        tell(now -> router.clientGone(now, call.in.id(), this), () -> { });
+        tell(now -> router.clientGone(now, call.in.id(), this), () -> {});
     }
 
     /** The module owes an answer before this; without one the request would be lost. */
@@ -417,7 +521,7 @@
             if (out != null) {
                 out.cancel();
             }
-            tell(now -> router.clientGone(now, call.in.id(), this), () -> { });
+            tell(now -> router.clientGone(now, call.in.id(), this), () -> {});
         }
     }
 
@@ -430,12 +534,13 @@
 
     @Override
     public void cancel(String request, int attempt) {
-        actions.add(() -> {
-            Call call = calls.get(request);
-            if (call != null && call.out != null && call.attempts - 1 == attempt) {
-                call.out.cancel();
-            }
-        });
+        actions.add(
+                () -> {
+                    Call call = calls.get(request);
+                    if (call != null && call.out != null && call.attempts - 1 == attempt) {
+                        call.out.cancel();
+                    }
+                });
     }
 
     @Override
@@ -520,8 +625,13 @@
     }
 
     private void timerNow(double atMs, String token) {
-        loop.schedule(() -> tell(now -> router.timer(now, token, this),
-                () -> timerNow(clock.now() + RETRY_TIMER_MS, token)), clock.nanosUntil(atMs), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () ->
+                        tell(
+                                now -> router.timer(now, token, this),
+                                () -> timerNow(clock.now() + RETRY_TIMER_MS, token)),
+                clock.nanosUntil(atMs),
+                TimeUnit.NANOSECONDS);
     }
 
     private void sendNow(String request, String node, double timeoutMs) {
@@ -531,9 +641,15 @@
         double left = call == null ? 0 : call.deadline - now;
         double wait = timeoutMs == UNTIL_DEADLINE ? left : Math.min(timeoutMs, left);
         double writeWithin = call == null ? 0 : repeatWithin(call, now);
-        // Nothing goes out for a request that is over or late, past the attempts allowed, or beside another of its own.
-        if (call == null || call.over || call.out != null || wait <= 0
-                || attempt >= settings.limits().maxAttempts() || call.isUsedUp() || writeWithin <= 0) {
+        // Nothing goes out for a request that is over or late, past the attempts allowed, or beside
+        // another of its own.
+        if (call == null
+                || call.over
+                || call.out != null
+                || wait <= 0
+                || attempt >= settings.limits().maxAttempts()
+                || call.isUsedUp()
+                || writeWithin <= 0) {
             count(node, Outcome.NEVER_SENT);
             report(request, call, attempt, node, Outcome.NEVER_SENT, 0, 0);
             return;
@@ -548,28 +664,35 @@
         Upload upload = call.payload.upload();
         // The time of a body that is still coming is its client's.
         double limit = upload == null ? wait : left;
-        out.exchange = pool.send(node, () -> call.toNode(toldMs(call, giveUp)), upload, limit, writeWithin,
-                new Exchange.Done() {
-            @Override
-            public boolean isWanted() {
-                return Proxy.this.isWanted(call);
-            }
-
-            @Override
-            public void ended(Exchange exchange, Outcome outcome, FullHttpResponse response) {
-                Proxy.this.ended(call, attempt, node, now, outcome, response);
-            }
-
-            @Override
-            public Exchange.Rest began(Exchange exchange, HttpResponse head) {
-                return Proxy.this.began(call, attempt, node, now, exchange, head);
-            }
-        });
+        out.exchange =
+                pool.send(
+                        node,
+                        () -> call.toNode(toldMs(call, giveUp)),
+                        upload,
+                        limit,
+                        writeWithin,
+                        new Exchange.Done() {
+                            @Override
+                            public boolean isWanted() {
+                                return Proxy.this.isWanted(call);
+                            }
+
+                            @Override
+                            public void ended(
+                                    Exchange exchange, Outcome outcome, FullHttpResponse response) {
+                                Proxy.this.ended(call, attempt, node, now, outcome, response);
+                            }
+
+                            @Override
+                            public Exchange.Rest began(Exchange exchange, HttpResponse head) {
+                                return Proxy.this.began(call, attempt, node, now, exchange, head);
+                            }
+                        });
     }
 
     /**
-     * The time that an attempt tells its node, in milliseconds, read as it is written. Of a body that is still coming its client's
-     * time has not begun.
+     * The time that an attempt tells its node, in milliseconds, read as it is written. Of a body
+     * that is still coming its client's time has not begun.
      */
     private double toldMs(Call call, double giveUp) {
         Upload upload = call.payload.upload();
@@ -581,12 +704,16 @@
     }
 
     /**
-     * How long from now a further attempt may still be written: where an earlier one may have run, no longer than nodes know
-     * its key, less the time for which this process may be held up before it writes. The module minds that when it decides, but
-     * what it decides may wait for a connection.
+     * How long from now a further attempt may still be written: where an earlier one may have run,
+     * no longer than nodes know its key, less the time for which this process may be held up before
+     * it writes. The module minds that when it decides, but what it decides may wait for a
+     * connection.
      */
     private double repeatWithin(Call call, double now) {
-        double window = call.proven ? Double.POSITIVE_INFINITY : windows.getOrDefault(call.in.service(), Double.POSITIVE_INFINITY);
+        double window =
+                call.proven
+                        ? Double.POSITIVE_INFINITY
+                        : windows.getOrDefault(call.in.service(), Double.POSITIVE_INFINITY);
         return call.firstSent + window - Router.HOLD_UP_MS - now;
     }
 
@@ -601,13 +728,16 @@
 
     private void probeNow(String node) {
         double now = clock.now();
-        pool.send(node, () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/alive"),
-                settings.limits().connectTimeoutMs() * 2, (exchange, outcome, response) -> {
+        pool.send(
+                node,
+                () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/alive"),
+                settings.limits().connectTimeoutMs() * 2,
+                (exchange, outcome, response) -> {
                     double elapsed = clock.now() - now;
                     if (watch != null) {
                         watch.probed(node, outcome);
                     }
-                    tell(at -> router.probed(at, node, outcome, elapsed, Map.of(), this), () -> { });
+                    tell(at -> router.probed(at, node, outcome, elapsed, Map.of(), this), () -> {});
                 });
     }
 
@@ -632,21 +762,29 @@
         }
     }
 
-    /** A request in the table: open until its final answer, kept on until its last attempt has ended. */
+    /**
+     * A request in the table: open until its final answer, kept on until its last attempt has
+     * ended.
+     */
     private static final class Call {
         final Request in;
         final Payload payload;
         final Client client;
         double deadline;
+
         /** When the last byte of its body came, where that flows. */
         double bodyEnded;
+
         Future<?> backstop;
         Attempt out;
         int attempts;
+
         /** When the first attempt was sent that may have run. */
         double firstSent;
+
         /** How its latest attempt ended; null before one has. */
         Outcome last;
+
         boolean proven = true;
         boolean over;
 
@@ -663,12 +801,21 @@
         }
 
         HttpRequest toNode(double budgetMs) {
-            HttpRequest request = payload.upload() != null
-                    ? new DefaultHttpRequest(HttpVersion.HTTP_1_1, payload.method(), payload.uri())
-                    : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, payload.method(), payload.uri(),
-                            Unpooled.wrappedBuffer(payload.body()));
-            request.headers().set(HttpHeaderNames.HOST, "service.internal").set("X-Call-Id", in.id())
-                    .set("X-Budget", BigDecimal.valueOf(Math.max(1, (long) budgetMs), 3).toPlainString());
+            HttpRequest request =
+                    payload.upload() != null
+                            ? new DefaultHttpRequest(
+                                    HttpVersion.HTTP_1_1, payload.method(), payload.uri())
+                            : new DefaultFullHttpRequest(
+                                    HttpVersion.HTTP_1_1,
+                                    payload.method(),
+                                    payload.uri(),
+                                    Unpooled.wrappedBuffer(payload.body()));
+            request.headers()
+                    .set(HttpHeaderNames.HOST, "service.internal")
+                    .set("X-Call-Id", in.id())
+                    .set(
+                            "X-Budget",
+                            BigDecimal.valueOf(Math.max(1, (long) budgetMs), 3).toPlainString());
             if (payload.key() != null) {
                 request.headers().set("Idempotency-Key", payload.key());
             }
--- a/src/main/java/hopglade/proxy/Sharing.java
+++ b/src/main/java/hopglade/proxy/Sharing.java
@@ -11,7 +11,10 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Joins a proxy to the fleet's gossip, both ways. Held apart, so that a proxy that shares nothing loads nothing of it. */
+/**
+ * Joins a proxy to the fleet's gossip, both ways. Held apart, so that a proxy that shares nothing
+ * loads nothing of it.
+ */
 final class Sharing implements Proxy.Watch {
 
     private final GossipSocket socket;
@@ -24,17 +27,23 @@
     static Sharing open(EventLoop loop, Clock clock, long seed, Options.Gossip options, Proxy proxy)
             throws IOException, InterruptedException, ConfigException {
         try {
-            return new Sharing(GossipSocket.open(loop, clock::now, seed, options, new GossipSocket.Hooks() {
-                @Override
-                public void standing(String node, boolean doubted) {
-                    proxy.standing(node, doubted);
-                }
+            return new Sharing(
+                    GossipSocket.open(
+                            loop,
+                            clock::now,
+                            seed,
+                            options,
+                            new GossipSocket.Hooks() {
+                                @Override
+                                public void standing(String node, boolean doubted) {
+                                    proxy.standing(node, doubted);
+                                }
 
-                @Override
-                public void event(String name, Object... fields) {
-                    Log.event(name, fields);
-                }
-            }));
+                                @Override
+                                public void event(String name, Object... fields) {
+                                    Log.event(name, fields);
+                                }
+                            }));
         } catch (KeyException e) {
             throw new ConfigException("gossip: " + e.getMessage());
         }
@@ -59,8 +68,22 @@
 
     void logTally() {
         Gossip.Counts c = socket.counts();
-        Log.event("gossip_tally", "sent", c.sent(), "bytes", c.sentBytes(), "received", c.received(), "rubbish", c.rubbish(),
-                "replayed", c.replayed(), "verified", c.verified(), "held_back", c.heldBack());
+        Log.event(
+                "gossip_tally",
+                "sent",
+                c.sent(),
+                "bytes",
+                c.sentBytes(),
+                "received",
+                c.received(),
+                "rubbish",
+                c.rubbish(),
+                "replayed",
+                c.replayed(),
+                "verified",
+                c.verified(),
+                "held_back",
+                c.heldBack());
     }
 
     @Override
--- a/src/main/java/hopglade/proxy/StateWriter.java
+++ b/src/main/java/hopglade/proxy/StateWriter.java
@@ -31,18 +31,23 @@
      * failed.
      */
     static final long ANSWER_MS = 700;
+
     static final long FIRST_RETRY_MS = 100;
     static final long LAST_RETRY_MS = 500;
     private static final long IDLE_THREAD_S = 10;
 
     /** The last change of each state that is not known to be on disk, by the state's name. */
     private final Map<String, Write> owed = new HashMap<>();
+
     private final EventLoop loop;
     private final Log log = new Log();
+
     /** Null before the first change: most processes never need it. */
     private ThreadPoolExecutor disk;
+
     /** Whether a failure has been logged and its end has not, and when that was. */
     private boolean failing;
+
     private long failingSince;
 
     StateWriter(EventLoop loop) {
@@ -53,8 +58,10 @@
     private static final class Write {
         final String state;
         final Change change;
+
         /** Null once it has been called. */
         Consumer<IOException> answer;
+
         long retryMs = FIRST_RETRY_MS;
 
         Write(String state, Change change, Consumer<IOException> answer) {
@@ -105,21 +112,28 @@
     }
 
     private void attempt(Write write) {
-        disk().execute(() -> {
-            IOException failure = failureOf(write.change);
-            try {
-                loop.execute(() -> ended(write, failure));
-            } catch (RejectedExecutionException e) {
-                // The process has ended meanwhile: nobody is left to be told.
-                return;
-            }
-        });
+        disk().execute(
+                        () -> {
+                            IOException failure = failureOf(write.change);
+                            try {
+                                loop.execute(() -> ended(write, failure));
+                            } catch (RejectedExecutionException e) {
+                                // The process has ended meanwhile: nobody is left to be told.
+                                return;
+                            }
+                        });
     }
 
     private ThreadPoolExecutor disk() {
         if (disk == null) {
-            disk = new ThreadPoolExecutor(1, 1, IDLE_THREAD_S, TimeUnit.SECONDS,
-                    new LinkedBlockingQueue<>(), StateWriter::thread);
+            disk =
+                    new ThreadPoolExecutor(
+                            1,
+                            1,
+                            IDLE_THREAD_S,
+                            TimeUnit.SECONDS,
+                            new LinkedBlockingQueue<>(),
+                            StateWriter::thread);
             disk.allowCoreThreadTimeOut(true);
         }
         return disk;
--- a/src/main/java/hopglade/proxy/StrictHttp.java
+++ b/src/main/java/hopglade/proxy/StrictHttp.java
@@ -9,14 +9,20 @@
 import io.netty.util.AsciiString;
 import java.util.List;
 
-/** HTTP/1.1 decoders that fail on framing which Netty's own would mend: two readers could see two different messages. */
+/**
+ * HTTP/1.1 decoders that fail on framing which Netty's own would mend: two readers could see two
+ * different messages.
+ */
 final class StrictHttp {
 
     private static final int MAX_HEAD = 8192;
 
-    private StrictHttp() { }
+    private StrictHttp() {}
 
-    /** Reads requests. One with both lengths may hide another in its body, which a node would carry out. */
+    /**
+     * Reads requests. One with both lengths may hide another in its body, which a node would carry
+     * out.
+     */
     static final class Requests extends HttpRequestDecoder {
         Requests() {
             super(config());
@@ -63,14 +69,19 @@
     static boolean oddCoding(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return !codings.isEmpty()
-                && (codings.size() > 1 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).trim()));
+                && (codings.size() > 1
+                        || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(
+                                codings.get(0).trim()));
     }
 
     private static HttpDecoderConfig config() {
         return new HttpDecoderConfig().setMaxHeaderSize(MAX_HEAD);
     }
 
-    /** The length of a header's name, which a colon must follow: Netty takes any line for one, and so spoilt heads. */
+    /**
+     * The length of a header's name, which a colon must follow: Netty takes any line for one, and
+     * so spoilt heads.
+     */
     private static int checked(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
             throw new IllegalArgumentException("a line of the head is no header");
--- a/src/main/java/hopglade/proxy/Transport.java
+++ b/src/main/java/hopglade/proxy/Transport.java
@@ -11,13 +11,17 @@
 import io.netty.channel.local.LocalServerChannel;
 import java.nio.channels.ServerSocketChannel;
 
-/** What connections are made of: sockets, or for the warm-up, which may open none, queues inside the process. */
+/**
+ * What connections are made of: sockets, or for the warm-up, which may open none, queues inside the
+ * process.
+ */
 enum Transport {
     TCP {
         @Override
         ServerBootstrap server(EventLoop loop) {
             return accepting(loop, ClientChannel.Listener::new)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true);
+                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .option(ChannelOption.SO_REUSEADDR, true);
         }
 
         @Override
@@ -38,11 +42,14 @@
     };
 
     private static final int BACKLOG = 1024;
+
     /**
-     * What a connection may hold of a long message: so much that is not written yet, and one read more. Clients' connections
-     * times the two bound what all long messages hold at once.
+     * What a connection may hold of a long message: so much that is not written yet, and one read
+     * more. Clients' connections times the two bound what all long messages hold at once.
      */
-    private static final WriteBufferWaterMark UNWRITTEN = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
+    private static final WriteBufferWaterMark UNWRITTEN =
+            new WriteBufferWaterMark(16 * 1024, 32 * 1024);
+
     private static final int MOST_READ = 16 * 1024;
     private static final int USUAL_READ = 2048;
 
@@ -55,16 +62,23 @@
         return accepting(loop, () -> new ClientChannel.Listener(passed));
     }
 
-    private static ServerBootstrap accepting(EventLoop loop, ChannelFactory<ClientChannel.Listener> listener) {
-        return new ServerBootstrap().group(loop).channelFactory(listener).childOption(ChannelOption.TCP_NODELAY, true)
+    private static ServerBootstrap accepting(
+            EventLoop loop, ChannelFactory<ClientChannel.Listener> listener) {
+        return new ServerBootstrap()
+                .group(loop)
+                .channelFactory(listener)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, UNWRITTEN)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, reads());
     }
 
     /** Connects over channels that {@code channels} makes. */
     static Bootstrap connecting(EventLoop loop, ChannelFactory<NodeChannel> channels) {
-        // An end that the other side tells is an event of its own, so that no other end is taken for it.
-        return new Bootstrap().group(loop).channelFactory(channels)
+        // An end that the other side tells is an event of its own, so that no other end is taken
+        // for it.
+        return new Bootstrap()
+                .group(loop)
+                .channelFactory(channels)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, UNWRITTEN)
--- a/src/main/java/hopglade/proxy/Upload.java
+++ b/src/main/java/hopglade/proxy/Upload.java
@@ -7,9 +7,10 @@
 import java.util.Queue;
 
 /**
- * The body of a request that is too long to be gathered, on its way from the client's connection to a node's. Until a node's
- * connection takes it nothing is read from the client; from then on no faster than the node reads. It flows once: whoever takes
- * it uses it up. All calls are made on the one event loop.
+ * The body of a request that is too long to be gathered, on its way from the client's connection to
+ * a node's. Until a node's connection takes it nothing is read from the client; from then on no
+ * faster than the node reads. It flows once: whoever takes it uses it up. All calls are made on the
+ * one event loop.
  */
 final class Upload {
 
@@ -17,7 +18,7 @@
     private final Queue<HttpContent> early = new ArrayDeque<>();
     private Channel node;
     private Runnable sent;
-    private Runnable whenEnded = () -> { };
+    private Runnable whenEnded = () -> {};
     private boolean ended;
     private boolean over;
     private long bytes;
@@ -76,7 +77,10 @@
         return !ended && client.config().isAutoRead();
     }
 
-    /** Flows to a node's connection, behind the request's head; {@code whenSent} runs once its last byte is written. */
+    /**
+     * Flows to a node's connection, behind the request's head; {@code whenSent} runs once its last
+     * byte is written.
+     */
     void take(Channel to, Runnable whenSent) {
         node = to;
         sent = whenSent;
@@ -88,13 +92,15 @@
 
     private void write(HttpContent part) {
         boolean last = part instanceof LastHttpContent;
-        node.writeAndFlush(part).addListener(f -> {
-            if (!f.isSuccess()) {
-                node.close();
-            } else if (last) {
-                sent.run();
-            }
-        });
+        node.writeAndFlush(part)
+                .addListener(
+                        f -> {
+                            if (!f.isSuccess()) {
+                                node.close();
+                            } else if (last) {
+                                sent.run();
+                            }
+                        });
     }
 
     /** Reads on from the client as far as the node's connection takes it. */
--- a/src/main/java/hopglade/raft/Backlog.java
+++ b/src/main/java/hopglade/raft/Backlog.java
@@ -13,18 +13,43 @@
 /** A voter's log as long service leaves it, for scale tests: what a start has to read and apply. */
 public final class Backlog {
 
-    private Backlog() { }
+    private Backlog() {}
 
-    /** Writes so many epochs, two entries each, in force all of them, into a voter's folder; {@code content} gives the text of each, from 1 on. */
-    public static void write(Path folder, String self, List<String> voters, int epochs, IntFunction<String> content) throws IOException {
+    /**
+     * Writes so many epochs, two entries each, in force all of them, into a voter's folder; {@code
+     * content} gives the text of each, from 1 on.
+     */
+    public static void write(
+            Path folder, String self, List<String> voters, int epochs, IntFunction<String> content)
+            throws IOException {
         try (LogFile file = LogFile.open(folder)) {
-            List<RaftEndpoint> all = voters.stream().map(v -> (RaftEndpoint) new Endpoint(v)).toList();
-            file.persistAndFlushLocalEndpoint(Codec.MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(new Endpoint(self)).setVoting(true).build());
-            file.persistAndFlushInitialGroupMembers(Codec.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all).setVotingMembers(all).build());
-            file.persistAndFlushTerm(Codec.MODELS.createRaftTermPersistentStateBuilder().setTerm(1).setVotedFor(all.get(0)).build());
+            List<RaftEndpoint> all =
+                    voters.stream().map(v -> (RaftEndpoint) new Endpoint(v)).toList();
+            file.persistAndFlushLocalEndpoint(
+                    Codec.MODELS
+                            .createRaftEndpointPersistentStateBuilder()
+                            .setLocalEndpoint(new Endpoint(self))
+                            .setVoting(true)
+                            .build());
+            file.persistAndFlushInitialGroupMembers(
+                    Codec.MODELS
+                            .createRaftGroupMembersViewBuilder()
+                            .setLogIndex(0)
+                            .setMembers(all)
+                            .setVotingMembers(all)
+                            .build());
+            file.persistAndFlushTerm(
+                    Codec.MODELS
+                            .createRaftTermPersistentStateBuilder()
+                            .setTerm(1)
+                            .setVotedFor(all.get(0))
+                            .build());
             List<LogEntry> entries = new ArrayList<>();
             for (int epoch = 1; epoch <= epochs; epoch++) {
-                entries.add(entry(2 * epoch - 1, new Prepare("past-" + epoch, epoch - 1, content.apply(epoch))));
+                entries.add(
+                        entry(
+                                2 * epoch - 1,
+                                new Prepare("past-" + epoch, epoch - 1, content.apply(epoch))));
                 entries.add(entry(2 * epoch, new Activate(epoch)));
             }
             file.persistLogEntries(entries);
@@ -33,6 +58,11 @@
     }
 
     private static LogEntry entry(long index, Object change) {
-        return Codec.MODELS.createLogEntryBuilder().setIndex(index).setTerm(1).setOperation(change).build();
+        return Codec.MODELS
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(1)
+                .setOperation(change)
+                .build();
     }
 }
--- a/src/main/java/hopglade/raft/Codec.java
+++ b/src/main/java/hopglade/raft/Codec.java
@@ -33,15 +33,15 @@
 import java.util.List;
 
 /**
- * Raft's, the policy's and the change stream's messages, log entries and snapshots as JSON, each with its kind in {@code t}. What is malformed
- * throws a RuntimeException.
+ * Raft's, the policy's and the change stream's messages, log entries and snapshots as JSON, each
+ * with its kind in {@code t}. What is malformed throws a RuntimeException.
  */
 final class Codec {
 
     static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
     static final String GROUP = "policy";
 
-    private Codec() { }
+    private Codec() {}
 
     // Log entries.
 
@@ -56,7 +56,11 @@
     }
 
     static LogEntry entry(JsonObject o) {
-        return MODELS.createLogEntryBuilder().setIndex(o.get("index").getAsLong()).setTerm(o.get("term").getAsInt()).setOperation(operation(o)).build();
+        return MODELS.createLogEntryBuilder()
+                .setIndex(o.get("index").getAsLong())
+                .setTerm(o.get("term").getAsInt())
+                .setOperation(operation(o))
+                .build();
     }
 
     /** A part of a snapshot; what it holds is bytes. */
@@ -70,9 +74,14 @@
     }
 
     static SnapshotChunk chunk(JsonObject o) {
-        return MODELS.createSnapshotChunkBuilder().setIndex(o.get("index").getAsLong()).setTerm(o.get("term").getAsInt())
-                .setOperation(Base64.getDecoder().decode(o.get("bytes").getAsString())).setSnapshotChunkIndex(o.get("part").getAsInt())
-                .setSnapshotChunkCount(o.get("parts").getAsInt()).setGroupMembersView(members(o.getAsJsonObject("view"))).build();
+        return MODELS.createSnapshotChunkBuilder()
+                .setIndex(o.get("index").getAsLong())
+                .setTerm(o.get("term").getAsInt())
+                .setOperation(Base64.getDecoder().decode(o.get("bytes").getAsString()))
+                .setSnapshotChunkIndex(o.get("part").getAsInt())
+                .setSnapshotChunkCount(o.get("parts").getAsInt())
+                .setGroupMembersView(members(o.getAsJsonObject("view")))
+                .build();
     }
 
     private static JsonObject operation(Object operation) {
@@ -96,7 +105,10 @@
     private static Object operation(JsonObject o) {
         return switch (o.get("op").getAsString()) {
             case "found" -> new StreamLog.Found(o.get("lineage").getAsLong());
-            case "stream" -> Frames.read(ByteBuffer.wrap(Base64.getDecoder().decode(o.get("change").getAsString())));
+            case "stream" ->
+                    Frames.read(
+                            ByteBuffer.wrap(
+                                    Base64.getDecoder().decode(o.get("change").getAsString())));
             default -> change(o);
         };
     }
@@ -119,7 +131,11 @@
 
     private static Epochs.Change change(JsonObject o) {
         return switch (o.get("op").getAsString()) {
-            case "prepare" -> new Epochs.Prepare(o.get("proposal").getAsString(), o.get("base").getAsLong(), o.get("content").getAsString());
+            case "prepare" ->
+                    new Epochs.Prepare(
+                            o.get("proposal").getAsString(),
+                            o.get("base").getAsLong(),
+                            o.get("content").getAsString());
             case "activate" -> new Epochs.Activate(o.get("epoch").getAsLong());
             case "begin" -> new Epochs.Begin();
             default -> throw new IllegalArgumentException("no such entry: " + o.get("op"));
@@ -147,8 +163,11 @@
     }
 
     static RaftGroupMembersView members(JsonObject o) {
-        return MODELS.createRaftGroupMembersViewBuilder().setLogIndex(o.get("index").getAsLong()).setMembers(endpoints(o.getAsJsonArray("members")))
-                .setVotingMembers(endpoints(o.getAsJsonArray("voting"))).build();
+        return MODELS.createRaftGroupMembersViewBuilder()
+                .setLogIndex(o.get("index").getAsLong())
+                .setMembers(endpoints(o.getAsJsonArray("members")))
+                .setVotingMembers(endpoints(o.getAsJsonArray("voting")))
+                .build();
     }
 
     // Raft's messages.
@@ -234,37 +253,101 @@
                 for (JsonElement e : o.getAsJsonArray("entries")) {
                     entries.add(entry(e.getAsJsonObject()));
                 }
-                yield MODELS.createAppendEntriesRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                        .setPreviousLogTerm(o.get("prev_term").getAsInt()).setPreviousLogIndex(o.get("prev_index").getAsLong())
-                        .setCommitIndex(o.get("commit").getAsLong()).setLogEntries(entries)
-                        .setQuerySequenceNumber(o.get("query").getAsLong()).setFlowControlSequenceNumber(o.get("flow").getAsLong()).build();
+                yield MODELS.createAppendEntriesRequestBuilder()
+                        .setGroupId(GROUP)
+                        .setSender(from)
+                        .setTerm(term)
+                        .setPreviousLogTerm(o.get("prev_term").getAsInt())
+                        .setPreviousLogIndex(o.get("prev_index").getAsLong())
+                        .setCommitIndex(o.get("commit").getAsLong())
+                        .setLogEntries(entries)
+                        .setQuerySequenceNumber(o.get("query").getAsLong())
+                        .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                        .build();
             }
-            case "appended" -> MODELS.createAppendEntriesSuccessResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setLastLogIndex(o.get("last").getAsLong()).setQuerySequenceNumber(o.get("query").getAsLong())
-                    .setFlowControlSequenceNumber(o.get("flow").getAsLong()).build();
-            case "not-appended" -> MODELS.createAppendEntriesFailureResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setExpectedNextIndex(o.get("next").getAsLong()).setQuerySequenceNumber(o.get("query").getAsLong())
-                    .setFlowControlSequenceNumber(o.get("flow").getAsLong()).build();
-            case "vote" -> MODELS.createVoteRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setLastLogTerm(o.get("last_term").getAsInt()).setLastLogIndex(o.get("last_index").getAsLong())
-                    .setSticky(o.get("sticky").getAsBoolean()).build();
-            case "voted" -> MODELS.createVoteResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setGranted(o.get("granted").getAsBoolean()).build();
-            case "pre-vote" -> MODELS.createPreVoteRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setLastLogTerm(o.get("last_term").getAsInt()).setLastLogIndex(o.get("last_index").getAsLong()).build();
-            case "pre-voted" -> MODELS.createPreVoteResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setGranted(o.get("granted").getAsBoolean()).build();
-            case "elect" -> MODELS.createTriggerLeaderElectionRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setLastLogTerm(o.get("last_term").getAsInt()).setLastLogIndex(o.get("last_index").getAsLong()).build();
-            case "snapshot" -> MODELS.createInstallSnapshotRequestBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setSenderLeader(o.get("leads").getAsBoolean()).setSnapshotTerm(o.get("snapshot_term").getAsInt())
-                    .setSnapshotIndex(o.get("snapshot_index").getAsLong()).setTotalSnapshotChunkCount(o.get("parts").getAsInt())
-                    .setSnapshotChunk(o.has("chunk") ? chunk(o.getAsJsonObject("chunk")) : null)
-                    .setSnapshottedMembers(endpoints(o.getAsJsonArray("have"))).setGroupMembersView(members(o.getAsJsonObject("view")))
-                    .setQuerySequenceNumber(o.get("query").getAsLong()).setFlowControlSequenceNumber(o.get("flow").getAsLong()).build();
-            case "snapshot-part" -> MODELS.createInstallSnapshotResponseBuilder().setGroupId(GROUP).setSender(from).setTerm(term)
-                    .setSnapshotIndex(o.get("snapshot_index").getAsLong()).setRequestedSnapshotChunkIndex(o.get("part").getAsInt())
-                    .setQuerySequenceNumber(o.get("query").getAsLong()).setFlowControlSequenceNumber(o.get("flow").getAsLong()).build();
+            case "appended" ->
+                    MODELS.createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogIndex(o.get("last").getAsLong())
+                            .setQuerySequenceNumber(o.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .build();
+            case "not-appended" ->
+                    MODELS.createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setExpectedNextIndex(o.get("next").getAsLong())
+                            .setQuerySequenceNumber(o.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .build();
+            case "vote" ->
+                    MODELS.createVoteRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogTerm(o.get("last_term").getAsInt())
+                            .setLastLogIndex(o.get("last_index").getAsLong())
+                            .setSticky(o.get("sticky").getAsBoolean())
+                            .build();
+            case "voted" ->
+                    MODELS.createVoteResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setGranted(o.get("granted").getAsBoolean())
+                            .build();
+            case "pre-vote" ->
+                    MODELS.createPreVoteRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogTerm(o.get("last_term").getAsInt())
+                            .setLastLogIndex(o.get("last_index").getAsLong())
+                            .build();
+            case "pre-voted" ->
+                    MODELS.createPreVoteResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setGranted(o.get("granted").getAsBoolean())
+                            .build();
+            case "elect" ->
+                    MODELS.createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setLastLogTerm(o.get("last_term").getAsInt())
+                            .setLastLogIndex(o.get("last_index").getAsLong())
+                            .build();
+            case "snapshot" ->
+                    MODELS.createInstallSnapshotRequestBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setSenderLeader(o.get("leads").getAsBoolean())
+                            .setSnapshotTerm(o.get("snapshot_term").getAsInt())
+                            .setSnapshotIndex(o.get("snapshot_index").getAsLong())
+                            .setTotalSnapshotChunkCount(o.get("parts").getAsInt())
+                            .setSnapshotChunk(
+                                    o.has("chunk") ? chunk(o.getAsJsonObject("chunk")) : null)
+                            .setSnapshottedMembers(endpoints(o.getAsJsonArray("have")))
+                            .setGroupMembersView(members(o.getAsJsonObject("view")))
+                            .setQuerySequenceNumber(o.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .build();
+            case "snapshot-part" ->
+                    MODELS.createInstallSnapshotResponseBuilder()
+                            .setGroupId(GROUP)
+                            .setSender(from)
+                            .setTerm(term)
+                            .setSnapshotIndex(o.get("snapshot_index").getAsLong())
+                            .setRequestedSnapshotChunkIndex(o.get("part").getAsInt())
+                            .setQuerySequenceNumber(o.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .build();
             default -> throw new IllegalArgumentException("no such message: " + o.get("t"));
         };
     }
@@ -280,7 +363,10 @@
     }
 
     static Epoch epoch(JsonObject o) {
-        return new Epoch(o.get("number").getAsLong(), o.get("proposal").getAsString(), o.get("content").getAsString());
+        return new Epoch(
+                o.get("number").getAsLong(),
+                o.get("proposal").getAsString(),
+                o.get("content").getAsString());
     }
 
     static JsonObject policy(Message m) {
@@ -321,17 +407,37 @@
 
     static Message policy(JsonObject o) {
         return switch (o.get("t").getAsString()) {
-            case "hello" -> new Message.Hello(o.get("seq").getAsLong(), o.get("epoch").getAsLong(), o.get("fenced").getAsLong());
+            case "hello" ->
+                    new Message.Hello(
+                            o.get("seq").getAsLong(),
+                            o.get("epoch").getAsLong(),
+                            o.get("fenced").getAsLong());
             case "welcome" -> {
                 List<Epoch> next = new ArrayList<>();
                 o.getAsJsonArray("next").forEach(e -> next.add(epoch(e.getAsJsonObject())));
-                yield new Message.Welcome(o.get("seq").getAsLong(), o.get("granted").getAsBoolean(), o.get("in_force").getAsLong(),
-                        o.get("prepared").getAsLong(), o.get("clear").getAsBoolean(), next, o.get("leader").getAsString(),
-                        o.get("term").getAsInt(), o.get("applied").getAsLong(), o.get("led").getAsBoolean());
+                yield new Message.Welcome(
+                        o.get("seq").getAsLong(),
+                        o.get("granted").getAsBoolean(),
+                        o.get("in_force").getAsLong(),
+                        o.get("prepared").getAsLong(),
+                        o.get("clear").getAsBoolean(),
+                        next,
+                        o.get("leader").getAsString(),
+                        o.get("term").getAsInt(),
+                        o.get("applied").getAsLong(),
+                        o.get("led").getAsBoolean());
             }
-            case "propose" -> new Message.Propose(o.get("id").getAsString(), o.get("base").getAsLong(), o.get("content").getAsString());
-            case "proposed" -> new Message.Proposed(o.get("id").getAsString(), Message.Ending.valueOf(o.get("ending").getAsString()),
-                    o.get("epoch").getAsLong(), o.get("text").getAsString());
+            case "propose" ->
+                    new Message.Propose(
+                            o.get("id").getAsString(),
+                            o.get("base").getAsLong(),
+                            o.get("content").getAsString());
+            case "proposed" ->
+                    new Message.Proposed(
+                            o.get("id").getAsString(),
+                            Message.Ending.valueOf(o.get("ending").getAsString()),
+                            o.get("epoch").getAsLong(),
+                            o.get("text").getAsString());
             default -> throw new IllegalArgumentException("no such message: " + o.get("t"));
         };
     }
--- a/src/main/java/hopglade/raft/ControlMachine.java
+++ b/src/main/java/hopglade/raft/ControlMachine.java
@@ -24,9 +24,11 @@
 import java.util.stream.Stream;
 
 /**
- * One control machine of the change stream but for its sockets and its file, so that it runs in virtual time too: the log that it shares with
- * the others, the window, and those it serves. The one that leads takes changes and sums who has which; the others ask it how far the stream
- * has come, so that they can say how old their own view is. All calls are made on the executor's thread.
+ * One control machine of the change stream but for its sockets and its file, so that it runs in
+ * virtual time too: the log that it shares with the others, the window, and those it serves. The
+ * one that leads takes changes and sums who has which; the others ask it how far the stream has
+ * come, so that they can say how old their own view is. All calls are made on the executor's
+ * thread.
  */
 public final class ControlMachine {
 
@@ -36,8 +38,16 @@
     private static final int MOST_ROWS = 1000;
 
     /** What one is made of, as {@link StreamLog.Parts} says; {@code bounds} are the window's. */
-    public record Parts(String name, List<String> controls, Window.Bounds bounds, RaftNodeExecutor executor, DoubleSupplier nowMs, long seed, RaftStore store,
-                        RestoredRaftState restored, int snapshotEvery) { }
+    public record Parts(
+            String name,
+            List<String> controls,
+            Window.Bounds bounds,
+            RaftNodeExecutor executor,
+            DoubleSupplier nowMs,
+            long seed,
+            RaftStore store,
+            RestoredRaftState restored,
+            int snapshotEvery) {}
 
     /** What it asks for. */
     public interface Out extends Publisher.Out {
@@ -48,7 +58,7 @@
         void everywhere(Everywhere entry);
     }
 
-    private record Asked(double at, double stamp) { }
+    private record Asked(double at, double stamp) {}
 
     private final DoubleSupplier nowMs;
     private final Out out;
@@ -58,12 +68,16 @@
     private final StreamLog log;
     private final Map<String, Asked> asked = new HashMap<>();
     private double askedAt = Double.NEGATIVE_INFINITY;
+
     /** The last entry whose way {@link #deliveries} was given to watch. */
     private long watched;
+
     /** Since when it leads without a break; infinite while it does not. */
     private double leadsSince = Double.POSITIVE_INFINITY;
+
     /** What the leader has said: its last entry when this one asked. */
     private long leadersHead = Long.MAX_VALUE;
+
     private double leadersStamp;
 
     public ControlMachine(Parts parts, Out out) {
@@ -71,8 +85,20 @@
         this.out = out;
         window = new Window(parts.bounds());
         publisher = new Publisher(window, deliveries);
-        log = new StreamLog(new StreamLog.Parts(parts.name(), parts.controls(), window, parts.executor(), parts.nowMs(), parts.seed(), parts.store(),
-                parts.restored(), parts.snapshotEvery()), out::tell, this::advanced);
+        log =
+                new StreamLog(
+                        new StreamLog.Parts(
+                                parts.name(),
+                                parts.controls(),
+                                window,
+                                parts.executor(),
+                                parts.nowMs(),
+                                parts.seed(),
+                                parts.store(),
+                                parts.restored(),
+                                parts.snapshotEvery()),
+                        out::tell,
+                        this::advanced);
     }
 
     public void start() {
@@ -90,7 +116,7 @@
             return;
         }
         // Whether it leads or not: the one that leads may be lost before an entry is everywhere.
-        for (watched = Math.max(watched, window.base()); watched < window.head();) {
+        for (watched = Math.max(watched, window.base()); watched < window.head(); ) {
             deliveries.committed(nowMs.getAsDouble(), ++watched);
         }
         publisher.advanced(out);
@@ -125,23 +151,39 @@
         List<Row> heard = deliveries.heard();
         for (int i = 0; i < heard.size(); i += MOST_ROWS) {
             JsonObject tally = message("tally");
-            tally.addProperty("rows", Base64.getEncoder().encodeToString(Frames.encode(new Tally(heard.subList(i, Math.min(heard.size(), i + MOST_ROWS))))));
+            tally.addProperty(
+                    "rows",
+                    Base64.getEncoder()
+                            .encodeToString(
+                                    Frames.encode(
+                                            new Tally(
+                                                    heard.subList(
+                                                            i,
+                                                            Math.min(
+                                                                    heard.size(),
+                                                                    i + MOST_ROWS))))));
             out.tell(leader, tally);
         }
     }
 
-    /** A majority has said that this one led at that time: all that was committed then is in its window. */
+    /**
+     * A majority has said that this one led at that time: all that was committed then is in its
+     * window.
+     */
     private void confirmed(double at) {
         publisher.fresh(at);
-        asked.forEach((name, a) -> {
-            if (a.at() <= at) {
-                JsonObject answer = message("so-far");
-                answer.addProperty("stamp", a.stamp());
-                answer.addProperty("head", window.head());
-                answer.addProperty("everywhere", Math.min(deliveries.firstPending() - 1, window.head()));
-                out.tell(name, answer);
-            }
-        });
+        asked.forEach(
+                (name, a) -> {
+                    if (a.at() <= at) {
+                        JsonObject answer = message("so-far");
+                        answer.addProperty("stamp", a.stamp());
+                        answer.addProperty("head", window.head());
+                        answer.addProperty(
+                                "everywhere",
+                                Math.min(deliveries.firstPending() - 1, window.head()));
+                        out.tell(name, answer);
+                    }
+                });
         asked.values().removeIf(a -> a.at() <= at);
     }
 
@@ -158,11 +200,17 @@
             return;
         }
         switch (json.get("t").getAsString()) {
-            // The first that has no answer yet: were it the last, one who asks in step with the leader's own questions would never have one.
-            case "how-far" -> asked.putIfAbsent(from, new Asked(nowMs.getAsDouble(), json.get("stamp").getAsDouble()));
+            // The first that has no answer yet: were it the last, one who asks in step with the
+            // leader's own questions would never have one.
+            case "how-far" ->
+                    asked.putIfAbsent(
+                            from, new Asked(nowMs.getAsDouble(), json.get("stamp").getAsDouble()));
             case "so-far" -> {
                 // One of an earlier version says nothing of it and had none watched but its own.
-                deliveries.settled(json.has("everywhere") ? json.get("everywhere").getAsLong() : json.get("head").getAsLong());
+                deliveries.settled(
+                        json.has("everywhere")
+                                ? json.get("everywhere").getAsLong()
+                                : json.get("head").getAsLong());
                 if (leadersHead == Long.MAX_VALUE) {
                     leadersHead = json.get("head").getAsLong();
                     leadersStamp = json.get("stamp").getAsDouble();
@@ -170,7 +218,10 @@
                 caughtUp();
             }
             case "tally" -> {
-                if (Frames.decode(ByteBuffer.wrap(Base64.getDecoder().decode(json.get("rows").getAsString()))) instanceof Tally t) {
+                if (Frames.decode(
+                                ByteBuffer.wrap(
+                                        Base64.getDecoder().decode(json.get("rows").getAsString())))
+                        instanceof Tally t) {
                     deliveries.add(nowMs.getAsDouble(), t.rows());
                 }
             }
@@ -198,7 +249,10 @@
         return log.leads();
     }
 
-    /** Whether it has ended by itself, as where its file can't be written. It serves what it has; its readers see that it falls behind, and go. */
+    /**
+     * Whether it has ended by itself, as where its file can't be written. It serves what it has;
+     * its readers see that it falls behind, and go.
+     */
     public boolean broken() {
         return log.broken();
     }
@@ -218,9 +272,13 @@
         return window.base();
     }
 
-    /** Where it leads: those who lack an entry, and those who have not been heard for a while, by name. */
+    /**
+     * Where it leads: those who lack an entry, and those who have not been heard for a while, by
+     * name.
+     */
     public List<String> stragglers(long seq) {
         double now = nowMs.getAsDouble();
-        return Stream.concat(deliveries.behind(now, seq).stream(), deliveries.apart(now).stream()).toList();
+        return Stream.concat(deliveries.behind(now, seq).stream(), deliveries.apart(now).stream())
+                .toList();
     }
 }
--- a/src/main/java/hopglade/raft/CorruptLogException.java
+++ b/src/main/java/hopglade/raft/CorruptLogException.java
@@ -15,7 +15,9 @@
     private final transient Path file;
     private final int line;
 
-    /** @param line the number of the first damaged line, from 1 on */
+    /**
+     * @param line the number of the first damaged line, from 1 on
+     */
     CorruptLogException(Path file, int line, String why) {
         super(file + ":" + line + ": " + why);
         this.file = file;
--- a/src/main/java/hopglade/raft/DurableFiles.java
+++ b/src/main/java/hopglade/raft/DurableFiles.java
@@ -17,8 +17,11 @@
 
     /** Opens a file for writing, empty. */
     FileChannel create(Path file) throws IOException {
-        return FileChannel.open(file, StandardOpenOption.CREATE,
-                StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+        return FileChannel.open(
+                file,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE);
     }
 
     /** The whole content of a file. */
--- a/src/main/java/hopglade/raft/Links.java
+++ b/src/main/java/hopglade/raft/Links.java
@@ -42,10 +42,12 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Sealed messages between proxies on TCP: each proxy keeps one connection to each voter; answers come back on it. Both ends begin with a
- * key drawn for the connection, agree on a secret (X25519) and prove who they are by a signature over both keys (Ed25519, the gossip's);
- * every later frame carries an HMAC over a count and itself, so that none can be played again. A signature for each frame took a fifth of a core. A
- * connection that falls silent is closed and made anew. What can't be sent is dropped, as all that is sent is asked again.
+ * Sealed messages between proxies on TCP: each proxy keeps one connection to each voter; answers
+ * come back on it. Both ends begin with a key drawn for the connection, agree on a secret (X25519)
+ * and prove who they are by a signature over both keys (Ed25519, the gossip's); every later frame
+ * carries an HMAC over a count and itself, so that none can be played again. A signature for each
+ * frame took a fifth of a core. A connection that falls silent is closed and made anew. What can't
+ * be sent is dropped, as all that is sent is asked again.
  */
 final class Links {
 
@@ -55,8 +57,10 @@
     private static final byte[] PURPOSE = "flintmill policy 1".getBytes(StandardCharsets.US_ASCII);
     private static final int MOST_WAITING = 64;
     private static final int CONNECT_MS = 500;
+
     /** Questions go out several times a second, and each has an answer. */
     private static final long SILENT_MS = 1500;
+
     private static final long AGAIN_MS = 200;
 
     /** Takes a message whose sender is proven. */
@@ -75,14 +79,28 @@
     private Channel listener;
     private boolean closed;
 
-    /** @param opens is given each connection before anything of ours is in its pipeline */
-    Links(EventLoop loop, Identity identity, Map<String, InetSocketAddress> voters, Consumer<Channel> opens, Inbox inbox) {
+    /**
+     * @param opens is given each connection before anything of ours is in its pipeline
+     */
+    Links(
+            EventLoop loop,
+            Identity identity,
+            Map<String, InetSocketAddress> voters,
+            Consumer<Channel> opens,
+            Inbox inbox) {
         this(loop, identity, voters, opens, inbox, NioSocketChannel::new);
     }
 
-    /** For tests: connects over channels that may fail to be made, as where no descriptor is left. */
-    Links(EventLoop loop, Identity identity, Map<String, InetSocketAddress> voters, Consumer<Channel> opens, Inbox inbox,
-          ChannelFactory<Channel> channels) {
+    /**
+     * For tests: connects over channels that may fail to be made, as where no descriptor is left.
+     */
+    Links(
+            EventLoop loop,
+            Identity identity,
+            Map<String, InetSocketAddress> voters,
+            Consumer<Channel> opens,
+            Inbox inbox,
+            ChannelFactory<Channel> channels) {
         this.loop = loop;
         this.identity = identity;
         this.voters = voters;
@@ -101,14 +119,22 @@
 
     /** Takes connections; only a voter has any. */
     void listen(InetSocketAddress at) throws IOException, InterruptedException {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class).childHandler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                pipe(channel, new Link(null));
-            }
-        }).bind(at).await();
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        pipe(channel, new Link(null));
+                                    }
+                                })
+                        .bind(at)
+                        .await();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + at + " for the policy: " + bound.cause().getMessage());
+            throw new IOException(
+                    "cannot listen on " + at + " for the policy: " + bound.cause().getMessage());
         }
         listener = bound.channel();
     }
@@ -149,16 +175,22 @@
         }
         Link link = new Link(voter);
         outgoing.put(voter, link);
-        ChannelFuture connecting = new Bootstrap().group(loop).channelFactory(channels)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        pipe(channel, link);
-                    }
-                }).connect(voters.get(voter));
+        ChannelFuture connecting =
+                new Bootstrap()
+                        .group(loop)
+                        .channelFactory(channels)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .handler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        pipe(channel, link);
+                                    }
+                                })
+                        .connect(voters.get(voter));
         if (connecting.isDone() && !connecting.isSuccess()) {
-            // No socket could be made, as descriptors are out: there is no channel whose end would be told.
+            // No socket could be made, as descriptors are out: there is no channel whose end would
+            // be told.
             outgoing.remove(voter);
             connectLater(voter);
             return;
@@ -176,14 +208,19 @@
     private void pipe(Channel channel, Link link) {
         link.channel = channel;
         opens.accept(channel);
-        channel.pipeline().addLast(new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS), new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4),
-                new LengthFieldPrepender(4), link);
+        channel.pipeline()
+                .addLast(
+                        new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS),
+                        new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4),
+                        new LengthFieldPrepender(4),
+                        link);
     }
 
     /** One connection. */
     private final class Link extends SimpleChannelInboundHandler<ByteBuf> {
         /** Whom it was made to; null where it was taken. */
         private final String to;
+
         private final KeyPair ours = sessionKey();
         private final Deque<JsonObject> waiting = new ArrayDeque<>();
         private Channel channel;
@@ -219,24 +256,35 @@
             return mac.doFinal(json);
         }
 
-        /** The session's keys follow from both ends' fresh ones; what proves who the other end is, is its signature over both. */
+        /**
+         * The session's keys follow from both ends' fresh ones; what proves who the other end is,
+         * is its signature over both.
+         */
         private void greet(ChannelHandlerContext ctx, byte[] key) throws GeneralSecurityException {
             byte[] own = ours.getPublic().getEncoded();
             KeyAgreement agreement = KeyAgreement.getInstance(AGREEMENT);
             agreement.init(ours.getPrivate());
-            agreement.doPhase(KeyFactory.getInstance(AGREEMENT).generatePublic(new X509EncodedKeySpec(key)), true);
+            agreement.doPhase(
+                    KeyFactory.getInstance(AGREEMENT).generatePublic(new X509EncodedKeySpec(key)),
+                    true);
             byte[] secret = agreement.generateSecret();
             sends = mac(secret, own, key);
             takes = mac(secret, key, own);
             theirs = key;
             byte[] name = identity.name().getBytes(StandardCharsets.UTF_8);
             byte[] both = both(own, key);
-            ctx.writeAndFlush(Unpooled.buffer().writeByte(name.length).writeBytes(name).writeInt(identity.keyId()).writeBytes(identity.sign(both, both.length)));
+            ctx.writeAndFlush(
+                    Unpooled.buffer()
+                            .writeByte(name.length)
+                            .writeBytes(name)
+                            .writeInt(identity.keyId())
+                            .writeBytes(identity.sign(both, both.length)));
             waiting.forEach(this::send);
             waiting.clear();
         }
 
-        private Mac mac(byte[] secret, byte[] sender, byte[] receiver) throws GeneralSecurityException {
+        private Mac mac(byte[] secret, byte[] sender, byte[] receiver)
+                throws GeneralSecurityException {
             Mac derive = Mac.getInstance(SEAL);
             derive.init(new SecretKeySpec(secret, SEAL));
             Mac mac = Mac.getInstance(SEAL);
@@ -245,16 +293,25 @@
         }
 
         private byte[] both(byte[] sender, byte[] receiver) {
-            return ByteBuffer.allocate(PURPOSE.length + sender.length + receiver.length).put(PURPOSE).put(sender).put(receiver).array();
+            return ByteBuffer.allocate(PURPOSE.length + sender.length + receiver.length)
+                    .put(PURPOSE)
+                    .put(sender)
+                    .put(receiver)
+                    .array();
         }
 
         /** The other end says who it is, and proves it. */
         private boolean proves(ByteBuf frame) {
-            String name = frame.readCharSequence(frame.readUnsignedByte(), StandardCharsets.UTF_8).toString();
+            String name =
+                    frame.readCharSequence(frame.readUnsignedByte(), StandardCharsets.UTF_8)
+                            .toString();
             int key = frame.readInt();
             byte[] both = both(theirs, ours.getPublic().getEncoded());
-            boolean proven = (to == null || name.equals(to)) && identity.knows(name, key)
-                    && identity.verify(name, key, both, both.length, ByteBufUtil.getBytes(frame));
+            boolean proven =
+                    (to == null || name.equals(to))
+                            && identity.knows(name, key)
+                            && identity.verify(
+                                    name, key, both, both.length, ByteBufUtil.getBytes(frame));
             from = proven ? name : null;
             if (proven && to == null) {
                 incoming.put(name, this);
@@ -263,7 +320,8 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws GeneralSecurityException {
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame)
+                throws GeneralSecurityException {
             if (theirs == null) {
                 greet(ctx, ByteBufUtil.getBytes(frame));
             } else if (from == null) {
@@ -278,7 +336,10 @@
                     ctx.close();
                     return;
                 }
-                inbox.received(from, JsonParser.parseString(new String(json, StandardCharsets.UTF_8)).getAsJsonObject());
+                inbox.received(
+                        from,
+                        JsonParser.parseString(new String(json, StandardCharsets.UTF_8))
+                                .getAsJsonObject());
             }
         }
 
--- a/src/main/java/hopglade/raft/LogFile.java
+++ b/src/main/java/hopglade/raft/LogFile.java
@@ -23,9 +23,11 @@
 import java.util.zip.CRC32;
 
 /**
- * What a voter must not forget, as lines of a checksum and JSON in one file. It grows until a snapshot takes the place of entries; then, and
- * at a start, it is written anew beside itself and renamed, without what was replaced. Synced where the library asks. A last line that is torn
- * was never confirmed to anyone and is dropped; damage before it refuses the start, as a voter that has forgotten its vote could give it twice.
+ * What a voter must not forget, as lines of a checksum and JSON in one file. It grows until a
+ * snapshot takes the place of entries; then, and at a start, it is written anew beside itself and
+ * renamed, without what was replaced. Synced where the library asks. A last line that is torn was
+ * never confirmed to anyone and is dropped; damage before it refuses the start, as a voter that has
+ * forgotten its vote could give it twice.
  *
  * <p>After a write, sync or rename that failed nothing is written to that file any more, as half a
  * line may stand at its end, and as the system tells of a sync that failed only once: every later
@@ -36,19 +38,27 @@
 
     /** What the file holds. */
     private Endpoint endpoint;
+
     private boolean voting;
     private JsonObject members;
     private JsonObject term;
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
-    /** Parts of snapshots by the index that they stand for; all but the last whole one go with the next rewriting. */
+
+    /**
+     * Parts of snapshots by the index that they stand for; all but the last whole one go with the
+     * next rewriting.
+     */
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
     private final Path file;
     private final DurableFiles files;
+
     /** Where lines go; null until the file has been written anew. */
     private FileChannel channel;
+
     /** How much of the file is known to be on the disk. */
     private long syncedBytes;
+
     /** Why this object takes no more; null while it does. */
     private StorageUnavailableException fault;
 
@@ -94,8 +104,10 @@
         LogFile opened = open(file.getParent(), files);
         if (opened.term() < term()) {
             opened.discard();
-            throw new CorruptLogException(file, 1, "term " + term() + " was confirmed, and term "
-                    + opened.term() + " is there");
+            throw new CorruptLogException(
+                    file,
+                    1,
+                    "term " + term() + " was confirmed, and term " + opened.term() + " is there");
         }
         return opened;
     }
@@ -152,12 +164,17 @@
     }
 
     private void keep(SnapshotChunk chunk) {
-        snapshots.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
+        snapshots
+                .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
+                .put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
     /** The last snapshot of which all parts are there; null without one. */
     private TreeMap<Integer, SnapshotChunk> snapshot() {
-        return snapshots.descendingMap().values().stream().filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount()).findFirst().orElse(null);
+        return snapshots.descendingMap().values().stream()
+                .filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount())
+                .findFirst()
+                .orElse(null);
     }
 
     /**
@@ -278,16 +295,41 @@
         if (endpoint == null || members == null || term == null) {
             return null;
         }
-        var self = Codec.MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(endpoint).setVoting(voting).build();
-        var voted = Codec.MODELS.createRaftTermPersistentStateBuilder().setTerm(term()).setVotedFor(term.has("voted") ? new Endpoint(term.get("voted").getAsString()) : null).build();
+        var self =
+                Codec.MODELS
+                        .createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(endpoint)
+                        .setVoting(voting)
+                        .build();
+        var voted =
+                Codec.MODELS
+                        .createRaftTermPersistentStateBuilder()
+                        .setTerm(term())
+                        .setVotedFor(
+                                term.has("voted")
+                                        ? new Endpoint(term.get("voted").getAsString())
+                                        : null)
+                        .build();
         TreeMap<Integer, SnapshotChunk> last = snapshot();
         if (last == null) {
-            return new RestoredRaftState(self, Codec.members(members), voted, null, new ArrayList<>(entries.values()));
+            return new RestoredRaftState(
+                    self, Codec.members(members), voted, null, new ArrayList<>(entries.values()));
         }
         SnapshotChunk first = last.firstEntry().getValue();
-        var snapshot = Codec.MODELS.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
-                .setSnapshotChunks(List.copyOf(last.values())).setGroupMembersView(first.getGroupMembersView()).build();
-        return new RestoredRaftState(self, Codec.members(members), voted, snapshot, new ArrayList<>(entries.tailMap(first.getIndex(), false).values()));
+        var snapshot =
+                Codec.MODELS
+                        .createSnapshotEntryBuilder()
+                        .setIndex(first.getIndex())
+                        .setTerm(first.getTerm())
+                        .setSnapshotChunks(List.copyOf(last.values()))
+                        .setGroupMembersView(first.getGroupMembersView())
+                        .build();
+        return new RestoredRaftState(
+                self,
+                Codec.members(members),
+                voted,
+                snapshot,
+                new ArrayList<>(entries.tailMap(first.getIndex(), false).values()));
     }
 
     /** The term that was read; 0 without one. */
@@ -299,23 +341,25 @@
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state)
             throws StorageUnavailableException {
         Endpoint self = (Endpoint) state.getLocalEndpoint();
-        change(() -> {
-            write("self", self(self.name(), state.isVoting()));
-            force();
-            endpoint = self;
-            voting = state.isVoting();
-        });
+        change(
+                () -> {
+                    write("self", self(self.name(), state.isVoting()));
+                    force();
+                    endpoint = self;
+                    voting = state.isVoting();
+                });
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView view)
             throws StorageUnavailableException {
         JsonObject line = Codec.members(view);
-        change(() -> {
-            write("members", line);
-            force();
-            members = line;
-        });
+        change(
+                () -> {
+                    write("members", line);
+                    force();
+                    members = line;
+                });
     }
 
     @Override
@@ -326,30 +370,33 @@
         if (state.getVotedFor() != null) {
             line.addProperty("voted", (String) state.getVotedFor().getId());
         }
-        change(() -> {
-            write("term", line);
-            force();
-            term = line;
-        });
+        change(
+                () -> {
+                    write("term", line);
+                    force();
+                    term = line;
+                });
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws StorageUnavailableException {
-        change(() -> {
-            for (LogEntry e : added) {
-                write("entry", Codec.entry(e));
-                entries.tailMap(e.getIndex(), true).clear();
-                entries.put(e.getIndex(), e);
-            }
-        });
+        change(
+                () -> {
+                    for (LogEntry e : added) {
+                        write("entry", Codec.entry(e));
+                        entries.tailMap(e.getIndex(), true).clear();
+                        entries.put(e.getIndex(), e);
+                    }
+                });
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws StorageUnavailableException {
-        change(() -> {
-            write("from", at(index));
-            entries.tailMap(index, true).clear();
-        });
+        change(
+                () -> {
+                    write("from", at(index));
+                    entries.tailMap(index, true).clear();
+                });
     }
 
     private static JsonObject at(long index) {
@@ -360,27 +407,30 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws StorageUnavailableException {
-        change(() -> {
-            write("chunk", Codec.chunk(chunk));
-            keep(chunk);
-        });
+        change(
+                () -> {
+                    write("chunk", Codec.chunk(chunk));
+                    keep(chunk);
+                });
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws StorageUnavailableException {
-        change(() -> {
-            write("until", at(index));
-            entries.headMap(index, true).clear();
-            rewrite();
-        });
+        change(
+                () -> {
+                    write("until", at(index));
+                    entries.headMap(index, true).clear();
+                    rewrite();
+                });
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws StorageUnavailableException {
-        change(() -> {
-            write("no-chunks", at(index));
-            snapshots.remove(index);
-        });
+        change(
+                () -> {
+                    write("no-chunks", at(index));
+                    snapshots.remove(index);
+                });
     }
 
     @Override
@@ -393,11 +443,16 @@
         channel.close();
     }
 
-    /** The last epoch in force, kept apart: a proxy runs it from its start on, whoever it reaches. Null where there is none. */
+    /**
+     * The last epoch in force, kept apart: a proxy runs it from its start on, whoever it reaches.
+     * Null where there is none.
+     */
     static Epoch last(Path folder) throws IOException {
         Path file = folder.resolve("in-force");
         try {
-            return Files.exists(file) ? Codec.epoch(JsonParser.parseString(Files.readString(file)).getAsJsonObject()) : null;
+            return Files.exists(file)
+                    ? Codec.epoch(JsonParser.parseString(Files.readString(file)).getAsJsonObject())
+                    : null;
         } catch (JsonParseException | IllegalStateException | NullPointerException e) {
             throw new CorruptLogException(file, 1, "damaged");
         }
--- a/src/main/java/hopglade/raft/PolicyService.java
+++ b/src/main/java/hopglade/raft/PolicyService.java
@@ -27,10 +27,11 @@
 import java.util.function.Consumer;
 
 /**
- * One proxy's part in the fleet's policy as a process has it: the member, where it votes the log and its file, the links, and the socket
- * that operators ask. All of it runs on the proxy's own loop, but for what the file's syncs take. Where the file can't be used the proxy
- * serves on by the last epoch that it has, votes no more and says so. It tries the file again now and then, and once that works it votes
- * again from what is on the disk, as after a restart.
+ * One proxy's part in the fleet's policy as a process has it: the member, where it votes the log
+ * and its file, the links, and the socket that operators ask. All of it runs on the proxy's own
+ * loop, but for what the file's syncs take. Where the file can't be used the proxy serves on by the
+ * last epoch that it has, votes no more and says so. It tries the file again now and then, and once
+ * that works it votes again from what is on the disk, as after a restart.
  */
 public final class PolicyService implements PolicyMember.Out {
 
@@ -39,14 +40,20 @@
 
     /** What the proxy does with it. */
     public interface Hooks {
-        /** An epoch is in force; {@code options} are the proxy's own with what the policy says in their place. */
+        /**
+         * An epoch is in force; {@code options} are the proxy's own with what the policy says in
+         * their place.
+         */
         void apply(Options options);
 
         /** An event for the log. */
         void event(String name, Object... fields);
 
-        /** A connection is being set up, made or taken; what is put into its pipeline here sees each byte as the wire does. */
-        default void opens(Channel connection) { }
+        /**
+         * A connection is being set up, made or taken; what is put into its pipeline here sees each
+         * byte as the wire does.
+         */
+        default void opens(Channel connection) {}
     }
 
     private final EventLoop loop;
@@ -60,22 +67,35 @@
     private final StorageRecovery storage;
     private final long seed;
     private Epochs epochs = new Epochs();
+
     /** The voter's file, the last one while none can be opened; null before the first. */
     private LogFile file;
+
     /** Null where this proxy does not vote, for the moment or at all. */
     private RaftLog log;
+
     private PolicyMember member;
+
     /** The last epoch that was put in force here; null before the first. */
     private Epoch inForce;
+
     /** What the folder lacks of that: the epoch in force where it could not be kept; else null. */
     private Epoch unkept;
+
     private int lives;
     private LocalSocket socket;
     private boolean closed;
     private int toldTerm = -1;
 
-    private PolicyService(EventLoop loop, Options own, Path folder, Identity identity, long seed,
-            Hooks hooks, DurableFiles files) throws IOException {
+    private PolicyService(
+            EventLoop loop,
+            Options own,
+            Path folder,
+            Identity identity,
+            long seed,
+            Hooks hooks,
+            DurableFiles files)
+            throws IOException {
         this.loop = loop;
         this.own = own;
         this.folder = folder;
@@ -85,26 +105,36 @@
         this.seed = seed;
         storage = new StorageRecovery(folder, hooks::event);
         for (String voter : own.policy().voters()) {
-            voters.put(voter.substring(0, voter.indexOf('=')), address(voter.substring(voter.indexOf('=') + 1)));
+            voters.put(
+                    voter.substring(0, voter.indexOf('=')),
+                    address(voter.substring(voter.indexOf('=') + 1)));
         }
         links = new Links(loop, identity, voters, hooks::opens, this::received);
     }
 
     /**
-     * Begins. Throws where the addresses or the keys can't be had; where the folder can't be used it goes on without a vote.
+     * Begins. Throws where the addresses or the keys can't be had; where the folder can't be used
+     * it goes on without a vote.
      *
      * @param temporary the folder for temporary files, for where the options name none
      */
-    public static PolicyService open(EventLoop loop, Options own, Path temporary, long seed, Hooks hooks) throws IOException, InterruptedException {
+    public static PolicyService open(
+            EventLoop loop, Options own, Path temporary, long seed, Hooks hooks)
+            throws IOException, InterruptedException {
         return open(loop, own, temporary, seed, hooks, new DurableFiles());
     }
 
     /** {@link #open} with the calls to the file system that the voter's file is written by. */
-    static PolicyService open(EventLoop loop, Options own, Path temporary, long seed, Hooks hooks,
-            DurableFiles files) throws IOException, InterruptedException {
+    static PolicyService open(
+            EventLoop loop, Options own, Path temporary, long seed, Hooks hooks, DurableFiles files)
+            throws IOException, InterruptedException {
         try {
-            Identity keys = new KeyRing(Path.of(own.gossip().keyFile()), Path.of(own.gossip().ringFile()));
-            Path folder = own.policy().folder().isEmpty() ? temporary.resolve("policy-" + keys.name()) : Path.of(own.policy().folder());
+            Identity keys =
+                    new KeyRing(Path.of(own.gossip().keyFile()), Path.of(own.gossip().ringFile()));
+            Path folder =
+                    own.policy().folder().isEmpty()
+                            ? temporary.resolve("policy-" + keys.name())
+                            : Path.of(own.policy().folder());
             PolicyService service = new PolicyService(loop, own, folder, keys, seed, hooks, files);
             service.begin();
             return service;
@@ -152,22 +182,24 @@
             socket = PolicySocket.open(Path.of(own.policy().socket()), loop, this::operator);
         }
         Epoch first = inForce;
-        loop.submit(() -> {
-            if (first != null) {
-                put(first);
-                event(PolicyMember.What.APPLIED, first.number(), now());
-            }
-            links.start();
-            if (log != null) {
-                log.start();
-            }
-            tick();
-        }).sync();
+        loop.submit(
+                        () -> {
+                            if (first != null) {
+                                put(first);
+                                event(PolicyMember.What.APPLIED, first.number(), now());
+                            }
+                            links.start();
+                            if (log != null) {
+                                log.start();
+                            }
+                            tick();
+                        })
+                .sync();
     }
 
     private PolicyMember newMember() {
-        return new PolicyMember(identity.name(), List.copyOf(voters.keySet()), log, epochs, inForce,
-                now());
+        return new PolicyMember(
+                identity.name(), List.copyOf(voters.keySet()), log, epochs, inForce, now());
     }
 
     /**
@@ -177,13 +209,25 @@
     private void vote(LogFile opened) {
         file = opened;
         epochs = new Epochs();
-        RaftLog.Parts parts = new RaftLog.Parts(identity.name(), List.copyOf(voters.keySet()), epochs,
-                new OnLoop(loop), PolicyService::now, seed + lives++, opened, opened.restored());
-        log = new RaftLog(parts, (to, json) -> {
-            if (!opened.failed()) {
-                links.ask(to, json);
-            }
-        }, this::committed);
+        RaftLog.Parts parts =
+                new RaftLog.Parts(
+                        identity.name(),
+                        List.copyOf(voters.keySet()),
+                        epochs,
+                        new OnLoop(loop),
+                        PolicyService::now,
+                        seed + lives++,
+                        opened,
+                        opened.restored());
+        log =
+                new RaftLog(
+                        parts,
+                        (to, json) -> {
+                            if (!opened.failed()) {
+                                links.ask(to, json);
+                            }
+                        },
+                        this::committed);
         member = newMember();
     }
 
@@ -230,7 +274,12 @@
             log.tick(now());
             if (log.led() && log.term() != toldTerm) {
                 toldTerm = log.term();
-                hooks.event("policy_leads", "subject", toldTerm, "evidence", String.format(Locale.ROOT, "at:%.3f", now()));
+                hooks.event(
+                        "policy_leads",
+                        "subject",
+                        toldTerm,
+                        "evidence",
+                        String.format(Locale.ROOT, "at:%.3f", now()));
             }
         }
         member.tick(now(), this);
@@ -292,14 +341,20 @@
         try {
             hooks.apply(OptionsFile.policy(epoch.content(), own));
         } catch (BadFileException e) {
-            // Checked before it was proposed, by the same checker: a proxy of another version may know less.
+            // Checked before it was proposed, by the same checker: a proxy of another version may
+            // know less.
             hooks.event("policy_not_understood", "epoch", epoch.number(), "cause", e.getMessage());
         }
     }
 
     @Override
     public void event(PolicyMember.What what, long epoch, double atMs) {
-        hooks.event("policy_" + what.name().toLowerCase(Locale.ROOT), "subject", epoch, "evidence", String.format(Locale.ROOT, "at:%.3f", atMs));
+        hooks.event(
+                "policy_" + what.name().toLowerCase(Locale.ROOT),
+                "subject",
+                epoch,
+                "evidence",
+                String.format(Locale.ROOT, "at:%.3f", atMs));
     }
 
     // What operators ask.
@@ -312,7 +367,12 @@
             case "revert" -> {
                 Epoch old = epochs.find(asked.get("epoch").getAsLong());
                 if (old == null) {
-                    then.accept(PolicySocket.answer(PolicySocket.REFUSED, "no epoch " + asked.get("epoch") + " is known here; nothing was changed"));
+                    then.accept(
+                            PolicySocket.answer(
+                                    PolicySocket.REFUSED,
+                                    "no epoch "
+                                            + asked.get("epoch")
+                                            + " is known here; nothing was changed"));
                 } else {
                     propose(old.content(), then);
                 }
@@ -325,36 +385,73 @@
         try {
             OptionsFile.policy(content, own);
         } catch (BadFileException e) {
-            then.accept(PolicySocket.answer(PolicySocket.BAD, e.getMessage() + "; nothing was changed"));
+            then.accept(
+                    PolicySocket.answer(
+                            PolicySocket.BAD, e.getMessage() + "; nothing was changed"));
             return;
         }
         if (isVoter() && (log == null || log.broken())) {
-            then.accept(PolicySocket.answer(PolicySocket.REFUSED, "this voter's folder " + folder + " can't be used; nothing was changed"));
+            then.accept(
+                    PolicySocket.answer(
+                            PolicySocket.REFUSED,
+                            "this voter's folder "
+                                    + folder
+                                    + " can't be used; nothing was changed"));
             return;
         }
-        member.propose(now(), content, this, a -> then.accept(PolicySocket.answer(PolicySocket.exit(a.ending()), a.text())));
+        member.propose(
+                now(),
+                content,
+                this,
+                a -> then.accept(PolicySocket.answer(PolicySocket.exit(a.ending()), a.text())));
     }
 
     private String status() {
         double now = now();
         List<String> lines = new ArrayList<>();
-        lines.add(String.format(Locale.ROOT, "%s: epoch %d in force for %.1f s, %s; highest known %d; %d of %d voters reached; leader %s%s", identity.name(),
-                member.inForce(), (now - member.inForceSince()) / 1000, member.current(now) ? "current" : "not current", member.highest(),
-                member.reachable(now), voters.size(), member.leader(now).isEmpty() ? "unknown" : member.leader(now),
-                storage.failed() ? "; its folder can't be used" : ""));
+        lines.add(
+                String.format(
+                        Locale.ROOT,
+                        "%s: epoch %d in force for %.1f s, %s; highest known %d; %d of %d voters reached; leader %s%s",
+                        identity.name(),
+                        member.inForce(),
+                        (now - member.inForceSince()) / 1000,
+                        member.current(now) ? "current" : "not current",
+                        member.highest(),
+                        member.reachable(now),
+                        voters.size(),
+                        member.leader(now).isEmpty() ? "unknown" : member.leader(now),
+                        storage.failed() ? "; its folder can't be used" : ""));
         // What a voter was told; others hear only of voters.
-        member.seen().entrySet().stream().sorted(Map.Entry.comparingByKey()).filter(e -> !e.getKey().equals(identity.name())).forEach(e ->
-                lines.add(String.format(Locale.ROOT, "%-32s epoch %-6d %-8s heard %.1f s ago", e.getKey(), e.getValue().epoch(),
-                        e.getValue().fenced() ? "fenced" : "", (now - e.getValue().at()) / 1000)));
+        member.seen().entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .filter(e -> !e.getKey().equals(identity.name()))
+                .forEach(
+                        e ->
+                                lines.add(
+                                        String.format(
+                                                Locale.ROOT,
+                                                "%-32s epoch %-6d %-8s heard %.1f s ago",
+                                                e.getKey(),
+                                                e.getValue().epoch(),
+                                                e.getValue().fenced() ? "fenced" : "",
+                                                (now - e.getValue().at()) / 1000)));
         return String.join("\n", lines);
     }
 
     private String history() {
         List<String> lines = new ArrayList<>();
         for (Epoch e : epochs.history()) {
-            lines.add("# epoch " + e.number() + ", proposal " + e.proposal() + (e.number() == member.inForce() ? ", in force" : ""));
+            lines.add(
+                    "# epoch "
+                            + e.number()
+                            + ", proposal "
+                            + e.proposal()
+                            + (e.number() == member.inForce() ? ", in force" : ""));
             lines.add(e.content().stripTrailing());
         }
-        return lines.isEmpty() ? "no epoch yet: each proxy runs its own file" : String.join("\n", lines);
+        return lines.isEmpty()
+                ? "no epoch yet: each proxy runs its own file"
+                : String.join("\n", lines);
     }
 }
--- a/src/main/java/hopglade/raft/PolicySocket.java
+++ b/src/main/java/hopglade/raft/PolicySocket.java
@@ -22,38 +22,63 @@
 /** A socket that takes one question as a line of JSON, and answers with an exit code and a text. */
 public final class PolicySocket {
 
-    /** Exit codes beside 0: refused for good, a bad policy, no majority, and an end that can't be told yet. */
+    /**
+     * Exit codes beside 0: refused for good, a bad policy, no majority, and an end that can't be
+     * told yet.
+     */
     static final int REFUSED = 1;
+
     static final int BAD = 2;
     private static final int NO_MAJORITY = 3;
     private static final int UNKNOWN = 4;
     private static final int MOST_BYTES = 1 << 18;
+
     /** A proposal is answered within its own patience. */
     private static final int SILENT_S = 20;
 
-    private PolicySocket() { }
+    private PolicySocket() {}
 
-    static LocalSocket open(Path path, EventLoop loop, BiConsumer<JsonObject, Consumer<JsonObject>> operator) throws IOException, InterruptedException {
-        return LocalSocket.open(path, loop, channel -> channel.pipeline().addLast(new ReadTimeoutHandler(SILENT_S),
-                new LineBasedFrameDecoder(MOST_BYTES), new SimpleChannelInboundHandler<ByteBuf>() {
-                    @Override
-                    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-                        try {
-                            operator.accept(JsonParser.parseString(line.toString(StandardCharsets.UTF_8)).getAsJsonObject(), a -> tell(ctx, a));
-                        } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-                            tell(ctx, answer(REFUSED, "no question"));
-                        }
-                    }
+    static LocalSocket open(
+            Path path, EventLoop loop, BiConsumer<JsonObject, Consumer<JsonObject>> operator)
+            throws IOException, InterruptedException {
+        return LocalSocket.open(
+                path,
+                loop,
+                channel ->
+                        channel.pipeline()
+                                .addLast(
+                                        new ReadTimeoutHandler(SILENT_S),
+                                        new LineBasedFrameDecoder(MOST_BYTES),
+                                        new SimpleChannelInboundHandler<ByteBuf>() {
+                                            @Override
+                                            protected void channelRead0(
+                                                    ChannelHandlerContext ctx, ByteBuf line) {
+                                                try {
+                                                    operator.accept(
+                                                            JsonParser.parseString(
+                                                                            line.toString(
+                                                                                    StandardCharsets
+                                                                                            .UTF_8))
+                                                                    .getAsJsonObject(),
+                                                            a -> tell(ctx, a));
+                                                } catch (JsonParseException
+                                                        | IllegalStateException
+                                                        | NullPointerException e) {
+                                                    tell(ctx, answer(REFUSED, "no question"));
+                                                }
+                                            }
 
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        ctx.close();
-                    }
-                }));
+                                            @Override
+                                            public void exceptionCaught(
+                                                    ChannelHandlerContext ctx, Throwable cause) {
+                                                ctx.close();
+                                            }
+                                        }));
     }
 
     private static void tell(ChannelHandlerContext ctx, JsonObject answer) {
-        ctx.writeAndFlush(Unpooled.copiedBuffer(answer.toString(), StandardCharsets.UTF_8)).addListener(ChannelFutureListener.CLOSE);
+        ctx.writeAndFlush(Unpooled.copiedBuffer(answer.toString(), StandardCharsets.UTF_8))
+                .addListener(ChannelFutureListener.CLOSE);
     }
 
     static JsonObject answer(int exit, String text) {
@@ -86,14 +111,19 @@
         }
     }
 
-    /** Asks the proxy behind a socket; for the command line and the laboratory. {@code content} and {@code epoch} as the question needs. */
-    public static Told ask(Path path, String question, String content, long epoch) throws IOException {
+    /**
+     * Asks the proxy behind a socket; for the command line and the laboratory. {@code content} and
+     * {@code epoch} as the question needs.
+     */
+    public static Told ask(Path path, String question, String content, long epoch)
+            throws IOException {
         JsonObject asked = new JsonObject();
         asked.addProperty("ask", question);
         asked.addProperty("content", content);
         asked.addProperty("epoch", epoch);
         try {
-            JsonObject told = JsonParser.parseString(LocalSocket.ask(path, asked + "\n")).getAsJsonObject();
+            JsonObject told =
+                    JsonParser.parseString(LocalSocket.ask(path, asked + "\n")).getAsJsonObject();
             return new Told(told.get("exit").getAsInt(), told.get("text").getAsString());
         } catch (JsonParseException | IllegalStateException e) {
             throw new IOException("no whole answer");
--- a/src/main/java/hopglade/raft/RaftLog.java
+++ b/src/main/java/hopglade/raft/RaftLog.java
@@ -15,13 +15,17 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A voter's copy of the policy's log. It runs on the caller's executor and clock, and so in virtual time as well; all calls are
- * made on that executor's thread, and {@link Epochs} is changed on it.
+ * A voter's copy of the policy's log. It runs on the caller's executor and clock, and so in virtual
+ * time as well; all calls are made on that executor's thread, and {@link Epochs} is changed on it.
  */
 public final class RaftLog implements PolicyMember.Log {
 
-    /** A snapshot would be taken at so many entries; changes are refused well before, as none are kept. */
+    /**
+     * A snapshot would be taken at so many entries; changes are refused well before, as none are
+     * kept.
+     */
     private static final int MOST_ENTRIES = 20_000;
+
     private static final int ROOM = 1000;
     private static final long ELECTION_MS = 500;
     private static final double CONFIRM_EVERY_MS = 500;
@@ -31,19 +35,42 @@
     private final Runnable committed;
     private long applied;
 
-    /** What a voter is made of; {@code nowMs} never runs back, {@code restored} is null where it has never run. */
-    public record Parts(String name, List<String> voters, Epochs epochs, RaftNodeExecutor executor, DoubleSupplier nowMs, long seed, RaftStore store,
-                        RestoredRaftState restored) { }
+    /**
+     * What a voter is made of; {@code nowMs} never runs back, {@code restored} is null where it has
+     * never run.
+     */
+    public record Parts(
+            String name,
+            List<String> voters,
+            Epochs epochs,
+            RaftNodeExecutor executor,
+            DoubleSupplier nowMs,
+            long seed,
+            RaftStore store,
+            RestoredRaftState restored) {}
 
     /**
-     * @param send      takes what goes to another voter
+     * @param send takes what goes to another voter
      * @param committed runs after entries have been applied to the epochs
      */
     public RaftLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable committed) {
         this.epochs = parts.epochs();
         this.committed = committed;
-        voter = new Voter(new Voter.Parts(parts.name(), parts.voters(), parts.executor(), parts.nowMs(), parts.seed(), parts.store(), parts.restored(),
-                MOST_ENTRIES, 1, ELECTION_MS), new Machine(), send);
+        voter =
+                new Voter(
+                        new Voter.Parts(
+                                parts.name(),
+                                parts.voters(),
+                                parts.executor(),
+                                parts.nowMs(),
+                                parts.seed(),
+                                parts.store(),
+                                parts.restored(),
+                                MOST_ENTRIES,
+                                1,
+                                ELECTION_MS),
+                        new Machine(),
+                        send);
     }
 
     public void start() {
@@ -67,7 +94,7 @@
     /** Confirms now and then that it leads; called every few ms. */
     public void tick(double now) {
         if (voter.due(now, CONFIRM_EVERY_MS)) {
-            voter.confirm(yes -> { });
+            voter.confirm(yes -> {});
         }
     }
 
@@ -104,7 +131,10 @@
     @Override
     public void append(Change change, Consumer<Outcome> then) {
         if (applied > MOST_ENTRIES - ROOM) {
-            then.accept(new Outcome(0, "the log is full after " + applied + " entries; nothing was changed"));
+            then.accept(
+                    new Outcome(
+                            0,
+                            "the log is full after " + applied + " entries; nothing was changed"));
             return;
         }
         voter.append(change, then);
--- a/src/main/java/hopglade/raft/StorageUnavailableException.java
+++ b/src/main/java/hopglade/raft/StorageUnavailableException.java
@@ -12,7 +12,9 @@
 
     private static final long serialVersionUID = 1;
 
-    /** @param cause what the file system said */
+    /**
+     * @param cause what the file system said
+     */
     StorageUnavailableException(Path file, Throwable cause) {
         super(file + ": " + cause.getMessage(), cause);
     }
--- a/src/main/java/hopglade/raft/StreamService.java
+++ b/src/main/java/hopglade/raft/StreamService.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A {@link ControlMachine} as a process has it: its file, the sealed links to the others, which are the policy's, and the socket for those it
- * serves. All of it runs on one loop, but for what the file's syncs take.
+ * A {@link ControlMachine} as a process has it: its file, the sealed links to the others, which are
+ * the policy's, and the socket for those it serves. All of it runs on one loop, but for what the
+ * file's syncs take.
  */
 public final class StreamService implements ControlMachine.Out {
 
@@ -29,9 +30,19 @@
     private static final long TICK_MS = 50;
     private static final double NS_PER_MS = 1e6;
 
-    /** Who it is, the control machines' addresses for one another, where it listens for them, and its folder. */
-    public record Parts(Identity identity, Map<String, InetSocketAddress> controls, InetSocketAddress links, Path folder, Window.Bounds bounds, EventLoop loop,
-                        long seed, int snapshotEvery) { }
+    /**
+     * Who it is, the control machines' addresses for one another, where it listens for them, and
+     * its folder.
+     */
+    public record Parts(
+            Identity identity,
+            Map<String, InetSocketAddress> controls,
+            InetSocketAddress links,
+            Path folder,
+            Window.Bounds bounds,
+            EventLoop loop,
+            long seed,
+            int snapshotEvery) {}
 
     private final Parts parts;
     private final StreamServer server;
@@ -57,7 +68,13 @@
             throws IOException {
         this.parts = parts;
         this.everywhere = everywhere;
-        links = new Links(parts.loop(), parts.identity(), parts.controls(), connection -> { }, this::received);
+        links =
+                new Links(
+                        parts.loop(),
+                        parts.identity(),
+                        parts.controls(),
+                        connection -> {},
+                        this::received);
         storage = new StorageRecovery(parts.folder(), this::log);
         file = LogFile.open(parts.folder(), files);
         machine = newMachine();
@@ -65,10 +82,18 @@
     }
 
     private ControlMachine newMachine() {
-        return new ControlMachine(new ControlMachine.Parts(parts.identity().name(),
-                List.copyOf(parts.controls().keySet()), parts.bounds(), new OnLoop(parts.loop()),
-                StreamService::now, parts.seed() + lives++, file, file.restored(),
-                parts.snapshotEvery()), this);
+        return new ControlMachine(
+                new ControlMachine.Parts(
+                        parts.identity().name(),
+                        List.copyOf(parts.controls().keySet()),
+                        parts.bounds(),
+                        new OnLoop(parts.loop()),
+                        StreamService::now,
+                        parts.seed() + lives++,
+                        file,
+                        file.restored(),
+                        parts.snapshotEvery()),
+                this);
     }
 
     private void log(String event, Object... fields) {
@@ -83,18 +108,27 @@
     public InetSocketAddress listen(InetSocketAddress at) throws IOException, InterruptedException {
         links.listen(parts.links());
         InetSocketAddress bound = server.listen(at);
-        parts.loop().submit(() -> {
-            links.start();
-            machine.start();
-            ticking = parts.loop().scheduleAtFixedRate(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        }).sync();
+        parts.loop()
+                .submit(
+                        () -> {
+                            links.start();
+                            machine.start();
+                            ticking =
+                                    parts.loop()
+                                            .scheduleAtFixedRate(
+                                                    this::tick,
+                                                    TICK_MS,
+                                                    TICK_MS,
+                                                    TimeUnit.MILLISECONDS);
+                        })
+                .sync();
         return bound;
     }
 
     private void tick() {
         if (!storage.failed() && (file.failed() || machine.broken())) {
-            storage.failed(now(),
-                    file.failed() ? file.fault() : PolicyService.nodeEnded(parts.folder()));
+            storage.failed(
+                    now(), file.failed() ? file.fault() : PolicyService.nodeEnded(parts.folder()));
             machine.stop();
             file.discard();
         }
@@ -146,12 +180,17 @@
         ticking.cancel(false);
         server.close();
         links.close();
-        machine.stop().whenComplete((o, fault) -> {
-            try {
-                file.close();
-            } catch (IOException e) {
-                LOG.warn("stream.disk name={} {}", parts.identity().name(), e.getMessage());
-            }
-        });
+        machine.stop()
+                .whenComplete(
+                        (o, fault) -> {
+                            try {
+                                file.close();
+                            } catch (IOException e) {
+                                LOG.warn(
+                                        "stream.disk name={} {}",
+                                        parts.identity().name(),
+                                        e.getMessage());
+                            }
+                        });
     }
 }
--- a/src/main/java/hopglade/raft/Voter.java
+++ b/src/main/java/hopglade/raft/Voter.java
@@ -26,15 +26,18 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A node of MicroRaft on the caller's executor and clock, whatever its log means: it runs in virtual time as well. All calls are made on that
- * executor's thread, and so are the state machine's.
+ * A node of MicroRaft on the caller's executor and clock, whatever its log means: it runs in
+ * virtual time as well. All calls are made on that executor's thread, and so are the state
+ * machine's.
  */
 final class Voter {
 
     private static final long HEARTBEAT_S = 1;
     private static final long SILENT_S = 2;
+
     /** A question that has no answer by then is asked again. */
     private static final double UNANSWERED_MS = 2000;
+
     /** What is asked so that a majority confirms the leader; it is no entry. */
     private static final Object QUESTION = new Object();
 
@@ -46,11 +49,21 @@
     private boolean confirming;
 
     /**
-     * What a voter is made of; {@code nowMs} never runs back, {@code restored} is null where it has never run. The library counts its time-outs
-     * in whole seconds: {@code speed} says how many of them pass for it in one, and {@code electionMs} are of these.
+     * What a voter is made of; {@code nowMs} never runs back, {@code restored} is null where it has
+     * never run. The library counts its time-outs in whole seconds: {@code speed} says how many of
+     * them pass for it in one, and {@code electionMs} are of these.
      */
-    record Parts(String name, List<String> voters, RaftNodeExecutor executor, DoubleSupplier nowMs, long seed, RaftStore store, RestoredRaftState restored,
-                 int snapshotEvery, int speed, long electionMs) { }
+    record Parts(
+            String name,
+            List<String> voters,
+            RaftNodeExecutor executor,
+            DoubleSupplier nowMs,
+            long seed,
+            RaftStore store,
+            RestoredRaftState restored,
+            int snapshotEvery,
+            int speed,
+            long electionMs) {}
 
     /** For the library's timeouts: the machine's clock may be set, this one may not. */
     private static final class Monotonic extends Clock {
@@ -133,18 +146,40 @@
         }
     }
 
-    /** @param send takes what goes to another voter */
+    /**
+     * @param send takes what goes to another voter
+     */
     Voter(Parts parts, StateMachine machine, BiConsumer<String, JsonObject> send) {
         this.self = new Endpoint(parts.name());
-        this.restoredTerm = parts.restored() == null ? 0 : parts.restored().getTermPersistentState().getTerm();
-        RaftConfig config = RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(HEARTBEAT_S).setLeaderHeartbeatTimeoutSecs(SILENT_S)
-                .setLeaderElectionTimeoutMillis(parts.electionMs()).setCommitCountToTakeSnapshot(parts.snapshotEvery()).build();
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(Codec.GROUP).setConfig(config)
-                .setExecutor(parts.speed() == 1 ? parts.executor() : new Faster(parts.executor(), parts.speed()))
-                .setTransport(new Wires(send)).setStateMachine(new Entries(machine)).setModelFactory(Codec.MODELS)
-                .setClock(new Monotonic(parts.nowMs(), parts.speed())).setRandom(new Random(parts.seed())).setStore(parts.store());
+        this.restoredTerm =
+                parts.restored() == null ? 0 : parts.restored().getTermPersistentState().getTerm();
+        RaftConfig config =
+                RaftConfig.newBuilder()
+                        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
+                        .setLeaderHeartbeatTimeoutSecs(SILENT_S)
+                        .setLeaderElectionTimeoutMillis(parts.electionMs())
+                        .setCommitCountToTakeSnapshot(parts.snapshotEvery())
+                        .build();
+        RaftNode.RaftNodeBuilder builder =
+                RaftNode.newBuilder()
+                        .setGroupId(Codec.GROUP)
+                        .setConfig(config)
+                        .setExecutor(
+                                parts.speed() == 1
+                                        ? parts.executor()
+                                        : new Faster(parts.executor(), parts.speed()))
+                        .setTransport(new Wires(send))
+                        .setStateMachine(new Entries(machine))
+                        .setModelFactory(Codec.MODELS)
+                        .setClock(new Monotonic(parts.nowMs(), parts.speed()))
+                        .setRandom(new Random(parts.seed()))
+                        .setStore(parts.store());
         if (parts.restored() == null) {
-            builder.setLocalEndpoint(self).setInitialGroupMembers(parts.voters().stream().map(v -> (RaftEndpoint) new Endpoint(v)).toList());
+            builder.setLocalEndpoint(self)
+                    .setInitialGroupMembers(
+                            parts.voters().stream()
+                                    .map(v -> (RaftEndpoint) new Endpoint(v))
+                                    .toList());
         } else {
             builder.setRestoredState(parts.restored());
         }
@@ -180,7 +215,10 @@
 
     /** Whether it is time to confirm again that it leads. */
     boolean due(double now, double everyMs) {
-        boolean due = leads() && now - confirmedAt >= (confirming ? Math.max(everyMs, UNANSWERED_MS) : everyMs);
+        boolean due =
+                leads()
+                        && now - confirmedAt
+                                >= (confirming ? Math.max(everyMs, UNANSWERED_MS) : everyMs);
         if (due) {
             confirmedAt = now;
         }
@@ -209,18 +247,24 @@
     void confirm(Consumer<Boolean> then) {
         int term = term();
         confirming = true;
-        node.query(QUESTION, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty()).whenComplete((o, fault) -> {
-            confirming = false;
-            boolean leads = fault == null && leads() && term == term();
-            if (leads) {
-                ledTerm = term;
-            }
-            then.accept(leads);
-        });
+        node.query(QUESTION, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+                .whenComplete(
+                        (o, fault) -> {
+                            confirming = false;
+                            boolean leads = fault == null && leads() && term == term();
+                            if (leads) {
+                                ledTerm = term;
+                            }
+                            then.accept(leads);
+                        });
     }
 
-    /** Adds an entry; {@code then} is told what the machine made of it, or null where that is not known. */
+    /**
+     * Adds an entry; {@code then} is told what the machine made of it, or null where that is not
+     * known.
+     */
     <T> void append(Object operation, Consumer<T> then) {
-        node.<T>replicate(operation).whenComplete((o, fault) -> then.accept(fault == null ? o.getResult() : null));
+        node.<T>replicate(operation)
+                .whenComplete((o, fault) -> then.accept(fault == null ? o.getResult() : null));
     }
 }
--- a/src/main/java/hopglade/share/Budget.java
+++ b/src/main/java/hopglade/share/Budget.java
@@ -11,33 +11,49 @@
 import java.util.TreeMap;
 
 /**
- * One proxy's rights to a fleet-wide budget of so many uses a second. The budget is split once, by the operators' count of proxies, into
- * whole rights that each proxy owns whoever it hears; what one does not need it lends to others for a lease (the escrow of bounded
- * counters, Balegas et al. 2015, with the leases of Doorman). Nobody uses what it does not own or hold, so whoever is cut off falls back
- * to its own within a lease, and the sum over all proxies never exceeds the budget in any second:
+ * One proxy's rights to a fleet-wide budget of so many uses a second. The budget is split once, by
+ * the operators' count of proxies, into whole rights that each proxy owns whoever it hears; what
+ * one does not need it lends to others for a lease (the escrow of bounded counters, Balegas et al.
+ * 2015, with the leases of Doorman). Nobody uses what it does not own or hold, so whoever is cut
+ * off falls back to its own within a lease, and the sum over all proxies never exceeds the budget
+ * in any second:
+ *
  * <ul>
- * <li>a right is used at most once in any {@link #WINDOW_MS}, and changes hands only when it has not been used for that long;
- * <li>the borrower's lease runs from when it asked, the lender's from when it gave, on each one's own clock and the lender's longer by
- * {@link #DRIFT} and the window;
- * <li>a process that starts owns nothing until what an earlier life of it may have lent has run out.
+ *   <li>a right is used at most once in any {@link #WINDOW_MS}, and changes hands only when it has
+ *       not been used for that long;
+ *   <li>the borrower's lease runs from when it asked, the lender's from when it gave, on each one's
+ *       own clock and the lender's longer by {@link #DRIFT} and the window;
+ *   <li>a process that starts owns nothing until what an earlier life of it may have lent has run
+ *       out.
  * </ul>
  *
- * <p>{@code now} is this proxy's own clock in milliseconds, which never runs back and goes on while the process stands still.
+ * <p>{@code now} is this proxy's own clock in milliseconds, which never runs back and goes on while
+ * the process stands still.
  */
 public final class Budget {
 
     /** The span in which the budget binds. */
     public static final double WINDOW_MS = 1000;
+
     public static final double LEASE_MS = 800;
+
     /** How much faster than another a clock may run. */
     public static final double DRIFT = 0.1;
+
     /** How often others are asked for what is lacking. */
     public static final double ASK_MS = 200;
+
     private static final int ASKED = 4;
-    /** Demand is remembered for about so long; what is asked for beyond it is a reserve against chance, which nobody keeps from others. */
+
+    /**
+     * Demand is remembered for about so long; what is asked for beyond it is a reserve against
+     * chance, which nobody keeps from others.
+     */
     private static final double DEMAND_MS = 2000;
+
     private static final double LATELY_MS = 300;
     private static final double RESERVE = 1.15;
+
     /** Demand that has faded so far is none. */
     private static final double FAINT = 0.05;
 
@@ -45,32 +61,40 @@
     public static final double LENT_MS = (LEASE_MS + WINDOW_MS) * (1 + DRIFT);
 
     /** What goes between two proxies. */
-    public sealed interface Message permits Ask, Give { }
+    public sealed interface Message permits Ask, Give {}
 
     /**
-     * {@code seq} counts the asker's questions; {@code wants} is all that it would like to hold of this lender's rights, what it has
-     * already included, so that 0 gives everything back.
+     * {@code seq} counts the asker's questions; {@code wants} is all that it would like to hold of
+     * this lender's rights, what it has already included, so that 0 gives everything back.
      */
-    public record Ask(long seq, int wants) implements Message { }
+    public record Ask(long seq, int wants) implements Message {}
 
-    /** The answer: so many are lent, from when that question was asked; {@code spare} is what more could have been had. */
-    public record Give(long seq, int amount, int spare) implements Message { }
+    /**
+     * The answer: so many are lent, from when that question was asked; {@code spare} is what more
+     * could have been had.
+     */
+    public record Give(long seq, int amount, int spare) implements Message {}
 
     /** Where messages go. */
     public interface Out {
         void send(String to, Message message);
     }
 
-    private record Lent(int amount, double until) { }
+    private record Lent(int amount, double until) {}
 
-    private record Held(int amount, double until) { }
+    private record Held(int amount, double until) {}
 
     private final String name;
     private final int own;
     private final double ownFrom;
     private final SplittableRandom random;
-    /** What each borrower may hold: of several answers any may be the one that arrived, so the largest that has not run out counts. */
+
+    /**
+     * What each borrower may hold: of several answers any may be the one that arrived, so the
+     * largest that has not run out counts.
+     */
     private final Map<String, List<Lent>> lent = new TreeMap<>();
+
     private final Map<String, Held> held = new TreeMap<>();
     private final Map<String, Double> askers = new HashMap<>();
     private final Map<String, Integer> spares = new HashMap<>();
@@ -83,7 +107,7 @@
     private long seq;
 
     /**
-     * @param own     the rights that this proxy owns, as {@link #split} says
+     * @param own the rights that this proxy owns, as {@link #split} says
      * @param started when its process started, by {@code now}'s clock
      */
     public Budget(String name, int own, double started, long seed) {
@@ -119,7 +143,8 @@
     /** The rights in force here now. */
     public int share(double now) {
         forget(now);
-        return (now >= ownFrom ? own - lentOut() : 0) + held.values().stream().mapToInt(Held::amount).sum();
+        return (now >= ownFrom ? own - lentOut() : 0)
+                + held.values().stream().mapToInt(Held::amount).sum();
     }
 
     /** What it would like to have, in rights. */
@@ -127,7 +152,10 @@
         return (int) Math.ceil(rate(now) * RESERVE);
     }
 
-    /** Uses that are asked for here in a window: a slow mean, which chance moves little, but no more than a quick one allows once demand has gone. */
+    /**
+     * Uses that are asked for here in a window: a slow mean, which chance moves little, but no more
+     * than a quick one allows once demand has gone.
+     */
     private double rate(double now) {
         double slow = faded(demand, now, DEMAND_MS) * WINDOW_MS / DEMAND_MS;
         double quick = faded(lately, now, LATELY_MS) * WINDOW_MS / LATELY_MS;
@@ -180,7 +208,10 @@
             wanted.put(e.getKey(), keep);
         }
         for (String peer : lacking > 0 ? candidates(peers) : List.<String>of()) {
-            int more = Math.min(lacking, Math.max(spares.getOrDefault(peer, 0), (lacking + ASKED - 1) / ASKED));
+            int more =
+                    Math.min(
+                            lacking,
+                            Math.max(spares.getOrDefault(peer, 0), (lacking + ASKED - 1) / ASKED));
             wanted.merge(peer, more, Integer::sum);
         }
         wanted.forEach((peer, amount) -> ask(now, peer, amount, out));
@@ -218,15 +249,26 @@
         }
     }
 
-    /** What the borrower has already is taken back only by not renewing it; beyond that the spare is dealt out evenly among those who ask. */
+    /**
+     * What the borrower has already is taken back only by not renewing it; beyond that the spare is
+     * dealt out evenly among those who ask.
+     */
     private Give give(double now, String from, Ask a) {
         askers.values().removeIf(t -> now - t >= LEASE_MS);
         askers.put(from, now);
         int had = lentTo(from);
         int spare = spare(now);
-        // What is lent is in nobody's way here while the mean demand is met; one that was taken back for chance would lie idle for LENT_MS.
+        // What is lent is in nobody's way here while the mean demand is met; one that was taken
+        // back for chance would lie idle for LENT_MS.
         int renewed = Math.min(had, own - lentOut() + had - (int) rate(now));
-        int amount = now < ownFrom ? 0 : Math.max(0, Math.min(a.wants(), renewed + (int) Math.ceil(spare / (double) askers.size())));
+        int amount =
+                now < ownFrom
+                        ? 0
+                        : Math.max(
+                                0,
+                                Math.min(
+                                        a.wants(),
+                                        renewed + (int) Math.ceil(spare / (double) askers.size())));
         if (amount > 0) {
             List<Lent> parts = lent.computeIfAbsent(from, f -> new ArrayList<>());
             parts.removeIf(part -> part.amount() <= amount);
--- a/src/main/java/hopglade/store/CallMarkers.java
+++ b/src/main/java/hopglade/store/CallMarkers.java
@@ -20,8 +20,10 @@
 
     private static final Pattern NAME =
             Pattern.compile("call-(?<state>.+)-(?<boot>[0-9a-f]{32})-(?<nanos>-?[0-9]{1,19})");
+
     /** A longer state has a digest in its place: a file's name has 255 bytes at most. */
     private static final int LONGEST_STATE = 190;
+
     private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
     private static final String UNKNOWN_BOOT = "0".repeat(32);
 
@@ -42,7 +44,8 @@
 
     /** Whether a later call on a state than this one has been written, among the folder's names. */
     boolean isSuperseded(Set<String> names, String state, CallTime call) {
-        return names.stream().map(NAME::matcher)
+        return names.stream()
+                .map(NAME::matcher)
                 .filter(name -> isOf(state, name) && name.group("boot").equals(boot))
                 .anyMatch(name -> timeIn(name).isAfter(call));
     }
@@ -71,7 +74,8 @@
     }
 
     private static String shortened(String state) {
-        return state.length() <= LONGEST_STATE ? state
+        return state.length() <= LONGEST_STATE
+                ? state
                 : UUID.nameUUIDFromBytes(state.getBytes(StandardCharsets.UTF_8)).toString();
     }
 }
--- a/src/main/java/hopglade/store/DurableFiles.java
+++ b/src/main/java/hopglade/store/DurableFiles.java
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Replaces a file's whole content. The new file is written and synced under another name
-     * first, with its permissions from the start: a key must not be anyone else's to read, not
-     * even for a moment.
+     * Replaces a file's whole content. The new file is written and synced under another name first,
+     * with its permissions from the start: a key must not be anyone else's to read, not even for a
+     * moment.
      */
     public void replace(Path file, byte[] content, Set<PosixFilePermission> permissions)
             throws FileWriteException {
--- a/src/main/java/hopglade/store/FileWriteException.java
+++ b/src/main/java/hopglade/store/FileWriteException.java
@@ -12,8 +12,13 @@
     private final boolean replaced;
 
     FileWriteException(Path file, boolean replaced, IOException cause) {
-        super(file + (replaced ? ": is replaced, but may be as before after a crash: "
-                : ": could not be written and is as it was: ") + reason(cause), cause);
+        super(
+                file
+                        + (replaced
+                                ? ": is replaced, but may be as before after a crash: "
+                                : ": could not be written and is as it was: ")
+                        + reason(cause),
+                cause);
         this.replaced = replaced;
     }
 
--- a/src/main/java/hopglade/store/FolderLock.java
+++ b/src/main/java/hopglade/store/FolderLock.java
@@ -14,6 +14,7 @@
 final class FolderLock implements Closeable {
 
     private static final String LOCK_FILE = "lock";
+
     /** A file lock holds between processes, not between the threads of one. */
     private static final ReentrantLock THREADS = new ReentrantLock();
 
--- a/src/main/java/hopglade/store/OutageFiles.java
+++ b/src/main/java/hopglade/store/OutageFiles.java
@@ -13,12 +13,12 @@
 import java.util.stream.Stream;
 
 /**
- * The nodes that are out, and whether the proxy is drained, as one empty file for each: the old
- * and the new process of an upgrade see one another's, a change of one is whole or not made, and
- * none can undo another's. Its name says all, so there is nothing in it to be damaged. A change
- * holds once its call has returned; these calls wait for the disk and must come from one thread at
- * a time, off the event loop. A change that is made late, as its write failed at first, gives way
- * to a later call that any process has written meanwhile ({@link CallMarkers}).
+ * The nodes that are out, and whether the proxy is drained, as one empty file for each: the old and
+ * the new process of an upgrade see one another's, a change of one is whole or not made, and none
+ * can undo another's. Its name says all, so there is nothing in it to be damaged. A change holds
+ * once its call has returned; these calls wait for the disk and must come from one thread at a
+ * time, off the event loop. A change that is made late, as its write failed at first, gives way to
+ * a later call that any process has written meanwhile ({@link CallMarkers}).
  */
 public final class OutageFiles {
 
@@ -26,15 +26,19 @@
     private static final String DRAINED = "drained";
 
     /** What is kept: the nodes that are out, and whether the proxy is drained. */
-    public record Kept(Set<String> out, boolean drained) { }
+    public record Kept(Set<String> out, boolean drained) {}
 
     private final Path folder;
+
     /** Null for the machine's own. */
     private final FileOperations operations;
+
     /** Null before the first change: a process that reads alone needs no more classes. */
     private DurableFiles files;
+
     /** Null as long as {@code files} is. */
     private CallMarkers markers;
+
     /** Whether the folder's own name is known to be on the disk. */
     private boolean folderSynced;
 
@@ -48,7 +52,10 @@
         this.operations = operations;
     }
 
-    /** What is kept now; throws where that can't be told, as without a free descriptor: nobody may take it for nothing. */
+    /**
+     * What is kept now; throws where that can't be told, as without a free descriptor: nobody may
+     * take it for nothing.
+     */
     public Kept read() throws IOException {
         Set<String> names = names();
         Set<String> out = new HashSet<>();
@@ -110,8 +117,8 @@
     }
 
     /**
-     * Keeps that the operators empty the proxy, or that this is over; throws where it can't be
-     * kept or a later call has been written.
+     * Keeps that the operators empty the proxy, or that this is over; throws where it can't be kept
+     * or a later call has been written.
      */
     public void drain(boolean begins, CallTime call) throws IOException {
         keep(folder.resolve(DRAINED), begins, call);
--- a/src/main/java/hopglade/stream/Deliveries.java
+++ b/src/main/java/hopglade/stream/Deliveries.java
@@ -10,18 +10,19 @@
 import java.util.TreeMap;
 
 /**
- * Who has which entry: the confirmations of a control machine's own subscribers, and the tallies of others. An entry is everywhere once all
- * who are there have confirmed it. Whoever has not been heard for {@code apartMs} is apart: it knows by then that its view is old
- * ({@link Subscriber#asOf}), is not waited for, and is named.
+ * Who has which entry: the confirmations of a control machine's own subscribers, and the tallies of
+ * others. An entry is everywhere once all who are there have confirmed it. Whoever has not been
+ * heard for {@code apartMs} is apart: it knows by then that its view is old ({@link
+ * Subscriber#asOf}), is not waited for, and is named.
  */
 public final class Deliveries {
 
     /** An entry that has come to be everywhere, and how long after it was committed. */
-    public record Everywhere(long seq, double tookMs) { }
+    public record Everywhere(long seq, double tookMs) {}
 
-    private record Known(long acked, double heardAt) { }
+    private record Known(long acked, double heardAt) {}
 
-    private record Pending(long seq, double at) { }
+    private record Pending(long seq, double at) {}
 
     private static final int MOST_PENDING = 4096;
 
@@ -31,7 +32,9 @@
     private final Deque<Pending> pending = new ArrayDeque<>();
     private Map<String, Long> changed = new HashMap<>();
 
-    /** @param forgetMs who was silent for so long counts as replaced, and is named no more */
+    /**
+     * @param forgetMs who was silent for so long counts as replaced, and is named no more
+     */
     public Deliveries(double apartMs, double forgetMs) {
         this.apartMs = apartMs;
         this.forgetMs = forgetMs;
@@ -90,17 +93,27 @@
 
     /** The last entry that all have who are there; -1 where nobody is. */
     public long floor(double now) {
-        return known.values().stream().filter(k -> now - k.heardAt() <= apartMs).mapToLong(Known::acked).min().orElse(-1);
+        return known.values().stream()
+                .filter(k -> now - k.heardAt() <= apartMs)
+                .mapToLong(Known::acked)
+                .min()
+                .orElse(-1);
     }
 
     /** Those who are there and lack an entry, by name. */
     public List<String> behind(double now, long seq) {
-        return known.entrySet().stream().filter(e -> now - e.getValue().heardAt() <= apartMs && e.getValue().acked() < seq).map(Map.Entry::getKey).toList();
+        return known.entrySet().stream()
+                .filter(e -> now - e.getValue().heardAt() <= apartMs && e.getValue().acked() < seq)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     /** Those who have not been heard for a while, by name. */
     public List<String> apart(double now) {
-        return known.entrySet().stream().filter(e -> now - e.getValue().heardAt() > apartMs).map(Map.Entry::getKey).toList();
+        return known.entrySet().stream()
+                .filter(e -> now - e.getValue().heardAt() > apartMs)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     /** How many are there. */
