--- a/src/test/java/hopglade/lab/virtual/StreamDaysTest.java
+++ b/src/test/java/hopglade/lab/virtual/StreamDaysTest.java
@@ -14,7 +14,10 @@
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 
-/** The change stream at the target's size and in its hard cases, in virtual time; {@code -Dstream.s=300} plays longer, {@code -Dstream.seed=N} another day. */
+/**
+ * The change stream at the target's size and in its hard cases, in virtual time; {@code
+ * -Dstream.s=300} plays longer, {@code -Dstream.seed=N} another day.
+ */
 class StreamDaysTest {
 
     private static final long SEED = Long.getLong("stream.seed", 1);
@@ -27,11 +30,21 @@
     private static final Window.Bounds BOUNDS = new Window.Bounds(32_768, 8 << 20);
 
     private static VirtualStream fleet(int proxies, double lossShare, double resetShare) {
-        return new VirtualStream(new Plan(proxies, 4, SEED, 10, lossShare, resetShare, BOUNDS, Subscriber.PACE_BYTES_PER_S));
+        return new VirtualStream(
+                new Plan(
+                        proxies,
+                        4,
+                        SEED,
+                        10,
+                        lossShare,
+                        resetShare,
+                        BOUNDS,
+                        Subscriber.PACE_BYTES_PER_S));
     }
 
     private static void all(VirtualStream day) {
-        day.proxies.forEach(p -> assertEquals(day.head(), p.subscriber.applied(), "proxy-" + p.index));
+        day.proxies.forEach(
+                p -> assertEquals(day.head(), p.subscriber.applied(), "proxy-" + p.index));
     }
 
     @Test
@@ -41,20 +54,44 @@
         day.play(3 * S).load(PURGES_PER_S, EPOCHS_PER_S, endMs);
         day.play(endMs + 5 * S);
         Histogram times = day.everywhere(i -> true);
-        double bytes = day.proxies.stream().mapToDouble(VirtualStream.Proxy::bytesPerSInTheWorstMinute).max().orElseThrow();
-        String figures = String.format("%d entries, everywhere p50 %d p99 %d p99.9 %d max %d ms, most bytes/s in a minute %.0f, %s, readers %s",
-                day.head(), times.getValueAtPercentile(50), times.getValueAtPercentile(99), times.getValueAtPercentile(99.9), times.getMaxValue(),
-                bytes, day.events, Arrays.toString(day.readers()));
+        double bytes =
+                day.proxies.stream()
+                        .mapToDouble(VirtualStream.Proxy::bytesPerSInTheWorstMinute)
+                        .max()
+                        .orElseThrow();
+        String figures =
+                String.format(
+                        "%d entries, everywhere p50 %d p99 %d p99.9 %d max %d ms, most bytes/s in a minute %.0f, %s, readers %s",
+                        day.head(),
+                        times.getValueAtPercentile(50),
+                        times.getValueAtPercentile(99),
+                        times.getValueAtPercentile(99.9),
+                        times.getMaxValue(),
+                        bytes,
+                        day.events,
+                        Arrays.toString(day.readers()));
         System.out.println("stream: " + figures);
         assertTrue(times.getValueAtPercentile(99.9) <= EVERYWHERE_MS, figures);
         assertTrue(bytes <= MOST_BYTES_PER_S, figures);
-        assertEquals(day.head(), day.summed.size(), "each has been seen to be everywhere, by the confirmations too");
-        assertTrue(day.summed.stream().filter(e -> e.tookMs() > EVERYWHERE_MS).count() <= day.summed.size() / 100, day.summed.toString());
+        assertEquals(
+                day.head(),
+                day.summed.size(),
+                "each has been seen to be everywhere, by the confirmations too");
+        assertTrue(
+                day.summed.stream().filter(e -> e.tookMs() > EVERYWHERE_MS).count()
+                        <= day.summed.size() / 100,
+                day.summed.toString());
         assertTrue(Arrays.stream(day.readers()).allMatch(n -> n > ALL / 4 * 0.8), figures);
-        assertTrue(day.proxies.stream().allMatch(p -> day.agenda.now() - p.subscriber.asOf() < EVERYWHERE_MS), "all know that they are current");
+        assertTrue(
+                day.proxies.stream()
+                        .allMatch(p -> day.agenda.now() - p.subscriber.asOf() < EVERYWHERE_MS),
+                "all know that they are current");
     }
 
-    /** A process that ends resets its connections; a machine that loses its power says nothing, and is missed after 1.1 s. */
+    /**
+     * A process that ends resets its connections; a machine that loses its power says nothing, and
+     * is missed after 1.1 s.
+     */
     @Test
     void theServingMachineIsLostInAChangeAndItsProxiesMove() {
         for (boolean silently : new boolean[] {false, true}) {
@@ -70,18 +107,28 @@
                 day.start(lost);
                 day.play(120 * S);
                 Histogram times = day.everywhere(i -> true);
-                String what = (silently ? "silently" : "with a reset") + (leads ? ", the leader: " : ", another: ") + times.getMaxValue();
+                String what =
+                        (silently ? "silently" : "with a reset")
+                                + (leads ? ", the leader: " : ", another: ")
+                                + times.getMaxValue();
                 System.out.println("stream: lost " + what + " ms at most");
                 assertTrue(times.getMaxValue() <= EVERYWHERE_MS, what);
-                assertTrue(day.readers()[lost] > ALL / 4 * 0.8, "they come back: " + Arrays.toString(day.readers()));
-                assertEquals(day.head(), day.summed.stream().map(Everywhere::seq).distinct().count(),
+                assertTrue(
+                        day.readers()[lost] > ALL / 4 * 0.8,
+                        "they come back: " + Arrays.toString(day.readers()));
+                assertEquals(
+                        day.head(),
+                        day.summed.stream().map(Everywhere::seq).distinct().count(),
                         "each has been seen to be everywhere, whoever led when it was committed");
                 all(day);
             }
         }
     }
 
-    /** Three of four have to keep an entry: with two gone changes wait, whoever asks is not told that they are kept, and all are served. */
+    /**
+     * Three of four have to keep an entry: with two gone changes wait, whoever asks is not told
+     * that they are kept, and all are served.
+     */
     @Test
     void twoOfFourGoneTheOthersServeAllAndChangesWait() {
         VirtualStream day = fleet(ALL, 0.01, 0);
@@ -95,7 +142,8 @@
         assertEquals(kept, day.confirmed());
         assertEquals(head, day.head());
         int served = day.readers()[1] + day.readers()[2];
-        assertTrue(served > 0.95 * ALL, "but for those who look whether another is back: " + served);
+        assertTrue(
+                served > 0.95 * ALL, "but for those who look whether another is back: " + served);
         day.start(3);
         day.play(60 * S);
         assertTrue(day.confirmed() > kept + 20, day.confirmed() + " after " + kept);
@@ -138,7 +186,9 @@
         assertTrue(day.confirmed() > 500, "" + day.confirmed());
         day.everywhere(i -> true);
         all(day);
-        assertTrue(day.proxies.stream().allMatch(p -> p.resets.size() == 1), "nobody had to drop what it has");
+        assertTrue(
+                day.proxies.stream().allMatch(p -> p.resets.size() == 1),
+                "nobody had to drop what it has");
     }
 
     /** An hour's backlog within the pace: 14,040 purges and 92 configurations of 2 KB. */
@@ -148,7 +198,9 @@
         day.play(5 * S).cut(i -> i < 10, true);
         day.play(10 * S);
         assertEquals(10, day.stragglers().size(), "they are named");
-        assertTrue(day.agenda.now() - day.proxies.get(0).subscriber.asOf() > EVERYWHERE_MS, "and know themselves that their view is old");
+        assertTrue(
+                day.agenda.now() - day.proxies.get(0).subscriber.asOf() > EVERYWHERE_MS,
+                "and know themselves that their view is old");
         day.backlog(14_040, 92);
         day.play(400 * S);
         assertEquals(day.head(), day.proxies.get(39).subscriber.applied());
@@ -157,9 +209,21 @@
         day.load(PURGES_PER_S, EPOCHS_PER_S, healed + 390 * S);
         day.play(healed + 400 * S);
         all(day);
-        double last = day.proxies.stream().filter(p -> p.index < 10).mapToDouble(p -> p.appliedAt(14_132)).max().orElseThrow();
-        double bytes = day.proxies.stream().filter(p -> p.index < 10).mapToDouble(VirtualStream.Proxy::bytesPerSInTheWorstMinute).max().orElseThrow();
-        System.out.printf("stream: an hour's backlog taken in %.0f s, at %.0f bytes/s in the worst minute%n", (last - healed) / S, bytes);
+        double last =
+                day.proxies.stream()
+                        .filter(p -> p.index < 10)
+                        .mapToDouble(p -> p.appliedAt(14_132))
+                        .max()
+                        .orElseThrow();
+        double bytes =
+                day.proxies.stream()
+                        .filter(p -> p.index < 10)
+                        .mapToDouble(VirtualStream.Proxy::bytesPerSInTheWorstMinute)
+                        .max()
+                        .orElseThrow();
+        System.out.printf(
+                "stream: an hour's backlog taken in %.0f s, at %.0f bytes/s in the worst minute%n",
+                (last - healed) / S, bytes);
         assertTrue(last - healed < 300 * S, "" + (last - healed));
         assertTrue(bytes <= MOST_BYTES_PER_S, "" + bytes);
         for (int seq = 14_133; seq <= day.head(); seq++) {
@@ -169,7 +233,9 @@
             }
             assertTrue(others > 0);
         }
-        assertTrue(day.proxies.stream().allMatch(p -> p.resets.size() == 1), "only the one at the start, though the log was cut by snapshots");
+        assertTrue(
+                day.proxies.stream().allMatch(p -> p.resets.size() == 1),
+                "only the one at the start, though the log was cut by snapshots");
     }
 
     @Test
@@ -178,7 +244,9 @@
         day.play(3 * S).pause(4, 80 * S);
         day.play(3.1 * S).backlog(5000, 0);
         day.play(5 * S);
-        assertTrue(day.proxies.get(4).onTheWay < Subscriber.BURST_BYTES + 1000, "on the way: " + day.proxies.get(4).onTheWay);
+        assertTrue(
+                day.proxies.get(4).onTheWay < Subscriber.BURST_BYTES + 1000,
+                "on the way: " + day.proxies.get(4).onTheWay);
         day.play(79 * S);
         assertEquals(day.head(), day.proxies.get(5).subscriber.applied());
         assertEquals(1, day.stragglers().size());
@@ -188,7 +256,17 @@
 
     @Test
     void aCursorOlderThanTheWindowIsToldThatAllFromBeforeIsPurged() {
-        VirtualStream day = new VirtualStream(new Plan(20, 4, SEED, 10, 0, 0, new Window.Bounds(100, 1 << 20), Subscriber.PACE_BYTES_PER_S));
+        VirtualStream day =
+                new VirtualStream(
+                        new Plan(
+                                20,
+                                4,
+                                SEED,
+                                10,
+                                0,
+                                0,
+                                new Window.Bounds(100, 1 << 20),
+                                Subscriber.PACE_BYTES_PER_S));
         day.play(3 * S).cut(i -> i == 7, true);
         day.backlog(500, 3);
         day.play(60 * S);
@@ -212,6 +290,7 @@
         day.play(60 * S);
         assertTrue(day.proxies.get(0).bytesPerSInTheWorstMinute() > MOST_BYTES_PER_S);
         assertFalse(day.events.containsKey(What.GAP));
-        assertTrue(day.summed.stream().map(Everywhere::seq).distinct().count() == day.summed.size());
+        assertTrue(
+                day.summed.stream().map(Everywhere::seq).distinct().count() == day.summed.size());
     }
 }
--- a/src/test/java/hopglade/lab/virtual/TiesTest.java
+++ b/src/test/java/hopglade/lab/virtual/TiesTest.java
@@ -21,18 +21,31 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** An attempt's end, its time-out, the client's departure and a node's removal in one instant, in every order. */
+/**
+ * An attempt's end, its time-out, the client's departure and a node's removal in one instant, in
+ * every order.
+ */
 class TiesTest {
 
     private static final double TIE = 5_000;
 
-    private enum Event { ANSWER, TIME_OUT, GONE, REMOVED }
+    private enum Event {
+        ANSWER,
+        TIME_OUT,
+        GONE,
+        REMOVED
+    }
 
     static List<Arguments> orders() {
         List<List<Event>> orders = new ArrayList<>();
         permute(new ArrayList<>(List.of(Event.values())), 0, orders);
-        return orders.stream().flatMap(o -> List.of(Outcome.OK, Outcome.MISS, Outcome.RESET, Outcome.ERROR).stream()
-                .map(end -> Arguments.of(o, end))).toList();
+        return orders.stream()
+                .flatMap(
+                        o ->
+                                List.of(Outcome.OK, Outcome.MISS, Outcome.RESET, Outcome.ERROR)
+                                        .stream()
+                                        .map(end -> Arguments.of(o, end)))
+                .toList();
     }
 
     private static void permute(List<Event> events, int from, List<List<Event>> into) {
@@ -53,7 +66,8 @@
         int abandoned;
 
         @Override
-        public void send(VirtualProxy from, String request, int attempt, String node, double waitMs) {
+        public void send(
+                VirtualProxy from, String request, int attempt, String node, double waitMs) {
             sent.add(node);
         }
 
@@ -63,10 +77,11 @@
         }
 
         @Override
-        public void probe(VirtualProxy from, String node) { }
+        public void probe(VirtualProxy from, String node) {}
 
         @Override
-        public void seen(VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe) { }
+        public void seen(
+                VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe) {}
     }
 
     @ParameterizedTest
@@ -78,8 +93,10 @@
     }
 
     private static void play(List<Event> order, Outcome end, String service) throws Exception {
-        Experiment experiment = ExperimentFile.of(Toml.parse("ties", "name = \"ties\"\nduration_s = 10\n"));
-        Router.Settings settings = ProxySettings.read(experiment, Draw.installation(experiment), 0, 10_000, 100);
+        Experiment experiment =
+                ExperimentFile.of(Toml.parse("ties", "name = \"ties\"\nduration_s = 10\n"));
+        Router.Settings settings =
+                ProxySettings.read(experiment, Draw.installation(experiment), 0, 10_000, 100);
         Agenda agenda = new Agenda();
         Wire wire = new Wire();
         Router router = new Decide(settings, 1);
@@ -93,26 +110,50 @@
         proxy.nodes(ListKind.FULL, 1, nodes);
         boolean write = !service.equals("view-agenda");
         List<Integer> answers = new ArrayList<>();
-        agenda.at(TIE - 200, () -> proxy.request(new Request("r", service, null, 77, 30, 1000, write, false),
-                (status, retryAfterMs, made) -> answers.add(status)));
-        // Asked for before the request, so that all four come before what the router asks for that instant.
+        agenda.at(
+                TIE - 200,
+                () ->
+                        proxy.request(
+                                new Request("r", service, null, 77, 30, 1000, write, false),
+                                (status, retryAfterMs, made) -> answers.add(status)));
+        // Asked for before the request, so that all four come before what the router asks for that
+        // instant.
         for (Event event : order) {
-            agenda.at(TIE, () -> {
-                switch (event) {
-                    case ANSWER -> proxy.ended("r", 0, end, 0, 1);
-                    case TIME_OUT -> proxy.timedOut("r", 0);
-                    case GONE -> proxy.clientGone("r");
-                    case REMOVED -> proxy.nodes(ListKind.CHANGES, 2, List.of(new Node(wire.sent.get(0), wire.sent.get(0).equals("origin")
-                            ? "origin" : "std", "bogota-1", 0, 2, 0, Availability.GONE)));
-                }
-            });
+            agenda.at(
+                    TIE,
+                    () -> {
+                        switch (event) {
+                            case ANSWER -> proxy.ended("r", 0, end, 0, 1);
+                            case TIME_OUT -> proxy.timedOut("r", 0);
+                            case GONE -> proxy.clientGone("r");
+                            case REMOVED ->
+                                    proxy.nodes(
+                                            ListKind.CHANGES,
+                                            2,
+                                            List.of(
+                                                    new Node(
+                                                            wire.sent.get(0),
+                                                            wire.sent.get(0).equals("origin")
+                                                                    ? "origin"
+                                                                    : "std",
+                                                            "bogota-1",
+                                                            0,
+                                                            2,
+                                                            0,
+                                                            Availability.GONE)));
+                        }
+                    });
         }
         while (agenda.nextAt() < TIE + 20_000) {
             agenda.step();
         }
         String told = service + " " + order + " " + end + ": " + answers + ", sent to " + wire.sent;
-        boolean departedFirst = order.indexOf(Event.GONE) < order.indexOf(Event.ANSWER) && order.indexOf(Event.GONE) < order.indexOf(Event.TIME_OUT);
-        boolean answeredFirst = order.indexOf(Event.ANSWER) < order.indexOf(Event.TIME_OUT) && order.indexOf(Event.ANSWER) < order.indexOf(Event.GONE);
+        boolean departedFirst =
+                order.indexOf(Event.GONE) < order.indexOf(Event.ANSWER)
+                        && order.indexOf(Event.GONE) < order.indexOf(Event.TIME_OUT);
+        boolean answeredFirst =
+                order.indexOf(Event.ANSWER) < order.indexOf(Event.TIME_OUT)
+                        && order.indexOf(Event.ANSWER) < order.indexOf(Event.GONE);
         if (departedFirst) {
             assertEquals(List.of(), answers, told);
         } else if (answeredFirst && end == Outcome.OK) {
@@ -125,7 +166,8 @@
         assertEquals(0, router.entries(), told);
         assertEquals(0, proxy.backstops(), told);
         // After time-out or reset a booking may have run: it is never sent a second time.
-        if (service.equals("book-slot") && (end == Outcome.RESET || end == Outcome.ERROR || !answeredFirst)) {
+        if (service.equals("book-slot")
+                && (end == Outcome.RESET || end == Outcome.ERROR || !answeredFirst)) {
             assertEquals(1, wire.sent.size(), told);
         }
     }
--- a/src/test/java/hopglade/lab/virtual/VirtualTest.java
+++ b/src/test/java/hopglade/lab/virtual/VirtualTest.java
@@ -15,7 +15,8 @@
 /** Whole days in virtual time, judged by the same ledger as those on sockets. */
 class VirtualTest {
 
-    private static final String EVERYTHING = """
+    private static final String EVERYTHING =
+            """
             name = "everything"
             seed = %d
             duration_s = 40
@@ -28,7 +29,13 @@
             """;
 
     static String fault(String what, double at, String more) {
-        return "[[fault]]\nwhat = \"" + what + "\"\nat_s = " + at + "\n" + more.replace(';', '\n') + "\n";
+        return "[[fault]]\nwhat = \""
+                + what
+                + "\"\nat_s = "
+                + at
+                + "\n"
+                + more.replace(';', '\n')
+                + "\n";
     }
 
     private static Results play(String toml) throws Exception {
@@ -36,17 +43,28 @@
     }
 
     private static String everyFault() {
-        return fault("node-kill", 3, "node = \"node-1\"") + fault("node-restart", 5, "node = \"node-2\";for_s = 2")
-                + fault("node-drain", 6, "node = \"node-3\";for_s = 4") + fault("node-silent", 8, "node = \"node-4\";for_s = 3")
-                + fault("node-slow", 10, "node = \"node-5\";for_s = 3;factor = 5") + fault("node-errors", 11, "node = \"node-6\";for_s = 2;share = 0.4")
-                + fault("reset-before", 12, "node = \"*\";for_s = 1;share = 0.2") + fault("reset-after", 13, "node = \"*\";for_s = 1;share = 0.2")
-                + fault("half-answer", 14, "node = \"*\";for_s = 1;share = 0.2") + fault("spoilt-answer", 15, "node = \"*\";for_s = 1;share = 0.2")
-                + fault("origin-stall", 16, "for_s = 2") + fault("origin-slow", 18, "for_s = 2;factor = 3")
-                + fault("zone-cut", 20, "zone = \"cali-1\";for_s = 3") + fault("discovery-silent", 21, "proxy = \"proxy-0\";for_s = 3")
-                + fault("discovery-stale", 22, "for_s = 2;factor = 2") + fault("mass-voiding", 24, "share = 0.8")
-                + fault("hot-key", 25, "for_s = 3;share = 0.2;keys = 1") + fault("heavy", 26, "class = \"view-agenda\";for_s = 2;share = 0.02;factor = 10")
-                + fault("burst", 27, "for_s = 2;factor = 2") + fault("proxy-kill", 29, "proxy = \"proxy-1\";for_s = 1")
-                + fault("proxy-term", 30, "proxy = \"proxy-2\";for_s = 1") + fault("proxy-stop", 33, "proxy = \"proxy-0\";for_s = 0.2");
+        return fault("node-kill", 3, "node = \"node-1\"")
+                + fault("node-restart", 5, "node = \"node-2\";for_s = 2")
+                + fault("node-drain", 6, "node = \"node-3\";for_s = 4")
+                + fault("node-silent", 8, "node = \"node-4\";for_s = 3")
+                + fault("node-slow", 10, "node = \"node-5\";for_s = 3;factor = 5")
+                + fault("node-errors", 11, "node = \"node-6\";for_s = 2;share = 0.4")
+                + fault("reset-before", 12, "node = \"*\";for_s = 1;share = 0.2")
+                + fault("reset-after", 13, "node = \"*\";for_s = 1;share = 0.2")
+                + fault("half-answer", 14, "node = \"*\";for_s = 1;share = 0.2")
+                + fault("spoilt-answer", 15, "node = \"*\";for_s = 1;share = 0.2")
+                + fault("origin-stall", 16, "for_s = 2")
+                + fault("origin-slow", 18, "for_s = 2;factor = 3")
+                + fault("zone-cut", 20, "zone = \"cali-1\";for_s = 3")
+                + fault("discovery-silent", 21, "proxy = \"proxy-0\";for_s = 3")
+                + fault("discovery-stale", 22, "for_s = 2;factor = 2")
+                + fault("mass-voiding", 24, "share = 0.8")
+                + fault("hot-key", 25, "for_s = 3;share = 0.2;keys = 1")
+                + fault("heavy", 26, "class = \"view-agenda\";for_s = 2;share = 0.02;factor = 10")
+                + fault("burst", 27, "for_s = 2;factor = 2")
+                + fault("proxy-kill", 29, "proxy = \"proxy-1\";for_s = 1")
+                + fault("proxy-term", 30, "proxy = \"proxy-2\";for_s = 1")
+                + fault("proxy-stop", 33, "proxy = \"proxy-0\";for_s = 0.2");
     }
 
     @Test
@@ -63,22 +81,33 @@
     @Test
     void aStallOfAProxyStandsInThePercentilesInFull() throws Exception {
         Results calm = play(EVERYTHING.formatted(1, ""));
-        Results stopped = play(EVERYTHING.formatted(1, fault("proxy-stop", 20, "proxy = \"*\";for_s = 0.2")));
+        Results stopped =
+                play(EVERYTHING.formatted(1, fault("proxy-stop", 20, "proxy = \"*\";for_s = 0.2")));
         assertTrue(stopped.figures().get("latency.max_ms") >= 200, stopped.figures().toString());
         assertEquals(calm.load(), stopped.load());
     }
 
     @Test
     void anOverloadedFleetServesLessThanItIsAskedAndMoreThanNothing() throws Exception {
-        Map<String, Double> over = play(EVERYTHING.formatted(1, "").replace("rate = 120", "rate = 1500").replace("duration_s = 40", "duration_s = 10")).figures();
+        Map<String, Double> over =
+                play(EVERYTHING
+                                .formatted(1, "")
+                                .replace("rate = 120", "rate = 1500")
+                                .replace("duration_s = 40", "duration_s = 10"))
+                        .figures();
         assertTrue(over.get("load.over_capacity") > 1.5, over.toString());
-        assertTrue(over.get("served.worth") > 0.1 && over.get("served.worth") < 0.9, over.toString());
+        assertTrue(
+                over.get("served.worth") > 0.1 && over.get("served.worth") < 0.9, over.toString());
         assertTrue(over.get("refused.share") + over.get("failed.share") > 0.1, over.toString());
     }
 
     @Test
     void aThousandNodesAndAHundredProxiesCanBePlayed() throws Exception {
-        Experiment large = ExperimentFile.of(Toml.parse("large", """
+        Experiment large =
+                ExperimentFile.of(
+                        Toml.parse(
+                                "large",
+                                """
                 name = "large"
                 duration_s = 3
                 [fleet]
@@ -95,7 +124,11 @@
 
     @Test
     void theCommittedFirstLookHoldsItsBoundsHereToo() throws Exception {
-        Results results = new VirtualRun(ExperimentFile.read(Path.of("experiments/first-look.toml"), Map.of())).play();
+        Results results =
+                new VirtualRun(
+                                ExperimentFile.read(
+                                        Path.of("experiments/first-look.toml"), Map.of()))
+                        .play();
         assertTrue(results.good(), results.violations() + " " + results.missed());
     }
 }
--- a/src/test/java/hopglade/membership/GossipTest.java
+++ b/src/test/java/hopglade/membership/GossipTest.java
@@ -14,7 +14,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What gossip is built for: deaths, partitions, bad links, wrong clocks, liars, and packets from strangers. */
+/**
+ * What gossip is built for: deaths, partitions, bad links, wrong clocks, liars, and packets from
+ * strangers.
+ */
 class GossipTest {
 
     private static void allKnowAll(Town town) {
@@ -42,7 +45,10 @@
         Town.Proxy again = town.join("p5", victim.address, 0, 1);
         double born = town.now;
         town.runFor(2000);
-        assertEquals(12, again.gossip.table().stream().filter(Member::present).count(), "members it knows 2 s after its start");
+        assertEquals(
+                12,
+                again.gossip.table().stream().filter(Member::present).count(),
+                "members it knows 2 s after its start");
         town.runFor(8000);
         allKnowAll(town);
         assertTrue(again.gossip.table().get(0).incarnation() > 0);
@@ -112,7 +118,12 @@
     void packetsOfStrangersChangeNothingAndRaiseNoTraffic() {
         Town town = Town.of(5, 5);
         Town.Proxy target = town.proxy(2);
-        List<byte[]> true_ = new ArrayList<>(town.carried.stream().filter(s -> s.to().equals(target.address)).map(Town.Sent::packet).toList());
+        List<byte[]> true_ =
+                new ArrayList<>(
+                        town.carried.stream()
+                                .filter(s -> s.to().equals(target.address))
+                                .map(Town.Sent::packet)
+                                .toList());
         town.runFor(10_000);
         double calm = town.mostBytesInASecond(town.now - 5000);
         List<Member> before = target.gossip.table();
@@ -121,17 +132,23 @@
         double flood = town.now;
         for (int i = 0; i < 30_000; i++) {
             byte[] packet = true_.get(random.nextInt(true_.size())).clone();
-            String from = random.nextBoolean() ? town.proxy(random.nextInt(2)).address : "10.9.9.9:" + (1 + random.nextInt(60_000));
+            String from =
+                    random.nextBoolean()
+                            ? town.proxy(random.nextInt(2)).address
+                            : "10.9.9.9:" + (1 + random.nextInt(60_000));
             switch (i % 5) {
-                // A replay as it was, one with a bit turned, one cut short, one too long, and noise.
+                // A replay as it was, one with a bit turned, one cut short, one too long, and
+                // noise.
                 case 1 -> packet[random.nextInt(packet.length)] ^= (byte) (1 << random.nextInt(8));
                 case 2 -> packet = Arrays.copyOf(packet, random.nextInt(packet.length));
-                case 3 -> packet = Arrays.copyOf(packet, Wire.MOST_BYTES + 1 + random.nextInt(60_000));
+                case 3 ->
+                        packet =
+                                Arrays.copyOf(packet, Wire.MOST_BYTES + 1 + random.nextInt(60_000));
                 case 4 -> {
                     packet = new byte[random.nextInt(2000)];
                     random.nextBytes(packet);
                 }
-                default -> { }
+                default -> {}
             }
             target.gossip.received(target.clock(), from, packet, target);
             if (i % 300 == 0) {
@@ -145,7 +162,9 @@
         assertTrue(town.mostBytesInASecond(flood) < calm + 4096, "a flood must raise no traffic");
         assertTrue(target.doubted.isEmpty());
         town.runFor(20_000);
-        assertEquals(before.stream().map(Member::name).toList(), target.gossip.table().stream().map(Member::name).toList());
+        assertEquals(
+                before.stream().map(Member::name).toList(),
+                target.gossip.table().stream().map(Member::name).toList());
         allKnowAll(town);
     }
 
@@ -169,8 +188,12 @@
             recorded.forEach(s -> town.deliver(s.from(), s.to(), s.packet()));
             town.runFor(2000);
         }
-        assertTrue(town.proxies.stream().allMatch(p -> p.doubted.isEmpty()), "a replay made a doubt");
-        assertEquals(events, town.told.size(), () -> town.told.subList(events, town.told.size()).toString());
+        assertTrue(
+                town.proxies.stream().allMatch(p -> p.doubted.isEmpty()), "a replay made a doubt");
+        assertEquals(
+                events,
+                town.told.size(),
+                () -> town.told.subList(events, town.told.size()).toString());
         allKnowAll(town);
     }
 
@@ -190,8 +213,23 @@
         assertTrue(late.doubted.isEmpty());
         late.gossip.nodes(late.clock(), list, late);
         assertTrue(late.doubted.contains("node-5"), "as soon as it has a list");
-        late.gossip.nodes(late.clock(), list.stream().map(n -> n.id().equals("node-5") ? new hopglade.Router.Node("node-5", "std", "a", 0, 1,
-                town.now, hopglade.Router.Availability.UP) : n).toList(), late);
+        late.gossip.nodes(
+                late.clock(),
+                list.stream()
+                        .map(
+                                n ->
+                                        n.id().equals("node-5")
+                                                ? new hopglade.Router.Node(
+                                                        "node-5",
+                                                        "std",
+                                                        "a",
+                                                        0,
+                                                        1,
+                                                        town.now,
+                                                        hopglade.Router.Availability.UP)
+                                                : n)
+                        .toList(),
+                late);
         town.runFor(200);
         assertTrue(late.gossip.table().size() >= 7);
     }
@@ -204,17 +242,27 @@
         assertTrue(town.told(null, What.NAME_TWICE, "p2"), town.told.toString());
         town.kill(twin);
         town.strangers.add("p1");
-        Town.Proxy removed = town.proxies.stream().filter(p -> p.name.equals("p1")).findFirst().orElseThrow();
+        Town.Proxy removed =
+                town.proxies.stream().filter(p -> p.name.equals("p1")).findFirst().orElseThrow();
         town.runFor(40_000);
-        Town.Proxy other = town.proxies.stream().filter(p -> p.name.equals("p3")).findFirst().orElseThrow();
-        assertEquals(Status.DEAD, other.knows("p1"), "a proxy whose key is trusted no longer is none of us");
+        Town.Proxy other =
+                town.proxies.stream().filter(p -> p.name.equals("p3")).findFirst().orElseThrow();
+        assertEquals(
+                Status.DEAD,
+                other.knows("p1"),
+                "a proxy whose key is trusted no longer is none of us");
         removed.saw("node-1", Outcome.TIMEOUT, 9);
         town.runFor(1000);
         assertTrue(other.doubted.isEmpty());
-        assertNull(new Town(1).join("alone", 0, 1).knows("p0"), "without peers it starts all the same");
+        assertNull(
+                new Town(1).join("alone", 0, 1).knows("p0"),
+                "without peers it starts all the same");
     }
 
-    /** Two liars among five accuse everything from the first moment; the others keep trying the nodes, which answer. */
+    /**
+     * Two liars among five accuse everything from the first moment; the others keep trying the
+     * nodes, which answer.
+     */
     @Test
     void liarsCostAProbeAndThenTheirWeight() {
         Town town = Town.of(5, 8);
@@ -244,10 +292,16 @@
         for (int honest = 0; honest < 3; honest++) {
             Town.Proxy p = town.proxy(honest);
             assertTrue(p.gossip.weight(p.clock(), "p3") < 0.5, "the liar's weight at " + p.name);
-            assertTrue(p.gossip.weight(p.clock(), "p4") < 0.5, "the flipping liar's weight at " + p.name);
-            assertTrue(p.gossip.weight(p.clock(), "p" + (honest + 1) % 3) > 0.9, "an honest peer's weight at " + p.name);
+            assertTrue(
+                    p.gossip.weight(p.clock(), "p4") < 0.5,
+                    "the flipping liar's weight at " + p.name);
+            assertTrue(
+                    p.gossip.weight(p.clock(), "p" + (honest + 1) % 3) > 0.9,
+                    "an honest peer's weight at " + p.name);
         }
-        assertTrue(doubts <= 3 * 6 * 2, "quarter seconds in which a healthy node was doubted: " + doubts);
+        assertTrue(
+                doubts <= 3 * 6 * 2,
+                "quarter seconds in which a healthy node was doubted: " + doubts);
         assertTrue(town.told("p0", What.DISTRUSTED, "p3"));
         // Weight comes back, slowly.
         double low = town.proxy(0).gossip.weight(town.proxy(0).clock(), "p3");
--- a/src/test/java/hopglade/membership/HeldUpLoopTest.java
+++ b/src/test/java/hopglade/membership/HeldUpLoopTest.java
@@ -5,12 +5,14 @@
 import hopglade.membership.Gossip.What;
 import java.util.SplittableRandom;
 import java.util.function.DoubleSupplier;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Members whose event loop is held up, by one long task or by many slow calls, accuse nobody for it; a death is found all the same. */
+/**
+ * Members whose event loop is held up, by one long task or by many slow calls, accuse nobody for
+ * it; a death is found all the same.
+ */
 class HeldUpLoopTest {
 
     private static final int SEEDS = 20;
@@ -19,8 +21,10 @@
     private static final double JOINING_MS = 5000;
     private static final double RUN_MS = 60_000;
     private static final double SLOW_CALL_SHARE = 0.2;
+
     /** Each member probes each other once. */
     private static final double PROBE_ROUND_MS = MEMBERS * Swim.PERIOD_MS;
+
     private static final double BLOCK_EVERY_MS = 130;
 
     private static SharedEventLoop joined(long seed) {
@@ -31,7 +35,10 @@
     }
 
     private static void assertNobodyIsAccused(SharedEventLoop loop, String situation) {
-        assertEquals(0, loop.count(What.SUSPECTED) + loop.count(What.DIED), situation + ": " + loop.reports);
+        assertEquals(
+                0,
+                loop.count(What.SUSPECTED) + loop.count(What.DIED),
+                situation + ": " + loop.reports);
     }
 
     @ParameterizedTest
--- a/src/test/java/hopglade/membership/SharedEventLoop.java
+++ b/src/test/java/hopglade/membership/SharedEventLoop.java
@@ -12,9 +12,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Members on one event loop, in virtual time. As in Netty, a turn first reads the sockets that were readable when it began, then
- * runs the ticks that are due. Each call of a member takes as long as {@link #callMs} says; until a member's turn has come, what
- * was sent to it lies unread in its socket.
+ * Members on one event loop, in virtual time. As in Netty, a turn first reads the sockets that were
+ * readable when it began, then runs the ticks that are due. Each call of a member takes as long as
+ * {@link #callMs} says; until a member's turn has come, what was sent to it lies unread in its
+ * socket.
  */
 final class SharedEventLoop {
 
@@ -24,9 +25,9 @@
     private static final int FIRST_PORT = 7000;
 
     /** What one member said of another, and when. */
-    record Report(String by, What what, String subject, double at) { }
+    record Report(String by, What what, String subject, double at) {}
 
-    private record Datagram(String from, byte[] packet) { }
+    private record Datagram(String from, byte[] packet) {}
 
     private final class MemberOnLoop implements Gossip.Actions {
         final String name;
@@ -39,13 +40,21 @@
             name = "p" + index;
             address = address(index);
             List<String> seeds = index == 0 ? List.of() : List.of(address(0));
-            Gossip.Settings settings = new Gossip.Settings(address, seeds, BYTES_PER_S, VERIFICATIONS_PER_S, Gossip.Settings.HEALTH_MOST);
+            Gossip.Settings settings =
+                    new Gossip.Settings(
+                            address,
+                            seeds,
+                            BYTES_PER_S,
+                            VERIFICATIONS_PER_S,
+                            Gossip.Settings.HEALTH_MOST);
             gossip = new Gossip(settings, new HashIdentity(name, Set.of()), seed);
             gossip.start(now, this);
             tick();
         }
 
-        /** As the socket does: the next tick is set first, and the clock is read before the call. */
+        /**
+         * As the socket does: the next tick is set first, and the clock is read before the call.
+         */
         void tick() {
             nextTick = now + Gossip.TICK_MS;
             gossip.tick(clockBeforeCall(), this);
@@ -60,11 +69,13 @@
 
         @Override
         public void send(String to, byte[] packet) {
-            members.stream().filter(m -> m.address.equals(to)).forEach(m -> m.socket.add(new Datagram(address, packet)));
+            members.stream()
+                    .filter(m -> m.address.equals(to))
+                    .forEach(m -> m.socket.add(new Datagram(address, packet)));
         }
 
         @Override
-        public void standing(String node, boolean doubted) { }
+        public void standing(String node, boolean doubted) {}
 
         @Override
         public void event(What what, String subject, String evidence) {
@@ -134,6 +145,10 @@
         }
         readable.forEach(MemberOnLoop::read);
         double afterReads = now;
-        members.stream().filter(m -> m.nextTick <= afterReads).sorted(Comparator.comparingDouble(m -> m.nextTick)).toList().forEach(MemberOnLoop::tick);
+        members.stream()
+                .filter(m -> m.nextTick <= afterReads)
+                .sorted(Comparator.comparingDouble(m -> m.nextTick))
+                .toList()
+                .forEach(MemberOnLoop::tick);
     }
 }
--- a/src/test/java/hopglade/membership/SwimHoldUpTest.java
+++ b/src/test/java/hopglade/membership/SwimHoldUpTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The timers of one member whose event loop is held up: what came meanwhile is read before anybody is judged by them. */
+/**
+ * The timers of one member whose event loop is held up: what came meanwhile is read before anybody
+ * is judged by them.
+ */
 class SwimHoldUpTest {
 
     private static final int HEALTH_MOST = 8;
@@ -32,20 +35,25 @@
         }
 
         @Override
-        public void call(String address) { }
+        public void call(String address) {}
 
         @Override
-        public void changed(Member before, Member now) { }
+        public void changed(Member before, Member now) {}
 
         @Override
-        public void refuted(Member news) { }
+        public void refuted(Member news) {}
 
         @Override
-        public void stepped(boolean down, String evidence) { }
+        public void stepped(boolean down, String evidence) {}
     }
 
     private final LastProbe out = new LastProbe();
-    private final Swim swim = new Swim(member("self", 0, Status.ALIVE), List.of(), new SplittableRandom(1), HEALTH_MOST);
+    private final Swim swim =
+            new Swim(
+                    member("self", 0, Status.ALIVE),
+                    List.of(),
+                    new SplittableRandom(1),
+                    HEALTH_MOST);
     private double now;
 
     private static Member member(String name, int incarnation, Status status) {
--- a/src/test/java/hopglade/membership/Town.java
+++ b/src/test/java/hopglade/membership/Town.java
@@ -14,15 +14,18 @@
 import java.util.TreeMap;
 import java.util.function.BiPredicate;
 
-/** Proxies that gossip over a network that the test holds in its hand: it may lose, double, delay, record and forge packets. */
+/**
+ * Proxies that gossip over a network that the test holds in its hand: it may lose, double, delay,
+ * record and forge packets.
+ */
 final class Town {
 
     static final double DELAY_MS = 2;
     static final int BYTES_PER_S = 8192;
 
-    record Told(String by, What what, String subject, String evidence, double at) { }
+    record Told(String by, What what, String subject, String evidence, double at) {}
 
-    record Sent(double at, String from, String to, byte[] packet) { }
+    record Sent(double at, String from, String to, byte[] packet) {}
 
     private record Item(double at, long order, Runnable act) implements Comparable<Item> {
         @Override
@@ -39,7 +42,11 @@
         final double pace;
         final Set<String> doubted = new HashSet<>();
         boolean dead;
-        /** Until when its process stands still, as under SIGSTOP: no timer runs, and packets wait in its socket. */
+
+        /**
+         * Until when its process stands still, as under SIGSTOP: no timer runs, and packets wait in
+         * its socket.
+         */
         double pausedUntil;
 
         Proxy(String name, String address, String seed, double ahead, double pace) {
@@ -47,7 +54,16 @@
             this.address = address;
             this.ahead = ahead;
             this.pace = pace;
-            gossip = new Gossip(new Gossip.Settings(address, List.of(seed), BYTES_PER_S, 400, Gossip.Settings.HEALTH_MOST), new HashIdentity(name, strangers), random.nextLong());
+            gossip =
+                    new Gossip(
+                            new Gossip.Settings(
+                                    address,
+                                    List.of(seed),
+                                    BYTES_PER_S,
+                                    400,
+                                    Gossip.Settings.HEALTH_MOST),
+                            new HashIdentity(name, strangers),
+                            random.nextLong());
             gossip.nodes(clock(), nodes, this);
             gossip.start(clock(), this);
             tick();
@@ -73,7 +89,11 @@
         }
 
         Member.Status knows(String other) {
-            return gossip.table().stream().filter(m -> m.name().equals(other)).map(Member::status).findFirst().orElse(null);
+            return gossip.table().stream()
+                    .filter(m -> m.name().equals(other))
+                    .map(Member::status)
+                    .findFirst()
+                    .orElse(null);
         }
 
         @Override
@@ -186,7 +206,12 @@
     }
 
     boolean told(String by, What what, String subject) {
-        return told.stream().anyMatch(t -> (by == null || t.by().equals(by)) && t.what() == what && t.subject().equals(subject));
+        return told.stream()
+                .anyMatch(
+                        t ->
+                                (by == null || t.by().equals(by))
+                                        && t.what() == what
+                                        && t.subject().equals(subject));
     }
 
     /** The most that any proxy put on the wire in any second since then. */
@@ -194,7 +219,14 @@
         double most = 0;
         for (Proxy p : proxies) {
             TreeMap<Long, Integer> seconds = new TreeMap<>();
-            carried.stream().filter(s -> s.from().equals(p.address) && s.at() >= since).forEach(s -> seconds.merge((long) (s.at() / 1000), s.packet().length + 28, Integer::sum));
+            carried.stream()
+                    .filter(s -> s.from().equals(p.address) && s.at() >= since)
+                    .forEach(
+                            s ->
+                                    seconds.merge(
+                                            (long) (s.at() / 1000),
+                                            s.packet().length + 28,
+                                            Integer::sum));
             most = Math.max(most, seconds.values().stream().mapToInt(b -> b).max().orElse(0));
         }
         return most;
--- a/src/test/java/hopglade/proxy/AcceptFailuresTest.java
+++ b/src/test/java/hopglade/proxy/AcceptFailuresTest.java
@@ -13,14 +13,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Accepting fails, as where descriptors are out: the listener rests, goes on, and never goes on for one that accepts no more. */
+/**
+ * Accepting fails, as where descriptors are out: the listener rests, goes on, and never goes on for
+ * one that accepts no more.
+ */
 class AcceptFailuresTest {
 
     private static final int FAILURES = 6;
     private static final long REST_MS = 100;
     private static final long NETTYS_REST_MS = 1000;
+
     /** Less than any limit in time of an idle client. */
     private static final int SOON_MS = 1000;
+
     private static final String UP = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
 
     private FaultySite site;
@@ -37,10 +42,15 @@
 
     /** What Netty tells of a failed accept; returns whether the listener accepts on. */
     private boolean acceptsAfterFailure() throws Exception {
-        return site.loop.submit(() -> {
-            site.listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
-            return site.listener.config().isAutoRead();
-        }).get();
+        return site.loop
+                .submit(
+                        () -> {
+                            site.listener
+                                    .pipeline()
+                                    .fireExceptionCaught(new IOException("Too many open files"));
+                            return site.listener.config().isAutoRead();
+                        })
+                .get();
     }
 
     private Peer.Wire asked() throws Exception {
@@ -58,7 +68,8 @@
     /** At once, so long before it would have gone for being idle. */
     @Test
     void itLetsTheIdleOneGoThatWasUsedLongestAgo() throws Exception {
-        try (Peer.Wire idle = served(); Peer.Wire used = served()) {
+        try (Peer.Wire idle = served();
+                Peer.Wire used = served()) {
             assertFalse(acceptsAfterFailure(), "it would spin");
             idle.socket().setSoTimeout(SOON_MS);
             assertNull(idle.read(), "its descriptor is of use to another");
@@ -87,7 +98,13 @@
     void oneThatHandsItsSocketOnDoesNotGoOn() throws Exception {
         assertFalse(acceptsAfterFailure());
         site.loop.submit(site.clients::drain).get();
-        boolean accepts = site.loop.schedule(() -> site.listener.config().isAutoRead(), 1500, TimeUnit.MILLISECONDS).get();
+        boolean accepts =
+                site.loop
+                        .schedule(
+                                () -> site.listener.config().isAutoRead(),
+                                1500,
+                                TimeUnit.MILLISECONDS)
+                        .get();
         assertFalse(accepts, "a client of the next process was taken");
     }
 }
--- a/src/test/java/hopglade/proxy/BindFailuresTest.java
+++ b/src/test/java/hopglade/proxy/BindFailuresTest.java
@@ -41,19 +41,28 @@
     }
 
     private void start(String listen, String more) throws Exception {
-        String json = site.json("automatic", "60000", more).replace("\"listen\":\"" + ANY, "\"listen\":\"" + listen);
-        site.service = Service.start(Config.parse(json, site.environment), site.router, 0, site.times, new CompletableFuture<>());
+        String json =
+                site.json("automatic", "60000", more)
+                        .replace("\"listen\":\"" + ANY, "\"listen\":\"" + listen);
+        site.service =
+                Service.start(
+                        Config.parse(json, site.environment),
+                        site.router,
+                        0,
+                        site.times,
+                        new CompletableFuture<>());
     }
 
     private void freeLater() {
         Executor later = CompletableFuture.delayedExecutor(A_MOMENT_MS, TimeUnit.MILLISECONDS);
-        later.execute(() -> {
-            try {
-                other.close();
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        later.execute(
+                () -> {
+                    try {
+                        other.close();
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
     }
 
     @Test
--- a/src/test/java/hopglade/proxy/BreakingNetworkTest.java
+++ b/src/test/java/hopglade/proxy/BreakingNetworkTest.java
@@ -10,12 +10,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Connections that break everywhere alike are the network's doing: neither the origin nor a node is judged by them. */
+/**
+ * Connections that break everywhere alike are the network's doing: neither the origin nor a node is
+ * judged by them.
+ */
 class BreakingNetworkTest {
 
-    /** Intervals until shares are learned and the level may rise, and until it has risen as far as it goes. */
+    /**
+     * Intervals until shares are learned and the level may rise, and until it has risen as far as
+     * it goes.
+     */
     private static final int LEARNED = 3;
+
     private static final int PLAYED = 10;
+
     /** Requests that do the same on a slow machine, where an interval has few. */
     private static final int ENOUGH = 500;
 
@@ -56,7 +64,8 @@
             for (int i = 0; fleet.steps() < PLAYED || i < 2 * ENOUGH; i++) {
                 fleet.read();
                 if (fleet.steps() > LEARNED && i > ENOUGH) {
-                    assertTrue(fleet.nodesOf.containsKey(fleet.lastId()), "a read was refused unsent");
+                    assertTrue(
+                            fleet.nodesOf.containsKey(fleet.lastId()), "a read was refused unsent");
                     places.computeIfAbsent(i % Fleet.KEYS, k -> new HashSet<>())
                             .addAll(fleet.nodesOf.get(fleet.lastId()));
                 }
@@ -67,13 +76,14 @@
 
     @Test
     void anOriginThatAloneBreaksIsThrottled() throws Exception {
-        Fleet.Script half = (request, n) -> {
-            if (n % 2 == 0) {
-                request.wire().close();
-            } else {
-                Fleet.answer(request);
-            }
-        };
+        Fleet.Script half =
+                (request, n) -> {
+                    if (n % 2 == 0) {
+                        request.wire().close();
+                    } else {
+                        Fleet.answer(request);
+                    }
+                };
         try (Fleet fleet = new Fleet(4, Fleet.answering(), half)) {
             boolean unsent = false;
             while (!unsent && fleet.steps() < 3 * PLAYED) {
--- a/src/test/java/hopglade/proxy/BrokenServe.java
+++ b/src/test/java/hopglade/proxy/BrokenServe.java
@@ -11,13 +11,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A real proxy with a router that breaks one rule on purpose, to show that the laboratory's ledger catches it. */
+/**
+ * A real proxy with a router that breaks one rule on purpose, to show that the laboratory's ledger
+ * catches it.
+ */
 public final class BrokenServe {
 
     /** What the router does wrong. */
-    public enum Fault { REPEATS_UNSAFE, DROPS_ANSWERS, SENDS_TO_DRAINED, HOLDS_REFUSALS, OVERLOADS_COLD }
+    public enum Fault {
+        REPEATS_UNSAFE,
+        DROPS_ANSWERS,
+        SENDS_TO_DRAINED,
+        HOLDS_REFUSALS,
+        OVERLOADS_COLD
+    }
 
-    private BrokenServe() { }
+    private BrokenServe() {}
 
     public static void main(String[] args) throws Exception {
         Config config = Config.fromEnvironment(System.getenv());
@@ -43,7 +52,11 @@
         }
 
         private Effect effect(Request request) {
-            return config.settings().classes().stream().filter(c -> c.name().equals(request.service())).findFirst().orElseThrow().effect();
+            return config.settings().classes().stream()
+                    .filter(c -> c.name().equals(request.service()))
+                    .findFirst()
+                    .orElseThrow()
+                    .effect();
         }
 
         /** The real actions, but for what this fault does to answers. */
@@ -71,16 +84,30 @@
         }
 
         @Override
-        public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out) {
+        public void nodes(
+                double now, ListKind kind, long version, List<Node> entries, Actions out) {
             List<Node> shown = new ArrayList<>();
             for (Node n : entries) {
                 origin = "origin".equals(n.model()) ? n.id() : origin;
-                if (!"origin".equals(n.model()) && n.startedAtMs() > newestAt && n.availability() == Availability.UP) {
+                if (!"origin".equals(n.model())
+                        && n.startedAtMs() > newestAt
+                        && n.availability() == Availability.UP) {
                     newest = n.id();
                     newestAt = n.startedAtMs();
                 }
-                boolean hidden = fault == Fault.SENDS_TO_DRAINED && n.availability() != Availability.UP;
-                shown.add(hidden ? new Node(n.id(), n.model(), n.zone(), n.cell(), n.weight(), n.startedAtMs(), Availability.UP) : n);
+                boolean hidden =
+                        fault == Fault.SENDS_TO_DRAINED && n.availability() != Availability.UP;
+                shown.add(
+                        hidden
+                                ? new Node(
+                                        n.id(),
+                                        n.model(),
+                                        n.zone(),
+                                        n.cell(),
+                                        n.weight(),
+                                        n.startedAtMs(),
+                                        Availability.UP)
+                                : n);
             }
             inner.nodes(now, kind, version, shown, out);
         }
@@ -103,7 +130,8 @@
         }
 
         @Override
-        public void streamStarted(double now, String request, int attempt, String node, Actions out) {
+        public void streamStarted(
+                double now, String request, int attempt, String node, Actions out) {
             inner.streamStarted(now, request, attempt, node, out);
         }
 
@@ -141,7 +169,13 @@
         }
 
         @Override
-        public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load, Actions out) {
+        public void probed(
+                double now,
+                String node,
+                Outcome outcome,
+                double elapsedMs,
+                Map<String, Double> load,
+                Actions out) {
             inner.probed(now, node, outcome, elapsedMs, load, out);
         }
 
--- a/src/test/java/hopglade/proxy/CalmFetchesTest.java
+++ b/src/test/java/hopglade/proxy/CalmFetchesTest.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** With a proxy that has little to do and an origin that is well, every read that misses is fetched. */
+/**
+ * With a proxy that has little to do and an origin that is well, every read that misses is fetched.
+ */
 class CalmFetchesTest {
 
     private static final int CACHES = 4;
@@ -26,7 +28,10 @@
                 statuses.add(fleet.read("distinct" + i));
                 List<String> sentTo = fleet.nodesOf.getOrDefault(fleet.lastId(), List.of());
                 fetches.add(Collections.frequency(sentTo, fleet.origin));
-                assertEquals(fleet.origin, sentTo.get(sentTo.size() - 1), "read " + i + " went to " + sentTo);
+                assertEquals(
+                        fleet.origin,
+                        sentTo.get(sentTo.size() - 1),
+                        "read " + i + " went to " + sentTo);
             }
             assertEquals(Collections.nCopies(READS, 200), statuses);
             assertEquals(Collections.nCopies(READS, 1), fetches);
--- a/src/test/java/hopglade/proxy/ClientLeftTest.java
+++ b/src/test/java/hopglade/proxy/ClientLeftTest.java
@@ -14,41 +14,53 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client that has left while its end lies unread, as the loop stood still or reads nothing from it: of what is due next nothing is
- * sent on. The loop is held inside the router while the client leaves, so nothing here depends on time.
+ * A client that has left while its end lies unread, as the loop stood still or reads nothing from
+ * it: of what is due next nothing is sent on. The loop is held inside the router while the client
+ * leaves, so nothing here depends on time.
  */
 class ClientLeftTest extends WithSite {
 
     private static final String HOLDS = "holds";
-    /** Much longer than connections rest between two uses; where it is not, the test only forces less. */
+
+    /**
+     * Much longer than connections rest between two uses; where it is not, the test only forces
+     * less.
+     */
     private static final long REST_MS = 40;
 
     private final Held held = new Held();
 
     private static String get(String id) {
-        return "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id + "\r\nX-Call-Class: read\r\nX-Budget: 60\r\n\r\n";
+        return "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: "
+                + id
+                + "\r\nX-Call-Class: read\r\nX-Budget: 60\r\n\r\n";
     }
 
     /** Holds the loop in the request of another client, which is refused when it goes on. */
     private Peer.Wire holdLoop() throws Exception {
         Scripted.OnRequest usual = site.router.onRequest;
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals(HOLDS)) {
-                held.hold();
-                out.refuse(HOLDS, 0);
-            } else {
-                usual.decide(request, out);
-            }
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals(HOLDS)) {
+                        held.hold();
+                        out.refuse(HOLDS, 0);
+                    } else {
+                        usual.decide(request, out);
+                    }
+                };
         Peer.Wire other = site.client();
         other.write(get(HOLDS));
         held.entered();
         return other;
     }
 
-    /** Two connections to the node that are at rest, so that what is sent next is written at once and not after a turn or two. */
+    /**
+     * Two connections to the node that are at rest, so that what is sent next is written at once
+     * and not after a turn or two.
+     */
     private void keepConnections() throws Exception {
-        try (Peer.Wire one = site.client(); Peer.Wire two = site.client()) {
+        try (Peer.Wire one = site.client();
+                Peer.Wire two = site.client()) {
             one.write(get("one"));
             two.write(get("two"));
             for (Peer.Message each : List.of(site.node.next(), site.node.next())) {
@@ -68,7 +80,7 @@
 
     /** The next that the node hears of is the request of a client that is there. */
     private void onlyOthersAreSentOn() throws Exception {
-        site.router.onEnd = (end, out) -> { };
+        site.router.onEnd = (end, out) -> {};
         try (Peer.Wire there = site.client()) {
             there.write(get("there"));
             Peer.Message next = site.node.next();
@@ -101,15 +113,16 @@
     void oneWhoseTimerIsDueAsWell(boolean byReset) throws Exception {
         AtomicReference<Actions> actions = new AtomicReference<>();
         site.router.onTimer = () -> actions.get().send("late", "c0", 0);
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals("late")) {
-                actions.set(out);
-                out.timer(0, "again");
-                held.hold();
-            } else {
-                out.send(request.id(), "c0", 0);
-            }
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("late")) {
+                        actions.set(out);
+                        out.timer(0, "again");
+                        held.hold();
+                    } else {
+                        out.send(request.id(), "c0", 0);
+                    }
+                };
         client.write(get("late"));
         held.entered();
         leave(client, byReset);
@@ -119,20 +132,24 @@
         onlyOthersAreSentOn();
     }
 
-    /** Its own half has ended and the other is open: that is how a close shows as long as nothing is written to it. */
+    /**
+     * Its own half has ended and the other is open: that is how a close shows as long as nothing is
+     * written to it.
+     */
     @Test
     void oneThatOnlyEndsItsHalfBeforeItsTimerIsDue() throws Exception {
         AtomicReference<Actions> actions = new AtomicReference<>();
         site.router.onTimer = () -> actions.get().send("half", "c0", 0);
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals("half")) {
-                actions.set(out);
-                out.timer(0, "again");
-                held.hold();
-            } else {
-                out.send(request.id(), "c0", 0);
-            }
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("half")) {
+                        actions.set(out);
+                        out.timer(0, "again");
+                        held.hold();
+                    } else {
+                        out.send(request.id(), "c0", 0);
+                    }
+                };
         client.write(get("half"));
         held.entered();
         client.socket().shutdownOutput();
@@ -145,12 +162,13 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void oneWhoseAttemptEndsAndIsToBeRepeated(boolean byReset) throws Exception {
-        site.router.onEnd = (end, out) -> {
-            if (!end.finished()) {
-                held.hold();
-                out.send(end.request(), "c0", 0);
-            }
-        };
+        site.router.onEnd =
+                (end, out) -> {
+                    if (!end.finished()) {
+                        held.hold();
+                        out.send(end.request(), "c0", 0);
+                    }
+                };
         client.write(get("missed"));
         site.node.next().wire().answer(404, "");
         held.entered();
@@ -190,21 +208,28 @@
             assertEquals(503, Site.status(other.read()));
         }
         onlyOthersAreSentOn();
-        assertTrue(site.router.requests.stream().noneMatch(r -> r.id().equals("third")), "not even decided on");
+        assertTrue(
+                site.router.requests.stream().noneMatch(r -> r.id().equals("third")),
+                "not even decided on");
     }
 
-    /** Of a long upload nothing is read until a node's connection takes it, so its client's end lies behind its bytes. */
+    /**
+     * Of a long upload nothing is read until a node's connection takes it, so its client's end lies
+     * behind its bytes.
+     */
     @Test
     void oneThatLeavesInTheMiddleOfAnUploadThatWaits() throws Exception {
         AtomicReference<Actions> actions = new AtomicReference<>();
-        site.router.onRequest = (request, out) -> {
-            actions.set(out);
-            if (request.id().equals("w1")) {
-                held.hold();
-            }
-            out.send(request.id(), "c0", 0);
-        };
-        String upload = Site.put("Idempotency-Key: k-9\r\n", "v".repeat(3 * Gatherer.MOST_GATHERED / 2));
+        site.router.onRequest =
+                (request, out) -> {
+                    actions.set(out);
+                    if (request.id().equals("w1")) {
+                        held.hold();
+                    }
+                    out.send(request.id(), "c0", 0);
+                };
+        String upload =
+                Site.put("Idempotency-Key: k-9\r\n", "v".repeat(3 * Gatherer.MOST_GATHERED / 2));
         client.write(upload.substring(0, 1000));
         held.entered();
         client.write(upload.substring(1000, upload.length() / 2));
@@ -215,26 +240,32 @@
         onlyOthersAreSentOn();
     }
 
-    /** What was read ahead of one that is there comes in its order: here the rest of an upload and a request behind it. */
+    /**
+     * What was read ahead of one that is there comes in its order: here the rest of an upload and a
+     * request behind it.
+     */
     @Test
     void whatIsReadAheadIsHandedOnInItsOrder() throws Exception {
         String body = "0123456789abcdef".repeat(ClientChannel.MOST_AHEAD / 8);
         String upload = Site.put("Idempotency-Key: k-9\r\n", body);
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals("w1")) {
-                held.hold();
-            }
-            out.send(request.id(), "c0", 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("w1")) {
+                        held.hold();
+                    }
+                    out.send(request.id(), "c0", 0);
+                };
         client.write(upload.substring(0, 1000));
         held.entered();
-        Thread writing = new Thread(() -> {
-            try {
-                client.write(upload.substring(1000) + get("behind"));
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Thread writing =
+                new Thread(
+                        () -> {
+                            try {
+                                client.write(upload.substring(1000) + get("behind"));
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
         writing.start();
         held.release();
         Peer.Message whole = site.node.next();
--- a/src/test/java/hopglade/proxy/ClientTest.java
+++ b/src/test/java/hopglade/proxy/ClientTest.java
@@ -35,10 +35,17 @@
         "GET, /api/, " + GOOD + ", 404",
         "DELETE, /api/k, " + GOOD + ", 405",
         "PUT, /up, " + GOOD + "|Content-Length: 0, 405",
-        "PUT, /api/k, " + GOOD + "|Content-Length: 34603009, 413"})
-    void badInputIsAnsweredHereAndReachesNobody(String method, String path, String headers, int status)
-            throws Exception {
-        client.write(method + " " + path + " HTTP/1.1\r\nHost: s\r\n" + headers.replace("|", "\r\n") + "\r\n\r\n");
+        "PUT, /api/k, " + GOOD + "|Content-Length: 34603009, 413"
+    })
+    void badInputIsAnsweredHereAndReachesNobody(
+            String method, String path, String headers, int status) throws Exception {
+        client.write(
+                method
+                        + " "
+                        + path
+                        + " HTTP/1.1\r\nHost: s\r\n"
+                        + headers.replace("|", "\r\n")
+                        + "\r\n\r\n");
         assertEquals(status, Site.status(client.read()));
         assertTrue(site.router.requests.isEmpty());
         assertTrue(site.node.heardNothing());
@@ -104,15 +111,17 @@
     @Test
     void oneThatAskedWhileTheLoopStoodStillIsNotTakenForSilent() throws Exception {
         CountDownLatch standing = new CountDownLatch(1);
-        site.router.onRequest = (request, out) -> {
-            if (standing.getCount() > 0) {
-                standing.countDown();
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2400));
-            }
-            out.refuse(request.id(), 1);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (standing.getCount() > 0) {
+                        standing.countDown();
+                        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2400));
+                    }
+                    out.refuse(request.id(), 1);
+                };
         try (Peer.Wire other = site.client()) {
-            // The connection is taken before the loop stands still, and its request comes while it does.
+            // The connection is taken before the loop stands still, and its request comes while it
+            // does.
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(300));
             client.write(site.get(Site.LONG_S));
             assertTrue(standing.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
@@ -126,11 +135,12 @@
         client.write(site.get(Site.LONG_S));
         Peer.Wire node = site.node.next().wire();
         // The final answers come while the attempt is out, from another request's turn.
-        site.router.onRequest = (request, out) -> {
-            out.fail("id0");
-            out.refuse("id0", 1);
-            out.refuse(request.id(), 1);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    out.fail("id0");
+                    out.refuse("id0", 1);
+                    out.refuse(request.id(), 1);
+                };
         try (Peer.Wire other = site.client()) {
             other.write(site.get(Site.LONG_S));
             assertEquals(503, Site.status(other.read()));
@@ -142,7 +152,10 @@
         assertTrue(end.finished());
         site.router.onRequest = (request, out) -> out.refuse(request.id(), 0);
         client.write(site.get(Site.LONG_S));
-        assertEquals(503, Site.status(client.read()), "neither the late answer nor a second final one came between");
+        assertEquals(
+                503,
+                Site.status(client.read()),
+                "neither the late answer nor a second final one came between");
     }
 
     @Test
@@ -163,9 +176,10 @@
 
     @Test
     void aRouterThatFailsOnArrivalRefusesAsNothingRan() throws Exception {
-        site.router.onRequest = (request, out) -> {
-            throw new IllegalStateException("planned in this test");
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    throw new IllegalStateException("planned in this test");
+                };
         client.write(site.get(Site.LONG_S));
         assertEquals(503, Site.status(client.read()));
         assertEquals("id0", Scripted.next(site.router.gone));
@@ -173,10 +187,12 @@
 
     @ParameterizedTest
     @CsvSource({"500, 502", "404, 503"})
-    void aRouterThatFailsLaterPromisesOnlyWhatIsProven(int fromNode, int toClient) throws Exception {
-        site.router.onEnd = (end, out) -> {
-            throw new IllegalStateException("planned in this test");
-        };
+    void aRouterThatFailsLaterPromisesOnlyWhatIsProven(int fromNode, int toClient)
+            throws Exception {
+        site.router.onEnd =
+                (end, out) -> {
+                    throw new IllegalStateException("planned in this test");
+                };
         client.write(site.get(Site.LONG_S));
         site.node.next().wire().answer(fromNode, "");
         assertEquals(toClient, Site.status(client.read()));
@@ -188,14 +204,16 @@
 
     @Test
     void aTimerThatFailsComesAgain() throws Exception {
-        site.router.onRequest = (request, out) -> {
-            out.timer(0, "tick");
-            out.refuse(request.id(), 0);
-        };
-        site.router.onTimer = () -> {
-            site.router.onTimer = () -> { };
-            throw new IllegalStateException("planned in this test");
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    out.timer(0, "tick");
+                    out.refuse(request.id(), 0);
+                };
+        site.router.onTimer =
+                () -> {
+                    site.router.onTimer = () -> {};
+                    throw new IllegalStateException("planned in this test");
+                };
         client.write(site.get(Site.LONG_S));
         assertEquals("tick", Scripted.next(site.router.timers));
         assertEquals("tick", Scripted.next(site.router.timers));
@@ -203,7 +221,7 @@
 
     @Test
     void aRequestThatTheRouterForgetsIsAnsweredAtItsDeadline() throws Exception {
-        site.router.onRequest = (request, out) -> { };
+        site.router.onRequest = (request, out) -> {};
         client.write(site.get(0.1));
         assertEquals(503, Site.status(client.read()));
     }
--- a/src/test/java/hopglade/proxy/CloseDelimitedAnswersTest.java
+++ b/src/test/java/hopglade/proxy/CloseDelimitedAnswersTest.java
@@ -16,16 +16,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers that name no length and end with their connection, as their {@code Connection: close} says: how many of the whole ones a
- * client gets, where others are reset on the way.
+ * Answers that name no length and end with their connection, as their {@code Connection: close}
+ * says: how many of the whole ones a client gets, where others are reset on the way.
  */
 class CloseDelimitedAnswersTest {
 
     private static final int ANSWERS = 200;
+
     /** From the first on that are gathered whole up to one that flows to the client as it comes. */
     private static final int[] LENGTHS = {0, 10, 5000, Gatherer.MOST_GATHERED + 50_000};
+
     /** One answer in so many is reset. */
     private static final int RESET_EVERY = 3;
+
     private static final long BEFORE_RESET_MS = 5;
 
     private Site site;
@@ -40,10 +43,16 @@
         site.close();
     }
 
-    /** What a node does with one request: how much it writes of which body, and whether a reset follows. */
+    /**
+     * What a node does with one request: how much it writes of which body, and whether a reset
+     * follows.
+     */
     private record Play(int length, int written, boolean reset, boolean pause) {
 
-        /** Of those that are reset some have said all of the body, and for some the reset comes behind what was read already. */
+        /**
+         * Of those that are reset some have said all of the body, and for some the reset comes
+         * behind what was read already.
+         */
         static Play of(int number) {
             int length = LENGTHS[number / RESET_EVERY % LENGTHS.length];
             boolean reset = number % RESET_EVERY == 0;
@@ -58,7 +67,8 @@
         }
 
         void answer(Peer.Wire wire) throws IOException, InterruptedException {
-            wire.write("HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" + body().substring(0, written));
+            wire.write(
+                    "HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" + body().substring(0, written));
             if (reset && pause) {
                 TimeUnit.MILLISECONDS.sleep(BEFORE_RESET_MS);
             }
@@ -69,8 +79,11 @@
         }
     }
 
-    /** What a client got: its status, and the body where it is whole; null where the client can tell that it is not. */
-    private record Got(int status, String body) { }
+    /**
+     * What a client got: its status, and the body where it is whole; null where the client can tell
+     * that it is not.
+     */
+    private record Got(int status, String body) {}
 
     private Got ask(Play play) throws Exception {
         try (Peer.Wire client = site.client()) {
@@ -92,7 +105,9 @@
         }
         Peer.Message answer = new Peer.Message(head, client);
         String length = answer.header("Content-Length");
-        return new Got(Site.status(head), length == null ? chunked(in) : exactly(in, Integer.parseInt(length)));
+        return new Got(
+                Site.status(head),
+                length == null ? chunked(in) : exactly(in, Integer.parseInt(length)));
     }
 
     private static String exactly(InputStream in, int length) throws IOException {
@@ -130,7 +145,8 @@
             Got got = ask(play);
             boolean passedOn = got.status() == 200 && got.body() != null;
             if (play.reset()) {
-                assertFalse(passedOn, "answer " + i + " was reset, and passed on as whole: " + play);
+                assertFalse(
+                        passedOn, "answer " + i + " was reset, and passed on as whole: " + play);
                 assertNotEquals(-1, got.status(), "request " + i + " had no answer");
                 continue;
             }
--- a/src/test/java/hopglade/proxy/ClosingTest.java
+++ b/src/test/java/hopglade/proxy/ClosingTest.java
@@ -14,18 +14,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Bytes that come in the very moment in which a client's connection ends. The loop is held inside the router while they are
- * written, so they lie unread when it goes on: a close would reset the connection, which the client sees as an exception.
+ * Bytes that come in the very moment in which a client's connection ends. The loop is held inside
+ * the router while they are written, so they lie unread when it goes on: a close would reset the
+ * connection, which the client sees as an exception.
  */
 class ClosingTest extends WithSite {
 
     private String held(Held held, Peer.Wire asking) throws Exception {
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals("id0")) {
-                held.hold();
-            }
-            out.refuse(request.id(), 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("id0")) {
+                        held.hold();
+                    }
+                    out.refuse(request.id(), 0);
+                };
         String request = site.get(Site.LONG_S);
         asking.write(request);
         held.entered();
@@ -69,7 +71,9 @@
     }
 
     private static String get(String id) {
-        return "GET /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id + "\r\nX-Call-Class: read\r\nX-Budget: 60\r\n\r\n";
+        return "GET /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Id: "
+                + id
+                + "\r\nX-Call-Class: read\r\nX-Budget: 60\r\n\r\n";
     }
 
     private void assertRefusedAsTheLast(Peer.Wire wire) throws Exception {
@@ -79,10 +83,14 @@
         assertEndedInOneHalf(wire);
     }
 
-    /** What had come before the end is answered, on a kept and on a first connection; what comes behind it is not sent on. */
+    /**
+     * What had come before the end is answered, on a kept and on a first connection; what comes
+     * behind it is not sent on.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRequestThatLiesUnreadAtTheEndOfARestingConnectionIsAnswered(boolean kept) throws Exception {
+    void aRequestThatLiesUnreadAtTheEndOfARestingConnectionIsAnswered(boolean kept)
+            throws Exception {
         try (Peer.Wire resting = site.client()) {
             site.router.onRequest = (request, out) -> out.refuse(request.id(), 0);
             if (kept) {
@@ -118,7 +126,8 @@
         Held held = new Held();
         held(held, client);
         site.service.endDrain();
-        try (Peer.Wire crossing = site.client(); Peer.Wire slower = site.client()) {
+        try (Peer.Wire crossing = site.client();
+                Peer.Wire slower = site.client()) {
             crossing.write(get("crossing"));
             held.release();
             assertRefusedAsTheLast(crossing);
@@ -158,12 +167,16 @@
         assertEquals(200, Site.status(client.read()));
     }
 
-    /** Its handling broke off in an error that nothing expects: it has its answer at the latest when its time is over. */
+    /**
+     * Its handling broke off in an error that nothing expects: it has its answer at the latest when
+     * its time is over.
+     */
     @Test
     void aRequestWhoseHandlingBreaksOffIsAnswered() throws Exception {
-        site.router.onRequest = (request, out) -> {
-            throw new LinkageError("forced");
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    throw new LinkageError("forced");
+                };
         client.write(get("broken").replace("X-Budget: 60", "X-Budget: 0.2"));
         assertEquals(503, Site.status(client.read()));
         assertNull(client.read());
@@ -273,12 +286,18 @@
         assertEquals(2, site.router.requests.size());
     }
 
-    /** A client without chunks can tell the end of an answer without a length only by the connection's, so a broken one is reset. */
+    /**
+     * A client without chunks can tell the end of an answer without a length only by the
+     * connection's, so a broken one is reset.
+     */
     @Test
     void anAnswerThatOnlyTheEndEndsIsResetWhereItBreaksOff() throws Exception {
         client.write(site.get(Site.LONG_S).replace("HTTP/1.1", "HTTP/1.0"));
         Peer.Wire node = site.node.next().wire();
-        node.write("HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + "v".repeat(0x20000) + "\r\n");
+        node.write(
+                "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
+                        + "v".repeat(0x20000)
+                        + "\r\n");
         assertEquals('H', client.socket().getInputStream().read());
         node.close();
         boolean reset = false;
--- a/src/test/java/hopglade/proxy/ConfigFileWatchTest.java
+++ b/src/test/java/hopglade/proxy/ConfigFileWatchTest.java
@@ -20,8 +20,7 @@
     private static final FileTime WRITTEN = FileTime.from(1_700_000_000, TimeUnit.SECONDS);
     private static final FileTime LATER = FileTime.from(1_700_000_001, TimeUnit.SECONDS);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Path file;
     private ConfigFileWatch watch;
 
--- a/src/test/java/hopglade/proxy/ConfigTest.java
+++ b/src/test/java/hopglade/proxy/ConfigTest.java
@@ -12,13 +12,17 @@
 /** A configuration is taken whole or refused in one plain line. */
 class ConfigTest {
 
-    private static final String ADDRESSES = "\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",";
-    private static final String SETTINGS = "\"settings\":{\"services\":[{\"name\":\"r\",\"deadline_ms\":9}]}";
+    private static final String ADDRESSES =
+            "\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",";
+    private static final String SETTINGS =
+            "\"settings\":{\"services\":[{\"name\":\"r\",\"deadline_ms\":9}]}";
 
     @Test
     void theEnvironmentOverrides() throws Exception {
-        Config config = Config.parse("{" + ADDRESSES + "\"seed\":\"ffffffffffffffff\"," + SETTINGS + "}",
-                Map.of("BALANCER_LISTEN", "127.0.0.9:7", "BALANCER_NAME", "n9"));
+        Config config =
+                Config.parse(
+                        "{" + ADDRESSES + "\"seed\":\"ffffffffffffffff\"," + SETTINGS + "}",
+                        Map.of("BALANCER_LISTEN", "127.0.0.9:7", "BALANCER_NAME", "n9"));
         assertEquals("127.0.0.9", config.listen().getHostString());
         assertEquals(2, config.discovery().getPort());
         assertEquals("n9", config.name());
@@ -27,20 +31,33 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "[]", "{", "{" + ADDRESSES + "\"settings\":{}}", "{" + ADDRESSES + "\"x\":1}",
-        "{" + SETTINGS + "}", "{\"listen\":\"host:1\",\"discovery\":\"127.0.0.1:2\"," + SETTINGS + "}",
-        "{\"listen\":\"127.0.0.1:99999\",\"discovery\":\"127.0.0.1:2\"," + SETTINGS + "}",
-        "{" + ADDRESSES + "\"known\":{\"seq\":1},"  + SETTINGS + "}",
-        "{" + ADDRESSES + "\"seed\":\"no hex\"," + SETTINGS + "}"})
+    @ValueSource(
+            strings = {
+                "",
+                "[]",
+                "{",
+                "{" + ADDRESSES + "\"settings\":{}}",
+                "{" + ADDRESSES + "\"x\":1}",
+                "{" + SETTINGS + "}",
+                "{\"listen\":\"host:1\",\"discovery\":\"127.0.0.1:2\"," + SETTINGS + "}",
+                "{\"listen\":\"127.0.0.1:99999\",\"discovery\":\"127.0.0.1:2\"," + SETTINGS + "}",
+                "{" + ADDRESSES + "\"known\":{\"seq\":1}," + SETTINGS + "}",
+                "{" + ADDRESSES + "\"seed\":\"no hex\"," + SETTINGS + "}"
+            })
     void aBadOneIsRefusedInOneLine(String json) {
-        ConfigException refused = assertThrows(ConfigException.class, () -> Config.parse(json, Map.of()));
+        ConfigException refused =
+                assertThrows(ConfigException.class, () -> Config.parse(json, Map.of()));
         assertEquals(1, refused.getMessage().lines().count());
     }
 
     @Test
     void aMissingFileIsNamed() {
-        ConfigException refused = assertThrows(ConfigException.class,
-                () -> Config.fromEnvironment(Map.of("BALANCER_CONFIG", "/nowhere/config.json")));
+        ConfigException refused =
+                assertThrows(
+                        ConfigException.class,
+                        () ->
+                                Config.fromEnvironment(
+                                        Map.of("BALANCER_CONFIG", "/nowhere/config.json")));
         assertTrue(refused.getMessage().contains("/nowhere/config.json"));
     }
 }
--- a/src/test/java/hopglade/proxy/DescriptorsTest.java
+++ b/src/test/java/hopglade/proxy/DescriptorsTest.java
@@ -51,7 +51,10 @@
         assertNull(clients.getFirst().read(), "the one that waited longest was let go");
     }
 
-    /** The one that has waited longest has to go at once, and what came of its request may be read or not. */
+    /**
+     * The one that has waited longest has to go at once, and what came of its request may be read
+     * or not.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"GET /api/k HTTP/1.1\r\nHost", "GET /up HTTP/1.1\r\nHost: s\r\nX: "})
     void oneThatHasBegunToAskAndHasToMakeRoomIsRefused(String part) throws Exception {
@@ -64,7 +67,10 @@
         assertNull(slow.read());
     }
 
-    /** Nothing of what clients may hold is discovery's or the nodes', and who asks finds a place among those that do not. */
+    /**
+     * Nothing of what clients may hold is discovery's or the nodes', and who asks finds a place
+     * among those that do not.
+     */
     @Test
     void discoveryReturnsWhileIdleClientsHoldAllThatTheyMay() throws Exception {
         Peer.Wire watch = site.discovery.next().wire();
--- a/src/test/java/hopglade/proxy/DiscoveryOutageTest.java
+++ b/src/test/java/hopglade/proxy/DiscoveryOutageTest.java
@@ -35,8 +35,7 @@
     private static final String HEARTBEAT = "1\r\n\n\r\n";
     private static final int MORE_ATTEMPTS = 10;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final PrintStream standardError = System.err;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private Site site;
@@ -55,8 +54,10 @@
     }
 
     private List<String> logged(String event) {
-        return log.toString(StandardCharsets.UTF_8).lines()
-                .filter(l -> l.contains(" " + event + " ")).toList();
+        return log.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.contains(" " + event + " "))
+                .toList();
     }
 
     /** What becomes of a call of discovery. */
@@ -108,8 +109,8 @@
     void aWatchThatIsLostAgainAndAgainIsToldOfOnce() throws Exception {
         site.times = Discovery.Times.PUSHED;
         site.start("automatic", "60000", "");
-        String unreachable = awaited("discovery_unreachable", 0, site.discovery,
-                DiscoveryOutageTest::reset);
+        String unreachable =
+                awaited("discovery_unreachable", 0, site.discovery, DiscoveryOutageTest::reset);
         assertTrue(unreachable.contains(site.discovery.dial()), unreachable);
         assertTrue(field(unreachable, "since_ms") >= DiscoveryOutage.UNREACHABLE_MS, unreachable);
         int lines = logged("watch_lost").size() + logged("watch_broke").size();
@@ -127,10 +128,15 @@
         assertTrue(logged("left_out").isEmpty() && logged("discovery_restored").isEmpty());
 
         List<Peer.Wire> heard = new ArrayList<>();
-        String restored = awaited("discovery_restored", 0, site.discovery, call -> {
-            heard.add(call);
-            heartbeat(call);
-        });
+        String restored =
+                awaited(
+                        "discovery_restored",
+                        0,
+                        site.discovery,
+                        call -> {
+                            heard.add(call);
+                            heartbeat(call);
+                        });
         assertTrue(field(restored, "after_ms") > field(unreachable, "since_ms"), restored);
         for (Peer.Wire call : heard) {
             reset(call);
@@ -144,15 +150,20 @@
     void oneThatRefusesIsNamedWithTheErrorAndItsEndIsToldAfterAMove(String mode) throws Exception {
         site.router.subscribes = mode.equals("subscribe");
         // Bound and not listening: the system refuses what is sent there.
-        try (Socket refusing = new Socket(); Peer next = new Peer()) {
+        try (Socket refusing = new Socket();
+                Peer next = new Peer()) {
             refusing.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             String address = "127.0.0.1:" + refusing.getLocalPort();
             String json = site.json(mode, "60000", "").replace(site.discovery.dial(), address);
-            site.service = Service.start(Config.parse(json, Map.of()), site.router, 0,
-                    site.router.subscribes ? Discovery.Times.ASKED : Discovery.Times.PUSHED,
-                    new CompletableFuture<>());
-            String unreachable = awaited("discovery_unreachable", 0, next,
-                    DiscoveryOutageTest::heartbeat);
+            site.service =
+                    Service.start(
+                            Config.parse(json, Map.of()),
+                            site.router,
+                            0,
+                            site.router.subscribes ? Discovery.Times.ASKED : Discovery.Times.PUSHED,
+                            new CompletableFuture<>());
+            String unreachable =
+                    awaited("discovery_unreachable", 0, next, DiscoveryOutageTest::heartbeat);
             assertTrue(unreachable.contains(address), unreachable);
             assertTrue(unreachable.contains("Connection refused"), unreachable);
             assertEquals(1, logged("watch_lost").size());
@@ -160,8 +171,8 @@
             Path moved = folder.resolve("config.json");
             Files.writeString(moved, json.replace(address, next.dial()));
             site.service.reload(Map.of("BALANCER_CONFIG", moved.toString()));
-            String restored = awaited("discovery_restored", 0, next,
-                    DiscoveryOutageTest::heartbeat);
+            String restored =
+                    awaited("discovery_restored", 0, next, DiscoveryOutageTest::heartbeat);
             assertTrue(restored.contains(next.dial()), restored);
         }
     }
--- a/src/test/java/hopglade/proxy/DiscoveryTest.java
+++ b/src/test/java/hopglade/proxy/DiscoveryTest.java
@@ -65,7 +65,8 @@
         resumed.write(HEAD);
         line(resumed, Site.list(9, false, Site.host("c1", "127.0.0.1:9", "draining", 5)));
         assertEquals(9, Scripted.next(site.router.lists).version());
-        assertNull(site.discovery.next().text(), "the old one is closed once the new one has spoken");
+        assertNull(
+                site.discovery.next().text(), "the old one is closed once the new one has spoken");
         resumed.close();
         Peer.Wire again = watch(9);
         again.write(HEAD);
@@ -121,27 +122,50 @@
         }
     }
 
-    /** What discovery holds when a process starts counts as told, so nothing may be taken before its first word. */
+    /**
+     * What discovery holds when a process starts counts as told, so nothing may be taken before its
+     * first word.
+     */
     @Test
     void clientsAreLetInOnlyOnceDiscoveryHasSpoken() throws Exception {
-        CompletableFuture<Void> starting = CompletableFuture.runAsync(() -> {
-            try {
-                site.service = Service.start(site.config("automatic", "60000", ""), site.router, TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S), Site.CALM, new CompletableFuture<>());
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        CompletableFuture<Void> starting =
+                CompletableFuture.runAsync(
+                        () -> {
+                            try {
+                                site.service =
+                                        Service.start(
+                                                site.config("automatic", "60000", ""),
+                                                site.router,
+                                                TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S),
+                                                Site.CALM,
+                                                new CompletableFuture<>());
+                            } catch (Exception e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         Peer.Wire watch = watch(7);
         watch.write(HEAD);
-        assertThrows(TimeoutException.class, () -> starting.get(300, TimeUnit.MILLISECONDS), "the clients' address is open");
+        assertThrows(
+                TimeoutException.class,
+                () -> starting.get(300, TimeUnit.MILLISECONDS),
+                "the clients' address is open");
         line(watch, Site.list(9, false, Site.host("c0", site.node.dial(), "draining", 0)));
         starting.get(Peer.PATIENCE_S, TimeUnit.SECONDS);
-        assertEquals(2, site.router.lists.size(), "the module knew of the drain before the first client");
+        assertEquals(
+                2,
+                site.router.lists.size(),
+                "the module knew of the drain before the first client");
     }
 
     @Test
     void whereDiscoverySaysNothingClientsAreLetInAllTheSame() throws Exception {
-        site.service = Service.start(site.config("automatic", "60000", ""), site.router, 50, Site.CALM, new CompletableFuture<>());
+        site.service =
+                Service.start(
+                        site.config("automatic", "60000", ""),
+                        site.router,
+                        50,
+                        Site.CALM,
+                        new CompletableFuture<>());
         try (Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             site.node.next().wire().answer(200, "v");
--- a/src/test/java/hopglade/proxy/DrainTest.java
+++ b/src/test/java/hopglade/proxy/DrainTest.java
@@ -28,7 +28,9 @@
     @Test
     @Timeout(Peer.PATIENCE_S)
     void whatWasTakenIsAnsweredAndNewConnectionsStillComeForAWhile() throws Exception {
-        try (Peer.Wire held = site.client(); Peer.Wire kept = site.client(); Peer.Wire busy = site.client()) {
+        try (Peer.Wire held = site.client();
+                Peer.Wire kept = site.client();
+                Peer.Wire busy = site.client()) {
             held.write(site.get(Site.LONG_S));
             Peer.Wire node = site.node.next().wire();
             kept.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -67,7 +69,9 @@
                 site.node.next().wire().answer(200, "v");
                 String answer = kept.read();
                 assertEquals(200, Site.status(answer));
-                assertNull(new Peer.Message(answer, kept).header("Connection"), "another proxy may not be up yet");
+                assertNull(
+                        new Peer.Message(answer, kept).header("Connection"),
+                        "another proxy may not be up yet");
             }
             site.service.endDrain();
             assertNull(kept.read(), "an idle client is let go");
--- a/src/test/java/hopglade/proxy/DroppedRequestsTest.java
+++ b/src/test/java/hopglade/proxy/DroppedRequestsTest.java
@@ -20,12 +20,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Cache nodes that read requests with very little time left and drop them without a word, with the project's own decisions. The
- * deadline of each class is far longer than the budgets, so an answer in time is one that the budget brought.
+ * Cache nodes that read requests with very little time left and drop them without a word, with the
+ * project's own decisions. The deadline of each class is far longer than the budgets, so an answer
+ * in time is one that the budget brought.
  */
 class DroppedRequestsTest {
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"rank": 0, "balancers": 2, "zone": "a", "tick_ms": 5, "discovery": "automatic",
              "limits": {"cancelling": true, "connect_timeout_ms": 5000, "idle_close_ms": 60000, "max_open": 64,
                         "max_retry_after_ms": 750, "retry_after": true, "try_limit": 6},
@@ -37,15 +39,22 @@
                           {"name": "book", "effect": "fragile", "deadline_ms": 60000}]}""";
     private static final int CACHES = 4;
     private static final int REQUESTS = 8;
-    /** The budgets end within 0.12 s and the classes' deadlines after 60 s; what is between is for a machine that is busy. */
+
+    /**
+     * The budgets end within 0.12 s and the classes' deadlines after 60 s; what is between is for a
+     * machine that is busy.
+     */
     private static final long MOST_ANSWER_MS = 10_000;
+
     /** The module sends nothing for requests with so little left, or next to nothing. */
     private static final double TOO_LITTLE_MS = 20;
 
     private final List<SilentNode> nodes = new ArrayList<>();
     private final Map<String, Double> receivedAt = new ConcurrentHashMap<>();
+
     /** By request and node: when the module decided to send it there. */
     private final Map<String, Double> sentAt = new ConcurrentHashMap<>();
+
     private Peer discovery;
     private Service service;
 
@@ -59,38 +68,56 @@
             String host = Site.host("c" + i, node.dial(), "up", 0);
             hosts.add(i < CACHES ? host : host.replace("\"std\"", "\"origin\""));
         }
-        Config config = Config.parse("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.dial()
-                + "\",\"limits\":{\"sockets\":256},\"known\":" + Site.list(7, true, hosts.toArray(String[]::new))
-                + ",\"settings\":" + SETTINGS.formatted(mode) + "}", Map.of());
+        Config config =
+                Config.parse(
+                        "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                                + discovery.dial()
+                                + "\",\"limits\":{\"sockets\":256},\"known\":"
+                                + Site.list(7, true, hosts.toArray(String[]::new))
+                                + ",\"settings\":"
+                                + SETTINGS.formatted(mode)
+                                + "}",
+                        Map.of());
         service = Service.start(config, noting(new Decide(config.settings(), 7)));
     }
 
-    /** The same decisions, with a note of when each request came and was sent on, by the proxy's own clock. */
+    /**
+     * The same decisions, with a note of when each request came and was sent on, by the proxy's own
+     * clock.
+     */
     private Router noting(Router decisions) {
-        return wrap(Router.class, (self, method, arguments) -> {
-            if (method.getName().equals("request")) {
-                receivedAt.put(((Router.Request) arguments[1]).id(), (Double) arguments[0]);
-            }
-            Object[] noted = arguments == null ? new Object[0] : Arrays.copyOf(arguments, arguments.length);
-            int last = noted.length - 1;
-            if (last > 0 && noted[last] instanceof Router.Actions actions) {
-                noted[last] = noting(actions, (Double) noted[0]);
-            }
-            return method.invoke(decisions, noted);
-        });
+        return wrap(
+                Router.class,
+                (self, method, arguments) -> {
+                    if (method.getName().equals("request")) {
+                        receivedAt.put(((Router.Request) arguments[1]).id(), (Double) arguments[0]);
+                    }
+                    Object[] noted =
+                            arguments == null
+                                    ? new Object[0]
+                                    : Arrays.copyOf(arguments, arguments.length);
+                    int last = noted.length - 1;
+                    if (last > 0 && noted[last] instanceof Router.Actions actions) {
+                        noted[last] = noting(actions, (Double) noted[0]);
+                    }
+                    return method.invoke(decisions, noted);
+                });
     }
 
     private Router.Actions noting(Router.Actions actions, double now) {
-        return wrap(Router.Actions.class, (self, method, arguments) -> {
-            if (method.getName().equals("send")) {
-                sentAt.putIfAbsent(arguments[0] + " at " + arguments[1], now);
-            }
-            return method.invoke(actions, arguments);
-        });
+        return wrap(
+                Router.Actions.class,
+                (self, method, arguments) -> {
+                    if (method.getName().equals("send")) {
+                        sentAt.putIfAbsent(arguments[0] + " at " + arguments[1], now);
+                    }
+                    return method.invoke(actions, arguments);
+                });
     }
 
     private static <T> T wrap(Class<T> type, InvocationHandler handler) {
-        return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler));
+        return type.cast(
+                Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler));
     }
 
     @AfterEach
@@ -103,12 +130,25 @@
     }
 
     private static String request(String method, String type, int number, double budgetMs) {
-        return method + " /api/k" + number + " HTTP/1.1\r\nHost: s\r\nX-Caller: acme\r\nX-Call-Id: id" + number + "\r\nX-Call-Class: "
-                + type + "\r\nX-Budget: " + budgetMs / 1e3 + "\r\nIdempotency-Key: key" + number + "\r\n"
+        return method
+                + " /api/k"
+                + number
+                + " HTTP/1.1\r\nHost: s\r\nX-Caller: acme\r\nX-Call-Id: id"
+                + number
+                + "\r\nX-Call-Class: "
+                + type
+                + "\r\nX-Budget: "
+                + budgetMs / 1e3
+                + "\r\nIdempotency-Key: key"
+                + number
+                + "\r\n"
                 + (method.equals("PUT") ? "Content-Length: 1\r\n\r\nv" : "\r\n");
     }
 
-    /** Asks one thing after another; the statuses, of which each came in time and was the only one to its request. */
+    /**
+     * Asks one thing after another; the statuses, of which each came in time and was the only one
+     * to its request.
+     */
     private List<Integer> answers(String method, String type, double budgetMs) throws Exception {
         List<Integer> statuses = new ArrayList<>();
         try (Peer.Wire client = Peer.connect(service.listening())) {
@@ -117,7 +157,8 @@
                 client.write(request(method, type, i, budgetMs));
                 statuses.add(Site.status(client.read()));
                 long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-                assertTrue(ms < MOST_ANSWER_MS, "request " + i + " was answered after " + ms + " ms");
+                assertTrue(
+                        ms < MOST_ANSWER_MS, "request " + i + " was answered after " + ms + " ms");
             }
             // A second answer to one of them would come before this one's.
             client.write("GET /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Class: none\r\n\r\n");
@@ -141,7 +182,9 @@
         return byId;
     }
 
-    /** What a node was told is no more than what was left when the module decided to send it there. */
+    /**
+     * What a node was told is no more than what was left when the module decided to send it there.
+     */
     private void assertToldInTime(Peer.Message message, String id, String node, double budgetMs) {
         double left = receivedAt.get(id) + budgetMs - sentAt.get(id + " at " + node);
         double told = Double.parseDouble(message.header("X-Budget")) * 1e3;
@@ -149,10 +192,28 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"20, GET, read", "50, GET, read", "120, GET, read", "20, GET, pay", "50, GET, pay", "120, GET, pay",
-        "20, PUT, pay", "50, PUT, pay", "120, PUT, pay", "20, PUT, pay-in-zone", "50, PUT, pay-in-zone", "120, PUT, pay-in-zone",
-        "20, GET, book", "50, GET, book", "120, GET, book", "20, PUT, book", "50, PUT, book", "120, PUT, book"})
-    void eachRequestHasItsOneAnswerInTimeAndNoneThatMayNotRepeatRunsTwice(double budgetMs, String method, String type) throws Exception {
+    @CsvSource({
+        "20, GET, read",
+        "50, GET, read",
+        "120, GET, read",
+        "20, GET, pay",
+        "50, GET, pay",
+        "120, GET, pay",
+        "20, PUT, pay",
+        "50, PUT, pay",
+        "120, PUT, pay",
+        "20, PUT, pay-in-zone",
+        "50, PUT, pay-in-zone",
+        "120, PUT, pay-in-zone",
+        "20, GET, book",
+        "50, GET, book",
+        "120, GET, book",
+        "20, PUT, book",
+        "50, PUT, book",
+        "120, PUT, book"
+    })
+    void eachRequestHasItsOneAnswerInTimeAndNoneThatMayNotRepeatRunsTwice(
+            double budgetMs, String method, String type) throws Exception {
         // Writes go to the cache nodes only where these store what they are told.
         start(method.equals("PUT") ? "through" : "aside");
         List<Integer> statuses = answers(method, type, budgetMs);
@@ -164,8 +225,12 @@
             int status = statuses.get(i);
             assertTrue(status == 502 || status == 503, "answered " + status);
             if (!repeats) {
-                assertTrue(attempts.size() <= 1, "id" + i + " may have run " + attempts.size() + " times");
-                assertFalse(status == 503 && !attempts.isEmpty(), "id" + i + " may have run and was said not to have");
+                assertTrue(
+                        attempts.size() <= 1,
+                        "id" + i + " may have run " + attempts.size() + " times");
+                assertFalse(
+                        status == 503 && !attempts.isEmpty(),
+                        "id" + i + " may have run and was said not to have");
             }
             for (Peer.Message attempt : attempts) {
                 assertEquals("key" + i, attempt.header("Idempotency-Key"));
--- a/src/test/java/hopglade/proxy/FaultySite.java
+++ b/src/test/java/hopglade/proxy/FaultySite.java
@@ -17,12 +17,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The parts of a proxy on one event loop, with the peers of a {@link Site}. The system calls of its clients' side, of its connections
- * to the node, of its watch and of the loop itself each go by a schedule of their own.
+ * The parts of a proxy on one event loop, with the peers of a {@link Site}. The system calls of its
+ * clients' side, of its connections to the node, of its watch and of the loop itself each go by a
+ * schedule of their own.
  */
 final class FaultySite implements Closeable {
 
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress ANY =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final int CONNECT_TIMEOUT_MS = 5000;
     private static final int CLIENTS = 100;
     private static final int NODES = 100;
@@ -38,10 +40,13 @@
     final NodePool pool;
     final ClientServer clients;
     final Channel listener;
+
     /** Null where the configuration names no address for them. */
     final Peers peers;
+
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(new FaultyProvider(loopCalls)));
+            new MultiThreadIoEventLoopGroup(
+                    1, NioIoHandler.newFactory(new FaultyProvider(loopCalls)));
 
     FaultySite() throws Exception {
         this("");
@@ -61,26 +66,51 @@
         this.site = site;
         loop = group.next();
         FaultyProvider nodes = new FaultyProvider(nodeCalls);
-        pool = new NodePool(loop, Transport.connecting(loop, () -> new NodeChannel(nodes)), CONNECT_TIMEOUT_MS, 60_000, NODES, 1,
-                System::nanoTime);
+        pool =
+                new NodePool(
+                        loop,
+                        Transport.connecting(loop, () -> new NodeChannel(nodes)),
+                        CONNECT_TIMEOUT_MS,
+                        60_000,
+                        NODES,
+                        1,
+                        System::nanoTime);
         Proxy proxy = new Proxy(loop, new Clock(), config.settings(), router, pool, MOST_OPEN);
         clients = new ClientServer(loop, proxy, config.settings(), CLIENTS);
         FaultyProvider watches = new FaultyProvider(discoveryCalls);
-        Discovery discovery = new Discovery(loop, config.discovery(), proxy, config.known(), true, Discovery.Times.PUSHED, () -> { },
-                () -> new NioSocketChannel(watches));
+        Discovery discovery =
+                new Discovery(
+                        loop,
+                        config.discovery(),
+                        proxy,
+                        config.known(),
+                        true,
+                        Discovery.Times.PUSHED,
+                        () -> {},
+                        () -> new NioSocketChannel(watches));
         FaultyProvider peerProvider = new FaultyProvider(peerCalls);
-        peers = config.peerListen() == null ? null : new Peers(loop, config, proxy, () -> new NioDatagramChannel(peerProvider));
+        peers =
+                config.peerListen() == null
+                        ? null
+                        : new Peers(
+                                loop, config, proxy, () -> new NioDatagramChannel(peerProvider));
         if (peers != null) {
             peers.listen().sync();
         }
-        proxy.wire(discovery::subscribe, peers == null ? contents -> { } : peers::tell);
-        ServerSocketChannel socket = new FaultyProvider(clientCalls).openServerSocketChannel().bind(ANY);
-        listener = loop.submit(() -> {
-            proxy.start(config.known());
-            discovery.start();
-            clients.ready();
-            return clients.listen(socket);
-        }).get().sync().channel();
+        proxy.wire(discovery::subscribe, peers == null ? contents -> {} : peers::tell);
+        ServerSocketChannel socket =
+                new FaultyProvider(clientCalls).openServerSocketChannel().bind(ANY);
+        listener =
+                loop.submit(
+                                () -> {
+                                    proxy.start(config.known());
+                                    discovery.start();
+                                    clients.ready();
+                                    return clients.listen(socket);
+                                })
+                        .get()
+                        .sync()
+                        .channel();
     }
 
     Peer.Wire client() throws IOException {
@@ -89,7 +119,7 @@
 
     /** Waits until the loop has nothing more to do for what has happened up to now. */
     void settle() throws Exception {
-        loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).get();
+        loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get();
     }
 
     @Override
--- a/src/test/java/hopglade/proxy/Fleet.java
+++ b/src/test/java/hopglade/proxy/Fleet.java
@@ -12,10 +12,14 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A proxy with the project's own decisions, cache nodes and an origin that answer by a script, and one client. */
+/**
+ * A proxy with the project's own decisions, cache nodes and an origin that answer by a script, and
+ * one client.
+ */
 final class Fleet implements Closeable {
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"rank": 0, "balancers": 2, "zone": "a", "tick_ms": 5, "discovery": "automatic",
              "limits": {"cancelling": true, "connect_timeout_ms": 5000, "idle_close_ms": 60000, "max_open": 64,
                         "max_retry_after_ms": 750, "retry_after": true, "try_limit": 6},
@@ -41,10 +45,13 @@
 
     /** Where the origin is. */
     final String origin;
+
     /** Where each request was sent to, in order. */
     final Map<String, List<String>> nodesOf = new ConcurrentHashMap<>();
+
     /** What each node was last told of the time that the proxy waits, in seconds. */
     final Map<String, Double> lastBudget = new ConcurrentHashMap<>();
+
     private final int budgetS;
     private final BlockingQueue<String> steps = new LinkedBlockingQueue<>();
     private final List<Peer> peers = new ArrayList<>();
@@ -66,9 +73,16 @@
         }
         this.origin = peer(origin);
         hosts.add(Site.host("db", this.origin, "up", 0).replace("\"std\"", "\"origin\""));
-        Config config = Config.parse("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.dial()
-                + "\",\"limits\":{\"sockets\":256},\"known\":" + Site.list(7, true, hosts.toArray(String[]::new))
-                + ",\"settings\":" + SETTINGS.formatted(aimMs) + "}", Map.of());
+        Config config =
+                Config.parse(
+                        "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                                + discovery.dial()
+                                + "\",\"limits\":{\"sockets\":256},\"known\":"
+                                + Site.list(7, true, hosts.toArray(String[]::new))
+                                + ",\"settings\":"
+                                + SETTINGS.formatted(aimMs)
+                                + "}",
+                        Map.of());
         service = Service.start(config, new Watched(new Decide(config.settings(), 7)));
         client = Peer.connect(service.listening());
     }
@@ -83,11 +97,12 @@
     }
 
     private void play(Peer peer, Script script) {
-        for (int n = 0;;) {
+        for (int n = 0; ; ) {
             try {
                 Peer.Message message = peer.await();
                 if (message.text() != null) {
-                    nodesOf.computeIfAbsent(message.header("X-Call-Id"), id -> new CopyOnWriteArrayList<>())
+                    nodesOf.computeIfAbsent(
+                                    message.header("X-Call-Id"), id -> new CopyOnWriteArrayList<>())
                             .add(peer.dial());
                     lastBudget.put(peer.dial(), Double.valueOf(message.header("X-Budget")));
                     script.play(message, n++);
@@ -100,19 +115,37 @@
         }
     }
 
-    /** Asks for the next of some keys; the id under which {@link #nodesOf} lists what it was sent to. */
+    /**
+     * Asks for the next of some keys; the id under which {@link #nodesOf} lists what it was sent
+     * to.
+     */
     int read() throws IOException {
         return read("k" + calls % KEYS);
     }
 
     /** Asks for this key. */
     int read(String key) throws IOException {
-        return ask("GET /api/" + key + HEAD + calls + "\r\nX-Budget: " + budgetS + "\r\nX-Call-Class: read\r\n\r\n");
+        return ask(
+                "GET /api/"
+                        + key
+                        + HEAD
+                        + calls
+                        + "\r\nX-Budget: "
+                        + budgetS
+                        + "\r\nX-Call-Class: read\r\n\r\n");
     }
 
     int write() throws IOException {
-        return ask("PUT /api/w" + calls + HEAD + calls + "\r\nX-Budget: " + budgetS + "\r\nX-Call-Class: pay\r\nIdempotency-Key: " + calls
-                + "\r\nContent-Length: 1\r\n\r\nv");
+        return ask(
+                "PUT /api/w"
+                        + calls
+                        + HEAD
+                        + calls
+                        + "\r\nX-Budget: "
+                        + budgetS
+                        + "\r\nX-Call-Class: pay\r\nIdempotency-Key: "
+                        + calls
+                        + "\r\nContent-Length: 1\r\n\r\nv");
     }
 
     private int ask(String request) throws IOException {
@@ -154,7 +187,8 @@
         }
 
         @Override
-        public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out) {
+        public void nodes(
+                double now, ListKind kind, long version, List<Node> entries, Actions out) {
             inner.nodes(now, kind, version, entries, out);
         }
 
@@ -164,7 +198,8 @@
         }
 
         @Override
-        public void streamStarted(double now, String request, int attempt, String node, Actions out) {
+        public void streamStarted(
+                double now, String request, int attempt, String node, Actions out) {
             inner.streamStarted(now, request, attempt, node, out);
         }
 
@@ -187,8 +222,13 @@
         }
 
         @Override
-        public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
-                           Actions out) {
+        public void probed(
+                double now,
+                String node,
+                Outcome outcome,
+                double elapsedMs,
+                Map<String, Double> load,
+                Actions out) {
             inner.probed(now, node, outcome, elapsedMs, load, out);
         }
 
--- a/src/test/java/hopglade/proxy/FullDescriptorsTest.java
+++ b/src/test/java/hopglade/proxy/FullDescriptorsTest.java
@@ -29,24 +29,31 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process that may have fewer descriptors than its configuration says, so that accepting, connecting and asking discovery fail.
- * Its classes come from archives, as in use: with no descriptor left none can be read from a folder.
+ * A real process that may have fewer descriptors than its configuration says, so that accepting,
+ * connecting and asking discovery fail. Its classes come from archives, as in use: with no
+ * descriptor left none can be read from a folder.
  */
 class FullDescriptorsTest {
 
     private static final int TIMEOUT_S = 180;
     private static final int DESCRIPTORS = 96;
+
     /** More than the process has room for, and fewer than the backlog. */
     private static final int IDLE_CLIENTS = 150;
+
     private static final long WATCHED_MS = 2000;
-    /** Of {@link #WATCHED_MS} on one core: what spins takes all of it, and the compiler's threads work beside. */
+
+    /**
+     * Of {@link #WATCHED_MS} on one core: what spins takes all of it, and the compiler's threads
+     * work beside.
+     */
     private static final long MOST_CPU_MS = 1500;
+
     private static final String UP = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
 
     private final List<Peer.Wire> clients = new ArrayList<>();
     private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
-    @TempDir
-    private Path temp;
+    @TempDir private Path temp;
     private Site site;
     private Process process;
     private InetSocketAddress front;
@@ -57,11 +64,23 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             front = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        Path config = Files.writeString(temp.resolve("config.json"),
-                site.json("automatic", "60000", "").replace("127.0.0.1:0", "127.0.0.1:" + front.getPort()));
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + DESCRIPTORS + " && exec \"$@\"", "sh",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp", archives(), "hopglade.Main", "serve")
-                .redirectErrorStream(true);
+        Path config =
+                Files.writeString(
+                        temp.resolve("config.json"),
+                        site.json("automatic", "60000", "")
+                                .replace("127.0.0.1:0", "127.0.0.1:" + front.getPort()));
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                                "sh",
+                                "-c",
+                                "ulimit -n " + DESCRIPTORS + " && exec \"$@\"",
+                                "sh",
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                archives(),
+                                "hopglade.Main",
+                                "serve")
+                        .redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", config.toString());
         process = builder.start();
         Thread reading = new Thread(this::readLog, "log");
@@ -79,7 +98,9 @@
     }
 
     private void readLog() {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             lines.lines().forEach(log::add);
         } catch (IOException | UncheckedIOException e) {
             // The process has been ended.
@@ -91,13 +112,18 @@
         List<String> packed = new ArrayList<>();
         for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
             Path path = Path.of(entry);
-            packed.add(Files.isDirectory(path) ? pack(path, temp.resolve("classes" + packed.size() + ".jar")).toString() : entry);
+            packed.add(
+                    Files.isDirectory(path)
+                            ? pack(path, temp.resolve("classes" + packed.size() + ".jar"))
+                                    .toString()
+                            : entry);
         }
         return String.join(File.pathSeparator, packed);
     }
 
     private static Path pack(Path folder, Path archive) throws IOException {
-        try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(archive)); Stream<Path> files = Files.walk(folder)) {
+        try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(archive));
+                Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
                 out.putNextEntry(new JarEntry(folder.relativize(file).toString()));
                 Files.copy(file, out);
@@ -148,7 +174,10 @@
         return process.info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
     }
 
-    /** Clients that say nothing come on and on while discovery is down: no descriptor is left for a watch, nor for one more client. */
+    /**
+     * Clients that say nothing come on and on while discovery is down: no descriptor is left for a
+     * watch, nor for one more client.
+     */
     @Test
     @Timeout(TIMEOUT_S)
     void withNoneLeftItServesOnDoesNotSpinAndFindsDiscoveryAndClientsAgain() throws Exception {
@@ -189,6 +218,8 @@
         assertEquals(200, Site.status(next.read()));
         assertServes(next);
         assertTrue(process.isAlive());
-        assertTrue(log.stream().noneMatch(line -> line.contains(" ERROR ")), () -> String.join("\n", log));
+        assertTrue(
+                log.stream().noneMatch(line -> line.contains(" ERROR ")),
+                () -> String.join("\n", log));
     }
 }
--- a/src/test/java/hopglade/proxy/FullTableTest.java
+++ b/src/test/java/hopglade/proxy/FullTableTest.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** A node that holds one connection and no more, as its table is full of others': it is healthy, and nothing is lost. */
+/**
+ * A node that holds one connection and no more, as its table is full of others': it is healthy, and
+ * nothing is lost.
+ */
 class FullTableTest extends WithPool {
 
     private static final String[] TURNED_AWAY = {"X-Rejected: 1", "Connection: close"};
@@ -46,7 +49,10 @@
         }
     }
 
-    /** It was taken before the other was turned away, so its answer says nothing of room for one more. */
+    /**
+     * It was taken before the other was turned away, so its answer says nothing of room for one
+     * more.
+     */
     @Test
     void theAnswerOfAnOlderConnectionEndsNoPause() throws Exception {
         Peer.Message out = onlyOne();
@@ -64,23 +70,39 @@
         }
     }
 
-    /** Whether it is wanted is asked in the moment in which the connection that it waited for has come free. */
+    /**
+     * Whether it is wanted is asked in the moment in which the connection that it waited for has
+     * come free.
+     */
     @Test
     void whatNobodyWaitsForAnyMoreIsNotWritten() throws Exception {
         Peer.Message out = onlyOne();
         AtomicBoolean wanted = new AtomicBoolean(true);
-        loop.submit(() -> pool.send("c0", () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/left"), 60_000,
-                new Exchange.Done() {
-                    @Override
-                    public boolean isWanted() {
-                        return wanted.get();
-                    }
+        loop.submit(
+                        () ->
+                                pool.send(
+                                        "c0",
+                                        () ->
+                                                new DefaultFullHttpRequest(
+                                                        HttpVersion.HTTP_1_1,
+                                                        HttpMethod.GET,
+                                                        "/api/left"),
+                                        60_000,
+                                        new Exchange.Done() {
+                                            @Override
+                                            public boolean isWanted() {
+                                                return wanted.get();
+                                            }
 
-                    @Override
-                    public void ended(Exchange exchange, Outcome outcome, FullHttpResponse response) {
-                        outcomes.add(outcome);
-                    }
-                })).get();
+                                            @Override
+                                            public void ended(
+                                                    Exchange exchange,
+                                                    Outcome outcome,
+                                                    FullHttpResponse response) {
+                                                outcomes.add(outcome);
+                                            }
+                                        }))
+                .get();
         send();
         wanted.set(false);
         out.wire().answer(200, "v");
@@ -93,7 +115,10 @@
         assertEquals(Outcome.OK, Scripted.next(outcomes));
     }
 
-    /** The node keeps its one exchange for ever: what waits is given up long before its own 60 s are over. */
+    /**
+     * The node keeps its one exchange for ever: what waits is given up long before its own 60 s are
+     * over.
+     */
     @Test
     void itWaitsNoLongerThanConnectingMayTake() throws Exception {
         onlyOne();
--- a/src/test/java/hopglade/proxy/HandoverTest.java
+++ b/src/test/java/hopglade/proxy/HandoverTest.java
@@ -24,11 +24,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes that take clients from one socket, which another holds: one replaces the other and no request is lost. */
+/**
+ * Real processes that take clients from one socket, which another holds: one replaces the other and
+ * no request is lost.
+ */
 class HandoverTest {
 
-    /** Holds the listening socket, and starts a process with it as descriptor 0 for each line that it reads. */
-    private static final String HOLDER = """
+    /**
+     * Holds the listening socket, and starts a process with it as descriptor 0 for each line that
+     * it reads.
+     */
+    private static final String HOLDER =
+            """
             use Socket; $| = 1; $SIG{CHLD} = "IGNORE";
             socket(L, PF_INET, SOCK_STREAM, 0); bind(L, sockaddr_in(0, INADDR_LOOPBACK)); listen(L, 128);
             my ($port) = sockaddr_in(getsockname(L)); print "$port\\n";
@@ -42,12 +49,13 @@
                 print "$pid\\n";
             }
             """;
+
     private static final int PATIENCE_S = 120;
+
     /** How long the disk refuses writes after SIGTERM: less than until the last answers. */
     private static final int REFUSED_MS = 500;
 
-    @TempDir
-    Path temp;
+    @TempDir Path temp;
     private Process holder;
     private BufferedReader said;
     private InetSocketAddress front;
@@ -61,16 +69,28 @@
         builder.environment().put("BALANCER_PASSED_SOCKET", "0");
         builder.environment().put("TMPDIR", temp.toString());
         holder = builder.start();
-        said = new BufferedReader(new InputStreamReader(holder.getInputStream(), StandardCharsets.US_ASCII));
-        front = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(said.readLine()));
+        said =
+                new BufferedReader(
+                        new InputStreamReader(holder.getInputStream(), StandardCharsets.US_ASCII));
+        front =
+                new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), Integer.parseInt(said.readLine()));
     }
 
     /** Starts one more process and waits for its yes; the address that operators reach it at. */
     private InetSocketAddress next() throws Exception {
         InetSocketAddress admin = UnassignedPort.address();
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
-        String line = String.join("\t", "127.0.0.1:" + admin.getPort(), temp.resolve("log-" + started.size()).toString(), java.toString(),
-                "-cp", System.getProperty("java.class.path"), "hopglade.Main", "serve");
+        String line =
+                String.join(
+                        "\t",
+                        "127.0.0.1:" + admin.getPort(),
+                        temp.resolve("log-" + started.size()).toString(),
+                        java.toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "hopglade.Main",
+                        "serve");
         holder.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         holder.getOutputStream().flush();
         ProcessHandle process = ProcessHandle.of(Long.parseLong(said.readLine())).orElseThrow();
@@ -78,7 +98,8 @@
         while (process.isAlive() && call(admin, "GET /healthcheck") != 200) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        assertTrue(process.isAlive(), Files.readString(temp.resolve("log-" + (started.size() - 1))));
+        assertTrue(
+                process.isAlive(), Files.readString(temp.resolve("log-" + (started.size() - 1))));
         return admin;
     }
 
@@ -132,7 +153,9 @@
             assertEquals(0, lost.get(), "lost");
             assertTrue(served.get() >= 100, "served " + served.get());
             String log = Files.readString(temp.resolve("log-0"));
-            assertTrue(log.contains("handing_over") && log.contains("tally"), "the log outlasts the socket");
+            assertTrue(
+                    log.contains("handing_over") && log.contains("tally"),
+                    "the log outlasts the socket");
         }
     }
 
@@ -149,7 +172,10 @@
         }
     }
 
-    /** Asks on one connection for as long as it stays, as a usual client does; any other end than an answer is a loss. */
+    /**
+     * Asks on one connection for as long as it stays, as a usual client does; any other end than an
+     * answer is a loss.
+     */
     private void client(int number, AtomicInteger served, AtomicInteger lost) {
         Peer.Wire wire = null;
         try {
@@ -157,11 +183,17 @@
                 if (wire == null) {
                     wire = Peer.connect(front);
                 }
-                wire.write("GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: c" + number + "-" + i
-                        + "\r\nX-Call-Class: read\r\nX-Budget: 30\r\n\r\n");
+                wire.write(
+                        "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: c"
+                                + number
+                                + "-"
+                                + i
+                                + "\r\nX-Call-Class: read\r\nX-Budget: 30\r\n\r\n");
                 String answer = wire.read();
-                (Site.status(answer) == 200 || Site.status(answer) == 503 ? served : lost).incrementAndGet();
-                if (answer == null || "close".equals(new Peer.Message(answer, wire).header("Connection"))) {
+                (Site.status(answer) == 200 || Site.status(answer) == 503 ? served : lost)
+                        .incrementAndGet();
+                if (answer == null
+                        || "close".equals(new Peer.Message(answer, wire).header("Connection"))) {
                     wire.close();
                     wire = null;
                 }
@@ -177,13 +209,21 @@
         Path config = temp.resolve("config.json");
         try (Site site = new Site()) {
             hold(site);
-            ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("java.class.path"), "hopglade.Main", "serve").redirectErrorStream(true);
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "hopglade.Main",
+                                    "serve")
+                            .redirectErrorStream(true);
             builder.environment().put("BALANCER_CONFIG", config.toString());
             for (String name : List.of("0", "5")) {
                 builder.environment().put("BALANCER_PASSED_SOCKET", name);
                 Process process = builder.start();
-                String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                String text =
+                        new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 assertNotEquals(0, process.waitFor());
                 assertEquals(1, text.lines().count(), text);
                 assertTrue(text.contains("passed socket"), text);
@@ -210,8 +250,10 @@
             assertEquals(200, call(first, "POST /healthcheck/fail"));
             ProcessHandle old = started.get(0);
             old.destroy();
-            assertThrows(TimeoutException.class,
-                    () -> old.onExit().get(REFUSED_MS, TimeUnit.MILLISECONDS), "it owes a write");
+            assertThrows(
+                    TimeoutException.class,
+                    () -> old.onExit().get(REFUSED_MS, TimeUnit.MILLISECONDS),
+                    "it owes a write");
             Files.delete(folder);
             old.onExit().get(PATIENCE_S, TimeUnit.SECONDS);
             next();
--- a/src/test/java/hopglade/proxy/Held.java
+++ b/src/test/java/hopglade/proxy/Held.java
@@ -3,7 +3,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Holds the proxy's loop still where a test says so, to let something come between two of its steps. */
+/**
+ * Holds the proxy's loop still where a test says so, to let something come between two of its
+ * steps.
+ */
 final class Held {
 
     private final CountDownLatch entered = new CountDownLatch(1);
@@ -12,10 +15,11 @@
     /** Holds the loop at the next request, which is refused when it goes on. */
     static Held atNextRequest(Site site) {
         Held held = new Held();
-        site.router.onRequest = (request, out) -> {
-            held.hold();
-            out.refuse(request.id(), 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    held.hold();
+                    out.refuse(request.id(), 0);
+                };
         return held;
     }
 
--- a/src/test/java/hopglade/proxy/HoldUpTest.java
+++ b/src/test/java/hopglade/proxy/HoldUpTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The process is held up for 0.15 s after any one reading of its clock. The clock of these tests stands still but for that, so
- * nothing here depends on how fast the machine is.
+ * The process is held up for 0.15 s after any one reading of its clock. The clock of these tests
+ * stands still but for that, so nothing here depends on how fast the machine is.
  */
 class HoldUpTest {
 
@@ -29,7 +29,10 @@
     private Site site;
     private Peer.Wire client;
 
-    /** A clock that moves when a test says so, and once by a hold-up right after one of its readings. */
+    /**
+     * A clock that moves when a test says so, and once by a hold-up right after one of its
+     * readings.
+     */
     private static final class HeldClock implements LongSupplier {
         private long now;
         private long readingsBefore = NEVER;
@@ -61,8 +64,10 @@
     void start() throws Exception {
         site = new Site();
         site.clock = new Clock(nanos);
-        site.settings = Site.SETTINGS.replace("\"effect\": \"dedup\"",
-                "\"effect\": \"dedup\", \"repeat_window_ms\": " + WINDOW_MS);
+        site.settings =
+                Site.SETTINGS.replace(
+                        "\"effect\": \"dedup\"",
+                        "\"effect\": \"dedup\", \"repeat_window_ms\": " + WINDOW_MS);
     }
 
     private void open() throws Exception {
@@ -85,15 +90,17 @@
         double left = sentAt + BUDGET_S * 1e3 - nanos.ms();
         double told = toldMs(message);
         assertTrue(told <= left + SLACK_MS, "told " + told + " ms where " + left + " were left");
-        assertTrue(told >= left / 2, "told no more than " + told + " ms where " + left + " were left");
+        assertTrue(
+                told >= left / 2, "told no more than " + told + " ms where " + left + " were left");
     }
 
     private void againAfterAnError() {
-        site.router.onEnd = (end, out) -> {
-            if (!end.finished() && end.attempt() == 0) {
-                out.send(end.request(), "c0", 0);
-            }
-        };
+        site.router.onEnd =
+                (end, out) -> {
+                    if (!end.finished() && end.attempt() == 0) {
+                        out.send(end.request(), "c0", 0);
+                    }
+                };
     }
 
     @ParameterizedTest
@@ -114,20 +121,24 @@
         assertEquals(200, Site.status(client.read()));
     }
 
-    /** The request lies unread for a while, as the loop is busy: its client's time runs all the same. */
+    /**
+     * The request lies unread for a while, as the loop is busy: its client's time runs all the
+     * same.
+     */
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 2, 3, 4, 5, 6, 7})
     void aRequestThatWasReadLateTellsNoMoreThanIsLeft(long readings) throws Exception {
         open();
         Held held = new Held();
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals("id0")) {
-                held.hold();
-                out.refuse(request.id(), 0);
-            } else {
-                out.send(request.id(), "c0", 0);
-            }
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("id0")) {
+                        held.hold();
+                        out.refuse(request.id(), 0);
+                    } else {
+                        out.send(request.id(), "c0", 0);
+                    }
+                };
         client.write(site.get(BUDGET_S));
         held.entered();
         try (Peer.Wire late = site.client()) {
@@ -161,9 +172,14 @@
             site.hosts = new String[] {Site.host("c0", node.dial(), "up", 0)};
             open();
             String body = "v".repeat(Gatherer.MOST_GATHERED + 1);
-            client.write("PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: " + BUDGET_S
-                    + "\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n");
+            client.write(
+                    "PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: "
+                            + BUDGET_S
+                            + "\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + Integer.toHexString(body.length())
+                            + "\r\n"
+                            + body
+                            + "\r\n0\r\n\r\n");
             awaitRequest();
             // Whoever is answered later than the last byte came says that it was read.
             try (Peer.Wire other = site.client()) {
@@ -187,15 +203,16 @@
 
     /** Asks for a repeat so long after the first attempt may have run. */
     private void repeatAfter(double ms, long readings) throws Exception {
-        site.router.onEnd = (end, out) -> {
-            if (end.attempt() == 0) {
-                nanos.advance(ms);
-                nanos.holdUpAfter(readings);
-                out.send(end.request(), "c0", 0);
-            } else if (!end.finished()) {
-                out.fail(end.request());
-            }
-        };
+        site.router.onEnd =
+                (end, out) -> {
+                    if (end.attempt() == 0) {
+                        nanos.advance(ms);
+                        nanos.holdUpAfter(readings);
+                        out.send(end.request(), "c0", 0);
+                    } else if (!end.finished()) {
+                        out.fail(end.request());
+                    }
+                };
         open();
         client.write(Site.put("Idempotency-Key: k-9\r\n", "value"));
         site.node.next().wire().answer(500, "");
--- a/src/test/java/hopglade/proxy/HostileClientTest.java
+++ b/src/test/java/hopglade/proxy/HostileClientTest.java
@@ -12,11 +12,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that say nothing, never end or hide one request in another get an error or a close, and cost others nothing. */
+/**
+ * Clients that say nothing, never end or hide one request in another get an error or a close, and
+ * cost others nothing.
+ */
 class HostileClientTest extends WithSite {
 
-    private static final String HEAD = "PUT /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Id: a1\r\nX-Call-Class: pay\r\n"
-            + "X-Budget: 60\r\nIdempotency-Key: k\r\n";
+    private static final String HEAD =
+            "PUT /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Id: a1\r\nX-Call-Class: pay\r\n"
+                    + "X-Budget: 60\r\nIdempotency-Key: k\r\n";
 
     private void assertServed(Peer.Wire usual) throws Exception {
         usual.write(site.get(Site.LONG_S));
@@ -25,14 +29,22 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {
-        "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /api/hidden HTTP/1.1\r\n\r\n",
-        "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
-        "Transfer-Encoding: xchunked\r\nContent-Length: 2\r\n\r\nab", "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-        "Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab",
-        "Content-Length: -2\r\n\r\nab", "Content-Length: +2\r\n\r\nab", "Content-Length: 2, 2\r\n\r\nab",
-        "Content-Length: 99999999999999999999\r\n\r\nab", "Content-Length: 0x2\r\n\r\nab"})
-    void aLengthThatTwoReadersCouldReadInTwoWaysIsRefusedAndTheConnectionCloses(String rest) throws Exception {
+    @ValueSource(
+            strings = {
+                "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /api/hidden HTTP/1.1\r\n\r\n",
+                "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+                "Transfer-Encoding: xchunked\r\nContent-Length: 2\r\n\r\nab",
+                "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+                "Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
+                "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab",
+                "Content-Length: -2\r\n\r\nab",
+                "Content-Length: +2\r\n\r\nab",
+                "Content-Length: 2, 2\r\n\r\nab",
+                "Content-Length: 99999999999999999999\r\n\r\nab",
+                "Content-Length: 0x2\r\n\r\nab"
+            })
+    void aLengthThatTwoReadersCouldReadInTwoWaysIsRefusedAndTheConnectionCloses(String rest)
+            throws Exception {
         client.write(HEAD + rest);
         assertEquals(400, Site.status(client.read()));
         assertNull(client.read());
@@ -42,7 +54,8 @@
 
     @Test
     void aClassThatDoesNotExistIsAnsweredHere() throws Exception {
-        client.write(site.get(Site.LONG_S).replace("X-Call-Class: read", "X-Call-Class: write-off"));
+        client.write(
+                site.get(Site.LONG_S).replace("X-Call-Class: read", "X-Call-Class: write-off"));
         assertEquals(400, Site.status(client.read()));
         assertTrue(site.node.heardNothing());
     }
@@ -53,7 +66,12 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"GET /api/k HT", "GET /api/k HTTP/1.1\r\nA: b\r\n", HEAD + "Content-Length: 9\r\n\r\nhalf"})
+    @ValueSource(
+            strings = {
+                "GET /api/k HT",
+                "GET /api/k HTTP/1.1\r\nA: b\r\n",
+                HEAD + "Content-Length: 9\r\n\r\nhalf"
+            })
     void aRequestThatDoesNotEndIsAnsweredInTime(String part) throws Exception {
         client.write(part);
         assertEquals(408, Site.status(client.read()));
@@ -70,22 +88,30 @@
         assertNull(client.read());
     }
 
-    /** Much came in a short while: at the least speed that is allowed it would have some seconds more. */
+    /**
+     * Much came in a short while: at the least speed that is allowed it would have some seconds
+     * more.
+     */
     @Test
     void aClientThatStopsInTheMiddleOfALongBodyIsAnsweredInTime() throws Exception {
         client.write(HEAD + "Content-Length: 900000\r\n\r\n");
         long began = System.nanoTime();
         client.write("v".repeat(400_000));
         assertEquals(408, Site.status(client.read()));
-        assertTrue(System.nanoTime() - began < TimeUnit.SECONDS.toNanos(6), "it is owed an end after 3 s");
+        assertTrue(
+                System.nanoTime() - began < TimeUnit.SECONDS.toNanos(6),
+                "it is owed an end after 3 s");
     }
 
-    /** Whether it is sent on to a node that drops it without a word, or not decided on in time: it has its final answer. */
+    /**
+     * Whether it is sent on to a node that drops it without a word, or not decided on in time: it
+     * has its final answer.
+     */
     @ParameterizedTest
     @CsvSource({"0, true", "0.001, true", "0.02, true", "0, false", "0.001, false", "0.02, false"})
     void aRequestWithNextToNoTimeLeftIsAnswered(double budgetS, boolean isSentOn) throws Exception {
         if (!isSentOn) {
-            site.router.onRequest = (request, out) -> { };
+            site.router.onRequest = (request, out) -> {};
         }
         client.write(site.get(budgetS));
         int status = Site.status(client.read());
@@ -126,7 +152,8 @@
             for (int i = 0; i < 20; i++) {
                 crowd.add(site.client());
             }
-            // A connection that was accepted last says that all before it were, and the first of them had to go.
+            // A connection that was accepted last says that all before it were, and the first of
+            // them had to go.
             try (Peer.Wire last = site.client()) {
                 last.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
                 Site.status(last.read());
--- a/src/test/java/hopglade/proxy/IdleAgesTest.java
+++ b/src/test/java/hopglade/proxy/IdleAgesTest.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A node that says 60 s and drops kept connections after 200 ms; idle time passes on a clock of the test's own. */
+/**
+ * A node that says 60 s and drops kept connections after 200 ms; idle time passes on a clock of the
+ * test's own.
+ */
 class IdleAgesTest extends WithPool {
 
     private static final long DROPPED_MS = 200;
@@ -19,8 +22,11 @@
 
     private final Set<Integer> known = new HashSet<>();
 
-    /** One exchange after so long an idle time; whether its connection was a kept one, and how it ended. */
-    private record Use(boolean kept, Outcome outcome) { }
+    /**
+     * One exchange after so long an idle time; whether its connection was a kept one, and how it
+     * ended.
+     */
+    private record Use(boolean kept, Outcome outcome) {}
 
     private Use use(long idleMs) throws Exception {
         nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(idleMs));
@@ -54,7 +60,9 @@
         }
         assertTrue(early > 0, "the stated time is believed at first");
         // What was learned fades over 20 s of this clock, so an age is tried again now and then.
-        assertTrue(late <= ROUNDS / 10, late + " of the last " + ROUNDS / 2 + " requests went to a dead connection");
+        assertTrue(
+                late <= ROUNDS / 10,
+                late + " of the last " + ROUNDS / 2 + " requests went to a dead connection");
         use(YOUNG_MS);
         assertEquals(new Use(true, Outcome.OK), use(YOUNG_MS), "younger ones are kept");
     }
--- a/src/test/java/hopglade/proxy/JoinedFetchTest.java
+++ b/src/test/java/hopglade/proxy/JoinedFetchTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Several clients wait for one fetch of a key, and the one whose request fetches it leaves: the others carry on as their own. */
+/**
+ * Several clients wait for one fetch of a key, and the one whose request fetches it leaves: the
+ * others carry on as their own.
+ */
 class JoinedFetchTest {
 
     private static final int CLIENTS = 3;
@@ -24,12 +27,18 @@
     void start() throws Exception {
         site = new Site();
         origin = new Peer();
-        site.hosts = new String[] {Site.host("c0", site.node.dial(), "up", 0),
-                Site.host("db", origin.dial(), "up", 0).replace("\"std\"", "\"origin\"")};
-        site.settings = Site.SETTINGS.replace("\"services\"",
-                "\"kinds\": [\"std\", \"origin\"], \"domain\": {\"mode\": \"aside\", \"origin_kind\": 1}, \"services\"");
+        site.hosts =
+                new String[] {
+                    Site.host("c0", site.node.dial(), "up", 0),
+                    Site.host("db", origin.dial(), "up", 0).replace("\"std\"", "\"origin\"")
+                };
+        site.settings =
+                Site.SETTINGS.replace(
+                        "\"services\"",
+                        "\"kinds\": [\"std\", \"origin\"], \"domain\": {\"mode\": \"aside\", \"origin_kind\": 1}, \"services\"");
         Config config = site.config("automatic", "60000", "");
-        site.service = Service.start(config, new Decide(config.settings(), 1), site.times, site.clock);
+        site.service =
+                Service.start(config, new Decide(config.settings(), 1), site.times, site.clock);
     }
 
     @AfterEach
@@ -81,17 +90,21 @@
 
     /** Answers whatever comes from now on with a value, and notes for which requests. */
     private static void answerAll(Peer peer, Set<String> asked) {
-        Thread answering = new Thread(() -> {
-            try {
-                for (Peer.Message next = nextRequest(peer);; next = nextRequest(peer)) {
-                    asked.add(next.header("X-Call-Id"));
-                    next.wire().answer(200, "v");
-                }
-            } catch (Exception | AssertionError e) {
-                // The test is over.
-                return;
-            }
-        });
+        Thread answering =
+                new Thread(
+                        () -> {
+                            try {
+                                for (Peer.Message next = nextRequest(peer);
+                                        ;
+                                        next = nextRequest(peer)) {
+                                    asked.add(next.header("X-Call-Id"));
+                                    next.wire().answer(200, "v");
+                                }
+                            } catch (Exception | AssertionError e) {
+                                // The test is over.
+                                return;
+                            }
+                        });
         answering.setDaemon(true);
         answering.start();
     }
--- a/src/test/java/hopglade/proxy/JsonObjectsTest.java
+++ b/src/test/java/hopglade/proxy/JsonObjectsTest.java
@@ -16,36 +16,40 @@
 /** A stream of objects is cut the same however it is laid out and in whatever pieces it comes. */
 class JsonObjectsTest {
 
-    private static final String INDENTED = "{\n  \"seq\": 1,\n  \"a\": [\n    {\n      \"t\": \"}{\\\"\\\\\"\n    },\n    {}\n  ]\n}\n";
-    private static final String FLUSH_LEFT = "{\n\"seq\": 1,\n\"a\": [\n{\n\"t\": \"}{\\\"\\\\\"\n},\n{}\n]\n}\n";
+    private static final String INDENTED =
+            "{\n  \"seq\": 1,\n  \"a\": [\n    {\n      \"t\": \"}{\\\"\\\\\"\n    },\n    {}\n  ]\n}\n";
+    private static final String FLUSH_LEFT =
+            "{\n\"seq\": 1,\n\"a\": [\n{\n\"t\": \"}{\\\"\\\\\"\n},\n{}\n]\n}\n";
     private static final String COMPACT = "{\"seq\":1,\"a\":[{\"t\":\"}{\\\"\\\\\"},{}]}\n";
 
     private final List<String> told = new ArrayList<>();
-    private final JsonObjects objects = new JsonObjects(new JsonObjects.Sink() {
-        @Override
-        public boolean object(String text, boolean behindSpoilt) {
-            try {
-                JsonObject o = JsonParser.parseString(text).getAsJsonObject();
-                if (!o.has("seq")) {
-                    return false;
-                }
-                told.add((behindSpoilt ? "after spoilt " : "") + o.get("seq"));
-                return true;
-            } catch (JsonSyntaxException e) {
-                return false;
-            }
-        }
+    private final JsonObjects objects =
+            new JsonObjects(
+                    new JsonObjects.Sink() {
+                        @Override
+                        public boolean object(String text, boolean behindSpoilt) {
+                            try {
+                                JsonObject o = JsonParser.parseString(text).getAsJsonObject();
+                                if (!o.has("seq")) {
+                                    return false;
+                                }
+                                told.add((behindSpoilt ? "after spoilt " : "") + o.get("seq"));
+                                return true;
+                            } catch (JsonSyntaxException e) {
+                                return false;
+                            }
+                        }
 
-        @Override
-        public void emptyLine() {
-            told.add("heartbeat");
-        }
+                        @Override
+                        public void emptyLine() {
+                            told.add("heartbeat");
+                        }
 
-        @Override
-        public void spoilt() {
-            told.add("spoilt");
-        }
-    });
+                        @Override
+                        public void spoilt() {
+                            told.add("spoilt");
+                        }
+                    });
 
     private List<String> read(String text, int piece) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -58,8 +62,19 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
     void everyLayoutIsRead(int piece) {
-        String all = COMPACT + "\n" + INDENTED + "\r\n" + FLUSH_LEFT + INDENTED.replace("\n", "\r\n") + "  \n" + INDENTED.replace("  ", "\t") + COMPACT;
-        assertEquals(List.of("1", "heartbeat", "1", "heartbeat", "1", "1", "heartbeat", "1", "1"), read(all, piece));
+        String all =
+                COMPACT
+                        + "\n"
+                        + INDENTED
+                        + "\r\n"
+                        + FLUSH_LEFT
+                        + INDENTED.replace("\n", "\r\n")
+                        + "  \n"
+                        + INDENTED.replace("  ", "\t")
+                        + COMPACT;
+        assertEquals(
+                List.of("1", "heartbeat", "1", "heartbeat", "1", "1", "heartbeat", "1", "1"),
+                read(all, piece));
     }
 
     /** Nothing is waited for behind the last brace: the next line's end may be a heartbeat away. */
@@ -69,7 +84,15 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"not json\n", "{\"seq\":1,\"a\":[{}\n\n", "{\"seq\":1,\"a\":\"b\n", "{\"a\":1}\n", "{\"seq\":]}\n", "]\n"})
+    @ValueSource(
+            strings = {
+                "not json\n",
+                "{\"seq\":1,\"a\":[{}\n\n",
+                "{\"seq\":1,\"a\":\"b\n",
+                "{\"a\":1}\n",
+                "{\"seq\":]}\n",
+                "]\n"
+            })
     void whatIsSpoiltIsToldAndCostsNothingBehindIt(String spoilt) {
         read(spoilt, 1000);
         assertEquals("spoilt", told.get(0));
@@ -79,16 +102,28 @@
 
     @Test
     void anObjectThatBreaksOffDoesNotSwallowTheNext() {
-        assertEquals(List.of("after spoilt 2", "3"), read("{\"seq\":1,\"a\":[{\"b\":\n{\"seq\":2}\n" + "{\"seq\":3}\n", 5));
+        assertEquals(
+                List.of("after spoilt 2", "3"),
+                read("{\"seq\":1,\"a\":[{\"b\":\n{\"seq\":2}\n" + "{\"seq\":3}\n", 5));
         told.clear();
-        assertEquals(List.of("after spoilt 2", "3"), read("{\n \"seq\": 1,\n \"a\": [\n{\n \"seq\": 2\n}\n{\"seq\":3}\n", 5));
+        assertEquals(
+                List.of("after spoilt 2", "3"),
+                read("{\n \"seq\": 1,\n \"a\": [\n{\n \"seq\": 2\n}\n{\"seq\":3}\n", 5));
     }
 
     /** The largest fleet's list, indented by four, with names as long as they get. */
     @Test
     void theListOfThreeThousandTwoHundredHostsIsRead() {
-        String host = "    {\n" + ("      \"name-of-field\": \"a value of thirty characters..\",\n").repeat(8).stripTrailing() + "\n    },\n";
-        String list = "{\n  \"seq\": 7,\n  \"hosts\": [\n" + host.replace(",\n    }", "\n    }").repeat(3199) + "    {}\n  ]\n}\n";
+        String host =
+                "    {\n"
+                        + ("      \"name-of-field\": \"a value of thirty characters..\",\n")
+                                .repeat(8)
+                                .stripTrailing()
+                        + "\n    },\n";
+        String list =
+                "{\n  \"seq\": 7,\n  \"hosts\": [\n"
+                        + host.replace(",\n    }", "\n    }").repeat(3199)
+                        + "    {}\n  ]\n}\n";
         assertEquals(List.of("7", "heartbeat"), read(list + "\n", 2048));
     }
 
@@ -97,6 +132,7 @@
         read("{\"seq\":1,\"a\":\"" + "v".repeat(JsonObjects.LONGEST), 100_000);
         assertEquals("spoilt", told.get(0));
         told.clear();
-        assertEquals(List.of("2"), read("\n{\"seq\":2}\n", 1000).stream().filter("2"::equals).toList());
+        assertEquals(
+                List.of("2"), read("\n{\"seq\":2}\n", 1000).stream().filter("2"::equals).toList());
     }
 }
--- a/src/test/java/hopglade/proxy/KeptClientsTest.java
+++ b/src/test/java/hopglade/proxy/KeptClientsTest.java
@@ -7,11 +7,15 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
-/** Clients that ask once and keep their connection leave room for others: past a part, answers close theirs. */
+/**
+ * Clients that ask once and keep their connection leave room for others: past a part, answers close
+ * theirs.
+ */
 class KeptClientsTest {
 
     /** Leaves 32 connections to clients, of which 8 may be kept idle. */
     private static final int SOCKETS = Service.RESERVED_SOCKETS + 64;
+
     private static final int KEPT = 8;
 
     @Test
@@ -31,7 +35,8 @@
                 assertEquals(i >= KEPT, last, "client " + i);
             }
             assertEquals(KEPT, kept);
-            // One that leaves makes room for one to be kept. The proxy learns of it when it has read the close.
+            // One that leaves makes room for one to be kept. The proxy learns of it when it has
+            // read the close.
             clients.get(0).close();
             boolean last = true;
             while (last) {
--- a/src/test/java/hopglade/proxy/LateNode.java
+++ b/src/test/java/hopglade/proxy/LateNode.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A node whose connections come up late: its backlog is full until {@link #open}, and the system tries again after a second. */
+/**
+ * A node whose connections come up late: its backlog is full until {@link #open}, and the system
+ * tries again after a second.
+ */
 final class LateNode implements Closeable {
 
     private static final int PROBE_MS = 100;
@@ -36,11 +39,14 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Accepts what came, and returns the first connection that is not one that filled the backlog; null where none comes. */
+    /**
+     * Accepts what came, and returns the first connection that is not one that filled the backlog;
+     * null where none comes.
+     */
     Peer.Wire open(long patienceMs) throws IOException {
         server.setSoTimeout((int) patienceMs);
         try {
-            for (int i = 0;; i++) {
+            for (int i = 0; ; i++) {
                 Socket accepted = server.accept();
                 boolean ours = fill.stream().noneMatch(f -> f.getLocalPort() == accepted.getPort());
                 if (ours) {
--- a/src/test/java/hopglade/proxy/LoadedClassesTest.java
+++ b/src/test/java/hopglade/proxy/LoadedClassesTest.java
@@ -12,28 +12,35 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Classes that a process loads after its warm-up. Each costs a turn of the event loop some part of a millisecond on half a core, at the
- * moment when many are needed at once: a lost discovery, a reload, a flood, a drain.
+ * Classes that a process loads after its warm-up. Each costs a turn of the event loop some part of
+ * a millisecond on half a core, at the moment when many are needed at once: a lost discovery, a
+ * reload, a flood, a drain.
  */
 class LoadedClassesTest {
 
     private static final int PATIENCE_S = 120;
     private static final int CLIENTS = 100;
+
     /** Of the project's own classes; 1 was measured, {@code measure.Samples}. */
     private static final int MOST_NAMED = 2;
-    /** Of classes that the Java machine spins for lambdas and method references; 30 were measured. */
+
+    /**
+     * Of classes that the Java machine spins for lambdas and method references; 30 were measured.
+     */
     private static final int MOST_LAMBDAS = 40;
+
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String HEARTBEAT = "1\r\n\n\r\n";
 
-    @TempDir
-    private Path temp;
+    @TempDir private Path temp;
 
     @Test
     @Timeout(PATIENCE_S)
     void theWarmUpHasLoadedWhatAFloodACutAReloadAndADrainNeed() throws Exception {
         Path loaded = temp.resolve("loaded");
-        try (ServeProcess serve = new ServeProcess(temp, List.of(), "-Xlog:class+load:file=" + loaded); Peer next = new Peer()) {
+        try (ServeProcess serve =
+                        new ServeProcess(temp, List.of(), "-Xlog:class+load:file=" + loaded);
+                Peer next = new Peer()) {
             Peer.Message watch = serve.site.discovery.next();
             watch.wire().write(HEAD + HEARTBEAT);
             serve.untilUp();
@@ -58,7 +65,9 @@
         }
     }
 
-    /** Many ask at once and a part of them leaves; the node answers one and breaks two connections. */
+    /**
+     * Many ask at once and a part of them leaves; the node answers one and breaks two connections.
+     */
     private static void flood(ServeProcess serve) throws Exception {
         List<Peer.Wire> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -94,7 +103,9 @@
     }
 
     private static List<String> ownClasses(Path loaded) throws IOException {
-        return Files.readAllLines(loaded).stream().filter(l -> l.contains(" hopglade.")).map(l -> l.replaceFirst(".* (hopglade\\S+) .*", "$1"))
+        return Files.readAllLines(loaded).stream()
+                .filter(l -> l.contains(" hopglade."))
+                .map(l -> l.replaceFirst(".* (hopglade\\S+) .*", "$1"))
                 .toList();
     }
 }
--- a/src/test/java/hopglade/proxy/LongOutageTest.java
+++ b/src/test/java/hopglade/proxy/LongOutageTest.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Minutes of an outage, and trouble after minutes of quiet, on real sockets; the clock moves only when the test says so. */
+/**
+ * Minutes of an outage, and trouble after minutes of quiet, on real sockets; the clock moves only
+ * when the test says so.
+ */
 @Timeout(LongOutageTest.PATIENCE_S)
 class LongOutageTest {
 
@@ -37,11 +40,15 @@
     private static final long HEARTBEAT_MS = 2000;
     private static final long MINUTE_MS = 60_000;
     private static final long WINDOW_MS = 10_000;
+
     /** What an outage may bring in {@link #WINDOW_MS}: twenty a second. */
     private static final long MOST_ATTEMPTS = 200;
+
     private static final int REQUESTS = 20;
+
     /** A change counts as told 6 s after discovery had it. */
     private static final long TOLD_MS = 6000;
+
     private static final long LOOK_MS = 10;
     private static final int NODES = 100;
     private static final int CLIENTS = 100;
@@ -49,8 +56,10 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final AtomicLong attempts = new AtomicLong();
+
     /** By the loop's clock, in nanoseconds. */
     private final BlockingQueue<Long> heard = new LinkedBlockingQueue<>();
+
     private final PrintStream standardError = System.err;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private ManualClockLoop loop;
@@ -76,24 +85,57 @@
         standardError.print(log.toString(StandardCharsets.UTF_8));
     }
 
-    /** Opens the parts of a proxy with the project's own decisions, all by the clock of the loop. */
+    /**
+     * Opens the parts of a proxy with the project's own decisions, all by the clock of the loop.
+     */
     private void open(String mode) throws Exception {
         Config config = site.config(mode, "60000", "");
         boolean pushed = !config.settings().mustSubscribe();
         times = pushed ? Discovery.Times.PUSHED : Discovery.Times.ASKED;
-        NodePool pool = new NodePool(loop, Transport.TCP, config.settings().limits().connectTimeoutMs(), MINUTE_MS, NODES, 1, loop::nanos);
-        Proxy proxy = new Proxy(loop, new Clock(loop::nanos), config.settings(), new Decide(config.settings(), 1), pool, MOST_OPEN);
+        NodePool pool =
+                new NodePool(
+                        loop,
+                        Transport.TCP,
+                        config.settings().limits().connectTimeoutMs(),
+                        MINUTE_MS,
+                        NODES,
+                        1,
+                        loop::nanos);
+        Proxy proxy =
+                new Proxy(
+                        loop,
+                        new Clock(loop::nanos),
+                        config.settings(),
+                        new Decide(config.settings(), 1),
+                        pool,
+                        MOST_OPEN);
         ClientServer clients = new ClientServer(loop, proxy, config.settings(), CLIENTS);
-        Discovery discovery = new Discovery(loop, config.discovery(), proxy, config.known(), pushed, times, () -> heard.add(loop.nanos()),
-                this::attempt, loop::nanos);
-        proxy.wire(discovery::subscribe, contents -> { });
-        ServerSocketChannel socket = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Channel listener = loop.submit(() -> {
-            proxy.start(config.known());
-            discovery.start();
-            clients.ready();
-            return clients.listen(socket);
-        }).get().sync().channel();
+        Discovery discovery =
+                new Discovery(
+                        loop,
+                        config.discovery(),
+                        proxy,
+                        config.known(),
+                        pushed,
+                        times,
+                        () -> heard.add(loop.nanos()),
+                        this::attempt,
+                        loop::nanos);
+        proxy.wire(discovery::subscribe, contents -> {});
+        ServerSocketChannel socket =
+                ServerSocketChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        Channel listener =
+                loop.submit(
+                                () -> {
+                                    proxy.start(config.known());
+                                    discovery.start();
+                                    clients.ready();
+                                    return clients.listen(socket);
+                                })
+                        .get()
+                        .sync()
+                        .channel();
         front = (InetSocketAddress) listener.localAddress();
     }
 
@@ -136,9 +178,18 @@
         return call;
     }
 
-    /** Tells whoever calls, or has called, that c0 drains and c1 is up; returns when that was heard, by the loop's clock. */
+    /**
+     * Tells whoever calls, or has called, that c0 drains and c1 is up; returns when that was heard,
+     * by the loop's clock.
+     */
     private long tellOfTheChange() throws Exception {
-        String list = Site.list(9, true, Site.host("c0", site.node.dial(), "draining", 0), Site.host("c1", other.dial(), "up", 0)) + "\n";
+        String list =
+                Site.list(
+                                9,
+                                true,
+                                Site.host("c0", site.node.dial(), "draining", 0),
+                                Site.host("c1", other.dial(), "up", 0))
+                        + "\n";
         Long at = null;
         while (at == null) {
             Peer.Message call = site.discovery.heardNothing() ? null : site.discovery.next();
@@ -181,7 +232,10 @@
     }
 
     private List<String> logged(String event) {
-        return log.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains(" " + event + " ")).toList();
+        return log.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.contains(" " + event + " "))
+                .toList();
     }
 
     private static long field(String line, String name) {
@@ -210,7 +264,9 @@
         long least = WINDOW_MS / (2 * (times.firstWordMs() + STEP_MS));
         for (long ms = 0; ms < MINUTES * MINUTE_MS; ms += WINDOW_MS) {
             long made = attemptsInAWindow();
-            assertTrue(made >= least && made <= MOST_ATTEMPTS, made + " attempts within 10 s after " + ms + " ms");
+            assertTrue(
+                    made >= least && made <= MOST_ATTEMPTS,
+                    made + " attempts within 10 s after " + ms + " ms");
             served(site.node);
         }
         long returned = loop.nanos();
@@ -225,7 +281,8 @@
 
     @ParameterizedTest
     @CsvSource({"automatic, false", "automatic, true", "subscribe, false", "subscribe, true"})
-    void troubleAfterTenQuietMinutesIsNoticedAndWhatWasMissedIsHeardInTime(String mode, boolean isReset) throws Exception {
+    void troubleAfterTenQuietMinutesIsNoticedAndWhatWasMissedIsHeardInTime(
+            String mode, boolean isReset) throws Exception {
         open(mode);
         advanceToAttempt(1);
         Peer.Wire watch = nextCall().wire();
@@ -248,7 +305,9 @@
         advanceToAttempt(2);
         long openedMs = msSince(began);
         long heardMs = TimeUnit.NANOSECONDS.toMillis(tellOfTheChange() - began);
-        assertTrue(heardMs < TOLD_MS, "asked anew after " + openedMs + " ms and heard after " + heardMs);
+        assertTrue(
+                heardMs < TOLD_MS,
+                "asked anew after " + openedMs + " ms and heard after " + heardMs);
         servedByTheOtherAlone();
     }
 }
--- a/src/test/java/hopglade/proxy/LoopWatchTest.java
+++ b/src/test/java/hopglade/proxy/LoopWatchTest.java
@@ -46,7 +46,7 @@
         }
 
         @Override
-        public void wakeup() { }
+        public void wakeup() {}
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> type) {
@@ -56,35 +56,40 @@
 
     private final Reading reading = new Reading();
     private final List<String> told = new ArrayList<>();
-    private final LoopWatch watch = new LoopWatch(reading, () -> nowNanos, new LoopWatch.Slow() {
-        @Override
-        public void turn(long inputMs, int ready, long tasksMs) {
-            told.add(inputMs + " " + ready + " " + tasksMs);
-        }
-
-        @Override
-        public void woke(long lateMs) {
-            told.add("woke " + lateMs);
-        }
-    });
+    private final LoopWatch watch =
+            new LoopWatch(
+                    reading,
+                    () -> nowNanos,
+                    new LoopWatch.Slow() {
+                        @Override
+                        public void turn(long inputMs, int ready, long tasksMs) {
+                            told.add(inputMs + " " + ready + " " + tasksMs);
+                        }
+
+                        @Override
+                        public void woke(long lateMs) {
+                            told.add("woke " + lateMs);
+                        }
+                    });
 
     /** Its first timer is due when the handler's wait is over. */
-    private final IoHandlerContext context = new IoHandlerContext() {
-        @Override
-        public boolean canBlock() {
-            return true;
-        }
+    private final IoHandlerContext context =
+            new IoHandlerContext() {
+                @Override
+                public boolean canBlock() {
+                    return true;
+                }
 
-        @Override
-        public long delayNanos(long now) {
-            return ms(reading.waitMs) + moreNanos;
-        }
+                @Override
+                public long delayNanos(long now) {
+                    return ms(reading.waitMs) + moreNanos;
+                }
 
-        @Override
-        public long deadlineNanos() {
-            return 0;
-        }
-    };
+                @Override
+                public long deadlineNanos() {
+                    return 0;
+                }
+            };
 
     private static long ms(long ms) {
         return TimeUnit.MILLISECONDS.toNanos(ms);
@@ -120,14 +125,23 @@
         assertEquals(List.of("woke 650"), told);
     }
 
-    /** The handler rounds to the nearest millisecond, and with none left asks the system without a wait, again and again. */
+    /**
+     * The handler rounds to the nearest millisecond, and with none left asks the system without a
+     * wait, again and again.
+     */
     @Test
     void whatIsLeftOfAMillisecondIsSleptThrough() {
-        for (long[] asked : new long[][] {{0, 1, 1}, {0, 400_000, 1}, {4, 1, 5}, {4, 0, 4}, {0, 0, 0}, {0, -1, 0}}) {
+        for (long[] asked :
+                new long[][] {
+                    {0, 1, 1}, {0, 400_000, 1}, {4, 1, 5}, {4, 0, 4}, {0, 0, 0}, {0, -1, 0}
+                }) {
             reading.waitMs = asked[0];
             moreNanos = asked[1];
             watch.run(context);
-            assertEquals(ms(asked[2]), Math.max(0, reading.delayNanos), asked[0] + " ms and " + asked[1] + " ns");
+            assertEquals(
+                    ms(asked[2]),
+                    Math.max(0, reading.delayNanos),
+                    asked[0] + " ms and " + asked[1] + " ns");
         }
         reading.waitMs = 0;
         moreNanos = Long.MAX_VALUE;
@@ -140,29 +154,35 @@
     void aTaskThatHoldsARealLoopIsToldOf() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
         long[] tasks = new long[1];
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-                LoopWatch.factory(NioIoHandler.newFactory(), new LoopWatch.Slow() {
-                    @Override
-                    public void turn(long inputMs, int ready, long tasksMs) {
-                        tasks[0] = Math.max(tasks[0], tasksMs);
-                        slow.countDown();
-                    }
-
-                    @Override
-                    public void woke(long lateMs) {
-                        // A busy machine wakes it when it can.
-                    }
-                }));
+        MultiThreadIoEventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(
+                        1,
+                        LoopWatch.factory(
+                                NioIoHandler.newFactory(),
+                                new LoopWatch.Slow() {
+                                    @Override
+                                    public void turn(long inputMs, int ready, long tasksMs) {
+                                        tasks[0] = Math.max(tasks[0], tasksMs);
+                                        slow.countDown();
+                                    }
+
+                                    @Override
+                                    public void woke(long lateMs) {
+                                        // A busy machine wakes it when it can.
+                                    }
+                                }));
         try {
             EventLoop loop = group.next();
-            loop.submit(() -> {
-                long until = System.nanoTime() + ms(2 * LoopWatch.SLOW_MS);
-                while (System.nanoTime() - until < 0) {
-                    Thread.onSpinWait();
-                }
-            }).sync();
+            loop.submit(
+                            () -> {
+                                long until = System.nanoTime() + ms(2 * LoopWatch.SLOW_MS);
+                                while (System.nanoTime() - until < 0) {
+                                    Thread.onSpinWait();
+                                }
+                            })
+                    .sync();
             // Its turn is judged when the next begins.
-            loop.submit(() -> { }).sync();
+            loop.submit(() -> {}).sync();
             assertTrue(slow.await(30, TimeUnit.SECONDS));
             assertTrue(tasks[0] >= 2 * LoopWatch.SLOW_MS, tasks[0] + " ms");
         } finally {
--- a/src/test/java/hopglade/proxy/ManualClockLoop.java
+++ b/src/test/java/hopglade/proxy/ManualClockLoop.java
@@ -57,9 +57,9 @@
     /** Moves the clock on and returns when all timers that are due by then have run. */
     void advance(long ms) throws Exception {
         // Timers run in the order of their times, so this one is the last that is due.
-        Future<?> last = submit(() -> schedule(() -> { }, ms, TimeUnit.MILLISECONDS)).get();
+        Future<?> last = submit(() -> schedule(() -> {}, ms, TimeUnit.MILLISECONDS)).get();
         ticker.now.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
-        submit(() -> { }).get();
+        submit(() -> {}).get();
         last.get();
     }
 }
--- a/src/test/java/hopglade/proxy/MixedAnswersTest.java
+++ b/src/test/java/hopglade/proxy/MixedAnswersTest.java
@@ -9,25 +9,33 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Nodes answer with more, or other, than was asked for; no request may get what was made for another. */
+/**
+ * Nodes answer with more, or other, than was asked for; no request may get what was made for
+ * another.
+ */
 class MixedAnswersTest extends WithSite {
 
     private static final String FIRST = "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\nfirst";
 
-    /** The second request is sent to the node in the very moment in which the first one's answer is told. */
+    /**
+     * The second request is sent to the node in the very moment in which the first one's answer is
+     * told.
+     */
     private Peer.Message secondAfterFirst(String more) throws Exception {
-        site.router.onRequest = (request, out) -> {
-            if (request.id().equals("id0")) {
-                out.send("id0", "c0", 0);
-            }
-        };
-        site.router.onEnd = (end, out) -> {
-            if (end.request().equals("id0")) {
-                out.send("id1", "c0", 0);
-            } else if (!end.finished()) {
-                out.fail(end.request());
-            }
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("id0")) {
+                        out.send("id0", "c0", 0);
+                    }
+                };
+        site.router.onEnd =
+                (end, out) -> {
+                    if (end.request().equals("id0")) {
+                        out.send("id1", "c0", 0);
+                    } else if (!end.finished()) {
+                        out.fail(end.request());
+                    }
+                };
         client.write(site.get(Site.LONG_S));
         Peer.Message first = site.node.next();
         try (Peer.Wire other = site.client()) {
@@ -49,18 +57,31 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {FIRST, "noise", "HTTP/1.1 200 x\r\nContent-Le", "\u0000\u0001 noise\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                FIRST,
+                "noise",
+                "HTTP/1.1 200 x\r\nContent-Le",
+                "\u0000\u0001 noise\r\n\r\n"
+            })
     void whatComesBehindAnAnswerIsNotTheNextOnes(String more) throws Exception {
         assertEquals("id1", secondAfterFirst(more).header("X-Call-Id"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"noise without an end of line", "HTTP/2 200", "HTTP/1.1 200 x\r\nA: unfinished",
-        "HTTP/1.1 200 x\r\nContent-Length: 10\r\n\r\nhalf", "HTTP/1.1 200 x\r\nContent-Length: -1\r\n\r\n",
-        "HTTP/1.1 200 x\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nabc",
-        "HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 1\r\n\r\na", "HTTP/1.1 200 x\r\nnone\r\nContent-Length: 1\r\n\r\na",
-        "HTTP/1.1 200 x\r\nContent-Length: 3221225472\r\n\r\nmuch",
-        "HTTP/1.1 200 x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"})
+    @ValueSource(
+            strings = {
+                "noise without an end of line",
+                "HTTP/2 200",
+                "HTTP/1.1 200 x\r\nA: unfinished",
+                "HTTP/1.1 200 x\r\nContent-Length: 10\r\n\r\nhalf",
+                "HTTP/1.1 200 x\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 200 x\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nabc",
+                "HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 1\r\n\r\na",
+                "HTTP/1.1 200 x\r\nnone\r\nContent-Length: 1\r\n\r\na",
+                "HTTP/1.1 200 x\r\nContent-Length: 3221225472\r\n\r\nmuch",
+                "HTTP/1.1 200 x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"
+            })
     void aSpoiltAnswerEndsItsAttemptAtOnceAsOneThatMayHaveRun(String answer) throws Exception {
         client.write(site.get(Site.LONG_S));
         site.node.next().wire().write(answer);
--- a/src/test/java/hopglade/proxy/OpeningTest.java
+++ b/src/test/java/hopglade/proxy/OpeningTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A process that is told to end before its clients' address is open never opens it: who would come would be lost. */
+/**
+ * A process that is told to end before its clients' address is open never opens it: who would come
+ * would be lost.
+ */
 class OpeningTest {
 
     private Site site;
@@ -30,13 +33,20 @@
     @Timeout(Peer.PATIENCE_S)
     void aDrainThatComesBeforeTheOpeningForbidsItAndEndsAtOnce() throws Exception {
         CompletableFuture<Service> opening = new CompletableFuture<>();
-        CompletableFuture<Service> started = CompletableFuture.supplyAsync(() -> {
-            try {
-                return Service.start(site.config("automatic", "60000", ""), site.router, TimeUnit.HOURS.toMillis(1), Site.CALM, opening);
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        CompletableFuture<Service> started =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return Service.start(
+                                        site.config("automatic", "60000", ""),
+                                        site.router,
+                                        TimeUnit.HOURS.toMillis(1),
+                                        Site.CALM,
+                                        opening);
+                            } catch (Exception e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         site.service = opening.get(Peer.PATIENCE_S, TimeUnit.SECONDS);
         Peer.Message watch = site.discovery.next();
         site.service.drain();
@@ -49,7 +59,9 @@
     void whereTheEndHasComeFirstNothingIsOpened() throws Exception {
         CompletableFuture<Service> opening = new CompletableFuture<>();
         opening.cancel(false);
-        site.service = Service.start(site.config("automatic", "60000", ""), site.router, 0, Site.CALM, opening);
+        site.service =
+                Service.start(
+                        site.config("automatic", "60000", ""), site.router, 0, Site.CALM, opening);
         assertNull(site.service.listening());
         assertEquals(0, site.router.lists.size(), "nothing was begun");
     }
--- a/src/test/java/hopglade/proxy/OperationsTest.java
+++ b/src/test/java/hopglade/proxy/OperationsTest.java
@@ -34,11 +34,11 @@
     private static final String READY = "POST /cache-nodes/c0/ready";
     private static final String DRAIN = "POST /healthcheck/fail";
     private static final String FILL = "POST /healthcheck/ok";
+
     /** Some of the looks by which a process takes on what another has kept. */
     private static final long LOOKS_MS = 500;
 
-    @TempDir
-    Path temp;
+    @TempDir Path temp;
     private Site site;
 
     @BeforeEach
@@ -92,10 +92,21 @@
 
     @ParameterizedTest
     @CsvSource({
-        "POST /cache-nodes/c0/maint, 200", "POST /cache-nodes/%630/maint, 200", "POST /cache-nodes/c1/maint, 404",
-        "POST /cache-nodes/%ff%00/maint, 404", "POST /cache-nodes//maint, 404", "POST /cache-nodes/c%zz/maint, 400",
-        "POST /cache-nodes/c0/out, 404", "GET /cache-nodes/c0/maint, 405", "POST /healthcheck, 405", "GET /healthcheck/ok, 405",
-        "GET /, 404", "GET /up, 404", "POST /healthcheck/ok, 200", "POST /healthcheck/fail, 200"})
+        "POST /cache-nodes/c0/maint, 200",
+        "POST /cache-nodes/%630/maint, 200",
+        "POST /cache-nodes/c1/maint, 404",
+        "POST /cache-nodes/%ff%00/maint, 404",
+        "POST /cache-nodes//maint, 404",
+        "POST /cache-nodes/c%zz/maint, 400",
+        "POST /cache-nodes/c0/out, 404",
+        "GET /cache-nodes/c0/maint, 405",
+        "POST /healthcheck, 405",
+        "GET /healthcheck/ok, 405",
+        "GET /, 404",
+        "GET /up, 404",
+        "POST /healthcheck/ok, 200",
+        "POST /healthcheck/fail, 200"
+    })
     @Timeout(Peer.PATIENCE_S)
     void eachCallIsAnsweredAndARepeatGetsTheSame(String line, int expected) throws Exception {
         assertEquals(expected, status(line));
@@ -152,8 +163,15 @@
         Files.writeString(folder, "no folder");
         // What is kept is read with each list; this one has been taken in once its node is known.
         String list = Site.list(8, false, Site.host("c1", site.node.dial(), "draining", 0)) + "\n";
-        site.discovery.next().wire().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
+        site.discovery
+                .next()
+                .wire()
+                .write(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                + Integer.toHexString(list.length())
+                                + "\r\n"
+                                + list
+                                + "\r\n");
         while (status("POST /cache-nodes/c1/maint") == 404) {
             Thread.onSpinWait();
         }
@@ -178,7 +196,9 @@
     @Test
     @Timeout(Peer.PATIENCE_S)
     void aDrainEndsEachConnectionWithAnAnswerAndItsEndBringsClientsBack() throws Exception {
-        try (Peer.Wire served = site.client(); Peer.Wire idle = site.client(); Peer.Wire late = site.client()) {
+        try (Peer.Wire served = site.client();
+                Peer.Wire idle = site.client();
+                Peer.Wire late = site.client()) {
             for (Peer.Wire client : List.of(served, idle)) {
                 client.write(site.get(Site.LONG_S));
                 nodeAnswers();
@@ -239,7 +259,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
+    @EnumSource(
+            value = Step.class,
+            names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
     @Timeout(Peer.PATIENCE_S)
     void aDrainAndItsEndAreWrittenUntilTheNextProcessKnows(Step step) throws Exception {
         FaultyFiles faulty = faulty();
@@ -309,7 +331,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"DELETE", "FORCE_FOLDER"})
+    @EnumSource(
+            value = Step.class,
+            names = {"DELETE", "FORCE_FOLDER"})
     @Timeout(Peer.PATIENCE_S)
     void anOutageWhoseEndCannotBeKeptStaysInEachProcess(Step step) throws Exception {
         FaultyFiles faulty = faulty();
--- a/src/test/java/hopglade/proxy/OptionsReloadTest.java
+++ b/src/test/java/hopglade/proxy/OptionsReloadTest.java
@@ -20,29 +20,43 @@
     void badOptionsLeaveDiscoveryWhereItWas(@TempDir Path directory) throws Exception {
         BlockingQueue<String> read = new LinkedBlockingQueue<>();
         Options[] next = {null};
-        try (Site site = Site.started(); Peer moved = new Peer()) {
+        try (Site site = Site.started();
+                Peer moved = new Peer()) {
             assertTrue(site.discovery.next().firstLine().startsWith("GET /discovery/hosts"));
-            site.service.options(() -> {
-                read.add("read");
-                if (next[0] == null) {
-                    throw new BadFileException("f:1: log.tally_s: found 0");
-                }
-                return next[0];
-            }, Options.DEFAULTS);
+            site.service.options(
+                    () -> {
+                        read.add("read");
+                        if (next[0] == null) {
+                            throw new BadFileException("f:1: log.tally_s: found 0");
+                        }
+                        return next[0];
+                    },
+                    Options.DEFAULTS);
             Path file = directory.resolve("config.json");
-            Files.writeString(file, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + moved.dial()
-                    + "\",\"settings\":" + Site.SETTINGS.formatted("automatic", "60000") + "}");
+            Files.writeString(
+                    file,
+                    "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                            + moved.dial()
+                            + "\",\"settings\":"
+                            + Site.SETTINGS.formatted("automatic", "60000")
+                            + "}");
             Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString());
             site.service.reload(environment);
             Scripted.next(read);
-            // The reload runs on the proxy's one loop: a request that is served after it shows that it is over.
+            // The reload runs on the proxy's one loop: a request that is served after it shows that
+            // it is over.
             try (Peer.Wire client = site.client()) {
                 client.write(site.get(Site.LONG_S));
                 site.node.next().wire().answer(200, "v");
                 assertEquals(200, Site.status(client.read()));
             }
             assertTrue(moved.heardNothing());
-            next[0] = new Options(new Options.Log(Options.Format.TEXT, 60, 20, 10), Options.DEFAULTS.gossip(), Options.DEFAULTS.policy(), Options.DEFAULTS.nodes());
+            next[0] =
+                    new Options(
+                            new Options.Log(Options.Format.TEXT, 60, 20, 10),
+                            Options.DEFAULTS.gossip(),
+                            Options.DEFAULTS.policy(),
+                            Options.DEFAULTS.nodes());
             site.service.reload(environment);
             assertTrue(moved.next().firstLine().startsWith("GET /discovery/hosts"));
         }
