--- a/src/test/java/hopglade/proxy/OutcomeTest.java
+++ b/src/test/java/hopglade/proxy/OutcomeTest.java
@@ -17,14 +17,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node's connection shows becomes the outcome that the protocol names, and the pool stays clean. */
+/**
+ * What a node's connection shows becomes the outcome that the protocol names, and the pool stays
+ * clean.
+ */
 class OutcomeTest extends WithSite {
 
     @ParameterizedTest
-    @CsvSource({"200, X-Other: 1, OK", "404, X-Other: 1, MISS", "500, X-Other: 1, ERROR", "503, X-Rejected: 1, REJECTED",
-        "504, X-Rejected: 1, REJECTED", "503, X-Rejected: 0, ERROR", "503, X-Other: 1, ERROR", "504, X-Other: 1, ERROR",
-        "500, X-Rejected: 1, ERROR", "302, X-Other: 1, ERROR"})
-    void statusIsReadAsTheProtocolSays(int status, String header, Outcome outcome) throws Exception {
+    @CsvSource({
+        "200, X-Other: 1, OK",
+        "404, X-Other: 1, MISS",
+        "500, X-Other: 1, ERROR",
+        "503, X-Rejected: 1, REJECTED",
+        "504, X-Rejected: 1, REJECTED",
+        "503, X-Rejected: 0, ERROR",
+        "503, X-Other: 1, ERROR",
+        "504, X-Other: 1, ERROR",
+        "500, X-Rejected: 1, ERROR",
+        "302, X-Other: 1, ERROR"
+    })
+    void statusIsReadAsTheProtocolSays(int status, String header, Outcome outcome)
+            throws Exception {
         client.write(site.get(Site.LONG_S));
         site.node.next().wire().answer(status, "v", header);
         assertEquals(outcome, Scripted.next(site.router.ends).outcome());
@@ -38,22 +51,38 @@
         assertEquals(Outcome.RESET, Scripted.next(site.router.ends).outcome());
     }
 
-    /** As at a process that is killed: the request was handed to the system by then or not, and only then may it have run. */
+    /**
+     * As at a process that is killed: the request was handed to the system by then or not, and only
+     * then may it have run.
+     */
     @Test
     void aNodeThatResetsRightAfterItsAcceptMayOnlyHaveRunWhatWasWrittenToIt() throws Exception {
         try (ServerSocket killed = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            String list = Site.list(8, false, Site.host("c1", "127.0.0.1:" + killed.getLocalPort(), "up", 0)) + "\n";
-            site.discovery.next().wire().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
-                    + "\r\n" + list + "\r\n");
+            String list =
+                    Site.list(
+                                    8,
+                                    false,
+                                    Site.host("c1", "127.0.0.1:" + killed.getLocalPort(), "up", 0))
+                            + "\n";
+            site.discovery
+                    .next()
+                    .wire()
+                    .write(
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(list.length())
+                                    + "\r\n"
+                                    + list
+                                    + "\r\n");
             while (Scripted.next(site.router.lists).version() < 8) {
                 // The list that it starts with comes first.
             }
             site.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
-            site.router.onEnd = (end, out) -> {
-                if (end.attempt() == 0) {
-                    out.send(end.request(), "c0", 0);
-                }
-            };
+            site.router.onEnd =
+                    (end, out) -> {
+                        if (end.attempt() == 0) {
+                            out.send(end.request(), "c0", 0);
+                        }
+                    };
             client.write(site.get(Site.LONG_S));
             try (Socket accepted = killed.accept()) {
                 boolean sent = accepted.getInputStream().read() >= 0;
@@ -88,7 +117,10 @@
     @Test
     void anAnswerOverTheLimitIsAnError() throws Exception {
         client.write(site.get(Site.LONG_S));
-        site.node.next().wire().write("HTTP/1.1 200 x\r\nContent-Length: " + (Gatherer.LONGEST + 1) + "\r\n\r\nv");
+        site.node
+                .next()
+                .wire()
+                .write("HTTP/1.1 200 x\r\nContent-Length: " + (Gatherer.LONGEST + 1) + "\r\n\r\nv");
         assertEquals(Outcome.ERROR, Scripted.next(site.router.ends).outcome());
     }
 
@@ -97,9 +129,21 @@
         // Bound and not listening: the port refuses, and no other program can take it.
         try (Socket held = new Socket()) {
             held.bind(new InetSocketAddress("127.0.0.1", 0));
-            String list = Site.list(8, false, Site.host("c1", "127.0.0.1:" + held.getLocalPort(), "up", 0)) + "\n";
-            site.discovery.next().wire().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
-                    + "\r\n" + list + "\r\n");
+            String list =
+                    Site.list(
+                                    8,
+                                    false,
+                                    Site.host("c1", "127.0.0.1:" + held.getLocalPort(), "up", 0))
+                            + "\n";
+            site.discovery
+                    .next()
+                    .wire()
+                    .write(
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + Integer.toHexString(list.length())
+                                    + "\r\n"
+                                    + list
+                                    + "\r\n");
             while (Scripted.next(site.router.lists).version() < 8) {
                 // The list that it starts with comes first.
             }
@@ -144,7 +188,8 @@
         put.wire().answer(200, "done", "X-Hit: miss");
         assertEquals("done", new Peer.Message(client.read(), client).body());
         assertEquals(2, Scripted.next(site.router.ends).note());
-        // A connection rests for a moment before its next request; those that come meanwhile open others.
+        // A connection rests for a moment before its next request; those that come meanwhile open
+        // others.
         Set<Integer> opened = new HashSet<>(Set.of(put.wire().number()));
         boolean kept = false;
         Peer.Message get = put;
@@ -171,13 +216,14 @@
 
     @Test
     void pastTheAttemptsAllowedNothingIsSent() throws Exception {
-        site.router.onEnd = (end, out) -> {
-            if (end.outcome() == Outcome.NEVER_SENT) {
-                out.fail(end.request());
-            } else {
-                out.send(end.request(), "c0", 0);
-            }
-        };
+        site.router.onEnd =
+                (end, out) -> {
+                    if (end.outcome() == Outcome.NEVER_SENT) {
+                        out.fail(end.request());
+                    } else {
+                        out.send(end.request(), "c0", 0);
+                    }
+                };
         client.write(site.get(Site.LONG_S));
         for (int i = 0; i < 3; i++) {
             site.node.next().wire().answer(404, "");
@@ -194,11 +240,12 @@
 
     @Test
     void twoAttemptsAreNeverOutAtOnce() throws Exception {
-        site.router.onRequest = (request, out) -> {
-            out.send(request.id(), "c0", 0);
-            out.send(request.id(), "c0", 0);
-        };
-        site.router.onEnd = (end, out) -> { };
+        site.router.onRequest =
+                (request, out) -> {
+                    out.send(request.id(), "c0", 0);
+                    out.send(request.id(), "c0", 0);
+                };
+        site.router.onEnd = (end, out) -> {};
         client.write(site.get(Site.LONG_S));
         assertEquals(Outcome.NEVER_SENT, Scripted.next(site.router.ends).outcome());
         site.node.next().wire().answer(200, "v");
@@ -208,10 +255,11 @@
 
     @Test
     void aProbeTellsWhetherTheNodeLives() throws Exception {
-        site.router.onRequest = (request, out) -> {
-            out.probe("c0");
-            out.refuse(request.id(), 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    out.probe("c0");
+                    out.refuse(request.id(), 0);
+                };
         client.write(site.get(Site.LONG_S));
         Peer.Message probe = site.node.next();
         assertEquals("GET /alive HTTP/1.1", probe.firstLine());
--- a/src/test/java/hopglade/proxy/Peer.java
+++ b/src/test/java/hopglade/proxy/Peer.java
@@ -16,16 +16,25 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted server on the loopback address: what it has read waits in a queue, and the test writes each answer. */
+/**
+ * A scripted server on the loopback address: what it has read waits in a queue, and the test writes
+ * each answer.
+ */
 final class Peer implements Closeable {
 
     static final long PATIENCE_S = 30;
 
-    /** One message as it was read, and the connection to answer it on; null as its text means the peer closed. */
+    /**
+     * One message as it was read, and the connection to answer it on; null as its text means the
+     * peer closed.
+     */
     record Message(String text, Wire wire) {
         String header(String name) {
-            return text.lines().filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
-                    .map(l -> l.substring(name.length() + 1).trim()).findFirst().orElse(null);
+            return text.lines()
+                    .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
+                    .map(l -> l.substring(name.length() + 1).trim())
+                    .findFirst()
+                    .orElse(null);
         }
 
         String firstLine() {
@@ -46,7 +55,15 @@
 
         void answer(int status, String body, String... headers) throws IOException {
             String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
-            write("HTTP/1.1 " + status + " x\r\nContent-Length: " + body.length() + "\r\n" + more + "\r\n" + body);
+            write(
+                    "HTTP/1.1 "
+                            + status
+                            + " x\r\nContent-Length: "
+                            + body.length()
+                            + "\r\n"
+                            + more
+                            + "\r\n"
+                            + body);
         }
 
         /** Reads one message with its body; null when the other side has closed. */
@@ -112,7 +129,8 @@
     /** Reads up to the end of some text; null when the other side has closed before. */
     static String until(String end, InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
-        while (text.length() < end.length() || !text.substring(text.length() - end.length()).equals(end)) {
+        while (text.length() < end.length()
+                || !text.substring(text.length() - end.length()).equals(end)) {
             int b = in.read();
             if (b < 0) {
                 return null;
@@ -140,7 +158,7 @@
 
     private void accept() {
         try {
-            for (int number = 0;; number++) {
+            for (int number = 0; ; number++) {
                 Wire wire = new Wire(server.accept(), number);
                 sockets.add(wire.socket());
                 Thread reading = new Thread(() -> read(wire), "peer-" + number);
--- a/src/test/java/hopglade/proxy/PeerSocketFailuresTest.java
+++ b/src/test/java/hopglade/proxy/PeerSocketFailuresTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The socket between proxies where its system calls fail for a while: what is lost is lost, and the socket goes on. */
+/**
+ * The socket between proxies where its system calls fail for a while: what is lost is lost, and the
+ * socket goes on.
+ */
 class PeerSocketFailuresTest {
 
     private static final int FAILING_CALLS = 20;
@@ -22,10 +25,13 @@
     @ParameterizedTest
     @EnumSource
     void afterFailedReceivesAMessageIsHeard(Errno errno) throws Exception {
-        try (DatagramSocket peer = socket(); FaultySite site = siteWithPeer(peer)) {
+        try (DatagramSocket peer = socket();
+                FaultySite site = siteWithPeer(peer)) {
             site.peerCalls.fail(SystemCall.RECVFROM, errno, FAILING_CALLS);
             InetAddress loopback = InetAddress.getLoopbackAddress();
-            peer.send(new DatagramPacket(new byte[] {1, 2}, 2, loopback, site.peers.listening().getPort()));
+            peer.send(
+                    new DatagramPacket(
+                            new byte[] {1, 2}, 2, loopback, site.peers.listening().getPort()));
             Scripted.Heard heard = Scripted.next(site.site.router.heard);
             assertArrayEquals(new byte[] {1, 2}, heard.contents());
             assertEquals(FAILING_CALLS, site.peerCalls.failed(SystemCall.RECVFROM));
@@ -35,19 +41,25 @@
     @ParameterizedTest
     @EnumSource
     void afterFailedSendsTheNextMessageGoesOut(Errno errno) throws Exception {
-        try (DatagramSocket peer = socket(); FaultySite site = siteWithPeer(peer)) {
+        try (DatagramSocket peer = socket();
+                FaultySite site = siteWithPeer(peer)) {
             site.peerCalls.fail(SystemCall.SENDTO, errno, 1);
-            site.loop.submit(() -> {
-                site.peers.tell(new byte[] {3});
-                site.peers.tell(new byte[] {4});
-            }).sync();
+            site.loop
+                    .submit(
+                            () -> {
+                                site.peers.tell(new byte[] {3});
+                                site.peers.tell(new byte[] {4});
+                            })
+                    .sync();
             DatagramPacket packet = new DatagramPacket(new byte[10], 10);
             do {
                 peer.receive(packet);
             } while (packet.getData()[0] != 4);
             assertEquals(1, packet.getLength());
             assertEquals(1, site.peerCalls.failed(SystemCall.SENDTO));
-            assertTrue(site.loop.submit(() -> site.peers.listening().getPort() > 0).get(), "the socket is open");
+            assertTrue(
+                    site.loop.submit(() -> site.peers.listening().getPort() > 0).get(),
+                    "the socket is open");
         }
     }
 
@@ -59,7 +71,9 @@
 
     /** This proxy is the first of two. */
     private static FaultySite siteWithPeer(DatagramSocket peer) throws Exception {
-        return new FaultySite("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
-                + peer.getLocalPort() + "\"],");
+        return new FaultySite(
+                "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
+                        + peer.getLocalPort()
+                        + "\"],");
     }
 }
--- a/src/test/java/hopglade/proxy/PeersTest.java
+++ b/src/test/java/hopglade/proxy/PeersTest.java
@@ -30,13 +30,21 @@
 
     @Test
     void peersAreHeardAndStrangersAreNot() throws Exception {
-        try (DatagramSocket peer = socket(); DatagramSocket stranger = socket(); Site site = new Site()) {
-            site.start("automatic", "60000", "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
-                    + peer.getLocalPort() + "\"],");
+        try (DatagramSocket peer = socket();
+                DatagramSocket stranger = socket();
+                Site site = new Site()) {
+            site.start(
+                    "automatic",
+                    "60000",
+                    "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
+                            + peer.getLocalPort()
+                            + "\"],");
             int own = site.service.peerListening().getPort();
             InetAddress loopback = InetAddress.getLoopbackAddress();
             stranger.send(new DatagramPacket(new byte[] {9}, 1, loopback, own));
-            peer.send(new DatagramPacket(new byte[Peers.MAX_MESSAGE + 1], Peers.MAX_MESSAGE + 1, loopback, own));
+            peer.send(
+                    new DatagramPacket(
+                            new byte[Peers.MAX_MESSAGE + 1], Peers.MAX_MESSAGE + 1, loopback, own));
             peer.send(new DatagramPacket(new byte[] {1, 2}, 2, loopback, own));
             Scripted.Heard heard = Scripted.next(site.router.heard);
             assertEquals(1, heard.from());
@@ -44,12 +52,13 @@
             assertTrue(site.router.heard.isEmpty());
 
             byte[] reused = "old".getBytes(StandardCharsets.US_ASCII);
-            site.router.onRequest = (request, out) -> {
-                out.tell(new byte[Peers.MAX_MESSAGE + 1]);
-                out.tell(reused);
-                reused[0] = 'X';
-                out.refuse(request.id(), 0);
-            };
+            site.router.onRequest =
+                    (request, out) -> {
+                        out.tell(new byte[Peers.MAX_MESSAGE + 1]);
+                        out.tell(reused);
+                        reused[0] = 'X';
+                        out.refuse(request.id(), 0);
+                    };
             try (Peer.Wire client = site.client()) {
                 client.write(site.get(Site.LONG_S));
                 assertEquals("old", new String(receive(peer), StandardCharsets.US_ASCII));
--- a/src/test/java/hopglade/proxy/ReloadTest.java
+++ b/src/test/java/hopglade/proxy/ReloadTest.java
@@ -20,8 +20,7 @@
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final Site site;
     private final Peer next = new Peer();
     private Peer.Message oldWatch;
@@ -47,12 +46,20 @@
     private void reload(String file) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), file);
         // The variable is as it was at the start, and older than the file.
-        site.service.reload(Map.of("BALANCER_CONFIG", config.toString(), "BALANCER_DISCOVERY", site.discovery.dial()));
+        site.service.reload(
+                Map.of(
+                        "BALANCER_CONFIG",
+                        config.toString(),
+                        "BALANCER_DISCOVERY",
+                        site.discovery.dial()));
     }
 
     private String config(String discovery) {
-        return "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery + "\",\"settings\":"
-                + Site.SETTINGS.formatted("automatic", "60000") + "}";
+        return "{\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                + discovery
+                + "\",\"settings\":"
+                + Site.SETTINGS.formatted("automatic", "60000")
+                + "}";
     }
 
     private static String chunk(String line) {
@@ -66,7 +73,14 @@
         assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", watch.firstLine());
         assertNull(site.discovery.next().text(), "the old watch is left");
         assertTrue(site.router.lists.isEmpty(), "the old list stays meanwhile");
-        watch.wire().write(HEAD + chunk(Site.list(3, true, Site.host("c0", site.node.dial(), "up", 0))));
+        watch.wire()
+                .write(
+                        HEAD
+                                + chunk(
+                                        Site.list(
+                                                3,
+                                                true,
+                                                Site.host("c0", site.node.dial(), "up", 0))));
         Scripted.Told told = Scripted.next(site.router.lists);
         assertEquals(ListKind.FULL, told.kind());
         assertEquals(3, told.version());
--- a/src/test/java/hopglade/proxy/RepeatWindowTest.java
+++ b/src/test/java/hopglade/proxy/RepeatWindowTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The window for repeats holds up to the moment in which a repeat's last byte is written, and not only when it is decided. */
+/**
+ * The window for repeats holds up to the moment in which a repeat's last byte is written, and not
+ * only when it is decided.
+ */
 class RepeatWindowTest extends WithPool {
 
     private static final long OPEN_MS = 2500;
@@ -29,7 +32,15 @@
         String[] address = late.dial().split(":");
         Node named = new Node("late", "std", "a", 0, 1, 0, Availability.UP);
         var dial = new InetSocketAddress(address[0], Integer.parseInt(address[1]));
-        loop.submit(() -> pool.list(new HostList(2, false, List.of(new HostList.Host(named, dial)))).run()).get();
+        loop.submit(
+                        () ->
+                                pool.list(
+                                                new HostList(
+                                                        2,
+                                                        false,
+                                                        List.of(new HostList.Host(named, dial))))
+                                        .run())
+                .get();
     }
 
     @AfterEach
@@ -38,8 +49,20 @@
     }
 
     private void send(double writeWithinMs) throws Exception {
-        loop.submit(() -> pool.send("late", () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/k1"), null, 60_000,
-                writeWithinMs, (exchange, outcome, response) -> outcomes.add(outcome))).get();
+        loop.submit(
+                        () ->
+                                pool.send(
+                                        "late",
+                                        () ->
+                                                new DefaultFullHttpRequest(
+                                                        HttpVersion.HTTP_1_1,
+                                                        HttpMethod.GET,
+                                                        "/api/k1"),
+                                        null,
+                                        60_000,
+                                        writeWithinMs,
+                                        (exchange, outcome, response) -> outcomes.add(outcome)))
+                .get();
     }
 
     @Test
@@ -72,14 +95,16 @@
     /** The class has no window at all: a repeat that the router asks for by mistake is not sent. */
     @Test
     void aKeyedRequestThatMayHaveRunIsNotSentPastItsWindowWhateverTheRouterSays() throws Exception {
-        try (Site site = Site.started(); Peer.Wire client = site.client()) {
-            site.router.onEnd = (end, out) -> {
-                if (end.attempt() == 0) {
-                    out.send(end.request(), "c0", 0);
-                } else {
-                    out.fail(end.request());
-                }
-            };
+        try (Site site = Site.started();
+                Peer.Wire client = site.client()) {
+            site.router.onEnd =
+                    (end, out) -> {
+                        if (end.attempt() == 0) {
+                            out.send(end.request(), "c0", 0);
+                        } else {
+                            out.fail(end.request());
+                        }
+                    };
             client.write(Site.put("Idempotency-Key: k-9\r\n", "value"));
             site.node.next().wire().answer(500, "");
             assertEquals(502, Site.status(client.read()));
--- a/src/test/java/hopglade/proxy/Scripted.java
+++ b/src/test/java/hopglade/proxy/Scripted.java
@@ -20,9 +20,9 @@
         void decide(AttemptEnd end, Actions out);
     }
 
-    record Told(ListKind kind, long version, List<Node> entries) { }
+    record Told(ListKind kind, long version, List<Node> entries) {}
 
-    record Heard(int from, byte[] contents) { }
+    record Heard(int from, byte[] contents) {}
 
     final BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
     final BlockingQueue<Told> lists = new LinkedBlockingQueue<>();
@@ -32,13 +32,14 @@
     final BlockingQueue<String> timers = new LinkedBlockingQueue<>();
     final List<Request> requests = Collections.synchronizedList(new ArrayList<>());
     volatile OnRequest onRequest = (request, out) -> out.send(request.id(), "c0", 0);
-    volatile OnEnd onEnd = (end, out) -> {
-        if (!end.finished()) {
-            out.fail(end.request());
-        }
-    };
-    volatile OnEnd onGone = (end, out) -> { };
-    volatile Runnable onTimer = () -> { };
+    volatile OnEnd onEnd =
+            (end, out) -> {
+                if (!end.finished()) {
+                    out.fail(end.request());
+                }
+            };
+    volatile OnEnd onGone = (end, out) -> {};
+    volatile Runnable onTimer = () -> {};
     volatile boolean subscribes;
 
     static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
@@ -68,7 +69,7 @@
     }
 
     @Override
-    public void streamStarted(double now, String request, int attempt, String node, Actions out) { }
+    public void streamStarted(double now, String request, int attempt, String node, Actions out) {}
 
     @Override
     public void attemptEnded(double now, AttemptEnd end, Actions out) {
@@ -89,8 +90,13 @@
     }
 
     @Override
-    public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
-                       Actions out) {
+    public void probed(
+            double now,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            Map<String, Double> load,
+            Actions out) {
         probes.add(outcome);
     }
 
--- a/src/test/java/hopglade/proxy/ServeProcess.java
+++ b/src/test/java/hopglade/proxy/ServeProcess.java
@@ -31,17 +31,20 @@
     private static final String END = "\0end of the log";
 
     final Site site;
+
     /** Where clients reach it. */
     final InetSocketAddress front = UnassignedPort.address();
+
     private final Path folder;
     private final Process process;
+
     /** Lines of its log as they come; {@link #END} is the last. */
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     /**
      * Starts it.
      *
-     * @param folder  for its configuration
+     * @param folder for its configuration
      * @param command what runs the command line that follows it; empty for none
      * @param options of the Java machine
      */
@@ -50,11 +53,15 @@
     }
 
     /** The same, with the settings and the cache nodes of a site. */
-    ServeProcess(Path folder, Site site, List<String> command, String... options) throws IOException {
+    ServeProcess(Path folder, Site site, List<String> command, String... options)
+            throws IOException {
         this.folder = folder;
         this.site = site;
-        Path config = Files.writeString(folder.resolve("config.json"),
-                site.json("automatic", "60000", "").replace("127.0.0.1:0", "127.0.0.1:" + front.getPort()));
+        Path config =
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        site.json("automatic", "60000", "")
+                                .replace("127.0.0.1:0", "127.0.0.1:" + front.getPort()));
         List<String> line = new ArrayList<>(command);
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         line.addAll(List.of(options));
@@ -69,7 +76,9 @@
     }
 
     private void readLog() {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             lines.lines().forEach(log::add);
         } catch (IOException | UncheckedIOException e) {
             // Killed while it wrote: what came is there.
@@ -117,14 +126,20 @@
     }
 
     void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** What is left of the log once the process has ended by itself. */
     List<String> ended() throws Exception {
         List<String> rest = restOfLog();
         assertEquals(ENDED_BY_TERM, process.waitFor());
-        assertFalse(rest.stream().anyMatch(l -> l.contains("Exception") || l.contains("ERROR")), String.join("\n", rest));
+        assertFalse(
+                rest.stream().anyMatch(l -> l.contains("Exception") || l.contains("ERROR")),
+                String.join("\n", rest));
         return rest;
     }
 
--- a/src/test/java/hopglade/proxy/ShortDeadlinesTest.java
+++ b/src/test/java/hopglade/proxy/ShortDeadlinesTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** SIGKILL comes the longest deadline and 0.7 s after SIGTERM, so soon where deadlines are short; until then clients send. */
+/**
+ * SIGKILL comes the longest deadline and 0.7 s after SIGTERM, so soon where deadlines are short;
+ * until then clients send.
+ */
 class ShortDeadlinesTest {
 
     private static final int CLIENTS = 8;
@@ -26,11 +29,18 @@
     private static final long STEP_MS = 10;
 
     private final Site site;
-    /** By how much the machine itself was late at most, in milliseconds: so much later the answers may come. */
+
+    /**
+     * By how much the machine itself was late at most, in milliseconds: so much later the answers
+     * may come.
+     */
     private final AtomicLong lateMs = new AtomicLong();
+
     private final AtomicBoolean over = new AtomicBoolean();
+
     /** In nanoseconds. */
     private final AtomicLong lastAnswer = new AtomicLong();
+
     private final AtomicLong answers = new AtomicLong();
 
     ShortDeadlinesTest() throws Exception {
@@ -45,51 +55,65 @@
 
     /** Half of the nodes' answers never come: nodes hang through the whole of the shutdown. */
     private void play() {
-        Thread playing = new Thread(() -> {
-            try {
-                for (int i = 0; !over.get();) {
-                    Peer.Message next = site.node.await();
-                    if (next.text() != null && i++ % 2 == 0) {
-                        next.wire().answer(200, "v");
-                    }
-                }
-            } catch (Exception e) {
-                return;
-            }
-        });
+        Thread playing =
+                new Thread(
+                        () -> {
+                            try {
+                                for (int i = 0; !over.get(); ) {
+                                    Peer.Message next = site.node.await();
+                                    if (next.text() != null && i++ % 2 == 0) {
+                                        next.wire().answer(200, "v");
+                                    }
+                                }
+                            } catch (Exception e) {
+                                return;
+                            }
+                        });
         playing.setDaemon(true);
         playing.start();
     }
 
     private void start(double deadlineMs) throws Exception {
-        site.settings = Site.SETTINGS.replace("\"deadline_ms\": 1500", "\"deadline_ms\": " + deadlineMs)
-                .replace("\"max_open\": 4", "\"max_open\": 64");
+        site.settings =
+                Site.SETTINGS
+                        .replace("\"deadline_ms\": 1500", "\"deadline_ms\": " + deadlineMs)
+                        .replace("\"max_open\": 4", "\"max_open\": 64");
         site.start("automatic", "60000", "");
     }
 
     private void watchTheMachine() {
-        Thread watching = new Thread(() -> {
-            while (!over.get()) {
-                long before = System.nanoTime();
-                try {
-                    TimeUnit.MILLISECONDS.sleep(STEP_MS);
-                } catch (InterruptedException e) {
-                    return;
-                }
-                long late = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - before) - STEP_MS;
-                lateMs.accumulateAndGet(late, Math::max);
-            }
-        });
+        Thread watching =
+                new Thread(
+                        () -> {
+                            while (!over.get()) {
+                                long before = System.nanoTime();
+                                try {
+                                    TimeUnit.MILLISECONDS.sleep(STEP_MS);
+                                } catch (InterruptedException e) {
+                                    return;
+                                }
+                                long late =
+                                        TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - before)
+                                                - STEP_MS;
+                                lateMs.accumulateAndGet(late, Math::max);
+                            }
+                        });
         watching.setDaemon(true);
         watching.start();
     }
 
     private static String get(String id, double deadlineMs) {
-        return "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: " + id + "\r\nX-Call-Class: read\r\nX-Budget: " + deadlineMs / 1e3
+        return "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: "
+                + id
+                + "\r\nX-Call-Class: read\r\nX-Budget: "
+                + deadlineMs / 1e3
                 + "\r\n\r\n";
     }
 
-    /** One client: asks again and again until its connection ends, which it may do behind a last answer or between two requests. */
+    /**
+     * One client: asks again and again until its connection ends, which it may do behind a last
+     * answer or between two requests.
+     */
     private void ask(int client, double deadlineMs) {
         try (Peer.Wire wire = site.client()) {
             boolean last = false;
@@ -102,8 +126,12 @@
                     lastAnswer.accumulateAndGet(System.nanoTime(), Math::max);
                     last = "close".equals(new Peer.Message(answer, wire).header("Connection"));
                 } else {
-                    // It crossed the end of a connection at rest, so it is sent once more elsewhere.
-                    assertTrue(new ArrayList<>(site.router.requests).stream().noneMatch(r -> r.id().equals(id)), id + " was read and not answered");
+                    // It crossed the end of a connection at rest, so it is sent once more
+                    // elsewhere.
+                    assertTrue(
+                            new ArrayList<>(site.router.requests)
+                                    .stream().noneMatch(r -> r.id().equals(id)),
+                            id + " was read and not answered");
                     last = true;
                 }
             }
@@ -118,7 +146,8 @@
     void aRequestThatHasOnlyBegunToComeAtTheLastAnswersIsRefused() throws Exception {
         start(SHORT_MS);
         Held held = Held.atNextRequest(site);
-        try (Peer.Wire begun = site.client(); Peer.Wire holding = site.client()) {
+        try (Peer.Wire begun = site.client();
+                Peer.Wire holding = site.client()) {
             holding.write(get("holding", SHORT_MS));
             held.entered();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(site.service::drain);
@@ -143,7 +172,9 @@
         List<CompletableFuture<Void>> asking = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int client = i;
-            asking.add(CompletableFuture.runAsync(() -> ask(client, deadlineMs), run -> new Thread(run).start()));
+            asking.add(
+                    CompletableFuture.runAsync(
+                            () -> ask(client, deadlineMs), run -> new Thread(run).start()));
         }
         while (answers.get() < CLIENTS) {
             TimeUnit.MILLISECONDS.sleep(1);
@@ -155,6 +186,8 @@
         }
         drained.get();
         long tookMs = TimeUnit.NANOSECONDS.toMillis(lastAnswer.get() - began);
-        assertTrue(tookMs < deadlineMs + KILL_MS + lateMs.get(), "the last answer came " + tookMs + " ms after the signal");
+        assertTrue(
+                tookMs < deadlineMs + KILL_MS + lateMs.get(),
+                "the last answer came " + tookMs + " ms after the signal");
     }
 }
--- a/src/test/java/hopglade/proxy/SignalsTest.java
+++ b/src/test/java/hopglade/proxy/SignalsTest.java
@@ -24,14 +24,15 @@
     private static final int PATIENCE_S = 120;
     private static final List<String> HANGUP_IGNORED =
             List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+
     /** Long enough for two looks at the file of the configuration. */
     private static final long TWO_LOOKS_MS = 2 * ConfigFileWatch.INTERVAL_MS + 200;
+
     private static final int MOVES = 6;
     private static final long BETWEEN_MOVES_MS = 100;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    @TempDir
-    private Path temp;
+    @TempDir private Path temp;
     private ServeProcess serve;
 
     private void start() throws IOException {
@@ -52,7 +53,11 @@
     @Timeout(PATIENCE_S)
     void whatIsInFlightIsAnsweredThoughSignalsComeBesideOneAnotherAndTwice() throws Exception {
         start();
-        serve.site.discovery.next().wire().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        serve.site
+                .discovery
+                .next()
+                .wire()
+                .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         serve.logged("known");
         Peer.Wire client = null;
         while (client == null) {
@@ -71,12 +76,16 @@
         out.wire().answer(200, "v");
         assertEquals(200, Site.status(client.read()));
         client.close();
-        assertEquals(0, serve.ended().stream().filter(l -> l.contains(" draining")).count(), "it drains once");
+        assertEquals(
+                0,
+                serve.ended().stream().filter(l -> l.contains(" draining")).count(),
+                "it drains once");
     }
 
     /**
-     * Discovery is silent, so it stands for half a second between its last step and the opening. Where the machine is so busy that the
-     * signal comes later than that, as the log then says, another process is started.
+     * Discovery is silent, so it stands for half a second between its last step and the opening.
+     * Where the machine is so busy that the signal comes later than that, as the log then says,
+     * another process is started.
      */
     @Test
     @Timeout(PATIENCE_S)
@@ -111,8 +120,9 @@
     }
 
     /**
-     * The end begins right behind the move, and the new address tells of a drain then: what comes on an open connection goes to the node no
-     * more. Where the machine is so busy that the process has ended before, another is started.
+     * The end begins right behind the move, and the new address tells of a drain then: what comes
+     * on an open connection goes to the node no more. Where the machine is so busy that the process
+     * has ended before, another is started.
      */
     @Test
     @Timeout(PATIENCE_S)
@@ -124,18 +134,25 @@
             while (!serve.isUp()) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            try (Peer next = new Peer(); Peer.Wire held = serve.client(); Peer.Wire open = serve.client()) {
+            try (Peer next = new Peer();
+                    Peer.Wire held = serve.client();
+                    Peer.Wire open = serve.client()) {
                 held.write(serve.site.get(Site.LONG_S));
                 Peer.Message out = serve.site.node.next();
                 Path config = temp.resolve("config.json");
-                Files.writeString(config, Files.readString(config).replace(serve.site.discovery.dial(), next.dial()));
+                Files.writeString(
+                        config,
+                        Files.readString(config).replace(serve.site.discovery.dial(), next.dial()));
                 serve.signal("HUP");
                 serve.signal("TERM");
                 told = tells(next) && serve.logs("list");
                 if (told) {
                     int status = answered(open);
-                    assertTrue(status == 503 || status == 429 || status == -1, "answered " + status);
-                    assertTrue(serve.site.node.heardNothing(), "a request went to the node that drains");
+                    assertTrue(
+                            status == 503 || status == 429 || status == -1, "answered " + status);
+                    assertTrue(
+                            serve.site.node.heardNothing(),
+                            "a request went to the node that drains");
                     out.wire().answer(200, "v");
                     assertTrue(Site.status(held.read()) > 0, "what was in flight has no answer");
                     serve.ended();
@@ -164,7 +181,20 @@
         if (discovery.heardNothing()) {
             return false;
         }
-        discovery.next().wire().write(HEAD + chunk(Site.list(1, true, Site.host("c0", serve.site.node.dial(), "draining", 0))));
+        discovery
+                .next()
+                .wire()
+                .write(
+                        HEAD
+                                + chunk(
+                                        Site.list(
+                                                1,
+                                                true,
+                                                Site.host(
+                                                        "c0",
+                                                        serve.site.node.dial(),
+                                                        "draining",
+                                                        0))));
         return true;
     }
 
@@ -190,7 +220,8 @@
         start(HANGUP_IGNORED);
         serve.site.discovery.next().wire().write(HEAD + chunk(""));
         serve.signal("HUP");
-        try (Peer next = new Peer(); Peer last = new Peer()) {
+        try (Peer next = new Peer();
+                Peer last = new Peer()) {
             String lastConfig = serve.movedTo(last);
             serve.configure(serve.movedTo(next));
             Peer.Message watch = next.next();
@@ -263,9 +294,20 @@
                 tellDrain(passed);
             }
             // One more node than the configuration knows, as what it knows is not logged again.
-            watch.wire().write(HEAD + chunk(Site.list(3, true,
-                    Site.host("c0", serve.site.node.dial(), "up", 0),
-                    Site.host("c1", serve.site.node.dial(), "up", 0))));
+            watch.wire()
+                    .write(
+                            HEAD
+                                    + chunk(
+                                            Site.list(
+                                                    3,
+                                                    true,
+                                                    Site.host(
+                                                            "c0", serve.site.node.dial(), "up", 0),
+                                                    Site.host(
+                                                            "c1",
+                                                            serve.site.node.dial(),
+                                                            "up",
+                                                            0))));
             String list = serve.lineOf("list");
             assertTrue(list.contains(" version=3 node=c1 "), list);
             moved.set(true);
@@ -320,8 +362,18 @@
         while (!passed.heardNothing()) {
             Peer.Message watch = passed.next();
             try {
-                watch.wire().write(HEAD + chunk(Site.list(9, true,
-                        Site.host("c0", serve.site.node.dial(), "draining", 0))));
+                watch.wire()
+                        .write(
+                                HEAD
+                                        + chunk(
+                                                Site.list(
+                                                        9,
+                                                        true,
+                                                        Site.host(
+                                                                "c0",
+                                                                serve.site.node.dial(),
+                                                                "draining",
+                                                                0))));
             } catch (IOException e) {
                 // It was closed at the next move.
             }
--- a/src/test/java/hopglade/proxy/SilentNode.java
+++ b/src/test/java/hopglade/proxy/SilentNode.java
@@ -7,7 +7,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A cache node that reads every request and answers none, or answers each until it is told to hang. */
+/**
+ * A cache node that reads every request and answers none, or answers each until it is told to hang.
+ */
 final class SilentNode implements Closeable {
 
     /** Recognised as the last connection: every connection to the node was accepted before it. */
@@ -43,7 +45,10 @@
         return unanswered;
     }
 
-    /** All requests that it has ever read; waits until each connection to it has been closed by its other side. */
+    /**
+     * All requests that it has ever read; waits until each connection to it has been closed by its
+     * other side.
+     */
     List<Peer.Message> requestsOnceAllAreClosed() throws IOException, InterruptedException {
         try (Peer.Wire last = Peer.connect(peer.address())) {
             last.write(LAST);
--- a/src/test/java/hopglade/proxy/StaleConnectionTest.java
+++ b/src/test/java/hopglade/proxy/StaleConnectionTest.java
@@ -13,13 +13,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What has come on an idle connection and lies unread when the next request is to be written to it: it is not written there. */
+/**
+ * What has come on an idle connection and lies unread when the next request is to be written to it:
+ * it is not written there.
+ */
 class StaleConnectionTest extends WithSite {
 
     private static final String END = "an end";
 
     @ParameterizedTest
-    @ValueSource(strings = {END, "H", "HTTP/1.1 200 x\r\nContent-Le", "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\nwrong"})
+    @ValueSource(
+            strings = {
+                END,
+                "H",
+                "HTTP/1.1 200 x\r\nContent-Le",
+                "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\nwrong"
+            })
     void anotherConnectionIsUsed(String unread) throws Exception {
         client.write(site.get(Site.LONG_S));
         Peer.Wire idle = site.node.next().wire();
@@ -28,10 +37,11 @@
         // Past its rest, so that it would be used, and not yet closed as a spare.
         TimeUnit.MILLISECONDS.sleep(50);
         Held held = new Held();
-        site.router.onRequest = (request, out) -> {
-            held.hold();
-            out.send(request.id(), "c0", 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    held.hold();
+                    out.send(request.id(), "c0", 0);
+                };
         client.write(site.get(Site.LONG_S));
         held.entered();
         if (unread.equals(END)) {
@@ -52,7 +62,8 @@
     /** A reset is no end: only an end that the node tells ends an answer without a length. */
     @ParameterizedTest
     @CsvSource({"10, false, OK, 200", "10, true, RESET, 502", "10000, true, RESET, 502"})
-    void anAnswerWithoutALengthEndsWithItsConnectionAndNotWithAReset(int length, boolean reset, Outcome outcome, int status) throws Exception {
+    void anAnswerWithoutALengthEndsWithItsConnectionAndNotWithAReset(
+            int length, boolean reset, Outcome outcome, int status) throws Exception {
         client.write(site.get(Site.LONG_S));
         Peer.Wire wire = site.node.next().wire();
         Held held = Held.atNextRequest(site);
@@ -71,7 +82,10 @@
         assertEquals(status, Site.status(client.read()));
     }
 
-    /** A long one has begun to go to the client, who has to be able to tell that its rest never came. */
+    /**
+     * A long one has begun to go to the client, who has to be able to tell that its rest never
+     * came.
+     */
     @Test
     void aLongAnswerWithoutALengthThatIsResetIsNotPassedOnAsWhole() throws Exception {
         client.write(site.get(Site.LONG_S));
@@ -82,7 +96,12 @@
         wire.socket().setSoLinger(true, 0);
         wire.close();
         byte[] rest = client.socket().getInputStream().readAllBytes();
-        String end = new String(rest, Math.max(0, rest.length - 5), Math.min(5, rest.length), StandardCharsets.US_ASCII);
+        String end =
+                new String(
+                        rest,
+                        Math.max(0, rest.length - 5),
+                        Math.min(5, rest.length),
+                        StandardCharsets.US_ASCII);
         assertTrue(!end.equals("0\r\n\r\n"), "the last chunk says that this was all");
     }
 
--- a/src/test/java/hopglade/proxy/StalledAnswerTest.java
+++ b/src/test/java/hopglade/proxy/StalledAnswerTest.java
@@ -15,19 +15,24 @@
 class StalledAnswerTest {
 
     private static ServiceClass wanted(double aimMs) {
-        return new ServiceClass("read", aimMs, 0, 2 * aimMs, 1, 0, Effect.SAFE, Group.ALL, 0, false);
+        return new ServiceClass(
+                "read", aimMs, 0, 2 * aimMs, 1, 0, Effect.SAFE, Group.ALL, 0, false);
     }
 
     @Test
     void itsRestIsWaitedForOnlyAsLongAsAnotherCanStillBeInTime() {
-        assertTrue(NodePool.stallMs(List.of(wanted(160), wanted(80))) <= 40, "half of the shortest aim is left");
-        assertEquals(200, NodePool.stallMs(List.of(wanted(10_000))), "nor long where nothing presses");
+        assertTrue(
+                NodePool.stallMs(List.of(wanted(160), wanted(80))) <= 40,
+                "half of the shortest aim is left");
+        assertEquals(
+                200, NodePool.stallMs(List.of(wanted(10_000))), "nor long where nothing presses");
     }
 
     @Test
     @Timeout(Peer.PATIENCE_S)
     void halfAnAnswerEndsAsAnError() throws Exception {
-        try (Site site = Site.started(); Peer.Wire client = site.client()) {
+        try (Site site = Site.started();
+                Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             site.node.next().wire().write("HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nha");
             assertEquals(502, Site.status(client.read()));
--- a/src/test/java/hopglade/proxy/StartTest.java
+++ b/src/test/java/hopglade/proxy/StartTest.java
@@ -22,7 +22,9 @@
         Service.rehearse();
     }
 
-    /** A joining that is linked at its first use costs a start a millisecond or more for each shape. */
+    /**
+     * A joining that is linked at its first use costs a start a millisecond or more for each shape.
+     */
     @Test
     void textsAreJoinedWithoutLinkingCode() throws IOException {
         try (InputStream service = Service.class.getResourceAsStream("Service.class")) {
--- a/src/test/java/hopglade/proxy/StreamingTest.java
+++ b/src/test/java/hopglade/proxy/StreamingTest.java
@@ -30,13 +30,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long messages flow both ways, in pieces of any size, and neither more nor less of them comes out than went in. */
+/**
+ * Long messages flow both ways, in pieces of any size, and neither more nor less of them comes out
+ * than went in.
+ */
 class StreamingTest {
 
     private static final int PATIENCE_S = 60;
     private static final int LONG = 32 << 20;
 
-    /** What the node does with a connection once a request's head and body have been read from it. */
+    /**
+     * What the node does with a connection once a request's head and body have been read from it.
+     */
     private interface Node {
         void play(byte[] body, OutputStream out) throws Exception;
     }
@@ -61,19 +66,22 @@
 
     private void node(Node node) throws Exception {
         site = new Site();
-        Thread accepting = new Thread(() -> {
-            try {
-                while (true) {
-                    Socket socket = server.accept();
-                    sockets.add(socket);
-                    Thread playing = new Thread(() -> play(socket, node), "node");
-                    playing.setDaemon(true);
-                    playing.start();
-                }
-            } catch (IOException e) {
-                return;
-            }
-        }, "accepts");
+        Thread accepting =
+                new Thread(
+                        () -> {
+                            try {
+                                while (true) {
+                                    Socket socket = server.accept();
+                                    sockets.add(socket);
+                                    Thread playing = new Thread(() -> play(socket, node), "node");
+                                    playing.setDaemon(true);
+                                    playing.start();
+                                }
+                            } catch (IOException e) {
+                                return;
+                            }
+                        },
+                        "accepts");
         accepting.setDaemon(true);
         accepting.start();
         site.hosts = new String[] {Site.host("c0", "127.0.0.1:" + server.getLocalPort(), "up", 0)};
@@ -144,8 +152,11 @@
     /** The same bytes in pieces of any size. */
     private static void pieces(byte[] bytes, OutputStream out) throws IOException {
         Random random = new Random(7);
-        for (int at = 0; at < bytes.length;) {
-            int piece = Math.min(bytes.length - at, 1 + random.nextInt(random.nextInt(10) == 0 ? 400_000 : 3000));
+        for (int at = 0; at < bytes.length; ) {
+            int piece =
+                    Math.min(
+                            bytes.length - at,
+                            1 + random.nextInt(random.nextInt(10) == 0 ? 400_000 : 3000));
             out.write(bytes, at, piece);
             at += piece;
         }
@@ -166,7 +177,9 @@
         var out = new ByteArrayOutputStream();
         for (int at = 0; at < body.length; at += 70_001) {
             int size = Math.min(70_001, body.length - at);
-            out.write((Integer.toHexString(size) + ";ext=\"a b\"\r\n").getBytes(StandardCharsets.US_ASCII));
+            out.write(
+                    (Integer.toHexString(size) + ";ext=\"a b\"\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             out.write(body, at, size);
             out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
         }
@@ -179,13 +192,17 @@
     @Timeout(PATIENCE_S)
     void aLongAnswerComesWholeInEachForm(String form) throws Exception {
         byte[] body = noise(3_000_000);
-        node((in, out) -> {
-            pieces(("HTTP/1.1 200 x\r\n" + with(form, body.length)).getBytes(StandardCharsets.US_ASCII), out);
-            pieces(formed(form, body), out);
-            if (form.equals("close")) {
-                out.close();
-            }
-        });
+        node(
+                (in, out) -> {
+                    pieces(
+                            ("HTTP/1.1 200 x\r\n" + with(form, body.length))
+                                    .getBytes(StandardCharsets.US_ASCII),
+                            out);
+                    pieces(formed(form, body), out);
+                    if (form.equals("close")) {
+                        out.close();
+                    }
+                });
         try (Peer.Wire client = site.client()) {
             for (int i = 0; i < 2; i++) {
                 client.write(site.get(Site.LONG_S));
@@ -206,21 +223,28 @@
         // Four are twice the memory of the smallest proxy, and as many as this site lets be open.
         int readers = 4;
         CountDownLatch begun = new CountDownLatch(readers);
-        node((in, out) -> {
-            out.write(("HTTP/1.1 200 x\r\n" + with("length", body.length)).getBytes(StandardCharsets.US_ASCII));
-            out.write(body);
-        });
-        site.router.onRequest = (request, out) -> {
-            if (request.service().equals("read")) {
-                out.send(request.id(), "c0", 0);
-            } else {
-                out.refuse(request.id(), 0);
-            }
-        };
+        node(
+                (in, out) -> {
+                    out.write(
+                            ("HTTP/1.1 200 x\r\n" + with("length", body.length))
+                                    .getBytes(StandardCharsets.US_ASCII));
+                    out.write(body);
+                });
+        site.router.onRequest =
+                (request, out) -> {
+                    if (request.service().equals("read")) {
+                        out.send(request.id(), "c0", 0);
+                    } else {
+                        out.refuse(request.id(), 0);
+                    }
+                };
         List<CompletableFuture<byte[]>> all = new ArrayList<>();
         long heldBefore = PlatformDependent.usedDirectMemory();
         for (int i = 0; i < readers; i++) {
-            all.add(CompletableFuture.supplyAsync(() -> slowly(body.length, begun), r -> new Thread(r, "reader").start()));
+            all.add(
+                    CompletableFuture.supplyAsync(
+                            () -> slowly(body.length, begun),
+                            r -> new Thread(r, "reader").start()));
         }
         long most = 0;
         while (!all.stream().allMatch(CompletableFuture::isDone)) {
@@ -236,7 +260,9 @@
         assertTrue(most < 8 << 20, "held " + most);
     }
 
-    /** Reads no more than the head until all have theirs: so long each answer is held up on its way. */
+    /**
+     * Reads no more than the head until all have theirs: so long each answer is held up on its way.
+     */
     private byte[] slowly(int length, CountDownLatch begun) {
         try (Peer.Wire client = site.client()) {
             String request;
@@ -250,7 +276,7 @@
             begun.await();
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             byte[] piece = new byte[100_000];
-            for (int left = length; left > 0;) {
+            for (int left = length; left > 0; ) {
                 int n = in.read(piece, 0, Math.min(piece.length, left));
                 if (n < 0) {
                     throw new IOException("cut off");
@@ -270,11 +296,14 @@
     void anAnswerThatBreaksOffCanBeToldFromAWholeOne(String form) throws Exception {
         byte[] body = noise(300_000);
         byte[] sent = formed(form, body);
-        node((in, out) -> {
-            out.write(("HTTP/1.1 200 x\r\n" + with(form, body.length)).getBytes(StandardCharsets.US_ASCII));
-            out.write(Arrays.copyOf(sent, sent.length - 9));
-            out.close();
-        });
+        node(
+                (in, out) -> {
+                    out.write(
+                            ("HTTP/1.1 200 x\r\n" + with(form, body.length))
+                                    .getBytes(StandardCharsets.US_ASCII));
+                    out.write(Arrays.copyOf(sent, sent.length - 9));
+                    out.close();
+                });
         try (Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             InputStream in = client.socket().getInputStream();
@@ -295,17 +324,22 @@
     @Timeout(PATIENCE_S)
     void aClientThatLeavesEndsTheNodesAnswer() throws Exception {
         CompletableFuture<Boolean> ended = new CompletableFuture<>();
-        node((in, out) -> {
-            try {
-                out.write(("HTTP/1.1 200 x\r\n" + with("chunked", 0)).getBytes(StandardCharsets.US_ASCII));
-                while (true) {
-                    out.write(("10000\r\n" + "v".repeat(0x10000) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-                }
-            } catch (IOException e) {
-                ended.complete(true);
-                throw e;
-            }
-        });
+        node(
+                (in, out) -> {
+                    try {
+                        out.write(
+                                ("HTTP/1.1 200 x\r\n" + with("chunked", 0))
+                                        .getBytes(StandardCharsets.US_ASCII));
+                        while (true) {
+                            out.write(
+                                    ("10000\r\n" + "v".repeat(0x10000) + "\r\n")
+                                            .getBytes(StandardCharsets.US_ASCII));
+                        }
+                    } catch (IOException e) {
+                        ended.complete(true);
+                        throw e;
+                    }
+                });
         try (Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             head(client.socket().getInputStream());
@@ -319,42 +353,67 @@
     void aLongBodyReachesTheNodeWholeAndInPieces(String form) throws Exception {
         byte[] body = noise(5_000_000);
         List<byte[]> got = new ArrayList<>();
-        node((in, out) -> {
-            got.add(in);
-            out.write(("HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok").getBytes(StandardCharsets.US_ASCII));
-        });
+        node(
+                (in, out) -> {
+                    got.add(in);
+                    out.write(
+                            ("HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok")
+                                    .getBytes(StandardCharsets.US_ASCII));
+                });
         try (Peer.Wire client = site.client()) {
             for (int i = 0; i < 2; i++) {
                 OutputStream out = client.socket().getOutputStream();
-                out.write(("PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w" + i + "\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
-                        + "Expect: 100-continue\r\nIdempotency-Key: k\r\n" + with(form, body.length)).getBytes(StandardCharsets.US_ASCII));
+                out.write(
+                        ("PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w"
+                                        + i
+                                        + "\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
+                                        + "Expect: 100-continue\r\nIdempotency-Key: k\r\n"
+                                        + with(form, body.length))
+                                .getBytes(StandardCharsets.US_ASCII));
                 assertEquals(100, Site.status(client.read()));
                 pieces(formed(form, body), out);
                 assertEquals("ok", new Peer.Message(client.read(), client).body());
                 assertArrayEquals(body, got.get(i));
             }
-            assertTrue(site.router.requests.get(0).uploadMs() > 0, "the module is told that its time begins later");
+            assertTrue(
+                    site.router.requests.get(0).uploadMs() > 0,
+                    "the module is told that its time begins later");
         }
     }
 
     @Test
     @Timeout(PATIENCE_S)
     void aChunkedBodyThatIsTooLongIsAnsweredWhileItIsStillComing() throws Exception {
-        node((in, out) -> out.write(("HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok").getBytes(StandardCharsets.US_ASCII)));
+        node(
+                (in, out) ->
+                        out.write(
+                                ("HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok")
+                                        .getBytes(StandardCharsets.US_ASCII)));
         try (Peer.Wire client = site.client()) {
             byte[] part = formed("chunked", noise(70_001 * 20));
-            CompletableFuture<Void> sends = CompletableFuture.runAsync(() -> {
-                try {
-                    client.write("PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
-                            + "Idempotency-Key: k\r\n" + with("chunked", 0));
-                    for (int i = 0; i < 30; i++) {
-                        client.socket().getOutputStream().write(part, 0, part.length - "0\r\nX-Trailer: t\r\n\r\n".length());
-                    }
-                } catch (IOException e) {
-                    // Answered already, and closed.
-                    return;
-                }
-            });
+            CompletableFuture<Void> sends =
+                    CompletableFuture.runAsync(
+                            () -> {
+                                try {
+                                    client.write(
+                                            "PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
+                                                    + "Idempotency-Key: k\r\n"
+                                                    + with("chunked", 0));
+                                    for (int i = 0; i < 30; i++) {
+                                        client.socket()
+                                                .getOutputStream()
+                                                .write(
+                                                        part,
+                                                        0,
+                                                        part.length
+                                                                - "0\r\nX-Trailer: t\r\n\r\n"
+                                                                        .length());
+                                    }
+                                } catch (IOException e) {
+                                    // Answered already, and closed.
+                                    return;
+                                }
+                            });
             assertEquals(413, Site.status(client.read()));
             sends.get(PATIENCE_S, TimeUnit.SECONDS);
         }
@@ -365,18 +424,27 @@
     void aBodyThatANodeHasHadInPartIsSentToNoOther() throws Exception {
         Peer first = new Peer();
         site = new Site();
-        site.hosts = new String[] {Site.host("c0", first.dial(), "up", 0), Site.host("c1", site.node.dial(), "up", 0)};
+        site.hosts =
+                new String[] {
+                    Site.host("c0", first.dial(), "up", 0),
+                    Site.host("c1", site.node.dial(), "up", 0)
+                };
         site.start("automatic", "60000", "");
-        site.router.onEnd = (end, out) -> {
-            if (end.outcome() == Outcome.REJECTED) {
-                out.send(end.request(), "c1", 0);
-            } else if (!end.finished()) {
-                out.fail(end.request());
-            }
-        };
+        site.router.onEnd =
+                (end, out) -> {
+                    if (end.outcome() == Outcome.REJECTED) {
+                        out.send(end.request(), "c1", 0);
+                    } else if (!end.finished()) {
+                        out.fail(end.request());
+                    }
+                };
         try (Peer.Wire client = site.client()) {
-            client.write("PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
-                    + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n" + "20000\r\n" + "v".repeat(0x20000) + "\r\n");
+            client.write(
+                    "PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
+                            + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + "20000\r\n"
+                            + "v".repeat(0x20000)
+                            + "\r\n");
             Peer.Message taken = first.next();
             taken.wire().answer(503, "", "X-Rejected: 1");
             assertEquals(Outcome.REJECTED, Scripted.next(site.router.ends).outcome());
--- a/src/test/java/hopglade/proxy/SupersededCallsTest.java
+++ b/src/test/java/hopglade/proxy/SupersededCallsTest.java
@@ -47,8 +47,7 @@
     private static final int ALWAYS = Integer.MAX_VALUE;
     private static final long POLL_MS = 10;
 
-    @TempDir
-    Path temp;
+    @TempDir Path temp;
     private final PrintStream standardError = System.err;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<Service> started = new ArrayList<>();
@@ -134,7 +133,8 @@
         assertEquals(expected, kept());
         for (Service service : List.of(first, second)) {
             int up = expected.drained() ? 503 : 200;
-            while (up(service) != up || service.operations().isOut("c0") == expected.out().isEmpty()) {
+            while (up(service) != up
+                    || service.operations().isOut("c0") == expected.out().isEmpty()) {
                 TimeUnit.MILLISECONDS.sleep(POLL_MS);
             }
         }
@@ -155,7 +155,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"CREATE_FOLDER", "CREATE", "FORCE_FOLDER"})
+    @EnumSource(
+            value = Step.class,
+            names = {"CREATE_FOLDER", "CREATE", "FORCE_FOLDER"})
     void anOwedDrainGivesWayToItsEndAtTheOtherProcess(Step step) throws Exception {
         disk.fail(step, ALWAYS);
         callOwed(first, DRAIN);
@@ -167,7 +169,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"DELETE", "FORCE_FOLDER"})
+    @EnumSource(
+            value = Step.class,
+            names = {"DELETE", "FORCE_FOLDER"})
     void anOwedEndOfADrainGivesWayToADrainAtTheOtherProcess(Step step) throws Exception {
         callKept(first, DRAIN);
         disk.fail(step, ALWAYS);
--- a/src/test/java/hopglade/proxy/SystemCallsTest.java
+++ b/src/test/java/hopglade/proxy/SystemCallsTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** System calls that fail in the ways that Linux documents, on the clients' side, at a node, at discovery and in the loop's waits. */
+/**
+ * System calls that fail in the ways that Linux documents, on the clients' side, at a node, at
+ * discovery and in the loop's waits.
+ */
 class SystemCallsTest {
 
     private static final String UP = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
@@ -25,10 +28,13 @@
     private static final int BAD_GATEWAY = 502;
     private static final int PART_OF_A_REQUEST = 40;
     private static final long A_SECOND_MS = 1000;
+
     /** One each 0.1 s, which is how long accepting rests. */
     private static final int ACCEPTS_IN_A_SECOND = 10;
+
     /** Failures of one call within a second that are no spinning. */
     private static final int FEW = 40;
+
     private static final int MANY = 1000;
 
     private FaultySite site;
@@ -80,7 +86,8 @@
     /** Waits until a schedule's channels are closed. */
     private void assertCloses(FaultSchedule schedule) throws Exception {
         long began = System.nanoTime();
-        while (schedule.open() > 0 && System.nanoTime() - began < TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S)) {
+        while (schedule.open() > 0
+                && System.nanoTime() - began < TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S)) {
             site.settle();
         }
         assertEquals(0, schedule.open());
@@ -90,7 +97,8 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EAGAIN"})
-    void whileAcceptingFailsOpenConnectionsAreServedAndOthersAreOnceItWorks(Errno errno) throws Exception {
+    void whileAcceptingFailsOpenConnectionsAreServedAndOthersAreOnceItWorks(Errno errno)
+            throws Exception {
         try (Peer.Wire before = site.client()) {
             assertServes(before);
             before.write(site.site.get(Site.LONG_S));
@@ -124,7 +132,8 @@
     /** What breaks with a request half read has no request; nothing is sent on. */
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
-    void aClientsConnectionThatBreaksBeforeTheLastByteIsClosedAndNothingIsSent(Errno errno) throws Exception {
+    void aClientsConnectionThatBreaksBeforeTheLastByteIsClosedAndNothingIsSent(Errno errno)
+            throws Exception {
         try (Peer.Wire client = site.client()) {
             assertServes(client);
             String request = site.site.get(Site.LONG_S);
@@ -145,28 +154,33 @@
             client.write(site.site.get(Site.LONG_S));
             nodesRequest();
             site.clientCalls.breakConnections(errno);
-            assertEquals(site.site.router.requests.get(0).id(), Scripted.next(site.site.router.gone));
+            assertEquals(
+                    site.site.router.requests.get(0).id(), Scripted.next(site.site.router.gone));
         }
         assertCloses(site.clientCalls);
-        assertTrue(site.site.router.ends.isEmpty() || site.site.router.ends.peek().finished(), "told once");
+        assertTrue(
+                site.site.router.ends.isEmpty() || site.site.router.ends.peek().finished(),
+                "told once");
         assertServes();
     }
 
     /** An attempt that would begin for it is not begun: the loop has not read of the break yet. */
     @Test
     void nothingBeginsForAClientWhoseConnectionHasBroken() throws Exception {
-        site.site.router.onEnd = (end, out) -> {
-            if (!end.finished()) {
-                out.send(end.request(), "c0", 0);
-            }
-        };
+        site.site.router.onEnd =
+                (end, out) -> {
+                    if (!end.finished()) {
+                        out.send(end.request(), "c0", 0);
+                    }
+                };
         try (Peer.Wire client = site.client()) {
             client.write(site.site.get(Site.LONG_S));
             Peer.Message first = nodesRequest();
             site.clientCalls.breakConnectionsUnseen(Errno.ETIMEDOUT);
             first.wire().close();
             assertEquals(Outcome.RESET, Scripted.next(site.site.router.ends).outcome());
-            assertEquals(site.site.router.requests.get(0).id(), Scripted.next(site.site.router.gone));
+            assertEquals(
+                    site.site.router.requests.get(0).id(), Scripted.next(site.site.router.gone));
             assertNull(client.read());
         }
         assertCloses(site.clientCalls);
@@ -207,7 +221,16 @@
     }
 
     @ParameterizedTest
-    @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "EAGAIN", "ENOBUFS", "ENOMEM", "ETIMEDOUT", "EHOSTUNREACH"})
+    @EnumSource(
+            names = {
+                "EADDRNOTAVAIL",
+                "ENETUNREACH",
+                "EAGAIN",
+                "ENOBUFS",
+                "ENOMEM",
+                "ETIMEDOUT",
+                "EHOSTUNREACH"
+            })
     void whereConnectingFailsTheRequestWasNotSent(Errno errno) throws Exception {
         for (SystemCall call : List.of(SystemCall.CONNECT, SystemCall.FINISH_CONNECT)) {
             try (Peer.Wire client = site.client()) {
@@ -221,7 +244,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = SystemCall.class, names = {"SOCKET", "CONFIGURE", "CONNECT", "FINISH_CONNECT"})
+    @EnumSource(
+            value = SystemCall.class,
+            names = {"SOCKET", "CONFIGURE", "CONNECT", "FINISH_CONNECT"})
     void failedConnectsLeaveNothingOpen(SystemCall call) throws Exception {
         site.nodeCalls.fail(call, Errno.ENOBUFS, MANY);
         try (Peer.Wire client = site.client()) {
@@ -302,7 +327,9 @@
     // Discovery.
 
     @ParameterizedTest
-    @EnumSource(value = SystemCall.class, names = {"SOCKET", "CONFIGURE", "CONNECT", "FINISH_CONNECT", "READ", "WRITE"})
+    @EnumSource(
+            value = SystemCall.class,
+            names = {"SOCKET", "CONFIGURE", "CONNECT", "FINISH_CONNECT", "READ", "WRITE"})
     void discoveryIsAskedAnewWhateverFailsForASecond(SystemCall call) throws Exception {
         Peer.Wire watch = watchRequest().wire();
         long began = System.nanoTime();
@@ -312,12 +339,18 @@
         while (!tells(next)) {
             next = watchRequest().wire();
         }
-        assertTrue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) >= A_SECOND_MS, "nothing failed");
-        assertTrue(site.discoveryCalls.failed(call) < FEW, "failed: " + site.discoveryCalls.failed(call));
+        assertTrue(
+                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) >= A_SECOND_MS,
+                "nothing failed");
+        assertTrue(
+                site.discoveryCalls.failed(call) < FEW,
+                "failed: " + site.discoveryCalls.failed(call));
         assertServes();
     }
 
-    /** Writes a list; whether the module has it in the time in which another watch would be opened. */
+    /**
+     * Writes a list; whether the module has it in the time in which another watch would be opened.
+     */
     private boolean tells(Peer.Wire watch) throws Exception {
         try {
             watch.write(HEAD + chunk(Site.list(8, true, site.site.hosts)));
--- a/src/test/java/hopglade/proxy/ToldTest.java
+++ b/src/test/java/hopglade/proxy/ToldTest.java
@@ -18,14 +18,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The project's own decisions over sockets: what discovery has told moves what comes next, whichever way it was told. */
+/**
+ * The project's own decisions over sockets: what discovery has told moves what comes next,
+ * whichever way it was told.
+ */
 class ToldTest {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final int REQUESTS = 20;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final BlockingQueue<ListKind> lists = new LinkedBlockingQueue<>();
     private Site site;
     private Peer other;
@@ -36,14 +38,25 @@
         other = new Peer();
         Config config = site.config("automatic", "60000", "");
         Decide decide = new Decide(config.settings(), 1);
-        Router router = (Router) Proxy.newProxyInstance(Router.class.getClassLoader(), new Class<?>[] {Router.class}, (self, method, arguments) -> {
-            Object result = method.invoke(decide, arguments);
-            if (method.getName().equals("nodes")) {
-                lists.add((ListKind) arguments[1]);
-            }
-            return result;
-        });
-        site.service = Service.start(config, router, 0, new Discovery.Times(1000, 50, 50), new CompletableFuture<>());
+        Router router =
+                (Router)
+                        Proxy.newProxyInstance(
+                                Router.class.getClassLoader(),
+                                new Class<?>[] {Router.class},
+                                (self, method, arguments) -> {
+                                    Object result = method.invoke(decide, arguments);
+                                    if (method.getName().equals("nodes")) {
+                                        lists.add((ListKind) arguments[1]);
+                                    }
+                                    return result;
+                                });
+        site.service =
+                Service.start(
+                        config,
+                        router,
+                        0,
+                        new Discovery.Times(1000, 50, 50),
+                        new CompletableFuture<>());
         assertEquals(ListKind.REMEMBERED, Scripted.next(lists));
     }
 
@@ -80,7 +93,8 @@
         for (int i = 0; i < REQUESTS; i++) {
             served(client, other);
         }
-        for (Peer.Message last = site.node.heardNothing() ? null : site.node.next(); last != null;
+        for (Peer.Message last = site.node.heardNothing() ? null : site.node.next();
+                last != null;
                 last = site.node.heardNothing() ? null : site.node.next()) {
             assertEquals(null, last.text(), "c0 got a request after its change was told");
         }
@@ -90,21 +104,42 @@
     @Test
     void aReloadFollowedByADrainLeavesTheNodeThatDrains() throws Exception {
         watch(site.discovery, 7).write(HEAD + chunk("\n"));
-        try (Peer.Wire client = site.client(); Peer next = new Peer()) {
+        try (Peer.Wire client = site.client();
+                Peer next = new Peer()) {
             served(client, site.node);
-            Path config = Files.writeString(folder.resolve("config.json"), "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + next.dial()
-                    + "\",\"settings\":" + Site.SETTINGS.formatted("automatic", "60000") + "}");
+            Path config =
+                    Files.writeString(
+                            folder.resolve("config.json"),
+                            "{\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                                    + next.dial()
+                                    + "\",\"settings\":"
+                                    + Site.SETTINGS.formatted("automatic", "60000")
+                                    + "}");
             site.service.reload(Map.of("BALANCER_CONFIG", config.toString()));
             Peer.Wire watch = watch(next, 0);
-            watch.write(HEAD + chunk(Site.list(1, true, Site.host("c0", site.node.dial(), "up", 0), c1()) + "\n"));
+            watch.write(
+                    HEAD
+                            + chunk(
+                                    Site.list(
+                                                    1,
+                                                    true,
+                                                    Site.host("c0", site.node.dial(), "up", 0),
+                                                    c1())
+                                            + "\n"));
             assertEquals(ListKind.FULL, Scripted.next(lists));
-            watch.write(chunk(Site.list(2, false, Site.host("c0", site.node.dial(), "draining", 0)) + "\n"));
+            watch.write(
+                    chunk(
+                            Site.list(2, false, Site.host("c0", site.node.dial(), "draining", 0))
+                                    + "\n"));
             assertEquals(ListKind.CHANGES, Scripted.next(lists));
             servedByTheOtherAlone(client);
         }
     }
 
-    /** It has worked for long and then says nothing; the next one has only the whole list, in which a node is missing. */
+    /**
+     * It has worked for long and then says nothing; the next one has only the whole list, in which
+     * a node is missing.
+     */
     @Test
     void aWatchThatFallsSilentLateIsFollowedByOneThatTellsAllOfTheList() throws Exception {
         Peer.Wire late = watch(site.discovery, 7);
@@ -139,7 +174,9 @@
             assertTrue(client.read().endsWith("\r\n\r\nfirst"));
             Peer.Message write = site.node.next();
             assertEquals("value", write.body());
-            inPieces(write.wire(), "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nsecond\r\n0\r\n\r\n");
+            inPieces(
+                    write.wire(),
+                    "HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nsecond\r\n0\r\n\r\n");
             assertTrue(client.read().contains("second"));
         }
     }
--- a/src/test/java/hopglade/proxy/UnwrittenTest.java
+++ b/src/test/java/hopglade/proxy/UnwrittenTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request whose connection comes up late: whatever has changed meanwhile holds for it too, and it is not written any more. */
+/**
+ * A request whose connection comes up late: whatever has changed meanwhile holds for it too, and it
+ * is not written any more.
+ */
 class UnwrittenTest {
 
     private static final long LATE_MS = 2500;
@@ -62,7 +65,10 @@
         awaitRequest();
         client.close();
         assertEquals("id0", Scripted.next(site.router.gone));
-        assertEquals(Outcome.NEVER_SENT, Scripted.next(site.router.ends).outcome(), "whatever the router does");
+        assertEquals(
+                Outcome.NEVER_SENT,
+                Scripted.next(site.router.ends).outcome(),
+                "whatever the router does");
         nothingIsWritten();
     }
 
@@ -70,10 +76,11 @@
     void nothingIsSentOnAfterTheFinalAnswer() throws Exception {
         client.write(site.get(Site.LONG_S));
         awaitRequest();
-        site.router.onRequest = (request, out) -> {
-            out.refuse("id0", 0);
-            out.refuse(request.id(), 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    out.refuse("id0", 0);
+                    out.refuse(request.id(), 0);
+                };
         try (Peer.Wire other = site.client()) {
             other.write(site.get(Site.LONG_S));
             assertEquals(503, Site.status(other.read()));
@@ -86,14 +93,18 @@
     @Test
     void nothingIsSentToANodeThatDrainsMeanwhileAndTheRouterKnowsItThen() throws Exception {
         CompletableFuture<Integer> known = new CompletableFuture<>();
-        site.router.onEnd = (end, out) -> {
-            known.complete(site.router.lists.size());
-            out.fail(end.request());
-        };
+        site.router.onEnd =
+                (end, out) -> {
+                    known.complete(site.router.lists.size());
+                    out.fail(end.request());
+                };
         client.write(site.get(Site.LONG_S));
         awaitRequest();
         list("draining");
-        assertEquals(1, known.get(Peer.PATIENCE_S, TimeUnit.SECONDS), "the list was told before the end");
+        assertEquals(
+                1,
+                known.get(Peer.PATIENCE_S, TimeUnit.SECONDS),
+                "the list was told before the end");
         assertEquals(Outcome.NEVER_SENT, Scripted.next(site.router.ends).outcome());
         assertEquals(502, Site.status(client.read()));
         nothingIsWritten();
@@ -108,20 +119,30 @@
         nothingIsWritten();
     }
 
-    /** The connection is up and the client's end has come when the loop goes on: the end is read before anything is written. */
+    /**
+     * The connection is up and the client's end has come when the loop goes on: the end is read
+     * before anything is written.
+     */
     @Test
     void aClientsEndThatComesWithTheConnectionIsSeenFirst() throws Exception {
         inOneTurn(wire -> client.close(), wire -> assertNull(wire.read(), "it was sent on"));
         assertEquals("id0", Scripted.next(site.router.gone));
     }
 
-    /** As at a process that is killed right after its accept, before the loop sees the connection: nothing can have run. */
+    /**
+     * As at a process that is killed right after its accept, before the loop sees the connection:
+     * nothing can have run.
+     */
     @Test
     void aNodeThatResetsBeforeAnythingIsWrittenHasRunNothing() throws Exception {
-        inOneTurn(wire -> {
-            wire.socket().setSoLinger(true, 0);
-            wire.close();
-        }, wire -> assertEquals(Outcome.CONNECT_FAILED, Scripted.next(site.router.ends).outcome()));
+        inOneTurn(
+                wire -> {
+                    wire.socket().setSoLinger(true, 0);
+                    wire.close();
+                },
+                wire ->
+                        assertEquals(
+                                Outcome.CONNECT_FAILED, Scripted.next(site.router.ends).outcome()));
         assertEquals(502, Site.status(client.read()));
     }
 
@@ -129,7 +150,10 @@
         void run(Peer.Wire wire) throws Exception;
     }
 
-    /** Asks, and has the node's connection come up and {@code meanwhile} happen before the loop, which is held, looks at either. */
+    /**
+     * Asks, and has the node's connection come up and {@code meanwhile} happen before the loop,
+     * which is held, looks at either.
+     */
     private void inOneTurn(OnWire meanwhile, OnWire afterwards) throws Exception {
         client.write(site.get(Site.LONG_S));
         awaitRequest();
--- a/src/test/java/hopglade/proxy/WarmupTest.java
+++ b/src/test/java/hopglade/proxy/WarmupTest.java
@@ -14,21 +14,31 @@
     @Test
     void itsRequestsAreServedAndItEnds() throws Exception {
         try (Site site = new Site()) {
-            assertTrue(Warmup.run(site.config("automatic", "60000", "").settings(), null, null, false) > 0);
+            assertTrue(
+                    Warmup.run(site.config("automatic", "60000", "").settings(), null, null, false)
+                            > 0);
         }
     }
 
-    /** A rolling restart stops the next proxy 3 s after this one was told to: by then it has to serve again. */
+    /**
+     * A rolling restart stops the next proxy 3 s after this one was told to: by then it has to
+     * serve again.
+     */
     @Test
     void aProxyThatServedBeforeIsBackBeforeTheNextOneStops() {
         HostList had = new HostList(12, true, List.of());
         HostList born = new HostList(0, true, List.of());
-        assertTrue(Warmup.patienceMs(had) <= 800, "two seconds go by before it starts, one while it does");
+        assertTrue(
+                Warmup.patienceMs(had) <= 800,
+                "two seconds go by before it starts, one while it does");
         assertTrue(Warmup.patienceMs(born) > Warmup.patienceMs(had));
         assertTrue(Warmup.patienceMs(null) > Warmup.patienceMs(had));
     }
 
-    /** Also where peers may not talk: 500 requests of warm-up left the first seconds of the day too cold. */
+    /**
+     * Also where peers may not talk: 500 requests of warm-up left the first seconds of the day too
+     * cold.
+     */
     @Test
     void atItsBirthItTakesItsTimeUnlessPeersAreAtWork() {
         HostList had = new HostList(12, true, List.of());
@@ -39,7 +49,10 @@
         assertEquals(0, Warmup.moreMs(had, false));
     }
 
-    /** On a share of a core the loop may keep the core: a restart then took nine seconds in place of one. */
+    /**
+     * On a share of a core the loop may keep the core: a restart then took nine seconds in place of
+     * one.
+     */
     @Test
     @Timeout(60)
     void itEndsInTimeThoughNobodyGetsToEndIt() throws Exception {
@@ -72,14 +85,18 @@
         }
     }
 
-    /** A loop that never waits is taken for one that hangs where many processes start on few cores. */
+    /**
+     * A loop that never waits is taken for one that hangs where many processes start on few cores.
+     */
     @Test
     void itsLoopHasNothingToDoNowAndThen() throws Exception {
         Warmup warmup = new Warmup(Warmup.anySettings(), TimeUnit.MINUTES.toMillis(1));
         try {
             warmup.start();
             warmup.awaitDone();
-            assertTrue(warmup.rests() >= warmup.served() / 50, warmup.rests() + " rests in " + warmup.served() + " requests");
+            assertTrue(
+                    warmup.rests() >= warmup.served() / 50,
+                    warmup.rests() + " rests in " + warmup.served() + " requests");
         } finally {
             warmup.end();
         }
--- a/src/test/java/hopglade/proxy/WatchTest.java
+++ b/src/test/java/hopglade/proxy/WatchTest.java
@@ -27,16 +27,22 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The watch at its edges: silent, reset in the middle of an object, moved twice, answered by nobody or by two. */
+/**
+ * The watch at its edges: silent, reset in the middle of an object, moved twice, answered by nobody
+ * or by two.
+ */
 class WatchTest {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final long NEVER_MS = TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S);
-    /** What a silent watch misses counts as told after this, and a drain that it missed has to be known by then. */
+
+    /**
+     * What a silent watch misses counts as told after this, and a drain that it missed has to be
+     * known by then.
+     */
     private static final long TOLD_MS = 6000;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Site site;
 
     @BeforeEach
@@ -76,22 +82,32 @@
         return json.replace("[", "[\n    ").replace("{", "{\n  ").replace(",\"", ",\n  \"") + "\n";
     }
 
-    /** A call that was lost just before discovery could be reached, and the answer to the next: 2 s, after which a call is given up. */
+    /**
+     * A call that was lost just before discovery could be reached, and the answer to the next: 2 s,
+     * after which a call is given up.
+     */
     @Test
     void theUsualTimesTellWhateverFailedBefore() {
-        for (Discovery.Times times : new Discovery.Times[] {Discovery.Times.PUSHED, Discovery.Times.ASKED}) {
+        for (Discovery.Times times :
+                new Discovery.Times[] {Discovery.Times.PUSHED, Discovery.Times.ASKED}) {
             assertTrue(times.firstWordMs() + 2000 <= TOLD_MS - 2000);
-            assertTrue(times.silentMs() + times.backoffMostMs() <= TOLD_MS - 1000, "the call after a silent watch");
+            assertTrue(
+                    times.silentMs() + times.backoffMostMs() <= TOLD_MS - 1000,
+                    "the call after a silent watch");
         }
     }
 
     @Test
     void theUsualTimesLeaveRoomBeforeWhatASilentWatchMissesCountsAsTold() {
-        for (Discovery.Times times : new Discovery.Times[] {Discovery.Times.PUSHED, Discovery.Times.ASKED}) {
+        for (Discovery.Times times :
+                new Discovery.Times[] {Discovery.Times.PUSHED, Discovery.Times.ASKED}) {
             assertTrue(times.silentMs() > 4000, "two heartbeats have to be missed");
-            assertTrue(times.silentMs() <= TOLD_MS - 1500, "a new one has to be opened and to speak");
+            assertTrue(
+                    times.silentMs() <= TOLD_MS - 1500, "a new one has to be opened and to speak");
         }
-        assertTrue(Discovery.Times.PUSHED.firstWordMs() <= 150 && Discovery.Times.PUSHED.backoffMostMs() <= 150,
+        assertTrue(
+                Discovery.Times.PUSHED.firstWordMs() <= 150
+                        && Discovery.Times.PUSHED.backoffMostMs() <= 150,
                 "grace may be 250 ms, and the agent's return has to be noticed within it");
     }
 
@@ -105,17 +121,25 @@
         Peer.Wire next = asked(7);
         chunk(silent, draining(8) + "\n");
         assertEquals(8, Scripted.next(site.router.lists).version());
-        assertNull(site.discovery.next().text(), "the one that spoke again is kept, and the other closed");
+        assertNull(
+                site.discovery.next().text(),
+                "the one that spoke again is kept, and the other closed");
         assertEquals(-1, next.socket().getInputStream().read());
         Peer.Wire third = asked(8);
         third.write(HEAD);
         chunk(third, draining(9) + "\n");
         assertEquals(9, Scripted.next(site.router.lists).version());
         assertNull(site.discovery.next().text());
-        assertEquals(-1, silent.socket().getInputStream().read(), "the silent one is closed once another has spoken");
+        assertEquals(
+                -1,
+                silent.socket().getInputStream().read(),
+                "the silent one is closed once another has spoken");
     }
 
-    /** An agent that is down takes connections and says nothing: each may be dead for good, so others are asked beside it. */
+    /**
+     * An agent that is down takes connections and says nothing: each may be dead for good, so
+     * others are asked beside it.
+     */
     @Test
     void theAgentsReturnIsNoticedThoughConnectsSucceededMeanwhile() throws Exception {
         start("automatic", new Discovery.Times(4500, 100, 100));
@@ -125,7 +149,8 @@
         chunk(back, draining(8) + "\n");
         assertEquals(8, Scripted.next(site.router.lists).version());
         for (Peer.Wire wire : dead) {
-            assertEquals(-1, wire.socket().getInputStream().read(), "those that never spoke are closed");
+            assertEquals(
+                    -1, wire.socket().getInputStream().read(), "those that never spoke are closed");
         }
     }
 
@@ -142,7 +167,9 @@
     /** Its backoff does not grow while nobody is there: the return would be noticed late. */
     @Test
     void aWatchThatIsResetAgainAndAgainIsSoonAskedAnew() throws Exception {
-        start("automatic", new Discovery.Times(4500, NEVER_MS, Discovery.Times.PUSHED.backoffMostMs()));
+        start(
+                "automatic",
+                new Discovery.Times(4500, NEVER_MS, Discovery.Times.PUSHED.backoffMostMs()));
         long begun = System.nanoTime();
         for (int i = 0; i < 10; i++) {
             Peer.Wire watch = asked(7);
@@ -151,7 +178,8 @@
         }
         asked(7);
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-        assertTrue(ms < 7000, "ten times took " + ms + " ms, and 6,550 in doubling from 50 to 1,000");
+        assertTrue(
+                ms < 7000, "ten times took " + ms + " ms, and 6,550 in doubling from 50 to 1,000");
     }
 
     @Test
@@ -188,7 +216,10 @@
         assertEquals(Availability.DRAINING, told.entries().get(0).availability());
     }
 
-    /** Later changes refer to a list that was never had, so they are taken and yet the lost one is asked for. */
+    /**
+     * Later changes refer to a list that was never had, so they are taken and yet the lost one is
+     * asked for.
+     */
     @Test
     void whatASpoiltObjectSaidIsAskedForThoughTheWatchGoesOn() throws Exception {
         start("automatic", new Discovery.Times(4500, NEVER_MS, 50));
@@ -205,8 +236,14 @@
     }
 
     private void reload(Peer discovery, String mode) throws Exception {
-        Path config = Files.writeString(folder.resolve("config.json"), "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.dial()
-                + "\",\"settings\":" + Site.SETTINGS.formatted(mode, "60000") + "}");
+        Path config =
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        "{\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                                + discovery.dial()
+                                + "\",\"settings\":"
+                                + Site.SETTINGS.formatted(mode, "60000")
+                                + "}");
         site.service.reload(Map.of("BALANCER_CONFIG", config.toString()));
     }
 
@@ -215,14 +252,17 @@
         start("automatic", new Discovery.Times(4500, NEVER_MS, 50));
         Peer.Wire old = asked(7);
         old.write(HEAD);
-        try (Peer passing = new Peer(); Peer last = new Peer()) {
+        try (Peer passing = new Peer();
+                Peer last = new Peer()) {
             reload(passing, "automatic");
             reload(last, "automatic");
             Peer.Message watch = last.next();
             assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", watch.firstLine());
             chunk(old, draining(8) + "\n");
             watch.wire().write(HEAD);
-            chunk(watch.wire(), Site.list(3, true, Site.host("c0", site.node.dial(), "up", 0)) + "\n");
+            chunk(
+                    watch.wire(),
+                    Site.list(3, true, Site.host("c0", site.node.dial(), "up", 0)) + "\n");
             assertEquals(3, Scripted.next(site.router.lists).version());
             assertTrue(last.heardNothing(), "one watch was opened there");
         }
@@ -240,8 +280,13 @@
             reload(next, "subscribe");
             Peer.Message watch = next.next();
             watch.wire().write(HEAD);
-            chunk(watch.wire(), Site.list(3, true, Site.host("c0", site.node.dial(), "up", 0)) + "\n");
-            assertEquals(ListKind.FULL, Scripted.next(site.router.lists).kind(), "the module would ask once more");
+            chunk(
+                    watch.wire(),
+                    Site.list(3, true, Site.host("c0", site.node.dial(), "up", 0)) + "\n");
+            assertEquals(
+                    ListKind.FULL,
+                    Scripted.next(site.router.lists).kind(),
+                    "the module would ask once more");
         }
     }
 
@@ -258,7 +303,10 @@
         assertTrue(site.discovery.heardNothing(), "the module decides on the next try");
     }
 
-    /** It is not given up, as it may wait its turn; whoever is told of a refusal could wait for longer than the term allows. */
+    /**
+     * It is not given up, as it may wait its turn; whoever is told of a refusal could wait for
+     * longer than the term allows.
+     */
     @Test
     void whereItIsAskedACallThatNobodyAnswersHasAnotherBesideIt() throws Exception {
         site.router.subscribes = true;
@@ -270,16 +318,20 @@
         assertEquals(8, Scripted.next(site.router.lists).version());
     }
 
-    /** The module's late call finds another out, or a watch that is well: calls for lists are priced. */
+    /**
+     * The module's late call finds another out, or a watch that is well: calls for lists are
+     * priced.
+     */
     @Test
     void whereItIsAskedALateCallOfTheModuleOpensNothing() throws Exception {
         site.router.subscribes = true;
         start("subscribe", new Discovery.Times(4500, NEVER_MS, 50));
         Peer.Wire watch = asked(7);
-        site.router.onRequest = (request, out) -> {
-            out.subscribe();
-            out.refuse(request.id(), 0);
-        };
+        site.router.onRequest =
+                (request, out) -> {
+                    out.subscribe();
+                    out.refuse(request.id(), 0);
+                };
         ask();
         watch.write(HEAD);
         chunk(watch, Site.list(8, false) + "\n");
@@ -297,9 +349,15 @@
 
     /** How a call may fail. */
     enum Failure {
-        REFUSED("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false), TOO_MANY("HTTP/1.1 429 x\r\nContent-Length: 2\r\n\r\n{}", false),
-        SILENT("", false), RESET("", true), NO_WORD(HEAD, false), CUT_SHORT(HEAD + "8\r\n{\"seq\":9\r\n", true),
-        STALLED(HEAD + "8\r\n{\"seq\":9\r\n", false), ENDED(HEAD + "0\r\n\r\n", false), SPOILT(HEAD + "3\r\n{]\n\r\n", false);
+        REFUSED("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false),
+        TOO_MANY("HTTP/1.1 429 x\r\nContent-Length: 2\r\n\r\n{}", false),
+        SILENT("", false),
+        RESET("", true),
+        NO_WORD(HEAD, false),
+        CUT_SHORT(HEAD + "8\r\n{\"seq\":9\r\n", true),
+        STALLED(HEAD + "8\r\n{\"seq\":9\r\n", false),
+        ENDED(HEAD + "0\r\n\r\n", false),
+        SPOILT(HEAD + "3\r\n{]\n\r\n", false);
 
         private final String answer;
         private final boolean reset;
@@ -322,7 +380,10 @@
         }
     }
 
-    /** Whatever failed, however often, and though the module asks no more: its own pause grows to twelve seconds. */
+    /**
+     * Whatever failed, however often, and though the module asks no more: its own pause grows to
+     * twelve seconds.
+     */
     @ParameterizedTest
     @EnumSource(Failure.class)
     void whereItIsAskedAChangeIsHeardWhateverFailedBefore(Failure failure) throws Exception {
@@ -351,7 +412,10 @@
         }
     }
 
-    /** Answers every call until a list has been had: one may have been given up for others by the time that its answer is written. */
+    /**
+     * Answers every call until a list has been had: one may have been given up for others by the
+     * time that its answer is written.
+     */
     private void told(Peer discovery, long seq, Availability expected) throws Exception {
         Scripted.Told told = null;
         long patience = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NEVER_MS);
@@ -369,7 +433,17 @@
     private void tell(Peer.Wire call, long seq, Availability availability) {
         try {
             call.write(HEAD);
-            chunk(call, Site.list(seq, true, Site.host("c0", site.node.dial(), availability == Availability.UP ? "up" : "draining", 0)) + "\n");
+            chunk(
+                    call,
+                    Site.list(
+                                    seq,
+                                    true,
+                                    Site.host(
+                                            "c0",
+                                            site.node.dial(),
+                                            availability == Availability.UP ? "up" : "draining",
+                                            0))
+                            + "\n");
         } catch (IOException e) {
             // It was given up for another.
         }
@@ -384,14 +458,20 @@
         return asked.wire();
     }
 
-    /** SIGHUP finds it with no connection at all: the old address has nobody, and its pause is the longest. */
+    /**
+     * SIGHUP finds it with no connection at all: the old address has nobody, and its pause is the
+     * longest.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
     void movedWhileNobodyTakesConnectionsItAsksTheNewAddressAtOnce(String mode) throws Exception {
         site.router.subscribes = mode.equals("subscribe");
-        try (RefusingAddress nobody = new RefusingAddress(); Peer next = new Peer()) {
+        try (RefusingAddress nobody = new RefusingAddress();
+                Peer next = new Peer()) {
             site.discoveryAddress = nobody.dial();
-            start(mode, new Discovery.Times(300, mode.equals("subscribe") ? NEVER_MS : 50, NEVER_MS));
+            start(
+                    mode,
+                    new Discovery.Times(300, mode.equals("subscribe") ? NEVER_MS : 50, NEVER_MS));
             if (mode.equals("subscribe")) {
                 assertEquals(ListKind.REFUSED, Scripted.next(site.router.lists).kind());
             }
@@ -400,12 +480,16 @@
         }
     }
 
-    /** The new address tells of a drain 0.2 s after it is reached, and by then the next signal has come. */
+    /**
+     * The new address tells of a drain 0.2 s after it is reached, and by then the next signal has
+     * come.
+     */
     @Test
     void aDrainThatComesBetweenTwoMovesIsHadFromTheLast() throws Exception {
         start("automatic", new Discovery.Times(4500, NEVER_MS, 50));
         asked(7).write(HEAD);
-        try (Peer passing = new Peer(); Peer last = new Peer()) {
+        try (Peer passing = new Peer();
+                Peer last = new Peer()) {
             reload(passing, "automatic");
             told(passing, 1, Availability.UP);
             reload(last, "automatic");
@@ -413,7 +497,10 @@
         }
     }
 
-    /** An agent under load is late for each watch that is opened, so one of them has to be waited for. */
+    /**
+     * An agent under load is late for each watch that is opened, so one of them has to be waited
+     * for.
+     */
     @Test
     void aFirstWordThatIsAlwaysLateIsHeardAtLast() throws Exception {
         start("automatic", new Discovery.Times(4500, 500, 50));
@@ -426,7 +513,10 @@
         assertEquals(8, Scripted.next(site.router.lists).version());
     }
 
-    /** Bytes alone are no sign of life: what never ends is asked for beside it, and the first whole word counts. */
+    /**
+     * Bytes alone are no sign of life: what never ends is asked for beside it, and the first whole
+     * word counts.
+     */
     @Test
     void aListThatTricklesWithoutEndHoldsNothingUp() throws Exception {
         start("automatic", new Discovery.Times(300, 300, 50));
@@ -434,23 +524,28 @@
         watch.write(HEAD);
         chunk(watch, Site.list(8, false) + "\n");
         assertEquals(8, Scripted.next(site.router.lists).version());
-        Thread trickle = new Thread(() -> {
-            try {
-                chunk(watch, "{\"seq\":9");
-                while (true) {
-                    chunk(watch, " ");
-                    TimeUnit.MILLISECONDS.sleep(10);
-                }
-            } catch (IOException | InterruptedException e) {
-                // The watch has been closed, as another has spoken.
-            }
-        });
+        Thread trickle =
+                new Thread(
+                        () -> {
+                            try {
+                                chunk(watch, "{\"seq\":9");
+                                while (true) {
+                                    chunk(watch, " ");
+                                    TimeUnit.MILLISECONDS.sleep(10);
+                                }
+                            } catch (IOException | InterruptedException e) {
+                                // The watch has been closed, as another has spoken.
+                            }
+                        });
         trickle.start();
         told(site.discovery, 10, Availability.DRAINING);
         trickle.join();
     }
 
-    /** The whole list of a large fleet takes longer than a first word may: asked for again it would be later and come several times. */
+    /**
+     * The whole list of a large fleet takes longer than a first word may: asked for again it would
+     * be later and come several times.
+     */
     @Test
     void whileALongListComesOnItIsNotAskedForAgain() throws Exception {
         start("automatic", new Discovery.Times(4500, 500, 50));
@@ -487,7 +582,10 @@
         assertEquals(8, Scripted.next(site.router.lists).version());
     }
 
-    /** Ten times no channel can be made, which is more than may be waited for; of such a one nothing can be closed either. */
+    /**
+     * Ten times no channel can be made, which is more than may be waited for; of such a one nothing
+     * can be closed either.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void thoughDescriptorsRanOutItIsOpenedOnceThereAreSomeAgain(boolean pushed) throws Exception {
@@ -495,15 +593,30 @@
         try {
             EventLoop loop = group.next();
             Settings settings = site.config("automatic", "60000", "").settings();
-            Proxy proxy = new Proxy(loop, new Clock(), settings, site.router, new NodePool(loop, Transport.TCP, 1000, 60000, 4, 1), 4);
+            Proxy proxy =
+                    new Proxy(
+                            loop,
+                            new Clock(),
+                            settings,
+                            site.router,
+                            new NodePool(loop, Transport.TCP, 1000, 60000, 4, 1),
+                            4);
             AtomicInteger left = new AtomicInteger(10);
-            Discovery discovery = new Discovery(loop, site.discovery.address(), proxy, null, pushed, new Discovery.Times(4500, 20, 20), () -> { },
-                    () -> {
-                        if (left.getAndDecrement() > 0) {
-                            throw new ChannelException("Too many open files");
-                        }
-                        return new NioSocketChannel();
-                    });
+            Discovery discovery =
+                    new Discovery(
+                            loop,
+                            site.discovery.address(),
+                            proxy,
+                            null,
+                            pushed,
+                            new Discovery.Times(4500, 20, 20),
+                            () -> {},
+                            () -> {
+                                if (left.getAndDecrement() > 0) {
+                                    throw new ChannelException("Too many open files");
+                                }
+                                return new NioSocketChannel();
+                            });
             loop.execute(discovery::subscribe);
             asked(0);
         } finally {
@@ -511,7 +624,10 @@
         }
     }
 
-    /** Of what can never be read nothing is gained by asking at the speed of the network; the least time is what counts here. */
+    /**
+     * Of what can never be read nothing is gained by asking at the speed of the network; the least
+     * time is what counts here.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
     void whatCanNeverBeReadIsNotAskedForWithoutEnd(String mode) throws Exception {
@@ -527,7 +643,10 @@
         assertTrue(ms >= 400, "asked for six times in " + ms + " ms");
     }
 
-    /** A proxy that nobody comes to keeps its one watch for as long as it is told that nothing changes. */
+    /**
+     * A proxy that nobody comes to keeps its one watch for as long as it is told that nothing
+     * changes.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
     void whereNobodyComesOneWatchIsKept(String mode) throws Exception {
--- a/src/test/java/hopglade/proxy/WithPool.java
+++ b/src/test/java/hopglade/proxy/WithPool.java
@@ -22,7 +22,8 @@
 
     private static final int CONNECT_MS = 5000;
 
-    final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final AtomicLong nanos = new AtomicLong();
     final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     Peer node;
@@ -45,20 +46,36 @@
 
     void list(Availability availability) throws Exception {
         Node named = new Node("c0", "std", "a", 0, 1, 0, availability);
-        loop.submit(() -> pool.list(new HostList(1, true, List.of(new HostList.Host(named, node.address())))).run()).get();
+        loop.submit(
+                        () ->
+                                pool.list(
+                                                new HostList(
+                                                        1,
+                                                        true,
+                                                        List.of(
+                                                                new HostList.Host(
+                                                                        named, node.address()))))
+                                        .run())
+                .get();
     }
 
     void send() {
-        loop.execute(() -> pool.send("c0",
-                () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/k1"), 60_000,
-                (exchange, outcome, response) -> outcomes.add(outcome)));
+        loop.execute(
+                () ->
+                        pool.send(
+                                "c0",
+                                () ->
+                                        new DefaultFullHttpRequest(
+                                                HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/k1"),
+                                60_000,
+                                (exchange, outcome, response) -> outcomes.add(outcome)));
     }
 
     /** Waits until each connection's rest is over, which its clock and a timer of the loop end. */
     void rested() throws Exception {
         nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(5));
         while (!loop.submit(pool::isRested).get()) {
-            loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).get();
+            loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get();
         }
     }
 }
--- a/src/test/java/hopglade/raft/ControlMachineTest.java
+++ b/src/test/java/hopglade/raft/ControlMachineTest.java
@@ -20,12 +20,17 @@
 /** A control machine that leads alone, its tasks run by hand. */
 class ControlMachineTest {
 
-    private record Later(double at, long order, Runnable task) { }
+    private record Later(double at, long order, Runnable task) {}
 
     private double now = 1000;
     private long order;
     private final Deque<Runnable> tasks = new ArrayDeque<>();
-    private final PriorityQueue<Later> later = new PriorityQueue<>((a, b) -> a.at() == b.at() ? Long.compare(a.order(), b.order()) : Double.compare(a.at(), b.at()));
+    private final PriorityQueue<Later> later =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at() == b.at()
+                                    ? Long.compare(a.order(), b.order())
+                                    : Double.compare(a.at(), b.at()));
     private final List<JsonObject> told = new ArrayList<>();
 
     private final class ByHand implements RaftNodeExecutor {
@@ -52,17 +57,28 @@
         }
 
         @Override
-        public void everywhere(Everywhere entry) { }
+        public void everywhere(Everywhere entry) {}
 
         @Override
-        public void send(long connection, Message message) { }
+        public void send(long connection, Message message) {}
 
         @Override
-        public void close(long connection, String why) { }
+        public void close(long connection, String why) {}
     }
 
-    private final ControlMachine machine = new ControlMachine(new ControlMachine.Parts("a", List.of("a"), new Window.Bounds(100, 10_000), new ByHand(), () -> now, 7,
-            new NopRaftStore(), null, 1000), new Out());
+    private final ControlMachine machine =
+            new ControlMachine(
+                    new ControlMachine.Parts(
+                            "a",
+                            List.of("a"),
+                            new Window.Bounds(100, 10_000),
+                            new ByHand(),
+                            () -> now,
+                            7,
+                            new NopRaftStore(),
+                            null,
+                            1000),
+                    new Out());
 
     private void run() {
         while (!tasks.isEmpty()) {
@@ -102,7 +118,9 @@
             machine.received("b", howFar(i));
             run();
         }
-        assertEquals(List.of(0.0, 2.0, 4.0, 6.0, 8.0), told.stream().map(o -> o.get("stamp").getAsDouble()).toList(),
+        assertEquals(
+                List.of(0.0, 2.0, 4.0, 6.0, 8.0),
+                told.stream().map(o -> o.get("stamp").getAsDouble()).toList(),
                 "by the next answer; what came while one waited is passed over");
     }
 }
--- a/src/test/java/hopglade/raft/FaultyFiles.java
+++ b/src/test/java/hopglade/raft/FaultyFiles.java
@@ -21,17 +21,24 @@
 
     /** Bytes that may still be written until a write is cut short and the next ones fail. */
     long bytesUntilFull = NEVER;
+
     /** Syncs of a file, renames and syncs of a folder that still succeed; one fails then. */
     long syncsUntilFault = NEVER;
+
     long renamesUntilFault = NEVER;
     long folderSyncsUntilFault = NEVER;
+
     /** A write takes so many bytes at most. */
     int bytesAtOnce = Integer.MAX_VALUE;
+
     /** A file can't be made shorter, so that what was written of a line stays. */
     boolean truncateFails;
+
     /** Every call that changes something fails. */
     volatile boolean broken;
+
     int faults;
+
     /** All calls succeed again. */
     void mend() {
         bytesUntilFull = NEVER;
--- a/src/test/java/hopglade/raft/LinksTest.java
+++ b/src/test/java/hopglade/raft/LinksTest.java
@@ -34,7 +34,8 @@
 
     private final FaultSchedule calls = new FaultSchedule();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
+            new MultiThreadIoEventLoopGroup(
+                    1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
     private final EventLoop loop = group.next();
     private ServerSocket voter;
     private Links links;
@@ -44,8 +45,14 @@
         voter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         voter.setSoTimeout(PATIENCE_MS);
         FaultyProvider provider = new FaultyProvider(calls);
-        links = new Links(loop, new HashIdentity("proxy", Set.of()), Map.of(VOTER, (InetSocketAddress) voter.getLocalSocketAddress()),
-                channel -> { }, (from, message) -> { }, () -> new NioSocketChannel(provider));
+        links =
+                new Links(
+                        loop,
+                        new HashIdentity("proxy", Set.of()),
+                        Map.of(VOTER, (InetSocketAddress) voter.getLocalSocketAddress()),
+                        channel -> {},
+                        (from, message) -> {},
+                        () -> new NioSocketChannel(provider));
     }
 
     @AfterEach
@@ -54,7 +61,10 @@
         voter.close();
     }
 
-    /** Waits for the next connection that begins with its key: of one that fails late the voter sees a connection and its end. */
+    /**
+     * Waits for the next connection that begins with its key: of one that fails late the voter sees
+     * a connection and its end.
+     */
     private Socket linked() throws Exception {
         Socket link = voter.accept();
         link.setSoTimeout(PATIENCE_MS);
--- a/src/test/java/hopglade/raft/LogFileFaultsTest.java
+++ b/src/test/java/hopglade/raft/LogFileFaultsTest.java
@@ -44,63 +44,88 @@
      * Every kind of call; those named in {@link #CONFIRMING} have reached the disk when they
      * return.
      */
-    private static final List<Step> STEPS = List.of(
-            file -> file.persistAndFlushTerm(term(4, null)),
-            file -> file.persistAndFlushTerm(term(5, "b")),
-            file -> file.persistLogEntries(List.of(entry(3, 5, "años"))),
-            LogFile::flush,
-            file -> file.truncateLogEntriesFrom(3),
-            file -> file.persistLogEntries(List.of(entry(3, 5, "tres"))),
-            file -> file.persistLogEntries(List.of(entry(4, 5, "cuatro"))),
-            LogFile::flush,
-            file -> file.persistSnapshotChunk(chunk(2)),
-            LogFile::flush,
-            file -> file.truncateLogEntriesUntil(2),
-            file -> file.persistAndFlushTerm(term(6, null)),
-            file -> file.deleteSnapshotChunks(1, 1),
-            LogFile::flush);
+    private static final List<Step> STEPS =
+            List.of(
+                    file -> file.persistAndFlushTerm(term(4, null)),
+                    file -> file.persistAndFlushTerm(term(5, "b")),
+                    file -> file.persistLogEntries(List.of(entry(3, 5, "años"))),
+                    LogFile::flush,
+                    file -> file.truncateLogEntriesFrom(3),
+                    file -> file.persistLogEntries(List.of(entry(3, 5, "tres"))),
+                    file -> file.persistLogEntries(List.of(entry(4, 5, "cuatro"))),
+                    LogFile::flush,
+                    file -> file.persistSnapshotChunk(chunk(2)),
+                    LogFile::flush,
+                    file -> file.truncateLogEntriesUntil(2),
+                    file -> file.persistAndFlushTerm(term(6, null)),
+                    file -> file.deleteSnapshotChunks(1, 1),
+                    LogFile::flush);
+
     private static final List<Integer> CONFIRMING = List.of(0, 1, 3, 7, 9, 10, 11, 13);
+
     /** The one that puts another file in the place of the one that was written so far. */
     private static final int CUT = 10;
 
-    @TempDir
-    Path temporary;
+    @TempDir Path temporary;
     private int folders;
+
     /** What the file holds before the steps, and after each. */
     private final List<String> states = new ArrayList<>();
+
     /** The file's size, likewise. */
     private final List<Integer> sizes = new ArrayList<>();
+
     /** The file as it was before the cut, whole. */
     private byte[] beforeCut;
 
     private static LogEntry entry(long index, int term, String content) {
-        return Codec.MODELS.createLogEntryBuilder().setIndex(index).setTerm(term)
-                .setOperation(new Epochs.Prepare("p" + index, index - 1, content)).build();
+        return Codec.MODELS
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(term)
+                .setOperation(new Epochs.Prepare("p" + index, index - 1, content))
+                .build();
     }
 
     private static RaftTermPersistentState term(int term, String votedFor) {
-        return Codec.MODELS.createRaftTermPersistentStateBuilder().setTerm(term)
-                .setVotedFor(votedFor == null ? null : new Endpoint(votedFor)).build();
+        return Codec.MODELS
+                .createRaftTermPersistentStateBuilder()
+                .setTerm(term)
+                .setVotedFor(votedFor == null ? null : new Endpoint(votedFor))
+                .build();
     }
 
     private static RaftGroupMembersView members() {
-        return Codec.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(BOTH)
-                .setVotingMembers(BOTH).build();
+        return Codec.MODELS
+                .createRaftGroupMembersViewBuilder()
+                .setLogIndex(0)
+                .setMembers(BOTH)
+                .setVotingMembers(BOTH)
+                .build();
     }
 
     private static SnapshotChunk chunk(long index) {
-        return Codec.MODELS.createSnapshotChunkBuilder().setIndex(index).setTerm(5)
-                .setOperation("dos".getBytes(StandardCharsets.UTF_8)).setSnapshotChunkIndex(0)
-                .setSnapshotChunkCount(1).setGroupMembersView(members()).build();
+        return Codec.MODELS
+                .createSnapshotChunkBuilder()
+                .setIndex(index)
+                .setTerm(5)
+                .setOperation("dos".getBytes(StandardCharsets.UTF_8))
+                .setSnapshotChunkIndex(0)
+                .setSnapshotChunkCount(1)
+                .setGroupMembersView(members())
+                .build();
     }
 
     /** A folder with a file of a voter that has run before. */
     private Path begun() throws IOException {
         Path folder = temporary.resolve("voter-" + folders++);
         try (LogFile file = LogFile.open(folder, new FaultyFiles())) {
-            file.persistAndFlushLocalEndpoint(Codec.MODELS
-                    .createRaftEndpointPersistentStateBuilder()
-                    .setLocalEndpoint(new Endpoint("a")).setVoting(true).build());
+            file.persistAndFlushLocalEndpoint(
+                    Codec.MODELS
+                            .createRaftEndpointPersistentStateBuilder()
+                            .setLocalEndpoint(new Endpoint("a"))
+                            .setVoting(true)
+                            .build());
             file.persistAndFlushInitialGroupMembers(members());
             file.persistAndFlushTerm(term(3, null));
             file.persistLogEntries(List.of(entry(1, 3, "uno"), entry(2, 3, "dos")));
@@ -112,10 +137,15 @@
     private static String describe(RestoredRaftState state) {
         var term = state.getTermPersistentState();
         var snapshot = state.getSnapshotEntry();
-        String entries = state.getLogEntries().stream().map(LogFileFaultsTest::describe)
-                .collect(Collectors.joining());
-        return term.getTerm() + "/" + term.getVotedFor()
-                + (snapshot == null ? "" : " snapshot " + snapshot.getIndex()) + entries;
+        String entries =
+                state.getLogEntries().stream()
+                        .map(LogFileFaultsTest::describe)
+                        .collect(Collectors.joining());
+        return term.getTerm()
+                + "/"
+                + term.getVotedFor()
+                + (snapshot == null ? "" : " snapshot " + snapshot.getIndex())
+                + entries;
     }
 
     private static String describe(LogEntry entry) {
@@ -154,8 +184,8 @@
     }
 
     /** Runs the steps until one fails; true where none does. */
-    private boolean failsAndRecovers(String where, FaultyFiles files, Path folder,
-            LongConsumer mended) throws IOException {
+    private boolean failsAndRecovers(
+            String where, FaultyFiles files, Path folder, LongConsumer mended) throws IOException {
         int confirmed = 0;
         int done = 0;
         LogFile file = LogFile.open(folder, files);
@@ -179,7 +209,8 @@
             }
         }
         String found = reopened(folder);
-        assertTrue(isBetween(found, confirmed, done + 1),
+        assertTrue(
+                isBetween(found, confirmed, done + 1),
                 where + ": " + found + " of " + states.subList(confirmed, done + 2));
         goesOn(where, folder, files, found);
         return false;
@@ -203,8 +234,12 @@
             assertTrue(n < 10_000, "bounded");
             FaultyFiles files = new FaultyFiles();
             long at = n;
-            whole = failsAndRecovers(kind + " " + n, files, begun(),
-                    when -> set.accept(files, when < 0 ? at : FaultyFiles.NEVER));
+            whole =
+                    failsAndRecovers(
+                            kind + " " + n,
+                            files,
+                            begun(),
+                            when -> set.accept(files, when < 0 ? at : FaultyFiles.NEVER));
             faults += whole ? 0 : 1;
         }
         assertTrue(faults > 0, kind + " did happen");
@@ -217,11 +252,13 @@
 
     @Test
     void aLineWhoseFirstPartCannotBeTakenAwayIsNeverJoinedByAnother() throws Exception {
-        everyFault("write cut after", (files, n) -> {
-            files.bytesAtOnce = 13;
-            files.truncateFails = true;
-            files.bytesUntilFull = n == FaultyFiles.NEVER ? n : 11 * n;
-        });
+        everyFault(
+                "write cut after",
+                (files, n) -> {
+                    files.bytesAtOnce = 13;
+                    files.truncateFails = true;
+                    files.bytesUntilFull = n == FaultyFiles.NEVER ? n : 11 * n;
+                });
     }
 
     @Test
@@ -322,7 +359,8 @@
     }
 
     /** As the version before the faults were looked at wrote it. */
-    private static final String WRITTEN_BEFORE = """
+    private static final String WRITTEN_BEFORE =
+            """
             0ac77d73 {"name":"a","voting":true,"k":"self"}
             acee92e2 {"index":0,"members":["a","b"],"voting":["a","b"],"k":"members"}
             e6cda3be {"term":4,"voted":"b","k":"term"}
@@ -338,7 +376,8 @@
     @Test
     void filesOfEarlierVersionsOpen() throws Exception {
         Files.writeString(temporary.resolve("log"), WRITTEN_BEFORE);
-        Files.writeString(temporary.resolve("in-force"),
+        Files.writeString(
+                temporary.resolve("in-force"),
                 "{\"number\":7,\"proposal\":\"p\",\"content\":\"[log]\\n\"}");
         String found = "5/null snapshot 1 2@4dos \u00f1 3@4three";
         assertEquals(found, reopened(temporary));
--- a/src/test/java/hopglade/raft/LogFileTest.java
+++ b/src/test/java/hopglade/raft/LogFileTest.java
@@ -22,24 +22,50 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a voter wrote is what the next process reads, but for a line that was being written when it died. */
+/**
+ * What a voter wrote is what the next process reads, but for a line that was being written when it
+ * died.
+ */
 class LogFileTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static LogEntry entry(long index, int term, String content) {
-        return Codec.MODELS.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(new Epochs.Prepare("p" + index, index - 1, content)).build();
+        return Codec.MODELS
+                .createLogEntryBuilder()
+                .setIndex(index)
+                .setTerm(term)
+                .setOperation(new Epochs.Prepare("p" + index, index - 1, content))
+                .build();
     }
 
     private void written() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
             assertNull(file.restored(), "there was none");
-            file.persistAndFlushLocalEndpoint(Codec.MODELS.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(new Endpoint("a")).setVoting(true).build());
-            file.persistAndFlushInitialGroupMembers(Codec.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                    .setMembers(List.of(new Endpoint("a"), new Endpoint("b"))).setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b"))).build());
-            file.persistAndFlushTerm(Codec.MODELS.createRaftTermPersistentStateBuilder().setTerm(4).setVotedFor(new Endpoint("b")).build());
-            file.persistLogEntries(List.of(entry(1, 1, "one\n\"x\""), entry(2, 1, "lost"), entry(3, 1, "lost too")));
+            file.persistAndFlushLocalEndpoint(
+                    Codec.MODELS
+                            .createRaftEndpointPersistentStateBuilder()
+                            .setLocalEndpoint(new Endpoint("a"))
+                            .setVoting(true)
+                            .build());
+            file.persistAndFlushInitialGroupMembers(
+                    Codec.MODELS
+                            .createRaftGroupMembersViewBuilder()
+                            .setLogIndex(0)
+                            .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+                            .setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+                            .build());
+            file.persistAndFlushTerm(
+                    Codec.MODELS
+                            .createRaftTermPersistentStateBuilder()
+                            .setTerm(4)
+                            .setVotedFor(new Endpoint("b"))
+                            .build());
+            file.persistLogEntries(
+                    List.of(
+                            entry(1, 1, "one\n\"x\""),
+                            entry(2, 1, "lost"),
+                            entry(3, 1, "lost too")));
             file.truncateLogEntriesFrom(2);
             file.persistLogEntries(List.of(entry(2, 4, "two")));
             file.flush();
@@ -52,7 +78,10 @@
             assertEquals(4, state.getTermPersistentState().getTerm());
             assertEquals(new Endpoint("b"), state.getTermPersistentState().getVotedFor());
             assertEquals(2, state.getInitialGroupMembers().getVotingMembers().size());
-            assertEquals(List.of(new Epochs.Prepare("p1", 0, "one\n\"x\""), new Epochs.Prepare("p2", 1, "two")),
+            assertEquals(
+                    List.of(
+                            new Epochs.Prepare("p1", 0, "one\n\"x\""),
+                            new Epochs.Prepare("p2", 1, "two")),
                     state.getLogEntries().stream().map(LogEntry::getOperation).toList());
             assertEquals(4, state.getLogEntries().get(1).getTerm());
         }
@@ -62,9 +91,13 @@
     void theNextProcessReadsWhatWasFlushedAndDropsALineThatWasTorn() throws Exception {
         written();
         holdsAll();
-        Files.writeString(folder.resolve("log"), "0bad0bad {\"index\":3,\"te", StandardOpenOption.APPEND);
+        Files.writeString(
+                folder.resolve("log"), "0bad0bad {\"index\":3,\"te", StandardOpenOption.APPEND);
         holdsAll();
-        Files.writeString(folder.resolve("log"), "0bad0bad {\"k\":\"from\",\"index\":1}\n", StandardOpenOption.APPEND);
+        Files.writeString(
+                folder.resolve("log"),
+                "0bad0bad {\"k\":\"from\",\"index\":1}\n",
+                StandardOpenOption.APPEND);
         holdsAll();
     }
 
@@ -77,21 +110,43 @@
     }
 
     private static SnapshotChunk chunk(long index, int part, int parts, String content) {
-        return Codec.MODELS.createSnapshotChunkBuilder().setIndex(index).setTerm(4).setOperation(content.getBytes(StandardCharsets.UTF_8)).setSnapshotChunkIndex(part)
-                .setSnapshotChunkCount(parts).setGroupMembersView(Codec.MODELS.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                        .setMembers(List.of(new Endpoint("a"), new Endpoint("b"))).setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b"))).build()).build();
+        return Codec.MODELS
+                .createSnapshotChunkBuilder()
+                .setIndex(index)
+                .setTerm(4)
+                .setOperation(content.getBytes(StandardCharsets.UTF_8))
+                .setSnapshotChunkIndex(part)
+                .setSnapshotChunkCount(parts)
+                .setGroupMembersView(
+                        Codec.MODELS
+                                .createRaftGroupMembersViewBuilder()
+                                .setLogIndex(0)
+                                .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+                                .setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+                                .build())
+                .build();
     }
 
     private static String content(SnapshotEntry e) {
-        return e == null ? null : ((List<?>) e.getOperation()).stream().map(c -> new String((byte[]) ((SnapshotChunk) c).getOperation(), StandardCharsets.UTF_8))
-                .collect(Collectors.joining());
+        return e == null
+                ? null
+                : ((List<?>) e.getOperation())
+                        .stream()
+                                .map(
+                                        c ->
+                                                new String(
+                                                        (byte[]) ((SnapshotChunk) c).getOperation(),
+                                                        StandardCharsets.UTF_8))
+                                .collect(Collectors.joining());
     }
 
     /** Its snapshot, and the indices of the entries after it. */
     private String kept() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
             RestoredRaftState s = file.restored();
-            return content(s.getSnapshotEntry()) + " " + s.getLogEntries().stream().map(LogEntry::getIndex).toList();
+            return content(s.getSnapshotEntry())
+                    + " "
+                    + s.getLogEntries().stream().map(LogEntry::getIndex).toList();
         }
     }
 
@@ -116,7 +171,10 @@
         int chunkAt = (int) Arrays.stream(lines).takeWhile(l -> !l.contains("\"bytes\"")).count();
         String whole = Files.readString(folder.resolve("log"));
         Files.writeString(folder.resolve("log"), whole.replaceFirst("\"part\":1", "\"part\":0"));
-        assertTrue(assertThrows(IOException.class, this::kept).getMessage().contains("log:" + (chunkAt + 2) + ": damaged"));
+        assertTrue(
+                assertThrows(IOException.class, this::kept)
+                        .getMessage()
+                        .contains("log:" + (chunkAt + 2) + ": damaged"));
         Files.writeString(folder.resolve("log"), whole);
         try (LogFile file = LogFile.open(folder)) {
             file.deleteSnapshotChunks(395, 2);
@@ -155,25 +213,34 @@
         FaultyFiles files = new FaultyFiles();
         try (LogFile file = LogFile.open(folder, files)) {
             files.bytesUntilFull = 0;
-            StorageUnavailableException fault = assertThrows(StorageUnavailableException.class,
-                    () -> file.persistLogEntries(List.of(entry(3, 4, "lost"))));
+            StorageUnavailableException fault =
+                    assertThrows(
+                            StorageUnavailableException.class,
+                            () -> file.persistLogEntries(List.of(entry(3, 4, "lost"))));
             assertTrue(fault.getMessage().contains("space"));
             files.bytesUntilFull = FaultyFiles.NEVER;
-            assertThrows(StorageUnavailableException.class,
+            assertThrows(
+                    StorageUnavailableException.class,
                     () -> file.persistLogEntries(List.of(entry(3, 4, "lost"))),
                     "until it is opened again");
         }
         Files.createSymbolicLink(folder.resolve("log.new"), full);
-        assertThrows(StorageUnavailableException.class, () -> LogFile.open(folder),
+        assertThrows(
+                StorageUnavailableException.class,
+                () -> LogFile.open(folder),
                 "there is no room to write it anew");
         Files.delete(folder.resolve("log.new"));
         try (LogFile file = LogFile.open(folder)) {
             Files.createSymbolicLink(folder.resolve("log.new"), full);
-            assertThrows(StorageUnavailableException.class, () -> file.truncateLogEntriesUntil(1),
+            assertThrows(
+                    StorageUnavailableException.class,
+                    () -> file.truncateLogEntriesUntil(1),
                     "nor to cut it");
             Files.delete(folder.resolve("log.new"));
             Files.createDirectory(folder.resolve("log.new"));
-            assertThrows(StorageUnavailableException.class, () -> LogFile.open(folder),
+            assertThrows(
+                    StorageUnavailableException.class,
+                    () -> LogFile.open(folder),
                     "as where the folder is read-only");
             Files.delete(folder.resolve("log.new"));
         }
--- a/src/test/java/hopglade/raft/PolicyRecoveryTest.java
+++ b/src/test/java/hopglade/raft/PolicyRecoveryTest.java
@@ -35,13 +35,13 @@
     private static final long PATIENCE_S = 60;
     private static final List<String> NAMES = List.of("a", "b", "c");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final EventLoopGroup loops =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = loops.next();
     private final List<PolicyService> services = new ArrayList<>();
     private final FaultyFiles disk = new FaultyFiles();
+
     /** Events of the voter with that disk, the last of {@link #NAMES}. */
     private final Queue<String> events = new ConcurrentLinkedQueue<>();
 
@@ -54,8 +54,8 @@
 
     private void startAll() throws Exception {
         long pid = ProcessHandle.current().pid();
-        InetAddress own = InetAddress.getByAddress(
-                new byte[] {127, 94, (byte) (pid >> 8), (byte) pid});
+        InetAddress own =
+                InetAddress.getByAddress(new byte[] {127, 94, (byte) (pid >> 8), (byte) pid});
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < NAMES.size(); i++) {
             try (ServerSocket free = new ServerSocket(0, 1, own)) {
@@ -71,11 +71,17 @@
         int index = NAMES.indexOf(name);
         StringBuilder voters = new StringBuilder();
         for (int i = 0; i < NAMES.size(); i++) {
-            voters.append(i == 0 ? "" : ", ").append('"').append(NAMES.get(i)).append('=')
-                    .append(addresses.get(i)).append('"');
+            voters.append(i == 0 ? "" : ", ")
+                    .append('"')
+                    .append(NAMES.get(i))
+                    .append('=')
+                    .append(addresses.get(i))
+                    .append('"');
         }
         Path file = folder.resolve(name + ".toml");
-        Files.writeString(file, """
+        Files.writeString(
+                file,
+                """
                 [gossip]
                 enabled = true
                 key_file = "%s"
@@ -85,13 +91,23 @@
                 listen = "%s"
                 socket = "%s"
                 folder = "%s"
-                """.formatted(folder.resolve(name + ".key"), folder.resolve("ring"), voters,
-                addresses.get(index), socket(name), folder.resolve(name)));
+                """
+                        .formatted(
+                                folder.resolve(name + ".key"),
+                                folder.resolve("ring"),
+                                voters,
+                                addresses.get(index),
+                                socket(name),
+                                folder.resolve(name)));
         boolean faulty = index == NAMES.size() - 1;
-        return PolicyService.open(loop, OptionsFile.read(file), folder, index,
+        return PolicyService.open(
+                loop,
+                OptionsFile.read(file),
+                folder,
+                index,
                 new PolicyService.Hooks() {
                     @Override
-                    public void apply(Options options) { }
+                    public void apply(Options options) {}
 
                     @Override
                     public void event(String event, Object... fields) {
@@ -99,7 +115,8 @@
                             events.add(event);
                         }
                     }
-                }, faulty ? disk : new DurableFiles());
+                },
+                faulty ? disk : new DurableFiles());
     }
 
     private Path socket(String name) {
@@ -137,8 +154,12 @@
         disk.broken = true;
         await("two of three are enough", () -> propose("a", 12) == Ending.IN_FORCE);
         await("the fault is told", () -> count("storage_failed") == 1);
-        await("it runs what the others run", () -> PolicySocket.ask(socket("c"), "status", "", 0)
-                .text().contains("its folder can't be used"));
+        await(
+                "it runs what the others run",
+                () ->
+                        PolicySocket.ask(socket("c"), "status", "", 0)
+                                .text()
+                                .contains("its folder can't be used"));
         assertEquals(Ending.REFUSED, propose("c", 13), "it takes no change");
         loop.submit(services.remove(1)::close).sync();
         await("one of three is not", () -> propose("a", 14) == Ending.NO_MAJORITY);
--- a/src/test/java/hopglade/raft/StreamSocketsTest.java
+++ b/src/test/java/hopglade/raft/StreamSocketsTest.java
@@ -45,7 +45,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Forty proxies and four control machines with their sealed links and files, on loopback. Verdicts are on what arrives, within a minute; times are not judged. */
+/**
+ * Forty proxies and four control machines with their sealed links and files, on loopback. Verdicts
+ * are on what arrives, within a minute; times are not judged.
+ */
 class StreamSocketsTest {
 
     private static final int PROXIES = 40;
@@ -62,8 +65,17 @@
         volatile String served;
 
         Proxy(int index, EventLoop loop, Map<String, InetSocketAddress> servers) {
-            subscriber = new Subscriber(new Subscriber.Parts("proxy-" + index, List.copyOf(servers.keySet()), Subscriber.PACE_BYTES_PER_S,
-                    Subscriber.BURST_BYTES, new Random(index)), 0, 0, now());
+            subscriber =
+                    new Subscriber(
+                            new Subscriber.Parts(
+                                    "proxy-" + index,
+                                    List.copyOf(servers.keySet()),
+                                    Subscriber.PACE_BYTES_PER_S,
+                                    Subscriber.BURST_BYTES,
+                                    new Random(index)),
+                            0,
+                            0,
+                            now());
             client = new StreamClient(loop, servers, subscriber, StreamSocketsTest::now, this);
             client.start();
         }
@@ -86,9 +98,9 @@
         }
     }
 
-    @TempDir
-    Path folder;
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    @TempDir Path folder;
+    private final EventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final EventLoop loop = loops.next();
     private final Map<String, StreamService> machines = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> links = new LinkedHashMap<>();
@@ -122,9 +134,11 @@
 
     @BeforeEach
     void start() throws Exception {
-        // An address of this process's own, so that nobody else takes a port between this and its bind.
+        // An address of this process's own, so that nobody else takes a port between this and its
+        // bind.
         long pid = ProcessHandle.current().pid();
-        InetAddress own = InetAddress.getByAddress(new byte[] {127, 93, (byte) (pid >> 8), (byte) pid});
+        InetAddress own =
+                InetAddress.getByAddress(new byte[] {127, 93, (byte) (pid >> 8), (byte) pid});
         for (int i = 0; i < CONTROLS; i++) {
             String name = "control-" + i;
             KeyFiles.generate(name, folder.resolve(name + ".key"), folder.resolve("ring"));
@@ -143,18 +157,30 @@
 
     private InetSocketAddress begin(String name, InetSocketAddress at, DurableFiles files)
             throws Exception {
-        StreamService made = new StreamService(new StreamService.Parts(new KeyRing(folder.resolve(name + ".key"), folder.resolve("ring")), links, links.get(name),
-                folder.resolve(name), BOUNDS, loop, name.hashCode(), SNAPSHOT_EVERY), everywhere::add, files);
+        StreamService made =
+                new StreamService(
+                        new StreamService.Parts(
+                                new KeyRing(folder.resolve(name + ".key"), folder.resolve("ring")),
+                                links,
+                                links.get(name),
+                                folder.resolve(name),
+                                BOUNDS,
+                                loop,
+                                name.hashCode(),
+                                SNAPSHOT_EVERY),
+                        everywhere::add,
+                        files);
         machines.put(name, made);
         return made.listen(at);
     }
 
     private void end(String name) {
         StreamService gone = machines.remove(name);
-        on(() -> {
-            gone.close();
-            return null;
-        });
+        on(
+                () -> {
+                    gone.close();
+                    return null;
+                });
     }
 
     @AfterEach
@@ -163,10 +189,17 @@
     }
 
     private ControlMachine leader() {
-        return on(() -> machines.values().stream().map(StreamService::machine).filter(ControlMachine::leads).findFirst().orElse(null));
+        return on(
+                () ->
+                        machines.values().stream()
+                                .map(StreamService::machine)
+                                .filter(ControlMachine::leads)
+                                .findFirst()
+                                .orElse(null));
     }
 
-    private List<Proxy> proxies(Map<String, InetSocketAddress> ofWhich) throws InterruptedException {
+    private List<Proxy> proxies(Map<String, InetSocketAddress> ofWhich)
+            throws InterruptedException {
         List<Proxy> all = new ArrayList<>();
         for (int i = 0; i < PROXIES; i++) {
             all.add(new Proxy(i, loops.next(), ofWhich));
@@ -175,20 +208,23 @@
         return all;
     }
 
-    /** Asks whoever leads until it is confirmed; one that was asked for twice may be there twice. */
+    /**
+     * Asks whoever leads until it is confirmed; one that was asked for twice may be there twice.
+     */
     private void publish(int from, int to) throws Exception {
         for (int i = from; i < to; i++) {
             Purge purge = new Purge("/k" + i, false);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-            for (long seq = -1; seq <= 0;) {
+            for (long seq = -1; seq <= 0; ) {
                 assertTrue(System.nanoTime() < end, "nobody takes " + purge);
                 CompletableFuture<Long> answer = new CompletableFuture<>();
                 ControlMachine leader = leader();
                 if (leader != null) {
-                    on(() -> {
-                        leader.publish(purge, s -> answer.complete(s == null ? -1 : s));
-                        return null;
-                    });
+                    on(
+                            () -> {
+                                leader.publish(purge, s -> answer.complete(s == null ? -1 : s));
+                                return null;
+                            });
                     try {
                         seq = answer.get(2, TimeUnit.SECONDS);
                     } catch (TimeoutException e) {
@@ -212,7 +248,14 @@
         publish(0, 10);
         await("all have all", () -> all.stream().allMatch(p -> has(p, 10) && p.served != null));
         // The leader, so that the others have to agree on another too.
-        String lost = on(() -> machines.entrySet().stream().filter(e -> e.getValue().machine().leads()).findFirst().orElseThrow().getKey());
+        String lost =
+                on(
+                        () ->
+                                machines.entrySet().stream()
+                                        .filter(e -> e.getValue().machine().leads())
+                                        .findFirst()
+                                        .orElseThrow()
+                                        .getKey());
         assertTrue(all.stream().anyMatch(p -> lost.equals(p.served)), "it serves some");
         publish(10, 11);
         end(lost);
@@ -223,23 +266,43 @@
             assertEquals(first, List.copyOf(p.changes), "the same, in the same order");
             assertEquals(1, p.resets.size());
         }
-        await("entries are seen to be everywhere", () -> everywhere.stream().anyMatch(e -> e.seq() >= 119));
-        // It comes back with what it has on its disk, and takes what it lacks: the others' logs were cut by snapshots meanwhile.
+        await(
+                "entries are seen to be everywhere",
+                () -> everywhere.stream().anyMatch(e -> e.seq() >= 119));
+        // It comes back with what it has on its disk, and takes what it lacks: the others' logs
+        // were cut by snapshots meanwhile.
         begin(lost, servers.get(lost));
-        await("it has caught up", () -> on(() -> machines.get(lost).machine().head() == leaderHead()));
+        await(
+                "it has caught up",
+                () -> on(() -> machines.get(lost).machine().head() == leaderHead()));
         publish(120, 122);
         await("all have all", () -> all.stream().allMatch(p -> has(p, 122)));
     }
 
     private long leaderHead() {
-        return machines.values().stream().map(StreamService::machine).filter(ControlMachine::leads).mapToLong(ControlMachine::head).findFirst().orElse(-1);
+        return machines.values().stream()
+                .map(StreamService::machine)
+                .filter(ControlMachine::leads)
+                .mapToLong(ControlMachine::head)
+                .findFirst()
+                .orElse(-1);
     }
 
-    /** The test above against the fault it is for: proxies that know only the one they were given first. */
+    /**
+     * The test above against the fault it is for: proxies that know only the one they were given
+     * first.
+     */
     @Test
     void withoutTheMoveTheProxiesOfALostControlMachineStayBehindAndAreNamed() throws Exception {
         await("one leads", () -> leader() != null);
-        String lost = on(() -> machines.entrySet().stream().filter(e -> !e.getValue().machine().leads()).findFirst().orElseThrow().getKey());
+        String lost =
+                on(
+                        () ->
+                                machines.entrySet().stream()
+                                        .filter(e -> !e.getValue().machine().leads())
+                                        .findFirst()
+                                        .orElseThrow()
+                                        .getKey());
         List<Proxy> fixed = proxies(Map.of(lost, servers.get(lost)));
         publish(0, 1);
         await("all have it", () -> fixed.stream().allMatch(p -> has(p, 1)));
@@ -252,7 +315,12 @@
     }
 
     private int stragglers(long seq) {
-        return machines.values().stream().map(StreamService::machine).filter(ControlMachine::leads).mapToInt(m -> m.stragglers(seq).size()).findFirst().orElse(-1);
+        return machines.values().stream()
+                .map(StreamService::machine)
+                .filter(ControlMachine::leads)
+                .mapToInt(m -> m.stragglers(seq).size())
+                .findFirst()
+                .orElse(-1);
     }
 
     @Test
@@ -267,11 +335,21 @@
         await("all have all", () -> all.stream().allMatch(p -> has(p, 75)));
         assertTrue(all.stream().allMatch(p -> p.resets.size() == 1));
         // One whose file is damaged does not start; its others go on.
-        String damaged = on(() -> machines.entrySet().stream().filter(e -> !e.getValue().machine().leads()).findFirst().orElseThrow().getKey());
+        String damaged =
+                on(
+                        () ->
+                                machines.entrySet().stream()
+                                        .filter(e -> !e.getValue().machine().leads())
+                                        .findFirst()
+                                        .orElseThrow()
+                                        .getKey());
         end(damaged);
         Path log = folder.resolve(damaged).resolve("log");
         Files.writeString(log, Files.readString(log).replaceFirst("\"term\":", "\"term\":1"));
-        assertTrue(assertThrows(IOException.class, () -> begin(damaged, servers.get(damaged))).getMessage().contains("damaged"));
+        assertTrue(
+                assertThrows(IOException.class, () -> begin(damaged, servers.get(damaged)))
+                        .getMessage()
+                        .contains("damaged"));
         publish(75, 76);
         await("all have all", () -> all.stream().allMatch(p -> has(p, 76)));
     }
@@ -281,13 +359,21 @@
             throws Exception {
         List<Proxy> all = proxies(servers);
         publish(0, 20);
-        String struck = on(() -> machines.entrySet().stream()
-                .filter(e -> !e.getValue().machine().leads()).findFirst().orElseThrow().getKey());
+        String struck =
+                on(
+                        () ->
+                                machines.entrySet().stream()
+                                        .filter(e -> !e.getValue().machine().leads())
+                                        .findFirst()
+                                        .orElseThrow()
+                                        .getKey());
         end(struck);
         FaultyFiles disk = new FaultyFiles();
         begin(struck, servers.get(struck), disk);
         publish(20, 70);
-        await("it has caught up", () -> on(() -> machines.get(struck).machine().head() == leaderHead()));
+        await(
+                "it has caught up",
+                () -> on(() -> machines.get(struck).machine().head() == leaderHead()));
         ControlMachine failed = on(() -> machines.get(struck).machine());
         disk.broken = true;
         publish(70, 75);
@@ -295,9 +381,14 @@
         publish(75, 80);
         assertTrue(on(() -> machines.get(struck).machine() == failed && !failed.leads()));
         disk.broken = false;
-        await("it has begun anew and caught up", () -> on(() ->
-                machines.get(struck).machine() != failed
-                        && machines.get(struck).machine().head() == leaderHead()));
+        await(
+                "it has begun anew and caught up",
+                () ->
+                        on(
+                                () ->
+                                        machines.get(struck).machine() != failed
+                                                && machines.get(struck).machine().head()
+                                                        == leaderHead()));
         publish(80, 82);
         await("all have all", () -> all.stream().allMatch(p -> has(p, 82)));
         assertTrue(all.stream().allMatch(p -> p.resets.size() == 1));
@@ -307,7 +398,9 @@
     @Test
     void aControlMachineThatSaysNothingIsLeft() throws Exception {
         try (ServerSocket mute = new ServerSocket(0, 100, InetAddress.getLoopbackAddress())) {
-            servers.put("mute", new InetSocketAddress(InetAddress.getLoopbackAddress(), mute.getLocalPort()));
+            servers.put(
+                    "mute",
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), mute.getLocalPort()));
             List<Proxy> all = proxies(servers);
             publish(0, 3);
             await("all have all", () -> all.stream().allMatch(p -> has(p, 3)));
@@ -318,7 +411,13 @@
     void strangersAreShutAndHoldNobody() throws Exception {
         List<Proxy> all = proxies(servers);
         InetSocketAddress at = servers.values().iterator().next();
-        for (byte[] bytes : new byte[][] {"GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII), {0, 0, 0, 3, 1, 2, 0}, {0, 0, 0, 1, 9}, {0, 0, 0, 4, 1, 1, 0, 0}}) {
+        for (byte[] bytes :
+                new byte[][] {
+                    "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
+                    {0, 0, 0, 3, 1, 2, 0},
+                    {0, 0, 0, 1, 9},
+                    {0, 0, 0, 4, 1, 1, 0, 0}
+                }) {
             try (Socket stranger = new Socket(at.getAddress(), at.getPort())) {
                 stranger.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
                 stranger.getOutputStream().write(bytes);
--- a/src/test/java/hopglade/raft/VoterRecoveryTest.java
+++ b/src/test/java/hopglade/raft/VoterRecoveryTest.java
@@ -32,19 +32,21 @@
     private static final double TICK_MS = 20;
     private static final double LINK_MS = 3;
 
-    private record Later(double at, long order, Runnable task) { }
+    private record Later(double at, long order, Runnable task) {}
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private double now = 1000;
     private long order;
-    private final PriorityQueue<Later> agenda = new PriorityQueue<>(
-            Comparator.comparingDouble(Later::at).thenComparingLong(Later::order));
+    private final PriorityQueue<Later> agenda =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Later::at).thenComparingLong(Later::order));
     private final Map<String, Machine> machines = new HashMap<>();
+
     /** Whom each voter has told that it votes for it, by its name and the term. */
     private final Map<String, String> votes = new HashMap<>();
 
     private final List<String> votedTwice = new ArrayList<>();
+
     /** What the author of an epoch was told that it became. */
     private final Map<Long, String> confirmed = new HashMap<>();
 
@@ -72,14 +74,17 @@
         Epochs epochs;
         RaftLog log;
         boolean down;
+
         /** What a process does about its file's faults is not done. */
         boolean unattended;
+
         int sent;
         int lives;
 
         Machine(String name) throws IOException {
             this.name = name;
-            storage = new StorageRecovery(folder.resolve(name), (event, fields) -> events.add(event));
+            storage =
+                    new StorageRecovery(folder.resolve(name), (event, fields) -> events.add(event));
             begin(LogFile.open(folder.resolve(name), files));
             tick();
         }
@@ -88,8 +93,19 @@
             file = opened;
             epochs = new Epochs();
             lives++;
-            log = new RaftLog(new RaftLog.Parts(name, NAMES, epochs, this, () -> now,
-                    name.hashCode() * 31L + lives, opened, opened.restored()), this::send, () -> { });
+            log =
+                    new RaftLog(
+                            new RaftLog.Parts(
+                                    name,
+                                    NAMES,
+                                    epochs,
+                                    this,
+                                    () -> now,
+                                    name.hashCode() * 31L + lives,
+                                    opened,
+                                    opened.restored()),
+                            this::send,
+                            () -> {});
             log.start();
         }
 
@@ -105,11 +121,13 @@
                 votesFor(to, message);
             }
             Machine other = machines.get(to);
-            in(LINK_MS, () -> {
-                if (!other.down && !other.storage.failed()) {
-                    other.log.received(name, message);
-                }
-            });
+            in(
+                    LINK_MS,
+                    () -> {
+                        if (!other.down && !other.storage.failed()) {
+                            other.log.received(name, message);
+                        }
+                    });
         }
 
         private void votesFor(String candidate, JsonObject message) {
@@ -123,7 +141,8 @@
         private void tick() {
             if (!down && !unattended) {
                 if (!storage.failed() && (file.failed() || log.broken())) {
-                    storage.failed(now, file.failed() ? file.fault() : PolicyService.nodeEnded(folder));
+                    storage.failed(
+                            now, file.failed() ? file.fault() : PolicyService.nodeEnded(folder));
                     log.stop();
                     file.discard();
                 }
@@ -148,11 +167,13 @@
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
             int life = lives;
-            in(unit.toMicros(delay) / 1000.0, () -> {
-                if (!down && life == lives) {
-                    task.run();
-                }
-            });
+            in(
+                    unit.toMicros(delay) / 1000.0,
+                    () -> {
+                        if (!down && life == lives) {
+                            task.run();
+                        }
+                    });
         }
     }
 
@@ -163,8 +184,10 @@
     }
 
     private Machine leader() {
-        return machines.values().stream().filter(m -> !m.down && !m.storage.failed() && m.log.led())
-                .findFirst().orElse(null);
+        return machines.values().stream()
+                .filter(m -> !m.down && !m.storage.failed() && m.log.led())
+                .findFirst()
+                .orElse(null);
     }
 
     private void confirmed(Outcome outcome, String proposal) {
@@ -195,13 +218,15 @@
             if (leader != null) {
                 long base = leader.epochs.inForce();
                 String proposal = "p" + order;
-                leader.log.append(new Prepare(proposal, base, "[log]\n"), outcome -> {
-                    if (outcome != null) {
-                        confirmed(outcome, proposal);
-                        long prepared = leader.epochs.prepared();
-                        leader.log.append(new Epochs.Activate(prepared), o -> done[0]++);
-                    }
-                });
+                leader.log.append(
+                        new Prepare(proposal, base, "[log]\n"),
+                        outcome -> {
+                            if (outcome != null) {
+                                confirmed(outcome, proposal);
+                                long prepared = leader.epochs.prepared();
+                                leader.log.append(new Epochs.Activate(prepared), o -> done[0]++);
+                            }
+                        });
             }
         }
         return done[0] > 0;
@@ -222,7 +247,9 @@
         others.get(1).down = true;
         long votesBefore = votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count();
         assertFalse(progress(20_000), "one of three is not");
-        assertEquals(votesBefore, votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count(),
+        assertEquals(
+                votesBefore,
+                votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count(),
                 "it votes for nobody");
         faulty.files.broken = false;
         assertTrue(progress(StorageRecovery.LONGEST_WAIT_MS + 20_000), "it takes part again");
@@ -237,8 +264,11 @@
         startAll();
         assertTrue(progress(20_000));
         for (boolean leads : List.of(true, false)) {
-            Machine struck = machines.values().stream().filter(m -> (m == leader()) == leads)
-                    .findFirst().orElseThrow();
+            Machine struck =
+                    machines.values().stream()
+                            .filter(m -> (m == leader()) == leads)
+                            .findFirst()
+                            .orElseThrow();
             struck.files.syncsUntilFault = 0;
             struck.unattended = true;
             progress(1000);
--- a/src/test/java/hopglade/share/BudgetTest.java
+++ b/src/test/java/hopglade/share/BudgetTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Budgets in virtual time: many proxies, late and lost messages, cuts, pauses, restarts and clocks of different pace. */
+/**
+ * Budgets in virtual time: many proxies, late and lost messages, cuts, pauses, restarts and clocks
+ * of different pace.
+ */
 class BudgetTest {
 
     private record Item(double at, long order, Runnable act) implements Comparable<Item> {
@@ -44,7 +47,10 @@
             this.budget = budget;
             names = IntStream.range(0, proxies).mapToObj(i -> "p" + i).toList();
             budgets = new Budget[proxies];
-            pace = IntStream.range(0, proxies).mapToDouble(i -> 0.96 + 0.08 * random.nextDouble()).toArray();
+            pace =
+                    IntStream.range(0, proxies)
+                            .mapToDouble(i -> 0.96 + 0.08 * random.nextDouble())
+                            .toArray();
             stoppedUntil = new double[proxies];
             lives = new int[proxies];
             IntStream.range(0, proxies).forEach(this::start);
@@ -60,7 +66,12 @@
 
         void start(int i) {
             int life = ++lives[i];
-            budgets[i] = new Budget(names.get(i), Budget.split(budget, names.size(), i), clock(i), random.nextLong());
+            budgets[i] =
+                    new Budget(
+                            names.get(i),
+                            Budget.split(budget, names.size(), i),
+                            clock(i),
+                            random.nextLong());
             in(random.nextDouble() * 50, () -> tick(i, life));
             in(random.nextDouble() * 50, () -> arrive(i, life));
         }
@@ -68,7 +79,10 @@
         private void tick(int i, int life) {
             if (lives[i] == life) {
                 if (now >= stoppedUntil[i]) {
-                    budgets[i].tick(clock(i), names, (to, m) -> carry(i, Integer.parseInt(to.substring(1)), m));
+                    budgets[i].tick(
+                            clock(i),
+                            names,
+                            (to, m) -> carry(i, Integer.parseInt(to.substring(1)), m));
                 }
                 in(50, () -> tick(i, life));
             }
@@ -83,13 +97,19 @@
                         uses.add(now);
                     }
                 }
-                in(rate > 0 ? -Math.log(1 - random.nextDouble()) / rate * 1000 : 50, () -> arrive(i, life));
+                in(
+                        rate > 0 ? -Math.log(1 - random.nextDouble()) / rate * 1000 : 50,
+                        () -> arrive(i, life));
             }
         }
 
         private void carry(int from, int to, Budget.Message m) {
             if (!cut.test(from, to) && random.nextDouble() >= loss) {
-                in(3 + 7 * random.nextDouble() + (random.nextDouble() < loss ? 600 * random.nextDouble() : 0), () -> deliver(from, to, m));
+                in(
+                        3
+                                + 7 * random.nextDouble()
+                                + (random.nextDouble() < loss ? 600 * random.nextDouble() : 0),
+                        () -> deliver(from, to, m));
             }
         }
 
@@ -97,7 +117,8 @@
             if (now < stoppedUntil[to]) {
                 in(stoppedUntil[to] - now, () -> deliver(from, to, m));
             } else {
-                budgets[to].received(clock(to), names.get(from), m, (back, answer) -> carry(to, from, answer));
+                budgets[to].received(
+                        clock(to), names.get(from), m, (back, answer) -> carry(to, from, answer));
             }
         }
 
@@ -128,9 +149,14 @@
         }
     }
 
-    /** Clocks run up to 4% slow or fast: by such a proxy's own, a window is that much longer or shorter than a second. */
+    /**
+     * Clocks run up to 4% slow or fast: by such a proxy's own, a window is that much longer or
+     * shorter than a second.
+     */
     private static void neverOver(Town town, String day) {
-        assertTrue(town.most() <= town.budget, day + ": " + town.most() + " uses in a second, the budget is " + town.budget);
+        assertTrue(
+                town.most() <= town.budget,
+                day + ": " + town.most() + " uses in a second, the budget is " + town.budget);
     }
 
     private static void usesMost(Town town, double ms, String when) {
@@ -157,14 +183,20 @@
         assertEquals(0, asks(x, now + 1, 1, 10).amount(), "all were used just now");
         now += 20_000;
         assertEquals(10, asks(x, now, 2, 10).amount());
-        assertEquals(0, x.share(now + Budget.LEASE_MS + Budget.WINDOW_MS), "the borrower may have used them at the end of its lease");
+        assertEquals(
+                0,
+                x.share(now + Budget.LEASE_MS + Budget.WINDOW_MS),
+                "the borrower may have used them at the end of its lease");
         assertEquals(10, x.share(now + Budget.LENT_MS));
         now += 20_000;
         assertEquals(10, asks(x, now, 3, 10).amount());
         assertEquals(2, asks(x, now + 100, 4, 2).amount());
         assertEquals(0, x.share(now + 200), "the answer may be lost, and the ten still held");
         assertEquals(8, x.share(now + Budget.LENT_MS + 1));
-        assertEquals(0, takes(new Budget("x", 10, now, 1), now + Budget.LENT_MS - 1, 1), "a new process owns nothing that an old one may have lent");
+        assertEquals(
+                0,
+                takes(new Budget("x", 10, now, 1), now + Budget.LENT_MS - 1, 1),
+                "a new process owns nothing that an old one may have lent");
     }
 
     @Test
@@ -223,7 +255,10 @@
         neverOver(town, "all restart");
     }
 
-    /** Faults at random moments, with fewer rights than proxies as well; {@code -Dbudget.seeds=50 -Dbudget.proxies=300} plays more. */
+    /**
+     * Faults at random moments, with fewer rights than proxies as well; {@code -Dbudget.seeds=50
+     * -Dbudget.proxies=300} plays more.
+     */
     @Test
     void onDrawnDaysTheSumNeverExceedsTheBudget() {
         int only = Integer.getInteger("budget.proxies", 0);
@@ -239,7 +274,12 @@
                 town.loss = random.nextInt(3) == 0 ? 0.3 : 0;
                 int split = random.nextInt(proxies + 1);
                 int way = random.nextInt(4);
-                town.cut = way == 0 ? (a, b) -> a < split != b < split : way == 1 ? (a, b) -> a == hot : way == 2 ? (a, b) -> b == hot : (a, b) -> false;
+                town.cut =
+                        way == 0
+                                ? (a, b) -> a < split != b < split
+                                : way == 1
+                                        ? (a, b) -> a == hot
+                                        : way == 2 ? (a, b) -> b == hot : (a, b) -> false;
                 for (int i = 0; i < proxies; i++) {
                     if (random.nextInt(8) == 0) {
                         town.stoppedUntil[i] = town.now + random.nextDouble() * 3000;
--- a/src/test/java/hopglade/store/CallTimeTest.java
+++ b/src/test/java/hopglade/store/CallTimeTest.java
@@ -16,7 +16,7 @@
 
     /** Prints the time of a call made in a process of its own. */
     static final class Caller {
-        private Caller() { }
+        private Caller() {}
 
         public static void main(String[] arguments) {
             System.out.print(CallTime.now().nanos());
@@ -35,8 +35,14 @@
 
     private static CallTime timeInAnotherProcess() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Process process = new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"),
-                Caller.class.getName()).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        Process process =
+                new ProcessBuilder(
+                                java,
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Caller.class.getName())
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
         byte[] said = process.getInputStream().readAllBytes();
         assertEquals(0, process.waitFor());
         return new CallTime(Long.parseLong(new String(said, StandardCharsets.US_ASCII)));
--- a/src/test/java/hopglade/store/DurableFilesTest.java
+++ b/src/test/java/hopglade/store/DurableFilesTest.java
@@ -32,8 +32,7 @@
     private static final String OLD = "old content";
     private static final String NEW = "content that is new";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final FaultyFiles faulty = new FaultyFiles();
     private final DurableFiles files = new DurableFiles(faulty);
 
@@ -72,7 +71,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"CREATE", "WRITE", "FORCE", "RENAME", "DELETE"})
+    @EnumSource(
+            value = Step.class,
+            names = {"CREATE", "WRITE", "FORCE", "RENAME", "DELETE"})
     void aStepThatFailsLeavesTheOldContentAndNothingBesideIt(Step step) throws Exception {
         replace("old");
         faulty.fail(step, 1);
--- a/src/test/java/hopglade/store/FaultyFiles.java
+++ b/src/test/java/hopglade/store/FaultyFiles.java
@@ -21,7 +21,15 @@
 public final class FaultyFiles implements FileOperations {
 
     /** The operations that can fail. */
-    public enum Step { CREATE_FOLDER, CREATE, WRITE, FORCE, FORCE_FOLDER, RENAME, DELETE }
+    public enum Step {
+        CREATE_FOLDER,
+        CREATE,
+        WRITE,
+        FORCE,
+        FORCE_FOLDER,
+        RENAME,
+        DELETE
+    }
 
     /**
      * Thrown in place of the step at which the process is killed; nothing catches it but a test.
@@ -35,7 +43,7 @@
     }
 
     /** A change of a name, lost at a crash as long as its folder has not been synced. */
-    private record NameChange(Path folder, Undo undo) { }
+    private record NameChange(Path folder, Undo undo) {}
 
     private final Map<Step, Integer> failures = new EnumMap<>(Step.class);
     private final Deque<NameChange> namesNotSynced = new ArrayDeque<>();
--- a/src/test/java/hopglade/store/FolderLockTest.java
+++ b/src/test/java/hopglade/store/FolderLockTest.java
@@ -17,12 +17,11 @@
 
     private static final int PATIENCE_S = 120;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     /** Prints whether the lock's file could be locked by a process of its own. */
     static final class Other {
-        private Other() { }
+        private Other() {}
 
         public static void main(String[] arguments) throws IOException {
             Path file = Path.of(arguments[0]);
@@ -35,9 +34,15 @@
 
     private boolean isFreeForAnotherProcess() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Process process = new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"),
-                Other.class.getName(), folder.resolve("lock").toString())
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        Process process =
+                new ProcessBuilder(
+                                java,
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Other.class.getName(),
+                                folder.resolve("lock").toString())
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
         byte[] said = process.getInputStream().readAllBytes();
         assertEquals(0, process.waitFor());
         return Boolean.parseBoolean(new String(said, StandardCharsets.US_ASCII));
--- a/src/test/java/hopglade/store/OutageFilesTest.java
+++ b/src/test/java/hopglade/store/OutageFilesTest.java
@@ -30,8 +30,7 @@
 
     private static final int PATIENCE_S = 60;
 
-    @TempDir
-    Path temp;
+    @TempDir Path temp;
     private int folders;
 
     private interface Call {
@@ -39,15 +38,23 @@
     }
 
     /** A call, and what is kept before it and after it. */
-    private record Scene(Call before, Call call, Kept kept) { }
+    private record Scene(Call before, Call call, Kept kept) {}
 
-    private static final List<Scene> SCENES = List.of(
-            new Scene(files -> { }, files -> files.begin("c/0"), new Kept(Set.of("c/0"), false)),
-            new Scene(files -> files.begin("c/0"), files -> files.end("c/0"),
-                    new Kept(Set.of(), false)),
-            new Scene(files -> { }, files -> files.drain(true), new Kept(Set.of(), true)),
-            new Scene(files -> files.drain(true), files -> files.drain(false),
-                    new Kept(Set.of(), false)));
+    private static final List<Scene> SCENES =
+            List.of(
+                    new Scene(
+                            files -> {},
+                            files -> files.begin("c/0"),
+                            new Kept(Set.of("c/0"), false)),
+                    new Scene(
+                            files -> files.begin("c/0"),
+                            files -> files.end("c/0"),
+                            new Kept(Set.of(), false)),
+                    new Scene(files -> {}, files -> files.drain(true), new Kept(Set.of(), true)),
+                    new Scene(
+                            files -> files.drain(true),
+                            files -> files.drain(false),
+                            new Kept(Set.of(), false)));
 
     private Path folder() {
         return temp.resolve("shared-" + folders++);
@@ -84,7 +91,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Step.class, names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
+    @EnumSource(
+            value = Step.class,
+            names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
     void aCallThatFailedOnceOrOftenHoldsOnceItReturns(Step step) throws Exception {
         for (Scene scene : SCENES) {
             for (int times : new int[] {1, 3}) {
@@ -137,16 +146,19 @@
     }
 
     /** A call and its opposite, and what is kept after the call alone. */
-    private record Pair(TimedCall call, TimedCall opposite, Kept kept) { }
+    private record Pair(TimedCall call, TimedCall opposite, Kept kept) {}
 
     private static final Kept NOTHING = new Kept(Set.of(), false);
     private static final TimedCall BEGIN = (files, time) -> files.begin("c/0", time);
     private static final TimedCall END = (files, time) -> files.end("c/0", time);
     private static final TimedCall DRAIN = (files, time) -> files.drain(true, time);
     private static final TimedCall FILL = (files, time) -> files.drain(false, time);
-    private static final List<Pair> PAIRS = List.of(
-            new Pair(BEGIN, END, new Kept(Set.of("c/0"), false)), new Pair(END, BEGIN, NOTHING),
-            new Pair(DRAIN, FILL, new Kept(Set.of(), true)), new Pair(FILL, DRAIN, NOTHING));
+    private static final List<Pair> PAIRS =
+            List.of(
+                    new Pair(BEGIN, END, new Kept(Set.of("c/0"), false)),
+                            new Pair(END, BEGIN, NOTHING),
+                    new Pair(DRAIN, FILL, new Kept(Set.of(), true)),
+                            new Pair(FILL, DRAIN, NOTHING));
 
     @Test
     void aChangeGivesWayToALaterCallOfTheSameStateByAnotherProcess() throws Exception {
@@ -154,7 +166,8 @@
             Path folder = folder();
             CallTime older = CallTime.now();
             pair.call().on(new OutageFiles(folder), CallTime.now());
-            assertThrows(SupersededException.class,
+            assertThrows(
+                    SupersededException.class,
                     () -> pair.opposite().on(new OutageFiles(folder), older));
             assertEquals(pair.kept(), read(folder));
             pair.opposite().on(new OutageFiles(folder), CallTime.now());
@@ -188,14 +201,16 @@
     }
 
     private static Thread started(CompletableFuture<Void> end, Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-                end.complete(null);
-            } catch (IOException e) {
-                end.completeExceptionally(e);
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                                end.complete(null);
+                            } catch (IOException e) {
+                                end.completeExceptionally(e);
+                            }
+                        });
         thread.start();
         return thread;
     }
@@ -213,8 +228,8 @@
         CallTime older = CallTime.now();
         String common = "c".repeat(240);
         new OutageFiles(folder).begin(common + "0");
-        assertThrows(SupersededException.class,
-                () -> new OutageFiles(folder).end(common + "0", older));
+        assertThrows(
+                SupersededException.class, () -> new OutageFiles(folder).end(common + "0", older));
         new OutageFiles(folder).begin(common + "1", older);
         assertEquals(Set.of(common + "0", common + "1"), read(folder).out());
     }
@@ -242,7 +257,8 @@
             new OutageFiles(folder).begin("c/0");
         }
         try (Stream<Path> names = Files.list(folder)) {
-            assertEquals(2, names.filter(f -> f.getFileName().toString().startsWith("call-")).count());
+            assertEquals(
+                    2, names.filter(f -> f.getFileName().toString().startsWith("call-")).count());
         }
     }
 }
--- a/src/test/java/hopglade/stream/SubscriberTest.java
+++ b/src/test/java/hopglade/stream/SubscriberTest.java
@@ -71,7 +71,12 @@
     }
 
     private double now = 1000;
-    private final Subscriber subscriber = new Subscriber(new Subscriber.Parts("proxy-1", SERVERS, 1000, 10_000, new Random(1)), 0, 0, now);
+    private final Subscriber subscriber =
+            new Subscriber(
+                    new Subscriber.Parts("proxy-1", SERVERS, 1000, 10_000, new Random(1)),
+                    0,
+                    0,
+                    now);
     private final Seen out = new Seen();
 
     private void pass(double ms) {
@@ -90,7 +95,11 @@
     }
 
     private static Batch batch(long first, int count) {
-        return new Batch(first, IntStream.range(0, count).<Change>mapToObj(i -> new Purge("k" + (first + i), false)).toList());
+        return new Batch(
+                first,
+                IntStream.range(0, count)
+                        .<Change>mapToObj(i -> new Purge("k" + (first + i), false))
+                        .toList());
     }
 
     @Test
@@ -134,7 +143,12 @@
         open();
         hear(new Snapshot(9, 0, Epoch.NONE));
         pass(600);
-        Ack ask = (Ack) out.sent.stream().filter(m -> m instanceof Ack a && a.stamp() >= 0).reduce((x, y) -> y).orElseThrow();
+        Ack ask =
+                (Ack)
+                        out.sent.stream()
+                                .filter(m -> m instanceof Ack a && a.stamp() >= 0)
+                                .reduce((x, y) -> y)
+                                .orElseThrow();
         hear(new Beat(ask.stamp(), 2, 30));
         assertEquals(Double.NEGATIVE_INFINITY, subscriber.asOf(), "entries are on the way");
         hear(batch(1, 1));
@@ -161,7 +175,9 @@
             subscriber.connected(now, out.attempt, out);
             hear(new Beat(-1, 0, 60_000));
         }
-        assertTrue(out.connects.size() < 24, "where all are behind it goes from one to another less and less: " + out.connects);
+        assertTrue(
+                out.connects.size() < 24,
+                "where all are behind it goes from one to another less and less: " + out.connects);
     }
 
     @Test
@@ -174,7 +190,12 @@
         for (long seq = 1; seq < 20_000; ) {
             pass(50);
             hear(new Beat(-1, 0, 0));
-            allowed = out.sent.stream().filter(Ack.class::isInstance).mapToLong(m -> ((Ack) m).allowedBytes()).max().orElse(0);
+            allowed =
+                    out.sent.stream()
+                            .filter(Ack.class::isInstance)
+                            .mapToLong(m -> ((Ack) m).allowedBytes())
+                            .max()
+                            .orElse(0);
             Batch next = batch(seq, 100);
             if (taken + Frames.costBytes(next) > allowed) {
                 if (now - began > 20_000) {
@@ -185,12 +206,20 @@
             taken += Frames.costBytes(next);
             hear(next);
             seq += 100;
-            assertTrue(allowed <= 10_000 + (now - began + 300) * 1000 / 1000, allowed + " after " + (now - began));
+            assertTrue(
+                    allowed <= 10_000 + (now - began + 300) * 1000 / 1000,
+                    allowed + " after " + (now - began));
         }
         assertTrue(taken > 25_000, "" + taken);
         Map<String, Integer> first = new HashMap<>();
         for (int i = 0; i < 780; i++) {
-            Subscriber s = new Subscriber(new Subscriber.Parts("proxy-" + i, SERVERS, 1000, 10_000, new Random(i)), 0, 0, 0);
+            Subscriber s =
+                    new Subscriber(
+                            new Subscriber.Parts(
+                                    "proxy-" + i, SERVERS, 1000, 10_000, new Random(i)),
+                            0,
+                            0,
+                            0);
             Seen seen = new Seen();
             for (double t = 0; t < 300; t += 10) {
                 s.tick(t, seen);
--- a/src/test/java/hopglade/stream/wire/StreamClientTest.java
+++ b/src/test/java/hopglade/stream/wire/StreamClientTest.java
@@ -35,7 +35,8 @@
 
     private final FaultSchedule calls = new FaultSchedule();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
+            new MultiThreadIoEventLoopGroup(
+                    1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
     private final EventLoop loop = group.next();
 
     private static final class Ignored implements StreamClient.Sink {
@@ -76,11 +77,26 @@
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(PATIENCE_MS);
             calls.fail(call, Errno.ENOBUFS, FAILURES);
-            Subscriber subscriber = new Subscriber(new Subscriber.Parts("proxy", List.of(SERVER), Subscriber.PACE_BYTES_PER_S,
-                    Subscriber.BURST_BYTES, new Random(1)), 0, 0, now());
+            Subscriber subscriber =
+                    new Subscriber(
+                            new Subscriber.Parts(
+                                    "proxy",
+                                    List.of(SERVER),
+                                    Subscriber.PACE_BYTES_PER_S,
+                                    Subscriber.BURST_BYTES,
+                                    new Random(1)),
+                            0,
+                            0,
+                            now());
             FaultyProvider provider = new FaultyProvider(calls);
-            StreamClient client = new StreamClient(loop, Map.of(SERVER, (InetSocketAddress) server.getLocalSocketAddress()), subscriber,
-                    StreamClientTest::now, new Ignored(), () -> new NioSocketChannel(provider));
+            StreamClient client =
+                    new StreamClient(
+                            loop,
+                            Map.of(SERVER, (InetSocketAddress) server.getLocalSocketAddress()),
+                            subscriber,
+                            StreamClientTest::now,
+                            new Ignored(),
+                            () -> new NioSocketChannel(provider));
             loop.submit(client::start).get();
             awaitSubscription(server);
             assertEquals(FAILURES, calls.failed(call));
--- a/src/test/java/hopglade/syscalls/Errno.java
+++ b/src/test/java/hopglade/syscalls/Errno.java
@@ -33,7 +33,10 @@
         };
     }
 
-    /** The exception for this error of a call on a datagram socket, or of one that makes or connects a socket. */
+    /**
+     * The exception for this error of a call on a datagram socket, or of one that makes or connects
+     * a socket.
+     */
     public SocketException socketException() {
         return switch (this) {
             case ETIMEDOUT -> new ConnectException(text);
--- a/src/test/java/hopglade/syscalls/FaultSchedule.java
+++ b/src/test/java/hopglade/syscalls/FaultSchedule.java
@@ -8,13 +8,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which calls of a {@link FaultyProvider}'s channels fail, and with what. Everything succeeds until a test says otherwise; tests may
- * change it from any thread.
+ * Which calls of a {@link FaultyProvider}'s channels fail, and with what. Everything succeeds until
+ * a test says otherwise; tests may change it from any thread.
  */
 public final class FaultSchedule {
 
-    /** The error of a call, for so many calls and until so long; nanoseconds of {@link System#nanoTime}. */
-    private record Fault(Errno errno, long calls, long until) { }
+    /**
+     * The error of a call, for so many calls and until so long; nanoseconds of {@link
+     * System#nanoTime}.
+     */
+    private record Fault(Errno errno, long calls, long until) {}
 
     private final Map<SystemCall, Fault> faults = new EnumMap<>(SystemCall.class);
     private final Map<SystemCall, Integer> failed = new EnumMap<>(SystemCall.class);
@@ -30,7 +33,12 @@
 
     /** Every one of these fails for so long from now. */
     public synchronized void failFor(SystemCall call, Errno errno, long milliseconds) {
-        faults.put(call, new Fault(errno, Long.MAX_VALUE, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds)));
+        faults.put(
+                call,
+                new Fault(
+                        errno,
+                        Long.MAX_VALUE,
+                        System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds)));
     }
 
     /** Whatever was to fail succeeds from now on. */
@@ -55,7 +63,9 @@
         return writable > 0;
     }
 
-    /** The next so many waits return at once and tell of nothing, as those that a signal interrupts. */
+    /**
+     * The next so many waits return at once and tell of nothing, as those that a signal interrupts.
+     */
     public synchronized void interruptWaits(int waits) {
         interrupted = waits;
     }
@@ -75,7 +85,10 @@
         return sockets.size();
     }
 
-    /** Every connection that is open breaks: its next read or write fails with this, and it is ready at once for that. */
+    /**
+     * Every connection that is open breaks: its next read or write fails with this, and it is ready
+     * at once for that.
+     */
     public void breakConnections(Errno errno) {
         sockets.forEach(s -> s.breakWith(errno));
     }
--- a/src/test/java/hopglade/syscalls/FaultyDatagramChannel.java
+++ b/src/test/java/hopglade/syscalls/FaultyDatagramChannel.java
@@ -128,7 +128,8 @@
     }
 
     @Override
-    public MembershipKey join(InetAddress group, NetworkInterface at, InetAddress source) throws IOException {
+    public MembershipKey join(InetAddress group, NetworkInterface at, InetAddress source)
+            throws IOException {
         return real.join(group, at, source);
     }
 
--- a/src/test/java/hopglade/syscalls/FaultyProvider.java
+++ b/src/test/java/hopglade/syscalls/FaultyProvider.java
@@ -10,8 +10,9 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Channels and selectors of the Java library whose system calls fail by a schedule. Its selectors also wait for channels of other
- * providers, so that one event loop can have several schedules. Pipes are the library's own.
+ * Channels and selectors of the Java library whose system calls fail by a schedule. Its selectors
+ * also wait for channels of other providers, so that one event loop can have several schedules.
+ * Pipes are the library's own.
  */
 public final class FaultyProvider extends SelectorProvider {
 
@@ -43,7 +44,8 @@
     @Override
     public ServerSocketChannel openServerSocketChannel(ProtocolFamily family) throws IOException {
         schedule.before(SystemCall.SOCKET);
-        return new FaultyServerSocketChannel(this, library.openServerSocketChannel(family), schedule);
+        return new FaultyServerSocketChannel(
+                this, library.openServerSocketChannel(family), schedule);
     }
 
     @Override
--- a/src/test/java/hopglade/syscalls/FaultySelector.java
+++ b/src/test/java/hopglade/syscalls/FaultySelector.java
@@ -11,7 +11,10 @@
 import java.nio.channels.spi.SelectorProvider;
 import java.util.Set;
 
-/** Waits for wrapped channels and others alike; a wait may fail, or end at once as one that a signal interrupted. */
+/**
+ * Waits for wrapped channels and others alike; a wait may fail, or end at once as one that a signal
+ * interrupted.
+ */
 final class FaultySelector extends AbstractSelector {
 
     private final Selector real;
@@ -24,7 +27,8 @@
     }
 
     @Override
-    protected SelectionKey register(AbstractSelectableChannel channel, int operations, Object attachment) {
+    protected SelectionKey register(
+            AbstractSelectableChannel channel, int operations, Object attachment) {
         SelectableChannel target = channel instanceof Wrapped wrapped ? wrapped.real() : channel;
         try {
             return target.register(real, operations, attachment);
