--- a/src/test/java/hopglade/syscalls/FaultyServerSocketChannel.java
+++ b/src/test/java/hopglade/syscalls/FaultyServerSocketChannel.java
@@ -16,7 +16,8 @@
     private final ServerSocketChannel real;
     private final FaultSchedule schedule;
 
-    FaultyServerSocketChannel(SelectorProvider provider, ServerSocketChannel real, FaultSchedule schedule) {
+    FaultyServerSocketChannel(
+            SelectorProvider provider, ServerSocketChannel real, FaultSchedule schedule) {
         super(provider);
         this.real = real;
         this.schedule = schedule;
--- a/src/test/java/hopglade/syscalls/SystemCall.java
+++ b/src/test/java/hopglade/syscalls/SystemCall.java
@@ -1,6 +1,9 @@
 package hopglade.syscalls;
 
-/** The system calls that a {@link FaultSchedule} can make fail, as the sockets of the Java library make them. */
+/**
+ * The system calls that a {@link FaultSchedule} can make fail, as the sockets of the Java library
+ * make them.
+ */
 public enum SystemCall {
     /** {@code socket}: a channel is opened. */
     SOCKET,
