--- a/src/main/java/hopglade/Decide.java
+++ b/src/main/java/cacheproxy/Decide.java
@@ -1,19 +1,19 @@
-package hopglade;
-
-import static hopglade.measure.Hash.hashText;
-import static hopglade.measure.Hash.mix;
-import static hopglade.measure.Hash.unit;
-import static hopglade.measure.Samples.median;
-import static hopglade.measure.Samples.withinSpan;
-
-import hopglade.maintenance.Outages;
-import hopglade.measure.GroupedRatio;
-import hopglade.measure.Incarnation;
-import hopglade.measure.Incarnations;
-import hopglade.measure.Meter;
-import hopglade.measure.Quotas;
-import hopglade.measure.RecentKeys;
-import hopglade.measure.Spread;
+package cacheproxy;
+
+import static cacheproxy.measure.Hash.hashText;
+import static cacheproxy.measure.Hash.mix;
+import static cacheproxy.measure.Hash.unit;
+import static cacheproxy.measure.Samples.median;
+import static cacheproxy.measure.Samples.withinSpan;
+
+import cacheproxy.maintenance.Outages;
+import cacheproxy.measure.GroupedRatio;
+import cacheproxy.measure.Incarnation;
+import cacheproxy.measure.Incarnations;
+import cacheproxy.measure.Meter;
+import cacheproxy.measure.Quotas;
+import cacheproxy.measure.RecentKeys;
+import cacheproxy.measure.Spread;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -28,7 +28,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of hopglade; its events, actions and types stand in Router.java beside this file.
+ * Every decision of cacheproxy; its events, actions and types stand in Router.java beside this
+ * file.
  *
  * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hash; on a miss it
  * draws a token and fetches from the origin. A write draws on arrival. One hysteresis level,
--- a/src/main/java/hopglade/HysteresisController.java
+++ b/src/main/java/cacheproxy/HysteresisController.java
@@ -1,6 +1,6 @@
-package hopglade;
+package cacheproxy;
 
-import static hopglade.measure.Samples.beyondChance;
+import static cacheproxy.measure.Samples.beyondChance;
 
 /**
  * The hysteresis level of admission and the base rate that its refill rates are multiples of. Fetch
--- a/src/main/java/hopglade/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -1,14 +1,14 @@
-package hopglade;
+package cacheproxy;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Options;
-import hopglade.config.OptionsFile;
-import hopglade.proxy.Config;
-import hopglade.proxy.ConfigException;
-import hopglade.proxy.ConfigFileWatch;
-import hopglade.proxy.Hangup;
-import hopglade.proxy.Log;
-import hopglade.proxy.Service;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Options;
+import cacheproxy.config.OptionsFile;
+import cacheproxy.proxy.Config;
+import cacheproxy.proxy.ConfigException;
+import cacheproxy.proxy.ConfigFileWatch;
+import cacheproxy.proxy.Hangup;
+import cacheproxy.proxy.Log;
+import cacheproxy.proxy.Service;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
@@ -18,7 +18,7 @@
  * Starts the program: {@code serve} is one real proxy, {@code benchlink} the same decisions on the
  * bench's wire, {@code rehearse} a start that ends at once. These three are taken apart by hand, so
  * that a start on part of a core pays nothing for the command line; everything else goes to {@link
- * hopglade.cli.Cli}.
+ * cacheproxy.cli.Cli}.
  */
 public final class Main {
 
@@ -39,7 +39,7 @@
             Log.configure(Options.DEFAULTS.log());
             Service.rehearse();
         } else if (first.equals("benchlink") && args.length == 1) {
-            hopglade.benchlink.Main.main(args);
+            cacheproxy.benchlink.Main.main(args);
         } else {
             System.exit(tools(args));
         }
@@ -48,10 +48,10 @@
     private static int tools(String[] args) {
         Log.configure(Options.DEFAULTS.log());
         try {
-            return hopglade.cli.Cli.run(args);
+            return cacheproxy.cli.Cli.run(args);
         } catch (NoClassDefFoundError e) {
             System.err.println(
-                    "usage: java -jar hopglade.jar serve|benchlink|rehearse; ./flintmill knows further commands");
+                    "usage: java -jar cache-proxy.jar serve|benchlink|rehearse; ./flintmill knows further commands");
             return EXIT_USAGE;
         }
     }
@@ -86,14 +86,14 @@
                 service.options(() -> OptionsFile.read(Path.of(optionsFile)), options);
             }
         } catch (ConfigException | BadFileException e) {
-            System.err.println("hopglade: configuration: " + e.getMessage());
+            System.err.println("flintmill: configuration: " + e.getMessage());
             System.exit(EXIT_CONFIG);
         } catch (IOException | IllegalStateException e) {
-            System.err.println("hopglade: " + e.getMessage());
+            System.err.println("flintmill: " + e.getMessage());
             System.exit(EXIT_FAILED);
         } catch (NoClassDefFoundError e) {
             System.err.println(
-                    "hopglade: --options needs the tools beside the program: start it by ./flintmill serve");
+                    "flintmill: --options needs the tools beside the program: start it by ./flintmill serve");
             System.exit(EXIT_FAILED);
         }
         started.complete(service);
--- a/src/main/java/hopglade/PendingRequest.java
+++ b/src/main/java/cacheproxy/PendingRequest.java
@@ -1,10 +1,10 @@
-package hopglade;
+package cacheproxy;
 
-import static hopglade.measure.Hash.hashText;
-import static hopglade.measure.Hash.unit;
+import static cacheproxy.measure.Hash.hashText;
+import static cacheproxy.measure.Hash.unit;
 
-import hopglade.Router.Request;
-import hopglade.Router.ServiceClass;
+import cacheproxy.Router.Request;
+import cacheproxy.Router.ServiceClass;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/hopglade/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/SlowStartBudget.java
@@ -1,11 +1,11 @@
-package hopglade;
+package cacheproxy;
 
-import static hopglade.measure.Hash.hashText;
-import static hopglade.measure.Hash.mix;
-import static hopglade.measure.Hash.unit;
+import static cacheproxy.measure.Hash.hashText;
+import static cacheproxy.measure.Hash.mix;
+import static cacheproxy.measure.Hash.unit;
 
-import hopglade.measure.GroupedRatio;
-import hopglade.measure.SlidingSum;
+import cacheproxy.measure.GroupedRatio;
+import cacheproxy.measure.SlidingSum;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
--- a/src/main/java/hopglade/TokenBucket.java
+++ b/src/main/java/cacheproxy/TokenBucket.java
@@ -1,4 +1,4 @@
-package hopglade;
+package cacheproxy;
 
 /**
  * A token bucket whose refill rate changes with the hysteresis level. Times are milliseconds of the
--- a/src/main/java/hopglade/admin/AdminServer.java
+++ b/src/main/java/cacheproxy/admin/AdminServer.java
@@ -1,6 +1,6 @@
-package hopglade.admin;
+package cacheproxy.admin;
 
-import hopglade.admin.Desk.Reply;
+import cacheproxy.admin.Desk.Reply;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/hopglade/admin/Desk.java
+++ b/src/main/java/cacheproxy/admin/Desk.java
@@ -1,4 +1,4 @@
-package hopglade.admin;
+package cacheproxy.admin;
 
 import java.util.function.Consumer;
 
--- a/src/main/java/hopglade/benchlink/Fields.java
+++ b/src/main/java/cacheproxy/benchlink/Fields.java
@@ -1,4 +1,4 @@
-package hopglade.benchlink;
+package cacheproxy.benchlink;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/hopglade/benchlink/Link.java
+++ b/src/main/java/cacheproxy/benchlink/Link.java
@@ -1,13 +1,13 @@
-package hopglade.benchlink;
+package cacheproxy.benchlink;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.AttemptEnd;
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.Router.Request;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.AttemptEnd;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Request;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
--- a/src/main/java/hopglade/benchlink/Main.java
+++ b/src/main/java/cacheproxy/benchlink/Main.java
@@ -1,4 +1,4 @@
-package hopglade.benchlink;
+package cacheproxy.benchlink;
 
 import java.io.BufferedReader;
 import java.io.FileDescriptor;
@@ -19,7 +19,7 @@
     /** Serves the wire until standard input ends; a malformed line ends it with exit code 2. */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("benchlink")) {
-            System.err.println("usage: java -jar hopglade.jar benchlink");
+            System.err.println("usage: java -jar cache-proxy.jar benchlink");
             System.exit(64);
         }
         var in =
@@ -33,7 +33,7 @@
         try {
             new Link(in, out).run();
         } catch (WireException e) {
-            System.err.println("hopglade: " + e.getMessage());
+            System.err.println("flintmill: " + e.getMessage());
             System.exit(2);
         }
     }
--- a/src/main/java/hopglade/benchlink/Reply.java
+++ b/src/main/java/cacheproxy/benchlink/Reply.java
@@ -1,6 +1,6 @@
-package hopglade.benchlink;
+package cacheproxy.benchlink;
 
-import hopglade.Router.Actions;
+import cacheproxy.Router.Actions;
 import java.util.Base64;
 
 /** Writes one instance's actions as lines of the reply. */
--- a/src/main/java/hopglade/benchlink/SettingsReader.java
+++ b/src/main/java/cacheproxy/benchlink/SettingsReader.java
@@ -1,19 +1,19 @@
-package hopglade.benchlink;
-
+package cacheproxy.benchlink;
+
+import cacheproxy.Router.Connections;
+import cacheproxy.Router.Effect;
+import cacheproxy.Router.Group;
+import cacheproxy.Router.Limits;
+import cacheproxy.Router.Rules;
+import cacheproxy.Router.ServiceClass;
+import cacheproxy.Router.Settings;
+import cacheproxy.Router.Tenant;
+import cacheproxy.Router.Weights;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-import hopglade.Router.Connections;
-import hopglade.Router.Effect;
-import hopglade.Router.Group;
-import hopglade.Router.Limits;
-import hopglade.Router.Rules;
-import hopglade.Router.ServiceClass;
-import hopglade.Router.Settings;
-import hopglade.Router.Tenant;
-import hopglade.Router.Weights;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/hopglade/benchlink/WireException.java
+++ b/src/main/java/cacheproxy/benchlink/WireException.java
@@ -1,4 +1,4 @@
-package hopglade.benchlink;
+package cacheproxy.benchlink;
 
 /** A line that does not follow the wire's rules. */
 public final class WireException extends RuntimeException {
--- a/src/main/java/hopglade/cli/CapacityCommand.java
+++ b/src/main/java/cacheproxy/cli/CapacityCommand.java
@@ -1,11 +1,11 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.config.BadFileException;
-import hopglade.lab.capacity.Plan;
-import hopglade.lab.capacity.Row;
-import hopglade.lab.capacity.Slope;
-import hopglade.lab.capacity.SlopeFile;
-import hopglade.lab.capacity.Target;
+import cacheproxy.config.BadFileException;
+import cacheproxy.lab.capacity.Plan;
+import cacheproxy.lab.capacity.Row;
+import cacheproxy.lab.capacity.Slope;
+import cacheproxy.lab.capacity.SlopeFile;
+import cacheproxy.lab.capacity.Target;
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
--- a/src/main/java/hopglade/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -1,7 +1,7 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.config.BadFileException;
-import hopglade.store.FileWriteException;
+import cacheproxy.config.BadFileException;
+import cacheproxy.store.FileWriteException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/src/main/java/hopglade/cli/ConfigCommands.java
+++ b/src/main/java/cacheproxy/cli/ConfigCommands.java
@@ -1,8 +1,8 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.config.BadFileException;
-import hopglade.config.OptionsFile;
-import hopglade.config.Toml;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.OptionsFile;
+import cacheproxy.config.Toml;
 import java.nio.file.Path;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
--- a/src/main/java/hopglade/cli/HollowCommand.java
+++ b/src/main/java/cacheproxy/cli/HollowCommand.java
@@ -1,8 +1,8 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.config.BadFileException;
-import hopglade.gossip.KeyException;
-import hopglade.lab.hollow.ScaleTest;
+import cacheproxy.config.BadFileException;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.lab.hollow.ScaleTest;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
--- a/src/main/java/hopglade/cli/KeysCommands.java
+++ b/src/main/java/cacheproxy/cli/KeysCommands.java
@@ -1,10 +1,10 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.config.BadFileException;
-import hopglade.gossip.KeyException;
-import hopglade.gossip.KeyFiles;
-import hopglade.gossip.KeyFiles.Own;
-import hopglade.gossip.KeyRing;
+import cacheproxy.config.BadFileException;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.gossip.KeyFiles;
+import cacheproxy.gossip.KeyFiles.Own;
+import cacheproxy.gossip.KeyRing;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.security.GeneralSecurityException;
--- a/src/main/java/hopglade/cli/MembersCommand.java
+++ b/src/main/java/cacheproxy/cli/MembersCommand.java
@@ -1,6 +1,6 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.gossip.MembersSocket;
+import cacheproxy.gossip.MembersSocket;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
--- a/src/main/java/hopglade/cli/PolicyCommands.java
+++ b/src/main/java/cacheproxy/cli/PolicyCommands.java
@@ -1,9 +1,9 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Options;
-import hopglade.config.OptionsFile;
-import hopglade.raft.PolicySocket;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Options;
+import cacheproxy.config.OptionsFile;
+import cacheproxy.raft.PolicySocket;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/cli/Version.java
+++ b/src/main/java/cacheproxy/cli/Version.java
@@ -1,4 +1,4 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
 import picocli.CommandLine.IVersionProvider;
 
--- a/src/main/java/hopglade/config/BadFileException.java
+++ b/src/main/java/cacheproxy/config/BadFileException.java
@@ -1,4 +1,4 @@
-package hopglade.config;
+package cacheproxy.config;
 
 /**
  * A mistake in an operator's file. The message is one line that names file, line, key, what was
--- a/src/main/java/hopglade/config/KeyLines.java
+++ b/src/main/java/cacheproxy/config/KeyLines.java
@@ -1,4 +1,4 @@
-package hopglade.config;
+package cacheproxy.config;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/hopglade/config/OptionsFile.java
+++ b/src/main/java/cacheproxy/config/OptionsFile.java
@@ -1,6 +1,6 @@
-package hopglade.config;
+package cacheproxy.config;
 
-import hopglade.config.Options.Format;
+import cacheproxy.config.Options.Format;
 import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/hopglade/config/Toml.java
+++ b/src/main/java/cacheproxy/config/Toml.java
@@ -1,4 +1,4 @@
-package hopglade.config;
+package cacheproxy.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/hopglade/epoch/Grants.java
+++ b/src/main/java/cacheproxy/epoch/Grants.java
@@ -1,4 +1,4 @@
-package hopglade.epoch;
+package cacheproxy.epoch;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/hopglade/epoch/Message.java
+++ b/src/main/java/cacheproxy/epoch/Message.java
@@ -1,6 +1,6 @@
-package hopglade.epoch;
+package cacheproxy.epoch;
 
-import hopglade.epoch.Epochs.Epoch;
+import cacheproxy.epoch.Epochs.Epoch;
 import java.util.List;
 
 /** What proxies and voters say to one another about epochs. */
--- a/src/main/java/hopglade/epoch/PolicyMember.java
+++ b/src/main/java/cacheproxy/epoch/PolicyMember.java
@@ -1,14 +1,14 @@
-package hopglade.epoch;
-
-import hopglade.epoch.Epochs.Activate;
-import hopglade.epoch.Epochs.Epoch;
-import hopglade.epoch.Epochs.Outcome;
-import hopglade.epoch.Epochs.Prepare;
-import hopglade.epoch.Message.Ending;
-import hopglade.epoch.Message.Hello;
-import hopglade.epoch.Message.Propose;
-import hopglade.epoch.Message.Proposed;
-import hopglade.epoch.Message.Welcome;
+package cacheproxy.epoch;
+
+import cacheproxy.epoch.Epochs.Activate;
+import cacheproxy.epoch.Epochs.Epoch;
+import cacheproxy.epoch.Epochs.Outcome;
+import cacheproxy.epoch.Epochs.Prepare;
+import cacheproxy.epoch.Message.Ending;
+import cacheproxy.epoch.Message.Hello;
+import cacheproxy.epoch.Message.Propose;
+import cacheproxy.epoch.Message.Proposed;
+import cacheproxy.epoch.Message.Welcome;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/hopglade/gossip/GossipSocket.java
+++ b/src/main/java/cacheproxy/gossip/GossipSocket.java
@@ -1,13 +1,13 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.config.Options;
-import hopglade.membership.Gossip;
-import hopglade.membership.Gossip.What;
-import hopglade.membership.Member;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.config.Options;
+import cacheproxy.membership.Gossip;
+import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Member;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/hopglade/gossip/KeyException.java
+++ b/src/main/java/cacheproxy/gossip/KeyException.java
@@ -1,4 +1,4 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 /** A key file or key ring that can't be used; the message names the file and what is wrong. */
 public final class KeyException extends Exception {
--- a/src/main/java/hopglade/gossip/KeyFiles.java
+++ b/src/main/java/cacheproxy/gossip/KeyFiles.java
@@ -1,8 +1,8 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
-import hopglade.store.DurableFiles;
-import hopglade.store.FileOperations;
-import hopglade.store.FileWriteException;
+import cacheproxy.store.DurableFiles;
+import cacheproxy.store.FileOperations;
+import cacheproxy.store.FileWriteException;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
--- a/src/main/java/hopglade/gossip/KeyRing.java
+++ b/src/main/java/cacheproxy/gossip/KeyRing.java
@@ -1,8 +1,8 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
-import hopglade.gossip.KeyFiles.Own;
-import hopglade.gossip.KeyFiles.Trusted;
-import hopglade.membership.Identity;
+import cacheproxy.gossip.KeyFiles.Own;
+import cacheproxy.gossip.KeyFiles.Trusted;
+import cacheproxy.membership.Identity;
 import java.nio.file.Path;
 import java.security.GeneralSecurityException;
 import java.security.PublicKey;
--- a/src/main/java/hopglade/gossip/LocalSocket.java
+++ b/src/main/java/cacheproxy/gossip/LocalSocket.java
@@ -1,4 +1,4 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/hopglade/gossip/MembersSocket.java
+++ b/src/main/java/cacheproxy/gossip/MembersSocket.java
@@ -1,4 +1,4 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
--- a/src/main/java/hopglade/gossip/NumericAddress.java
+++ b/src/main/java/cacheproxy/gossip/NumericAddress.java
@@ -1,4 +1,4 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/hopglade/lab/Draw.java
+++ b/src/main/java/cacheproxy/lab/Draw.java
@@ -1,10 +1,10 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.lab.world.ColdAllowance;
-import hopglade.lab.world.Installation;
-import hopglade.lab.world.Installation.NodeMake;
-import hopglade.lab.world.Machine;
-import hopglade.lab.world.World;
+import cacheproxy.lab.world.ColdAllowance;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.lab.world.Installation.NodeMake;
+import cacheproxy.lab.world.Machine;
+import cacheproxy.lab.world.World;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.math3.random.RandomGenerator;
--- a/src/main/java/hopglade/lab/Experiment.java
+++ b/src/main/java/cacheproxy/lab/Experiment.java
@@ -1,6 +1,6 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.lab.faults.Fault;
+import cacheproxy.lab.faults.Fault;
 import java.util.List;
 
 /**
@@ -129,7 +129,7 @@
         }
     }
 
-    /** A class of requests; {@code effect} as {@link hopglade.Router.Effect}. */
+    /** A class of requests; {@code effect} as {@link cacheproxy.Router.Effect}. */
     public record Class(
             String name,
             double share,
@@ -137,7 +137,7 @@
             double aimMs,
             double deadlineMs,
             double worth,
-            hopglade.Router.Effect effect,
+            cacheproxy.Router.Effect effect,
             boolean write,
             double repeatWindowMs) {}
 
--- a/src/main/java/hopglade/lab/ExperimentFile.java
+++ b/src/main/java/cacheproxy/lab/ExperimentFile.java
@@ -1,9 +1,9 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.Router.Effect;
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
-import hopglade.lab.faults.Fault;
+import cacheproxy.Router.Effect;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.faults.Fault;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/hopglade/lab/Oracle.java
+++ b/src/main/java/cacheproxy/lab/Oracle.java
@@ -1,12 +1,12 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.ListKind;
-import hopglade.lab.load.Habits;
-import hopglade.lab.world.Installation;
-import hopglade.lab.world.World;
-import hopglade.proxy.PathKey;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.ListKind;
+import cacheproxy.lab.load.Habits;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.lab.world.World;
+import cacheproxy.proxy.PathKey;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/hopglade/lab/ProcessUse.java
+++ b/src/main/java/cacheproxy/lab/ProcessUse.java
@@ -1,4 +1,4 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
 import java.lang.management.ManagementFactory;
 
--- a/src/main/java/hopglade/lab/ProxySettings.java
+++ b/src/main/java/cacheproxy/lab/ProxySettings.java
@@ -1,12 +1,12 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
+import cacheproxy.Router;
+import cacheproxy.benchlink.SettingsReader;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.lab.world.World;
 import com.google.gson.Gson;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import hopglade.Router;
-import hopglade.benchlink.SettingsReader;
-import hopglade.lab.world.Installation;
-import hopglade.lab.world.World;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/hopglade/lab/QuietActions.java
+++ b/src/main/java/cacheproxy/lab/QuietActions.java
@@ -1,6 +1,6 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.Router;
+import cacheproxy.Router;
 
 /** Does nothing of what a router asks for; whoever plays a part of a proxy overrides that part. */
 public abstract class QuietActions implements Router.Actions {
--- a/src/main/java/hopglade/lab/RunLine.java
+++ b/src/main/java/cacheproxy/lab/RunLine.java
@@ -1,7 +1,7 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
--- a/src/main/java/hopglade/lab/Sizes.java
+++ b/src/main/java/cacheproxy/lab/Sizes.java
@@ -1,8 +1,8 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
-import hopglade.lab.capacity.Slope;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.capacity.Slope;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -14,7 +14,7 @@
  * them; in its file {@code [sizes]} and {@code [[measure]]}, which a single run leaves aside.
  *
  * @param driver what plays it
- * @param against what grows, in the words of {@code hopglade.lab.capacity.Target}
+ * @param against what grows, in the words of {@code cacheproxy.lab.capacity.Target}
  * @param steps the sizes in their order
  * @param measures what is fitted
  */
--- a/src/main/java/hopglade/lab/WorkerProcess.java
+++ b/src/main/java/cacheproxy/lab/WorkerProcess.java
@@ -1,4 +1,4 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/hopglade/lab/capacity/Plan.java
+++ b/src/main/java/cacheproxy/lab/capacity/Plan.java
@@ -1,4 +1,4 @@
-package hopglade.lab.capacity;
+package cacheproxy.lab.capacity;
 
 import java.math.BigDecimal;
 import java.math.MathContext;
--- a/src/main/java/hopglade/lab/capacity/Slope.java
+++ b/src/main/java/cacheproxy/lab/capacity/Slope.java
@@ -1,4 +1,4 @@
-package hopglade.lab.capacity;
+package cacheproxy.lab.capacity;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/hopglade/lab/capacity/Target.java
+++ b/src/main/java/cacheproxy/lab/capacity/Target.java
@@ -1,7 +1,7 @@
-package hopglade.lab.capacity;
+package cacheproxy.lab.capacity;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/hopglade/lab/faults/Fault.java
+++ b/src/main/java/cacheproxy/lab/faults/Fault.java
@@ -1,4 +1,4 @@
-package hopglade.lab.faults;
+package cacheproxy.lab.faults;
 
 import java.util.EnumSet;
 import java.util.Locale;
--- a/src/main/java/hopglade/lab/faults/PolicyText.java
+++ b/src/main/java/cacheproxy/lab/faults/PolicyText.java
@@ -1,4 +1,4 @@
-package hopglade.lab.faults;
+package cacheproxy.lab.faults;
 
 /** Policies that are proposed in an experiment: each another one that a proxy takes. */
 public final class PolicyText {
--- a/src/main/java/hopglade/lab/hollow/Child.java
+++ b/src/main/java/cacheproxy/lab/hollow/Child.java
@@ -1,7 +1,7 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
+import cacheproxy.lab.WorkerProcess;
 import com.google.gson.Gson;
-import hopglade.lab.WorkerProcess;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/lab/hollow/ControlPlane.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlane.java
@@ -1,9 +1,9 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
-import hopglade.config.Options;
-import hopglade.gossip.GossipSocket;
-import hopglade.gossip.KeyException;
-import hopglade.raft.PolicyService;
+import cacheproxy.config.Options;
+import cacheproxy.gossip.GossipSocket;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.raft.PolicyService;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
--- a/src/main/java/hopglade/lab/hollow/Faults.java
+++ b/src/main/java/cacheproxy/lab/hollow/Faults.java
@@ -1,4 +1,4 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/hopglade/lab/hollow/HollowExperiment.java
+++ b/src/main/java/cacheproxy/lab/hollow/HollowExperiment.java
@@ -1,7 +1,7 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
-import hopglade.lab.Experiment;
-import hopglade.lab.capacity.Slope;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.capacity.Slope;
 import java.util.List;
 import java.util.Map;
 
--- a/src/main/java/hopglade/lab/hollow/HollowFile.java
+++ b/src/main/java/cacheproxy/lab/hollow/HollowFile.java
@@ -1,10 +1,10 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
-import hopglade.lab.Experiment;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.capacity.Slope;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.capacity.Slope;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/hopglade/lab/hollow/HollowProcess.java
+++ b/src/main/java/cacheproxy/lab/hollow/HollowProcess.java
@@ -1,9 +1,9 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
+import cacheproxy.gossip.KeyException;
+import cacheproxy.lab.ProcessUse;
 import com.google.gson.Gson;
 import com.sun.management.UnixOperatingSystemMXBean;
-import hopglade.gossip.KeyException;
-import hopglade.lab.ProcessUse;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/hopglade/lab/hollow/HollowRun.java
+++ b/src/main/java/cacheproxy/lab/hollow/HollowRun.java
@@ -1,11 +1,11 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
+import cacheproxy.gossip.KeyException;
+import cacheproxy.gossip.KeyFiles;
+import cacheproxy.lab.faults.PolicyText;
+import cacheproxy.raft.Backlog;
+import cacheproxy.raft.PolicySocket;
 import com.google.gson.Gson;
-import hopglade.gossip.KeyException;
-import hopglade.gossip.KeyFiles;
-import hopglade.lab.faults.PolicyText;
-import hopglade.raft.Backlog;
-import hopglade.raft.PolicySocket;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/lab/hollow/LinkTable.java
+++ b/src/main/java/cacheproxy/lab/hollow/LinkTable.java
@@ -1,4 +1,4 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/hopglade/lab/hollow/Place.java
+++ b/src/main/java/cacheproxy/lab/hollow/Place.java
@@ -1,4 +1,4 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
--- a/src/main/java/hopglade/lab/hollow/Planes.java
+++ b/src/main/java/cacheproxy/lab/hollow/Planes.java
@@ -1,6 +1,6 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
-import hopglade.config.Options;
+import cacheproxy.config.Options;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/hopglade/lab/hollow/ScaleTest.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleTest.java
@@ -1,13 +1,13 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
+import cacheproxy.config.BadFileException;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.lab.capacity.Slope;
+import cacheproxy.lab.capacity.SlopeFile;
+import cacheproxy.lab.report.Results;
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
 import com.google.gson.reflect.TypeToken;
-import hopglade.config.BadFileException;
-import hopglade.gossip.KeyException;
-import hopglade.lab.capacity.Slope;
-import hopglade.lab.capacity.SlopeFile;
-import hopglade.lab.report.Results;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
--- a/src/main/java/hopglade/lab/hollow/StreamWire.java
+++ b/src/main/java/cacheproxy/lab/hollow/StreamWire.java
@@ -1,4 +1,4 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
--- a/src/main/java/hopglade/lab/hollow/Traffic.java
+++ b/src/main/java/cacheproxy/lab/hollow/Traffic.java
@@ -1,4 +1,4 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
 /**
  * What passed one plane's sockets of one kind, since its first start; with what headers add. Used
--- a/src/main/java/hopglade/lab/hollow/package-info.java
+++ b/src/main/java/cacheproxy/lab/hollow/package-info.java
@@ -3,6 +3,6 @@
  * a proxy runs, with its own sockets, name, key and place, and no clients. It uses {@code gossip}
  * and {@code raft} as they are and holds no twin of them; what is its own are the links' delay,
  * loss and cuts, the counting, and the driver. Start reading at {@link
- * hopglade.lab.hollow.HollowRun}, then {@link hopglade.lab.hollow.ControlPlane}.
+ * cacheproxy.lab.hollow.HollowRun}, then {@link cacheproxy.lab.hollow.ControlPlane}.
  */
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
--- a/src/main/java/hopglade/lab/hunt/Day.java
+++ b/src/main/java/cacheproxy/lab/hunt/Day.java
@@ -1,7 +1,7 @@
-package hopglade.lab.hunt;
+package cacheproxy.lab.hunt;
 
-import hopglade.lab.faults.Fault;
-import hopglade.lab.faults.Fault.Kind;
+import cacheproxy.lab.faults.Fault;
+import cacheproxy.lab.faults.Fault.Kind;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
--- a/src/main/java/hopglade/lab/hunt/Hunt.java
+++ b/src/main/java/cacheproxy/lab/hunt/Hunt.java
@@ -1,12 +1,12 @@
-package hopglade.lab.hunt;
-
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
-import hopglade.lab.Experiment;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.faults.Fault.Kind;
-import hopglade.lab.report.Results;
-import hopglade.lab.virtual.VirtualRun;
+package cacheproxy.lab.hunt;
+
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.faults.Fault.Kind;
+import cacheproxy.lab.report.Results;
+import cacheproxy.lab.virtual.VirtualRun;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
--- a/src/main/java/hopglade/lab/hunt/package-info.java
+++ b/src/main/java/cacheproxy/lab/hunt/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Looks for days on which a rule breaks: draws installations, loads and overlapping faults from a
  * seed, plays them in virtual time and makes what it finds smaller. No I/O. Start reading at {@link
- * hopglade.lab.hunt.Hunt}.
+ * cacheproxy.lab.hunt.Hunt}.
  */
-package hopglade.lab.hunt;
+package cacheproxy.lab.hunt;
--- a/src/main/java/hopglade/lab/ledger/ColdStarts.java
+++ b/src/main/java/cacheproxy/lab/ledger/ColdStarts.java
@@ -1,9 +1,9 @@
-package hopglade.lab.ledger;
+package cacheproxy.lab.ledger;
 
-import hopglade.lab.ledger.Ledger.Attempt;
-import hopglade.lab.ledger.Ledger.Started;
-import hopglade.lab.ledger.Ledger.Told;
-import hopglade.lab.world.ColdWindow;
+import cacheproxy.lab.ledger.Ledger.Attempt;
+import cacheproxy.lab.ledger.Ledger.Started;
+import cacheproxy.lab.ledger.Ledger.Told;
+import cacheproxy.lab.world.ColdWindow;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/hopglade/lab/ledger/Ledger.java
+++ b/src/main/java/cacheproxy/lab/ledger/Ledger.java
@@ -1,10 +1,10 @@
-package hopglade.lab.ledger;
+package cacheproxy.lab.ledger;
 
-import hopglade.lab.world.ColdAllowance;
-import hopglade.lab.world.ColdWindow;
-import hopglade.lab.world.World;
-import hopglade.lab.world.World.Answer;
-import hopglade.lab.world.World.Health;
+import cacheproxy.lab.world.ColdAllowance;
+import cacheproxy.lab.world.ColdWindow;
+import cacheproxy.lab.world.World;
+import cacheproxy.lab.world.World.Answer;
+import cacheproxy.lab.world.World.Health;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
--- a/src/main/java/hopglade/lab/ledger/Membership.java
+++ b/src/main/java/cacheproxy/lab/ledger/Membership.java
@@ -1,7 +1,7 @@
-package hopglade.lab.ledger;
+package cacheproxy.lab.ledger;
 
-import hopglade.lab.Experiment;
-import hopglade.lab.faults.Fault;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.faults.Fault;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -14,9 +14,9 @@
 
 /**
  * What proxies held of one another beside what was true of them. Drivers hand in each proxy's
- * events of membership, by the names of {@link hopglade.membership.Gossip.What} in lower case, and
- * when processes ended and came back; what was paused or cut off follows from the faults. Times are
- * milliseconds of the run. Drivers may tell from several threads.
+ * events of membership, by the names of {@link cacheproxy.membership.Gossip.What} in lower case,
+ * and when processes ended and came back; what was paused or cut off follows from the faults. Times
+ * are milliseconds of the run. Drivers may tell from several threads.
  */
 public final class Membership {
 
--- a/src/main/java/hopglade/lab/ledger/PolicyLedger.java
+++ b/src/main/java/cacheproxy/lab/ledger/PolicyLedger.java
@@ -1,10 +1,10 @@
-package hopglade.lab.ledger;
+package cacheproxy.lab.ledger;
 
-import hopglade.epoch.Message;
-import hopglade.lab.Experiment;
-import hopglade.lab.faults.PeerLinks;
-import hopglade.lab.ledger.Rules.Rule;
-import hopglade.lab.ledger.Rules.Violation;
+import cacheproxy.epoch.Message;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.ledger.Rules.Rule;
+import cacheproxy.lab.ledger.Rules.Violation;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/main/java/hopglade/lab/ledger/Rules.java
+++ b/src/main/java/cacheproxy/lab/ledger/Rules.java
@@ -1,12 +1,12 @@
-package hopglade.lab.ledger;
+package cacheproxy.lab.ledger;
 
-import hopglade.Router.Effect;
-import hopglade.lab.Experiment;
-import hopglade.lab.ledger.Ledger.Attempt;
-import hopglade.lab.ledger.Ledger.Reply;
-import hopglade.lab.ledger.Ledger.Told;
-import hopglade.lab.ledger.Ledger.Try;
-import hopglade.lab.world.World.Health;
+import cacheproxy.Router.Effect;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ledger.Ledger.Attempt;
+import cacheproxy.lab.ledger.Ledger.Reply;
+import cacheproxy.lab.ledger.Ledger.Told;
+import cacheproxy.lab.ledger.Ledger.Try;
+import cacheproxy.lab.world.World.Health;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/hopglade/lab/load/Front.java
+++ b/src/main/java/cacheproxy/lab/load/Front.java
@@ -1,7 +1,7 @@
-package hopglade.lab.load;
+package cacheproxy.lab.load;
 
-import hopglade.lab.Draw;
-import hopglade.lab.Experiment;
+import cacheproxy.lab.Draw;
+import cacheproxy.lab.Experiment;
 import java.util.List;
 import org.apache.commons.math3.random.RandomGenerator;
 
--- a/src/main/java/hopglade/lab/load/Habits.java
+++ b/src/main/java/cacheproxy/lab/load/Habits.java
@@ -1,8 +1,8 @@
-package hopglade.lab.load;
+package cacheproxy.lab.load;
 
-import hopglade.Router.Effect;
-import hopglade.lab.Experiment;
-import hopglade.lab.load.LoadPlan.First;
+import cacheproxy.Router.Effect;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.load.LoadPlan.First;
 
 /**
  * How clients behave: how long a try may take, whether and when they come again. No clock; both
--- a/src/main/java/hopglade/lab/load/LoadPlan.java
+++ b/src/main/java/cacheproxy/lab/load/LoadPlan.java
@@ -1,8 +1,8 @@
-package hopglade.lab.load;
+package cacheproxy.lab.load;
 
-import hopglade.lab.Draw;
-import hopglade.lab.Experiment;
-import hopglade.lab.faults.Fault;
+import cacheproxy.lab.Draw;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.faults.Fault;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
--- a/src/main/java/hopglade/lab/load/Story.java
+++ b/src/main/java/cacheproxy/lab/load/Story.java
@@ -1,4 +1,4 @@
-package hopglade.lab.load;
+package cacheproxy.lab.load;
 
 /**
  * How a first try and its retries ended. {@code lateMs} is how late the generator sent it, {@code
--- a/src/main/java/hopglade/lab/report/Comparison.java
+++ b/src/main/java/cacheproxy/lab/report/Comparison.java
@@ -1,6 +1,6 @@
-package hopglade.lab.report;
+package cacheproxy.lab.report;
 
-import hopglade.config.BadFileException;
+import cacheproxy.config.BadFileException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/lab/report/CurveReport.java
+++ b/src/main/java/cacheproxy/lab/report/CurveReport.java
@@ -1,4 +1,4 @@
-package hopglade.lab.report;
+package cacheproxy.lab.report;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/hopglade/lab/report/Figures.java
+++ b/src/main/java/cacheproxy/lab/report/Figures.java
@@ -1,15 +1,15 @@
-package hopglade.lab.report;
+package cacheproxy.lab.report;
 
-import hopglade.lab.Experiment;
-import hopglade.lab.ledger.ColdStarts;
-import hopglade.lab.ledger.Ledger;
-import hopglade.lab.ledger.Ledger.Attempt;
-import hopglade.lab.ledger.Ledger.Verdict;
-import hopglade.lab.ledger.Rules;
-import hopglade.lab.ledger.Rules.Violation;
-import hopglade.lab.load.Story;
-import hopglade.lab.report.Results.Window;
-import hopglade.lab.world.Installation;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ledger.ColdStarts;
+import cacheproxy.lab.ledger.Ledger;
+import cacheproxy.lab.ledger.Ledger.Attempt;
+import cacheproxy.lab.ledger.Ledger.Verdict;
+import cacheproxy.lab.ledger.Rules;
+import cacheproxy.lab.ledger.Rules.Violation;
+import cacheproxy.lab.load.Story;
+import cacheproxy.lab.report.Results.Window;
+import cacheproxy.lab.world.Installation;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/hopglade/lab/report/HtmlReport.java
+++ b/src/main/java/cacheproxy/lab/report/HtmlReport.java
@@ -1,7 +1,7 @@
-package hopglade.lab.report;
+package cacheproxy.lab.report;
 
-import hopglade.lab.report.Results.Mark;
-import hopglade.lab.report.Results.Window;
+import cacheproxy.lab.report.Results.Mark;
+import cacheproxy.lab.report.Results.Window;
 import java.awt.BasicStroke;
 import java.awt.Color;
 import java.awt.Font;
--- a/src/main/java/hopglade/lab/report/Played.java
+++ b/src/main/java/cacheproxy/lab/report/Played.java
@@ -1,14 +1,14 @@
-package hopglade.lab.report;
+package cacheproxy.lab.report;
 
-import hopglade.lab.Experiment;
-import hopglade.lab.ledger.Ledger;
-import hopglade.lab.ledger.Rules;
-import hopglade.lab.ledger.Rules.Rule;
-import hopglade.lab.ledger.Rules.Violation;
-import hopglade.lab.load.LoadPlan;
-import hopglade.lab.load.Story;
-import hopglade.lab.report.Results.Mark;
-import hopglade.lab.world.Installation;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ledger.Ledger;
+import cacheproxy.lab.ledger.Rules;
+import cacheproxy.lab.ledger.Rules.Rule;
+import cacheproxy.lab.ledger.Rules.Violation;
+import cacheproxy.lab.load.LoadPlan;
+import cacheproxy.lab.load.Story;
+import cacheproxy.lab.report.Results.Mark;
+import cacheproxy.lab.world.Installation;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/hopglade/lab/report/Results.java
+++ b/src/main/java/cacheproxy/lab/report/Results.java
@@ -1,11 +1,11 @@
-package hopglade.lab.report;
+package cacheproxy.lab.report;
 
+import cacheproxy.config.BadFileException;
+import cacheproxy.lab.Experiment;
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import hopglade.config.BadFileException;
-import hopglade.lab.Experiment;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/lab/report/package-info.java
+++ b/src/main/java/cacheproxy/lab/report/package-info.java
@@ -1,6 +1,6 @@
 /**
  * What a run comes to: figures with dotted names, a timeline, violations, and how they are shown.
  * It reads files and writes files, and knows nothing of sockets. Start reading at {@link
- * hopglade.lab.report.Results}.
+ * cacheproxy.lab.report.Results}.
  */
-package hopglade.lab.report;
+package cacheproxy.lab.report;
--- a/src/main/java/hopglade/lab/sockets/Clients.java
+++ b/src/main/java/cacheproxy/lab/sockets/Clients.java
@@ -1,15 +1,15 @@
-package hopglade.lab.sockets;
-
-import hopglade.Router.Effect;
-import hopglade.lab.Experiment;
-import hopglade.lab.ledger.Ledger;
-import hopglade.lab.ledger.Ledger.Reply;
-import hopglade.lab.ledger.Ledger.Try;
-import hopglade.lab.load.Front;
-import hopglade.lab.load.Habits;
-import hopglade.lab.load.Habits.Ending;
-import hopglade.lab.load.LoadPlan;
-import hopglade.lab.load.LoadPlan.First;
+package cacheproxy.lab.sockets;
+
+import cacheproxy.Router.Effect;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ledger.Ledger;
+import cacheproxy.lab.ledger.Ledger.Reply;
+import cacheproxy.lab.ledger.Ledger.Try;
+import cacheproxy.lab.load.Front;
+import cacheproxy.lab.load.Habits;
+import cacheproxy.lab.load.Habits.Ending;
+import cacheproxy.lab.load.LoadPlan;
+import cacheproxy.lab.load.LoadPlan.First;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -116,12 +116,12 @@
     }
 
     /** How every first try that was sent has ended; read once the loop has. */
-    List<hopglade.lab.load.Story> told() {
+    List<cacheproxy.lab.load.Story> told() {
         return java.util.Arrays.stream(stories)
                 .limit(next)
                 .map(
                         s ->
-                                new hopglade.lab.load.Story(
+                                new cacheproxy.lab.load.Story(
                                         s.first, s.lateMs, s.endedAt, s.status, s.tries))
                 .toList();
     }
--- a/src/main/java/hopglade/lab/sockets/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/lab/sockets/DiscoveryServer.java
@@ -1,12 +1,12 @@
-package hopglade.lab.sockets;
+package cacheproxy.lab.sockets;
 
+import cacheproxy.lab.ledger.Ledger;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.lab.world.World;
+import cacheproxy.lab.world.World.Entry;
+import cacheproxy.lab.world.World.Health;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import hopglade.lab.ledger.Ledger;
-import hopglade.lab.world.Installation;
-import hopglade.lab.world.World;
-import hopglade.lab.world.World.Entry;
-import hopglade.lab.world.World.Health;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.EventLoop;
--- a/src/main/java/hopglade/lab/sockets/Doors.java
+++ b/src/main/java/cacheproxy/lab/sockets/Doors.java
@@ -1,4 +1,4 @@
-package hopglade.lab.sockets;
+package cacheproxy.lab.sockets;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/hopglade/lab/sockets/Machines.java
+++ b/src/main/java/cacheproxy/lab/sockets/Machines.java
@@ -1,13 +1,13 @@
-package hopglade.lab.sockets;
-
-import hopglade.lab.ledger.Ledger;
-import hopglade.lab.ledger.Ledger.Attempt;
-import hopglade.lab.ledger.Ledger.Verdict;
-import hopglade.lab.load.LoadPlan;
-import hopglade.lab.world.Installation;
-import hopglade.lab.world.World;
-import hopglade.lab.world.World.Answer;
-import hopglade.lab.world.World.Job;
+package cacheproxy.lab.sockets;
+
+import cacheproxy.lab.ledger.Ledger;
+import cacheproxy.lab.ledger.Ledger.Attempt;
+import cacheproxy.lab.ledger.Ledger.Verdict;
+import cacheproxy.lab.load.LoadPlan;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.lab.world.World;
+import cacheproxy.lab.world.World.Answer;
+import cacheproxy.lab.world.World.Job;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
--- a/src/main/java/hopglade/lab/sockets/ProxyProcess.java
+++ b/src/main/java/cacheproxy/lab/sockets/ProxyProcess.java
@@ -1,7 +1,7 @@
-package hopglade.lab.sockets;
+package cacheproxy.lab.sockets;
 
+import cacheproxy.membership.Gossip;
 import com.google.gson.JsonObject;
-import hopglade.membership.Gossip;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/hopglade/lab/sockets/RunClock.java
+++ b/src/main/java/cacheproxy/lab/sockets/RunClock.java
@@ -1,4 +1,4 @@
-package hopglade.lab.sockets;
+package cacheproxy.lab.sockets;
 
 /**
  * Milliseconds of the run, by the monotonic clock; negative before it begins. One for all parties.
--- a/src/main/java/hopglade/lab/sockets/SocketPeers.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketPeers.java
@@ -1,14 +1,14 @@
-package hopglade.lab.sockets;
+package cacheproxy.lab.sockets;
 
-import hopglade.Router;
-import hopglade.config.Options;
-import hopglade.gossip.GossipSocket;
-import hopglade.gossip.KeyException;
-import hopglade.gossip.KeyFiles;
-import hopglade.gossip.NumericAddress;
-import hopglade.lab.Experiment;
-import hopglade.lab.faults.Fault;
-import hopglade.lab.faults.PeerLinks;
+import cacheproxy.Router;
+import cacheproxy.config.Options;
+import cacheproxy.gossip.GossipSocket;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.gossip.KeyFiles;
+import cacheproxy.gossip.NumericAddress;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.faults.Fault;
+import cacheproxy.lab.faults.PeerLinks;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -31,10 +31,10 @@
     private static final double NS_PER_MS = 1e6;
     private static final String LIAR = "liar";
     private static final int VERIFICATIONS_PER_S = 200;
-    private static final String PROGRAM = "-jar target/hopglade.jar serve";
+    private static final String PROGRAM = "-jar target/cache-proxy.jar serve";
 
     /** The same where the tools' libraries are on the class path already. */
-    private static final String SERVE = " hopglade.Main serve";
+    private static final String SERVE = " cacheproxy.Main serve";
 
     private SocketPeers() {}
 
@@ -52,7 +52,7 @@
                             + SERVE);
         }
         return run.replace(
-                PROGRAM, "-cp 'target/hopglade.jar:target/lib/*' hopglade.Main serve" + with);
+                PROGRAM, "-cp 'target/cache-proxy.jar:target/lib/*' cacheproxy.Main serve" + with);
     }
 
     private static Path options(Path directory, int proxy) {
--- a/src/main/java/hopglade/lab/sockets/SocketPolicy.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketPolicy.java
@@ -1,12 +1,12 @@
-package hopglade.lab.sockets;
-
-import hopglade.epoch.Message.Ending;
-import hopglade.gossip.NumericAddress;
-import hopglade.lab.Experiment;
-import hopglade.lab.faults.PeerLinks;
-import hopglade.lab.faults.PolicyText;
-import hopglade.lab.ledger.PolicyLedger;
-import hopglade.raft.PolicySocket;
+package cacheproxy.lab.sockets;
+
+import cacheproxy.epoch.Message.Ending;
+import cacheproxy.gossip.NumericAddress;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PolicyText;
+import cacheproxy.lab.ledger.PolicyLedger;
+import cacheproxy.raft.PolicySocket;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/hopglade/lab/sockets/StreamRelay.java
+++ b/src/main/java/cacheproxy/lab/sockets/StreamRelay.java
@@ -1,6 +1,6 @@
-package hopglade.lab.sockets;
+package cacheproxy.lab.sockets;
 
-import hopglade.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PeerLinks;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/hopglade/lab/stream/HollowControl.java
+++ b/src/main/java/cacheproxy/lab/stream/HollowControl.java
@@ -1,12 +1,12 @@
-package hopglade.lab.stream;
+package cacheproxy.lab.stream;
 
-import hopglade.gossip.KeyRing;
-import hopglade.lab.ProcessUse;
-import hopglade.raft.StreamLog;
-import hopglade.raft.StreamService;
-import hopglade.stream.Change;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Window;
+import cacheproxy.gossip.KeyRing;
+import cacheproxy.lab.ProcessUse;
+import cacheproxy.raft.StreamLog;
+import cacheproxy.raft.StreamService;
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Window;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/hopglade/lab/stream/HollowProxies.java
+++ b/src/main/java/cacheproxy/lab/stream/HollowProxies.java
@@ -1,10 +1,10 @@
-package hopglade.lab.stream;
+package cacheproxy.lab.stream;
 
-import hopglade.lab.ProcessUse;
-import hopglade.stream.Entry;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Subscriber;
-import hopglade.stream.wire.StreamClient;
+import cacheproxy.lab.ProcessUse;
+import cacheproxy.stream.Entry;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Subscriber;
+import cacheproxy.stream.wire.StreamClient;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/hopglade/lab/stream/StreamLoad.java
+++ b/src/main/java/cacheproxy/lab/stream/StreamLoad.java
@@ -1,9 +1,9 @@
-package hopglade.lab.stream;
+package cacheproxy.lab.stream;
 
-import hopglade.config.BadFileException;
-import hopglade.gossip.KeyException;
-import hopglade.gossip.KeyFiles;
-import hopglade.lab.WorkerProcess;
+import cacheproxy.config.BadFileException;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.gossip.KeyFiles;
+import cacheproxy.lab.WorkerProcess;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/src/main/java/hopglade/lab/stream/StreamPlan.java
+++ b/src/main/java/cacheproxy/lab/stream/StreamPlan.java
@@ -1,7 +1,7 @@
-package hopglade.lab.stream;
+package cacheproxy.lab.stream;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/hopglade/lab/stream/package-info.java
+++ b/src/main/java/cacheproxy/lab/stream/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The change stream on real sockets at the target's size: hollow proxies that share processes,
  * control machines that have one each, and a driver that publishes, kills and counts. Uses {@code
- * hopglade.stream} as a proxy would, and no twin of it. Start reading at {@link StreamLoad}.
+ * cacheproxy.stream} as a proxy would, and no twin of it. Start reading at {@link StreamLoad}.
  */
-package hopglade.lab.stream;
+package cacheproxy.lab.stream;
--- a/src/main/java/hopglade/lab/virtual/Agenda.java
+++ b/src/main/java/cacheproxy/lab/virtual/Agenda.java
@@ -1,4 +1,4 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/hopglade/lab/virtual/HashIdentity.java
+++ b/src/main/java/cacheproxy/lab/virtual/HashIdentity.java
@@ -1,6 +1,6 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
-import hopglade.membership.Identity;
+import cacheproxy.membership.Identity;
 import java.util.Arrays;
 import java.util.Set;
 
--- a/src/main/java/hopglade/lab/virtual/MemoryDisk.java
+++ b/src/main/java/cacheproxy/lab/virtual/MemoryDisk.java
@@ -1,4 +1,4 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
--- a/src/main/java/hopglade/lab/virtual/VirtualPool.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualPool.java
@@ -1,7 +1,7 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
-import hopglade.lab.world.Installation;
-import hopglade.proxy.FullTable;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.proxy.FullTable;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The connections of all proxies to all machines, kept as {@code hopglade.proxy.NodePool} keeps
+ * The connections of all proxies to all machines, kept as {@code cacheproxy.proxy.NodePool} keeps
  * those of one: an exchange each, the newest idle one first, spare ones closed soon, a pause where
  * a machine's table is full. What lies idle for too long is closed when somebody next looks, which
  * nobody can tell from closing it in time.
--- a/src/main/java/hopglade/lab/virtual/VirtualProxy.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualProxy.java
@@ -1,13 +1,13 @@
-package hopglade.lab.virtual;
-
-import hopglade.Router;
-import hopglade.Router.AttemptEnd;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.Router.Request;
-import hopglade.Router.Settings;
-import hopglade.lab.QuietActions;
+package cacheproxy.lab.virtual;
+
+import cacheproxy.Router;
+import cacheproxy.Router.AttemptEnd;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Request;
+import cacheproxy.Router.Settings;
+import cacheproxy.lab.QuietActions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -16,7 +16,7 @@
 import java.util.Map;
 
 /**
- * One proxy around one router, as {@code hopglade.proxy.Proxy} is on sockets: the same table of
+ * One proxy around one router, as {@code cacheproxy.proxy.Proxy} is on sockets: the same table of
  * requests, the same limits on attempts, the same backstop, wishes done in order after each call.
  * It costs no time itself.
  */
--- a/src/main/java/hopglade/lab/virtual/VirtualStream.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualStream.java
@@ -1,16 +1,16 @@
-package hopglade.lab.virtual;
-
+package cacheproxy.lab.virtual;
+
+import cacheproxy.lab.Draw;
+import cacheproxy.raft.ControlMachine;
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Entry;
+import cacheproxy.stream.Frames;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Subscriber;
+import cacheproxy.stream.Window;
 import com.google.gson.JsonObject;
-import hopglade.lab.Draw;
-import hopglade.raft.ControlMachine;
-import hopglade.stream.Change;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Entry;
-import hopglade.stream.Frames;
-import hopglade.stream.Message;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Subscriber;
-import hopglade.stream.Window;
 import io.microraft.executor.RaftNodeExecutor;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/hopglade/lab/world/ColdAllowance.java
+++ b/src/main/java/cacheproxy/lab/world/ColdAllowance.java
@@ -1,4 +1,4 @@
-package hopglade.lab.world;
+package cacheproxy.lab.world;
 
 /**
  * What a node that has just started may be sent by all proxies together. What it can do by then is
--- a/src/main/java/hopglade/lab/world/ColdWindow.java
+++ b/src/main/java/cacheproxy/lab/world/ColdWindow.java
@@ -1,6 +1,6 @@
-package hopglade.lab.world;
+package cacheproxy.lab.world;
 
-import hopglade.measure.SlidingSum;
+import cacheproxy.measure.SlidingSum;
 
 /**
  * What a node was sent since it started, over the latest window. Times are milliseconds of the run
--- a/src/main/java/hopglade/lab/world/Installation.java
+++ b/src/main/java/cacheproxy/lab/world/Installation.java
@@ -1,4 +1,4 @@
-package hopglade.lab.world;
+package cacheproxy.lab.world;
 
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/hopglade/lab/world/Store.java
+++ b/src/main/java/cacheproxy/lab/world/Store.java
@@ -1,4 +1,4 @@
-package hopglade.lab.world;
+package cacheproxy.lab.world;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
--- a/src/main/java/hopglade/lab/world/Strikes.java
+++ b/src/main/java/cacheproxy/lab/world/Strikes.java
@@ -1,7 +1,7 @@
-package hopglade.lab.world;
+package cacheproxy.lab.world;
 
-import hopglade.lab.faults.Fault;
-import hopglade.lab.ledger.Ledger;
+import cacheproxy.lab.faults.Fault;
+import cacheproxy.lab.ledger.Ledger;
 import java.util.List;
 import java.util.stream.IntStream;
 
--- a/src/main/java/hopglade/lab/world/World.java
+++ b/src/main/java/cacheproxy/lab/world/World.java
@@ -1,8 +1,8 @@
-package hopglade.lab.world;
+package cacheproxy.lab.world;
 
-import hopglade.lab.world.Installation.NodeMake;
-import hopglade.lab.world.Installation.OriginMake;
-import hopglade.measure.SlidingSum;
+import cacheproxy.lab.world.Installation.NodeMake;
+import cacheproxy.lab.world.Installation.OriginMake;
+import cacheproxy.measure.SlidingSum;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/hopglade/lab/world/package-info.java
+++ b/src/main/java/cacheproxy/lab/world/package-info.java
@@ -2,6 +2,6 @@
  * The model of an installation: machines that share their cores among requests, caches, the origin,
  * discovery and zones. One event, one call, one list of effects; no I/O, no clock and no threads,
  * so that sockets and virtual time drive the same code. Start reading at {@link
- * hopglade.lab.world.World}.
+ * cacheproxy.lab.world.World}.
  */
-package hopglade.lab.world;
+package cacheproxy.lab.world;
--- a/src/main/java/hopglade/maintenance/Outages.java
+++ b/src/main/java/cacheproxy/maintenance/Outages.java
@@ -1,4 +1,4 @@
-package hopglade.maintenance;
+package cacheproxy.maintenance;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/src/main/java/hopglade/measure/GroupedRatio.java
+++ b/src/main/java/cacheproxy/measure/GroupedRatio.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 import java.util.Collections;
 import java.util.LinkedHashMap;
--- a/src/main/java/hopglade/measure/Hash.java
+++ b/src/main/java/cacheproxy/measure/Hash.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 /** Hashes that are the same at every proxy and at every start. */
 public final class Hash {
--- a/src/main/java/hopglade/measure/Incarnation.java
+++ b/src/main/java/cacheproxy/measure/Incarnation.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 /**
  * One run of a cache node's process, and its age by the caller's monotonic clock.
--- a/src/main/java/hopglade/measure/Incarnations.java
+++ b/src/main/java/cacheproxy/measure/Incarnations.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/hopglade/measure/Meter.java
+++ b/src/main/java/cacheproxy/measure/Meter.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 /** An exponentially forgetting rate; times are in milliseconds and never run back. */
 public final class Meter {
--- a/src/main/java/hopglade/measure/RecentKeys.java
+++ b/src/main/java/cacheproxy/measure/RecentKeys.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 import java.nio.ByteBuffer;
 import java.util.HashMap;
--- a/src/main/java/hopglade/measure/Spread.java
+++ b/src/main/java/cacheproxy/measure/Spread.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 /** A running mean of times and of how far they lie from it, as TCP keeps for its time-outs. */
 public final class Spread {
--- a/src/main/java/hopglade/membership/Claim.java
+++ b/src/main/java/cacheproxy/membership/Claim.java
@@ -1,4 +1,4 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 /**
  * What one proxy saw of one node.
--- a/src/main/java/hopglade/membership/Evidence.java
+++ b/src/main/java/cacheproxy/membership/Evidence.java
@@ -1,7 +1,7 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/hopglade/membership/Gossip.java
+++ b/src/main/java/cacheproxy/membership/Gossip.java
@@ -1,10 +1,10 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.membership.Member.Status;
-import hopglade.membership.Message.Heard;
-import hopglade.membership.Message.Kind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.membership.Member.Status;
+import cacheproxy.membership.Message.Heard;
+import cacheproxy.membership.Message.Kind;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/hopglade/membership/Identity.java
+++ b/src/main/java/cacheproxy/membership/Identity.java
@@ -1,4 +1,4 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 /** Who this proxy is, and whom it believes. Signatures are 64 bytes, as those of Ed25519. */
 public interface Identity {
--- a/src/main/java/hopglade/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -1,4 +1,4 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 /**
  * One proxy as the fleet knows it. Of two reports the one of the higher incarnation holds; of the
--- a/src/main/java/hopglade/membership/Statement.java
+++ b/src/main/java/cacheproxy/membership/Statement.java
@@ -1,4 +1,4 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 import java.util.List;
 
--- a/src/main/java/hopglade/membership/Swim.java
+++ b/src/main/java/cacheproxy/membership/Swim.java
@@ -1,6 +1,6 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
-import hopglade.membership.Member.Status;
+import cacheproxy.membership.Member.Status;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/src/main/java/hopglade/membership/Wire.java
+++ b/src/main/java/cacheproxy/membership/Wire.java
@@ -1,6 +1,6 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
-import hopglade.membership.Message.Heard;
+import cacheproxy.membership.Message.Heard;
 import java.nio.BufferOverflowException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
--- /dev/null
+++ b/src/main/java/cacheproxy/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * What is decided, and where the program starts. {@link cacheproxy.Decide} behind {@link
+ * cacheproxy.Router} uses the JDK alone: no clock, no threads, no sockets. Start reading at {@code
+ * Router}; {@link cacheproxy.Main} takes the command line apart.
+ */
+package cacheproxy;
--- a/src/main/java/hopglade/proxy/Addresses.java
+++ b/src/main/java/cacheproxy/proxy/Addresses.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/hopglade/proxy/ClientChannel.java
+++ b/src/main/java/cacheproxy/proxy/ClientChannel.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelException;
--- a/src/main/java/hopglade/proxy/ClientServer.java
+++ b/src/main/java/cacheproxy/proxy/ClientServer.java
@@ -1,9 +1,9 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router.Effect;
-import hopglade.Router.Request;
-import hopglade.Router.ServiceClass;
-import hopglade.Router.Settings;
+import cacheproxy.Router.Effect;
+import cacheproxy.Router.Request;
+import cacheproxy.Router.ServiceClass;
+import cacheproxy.Router.Settings;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/hopglade/proxy/Clock.java
+++ b/src/main/java/cacheproxy/proxy/Clock.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import java.time.Instant;
 import java.util.function.LongSupplier;
@@ -7,7 +7,7 @@
  * Unix time in milliseconds that never runs back: read once from the wall clock and carried on by
  * the monotonic one, so that a step of the wall clock moves no deadline. A step before the start
  * leaves it off by that much for the life of the process: the difference to a Unix time from
- * elsewhere is no span of time (see {@link hopglade.measure.Incarnation}).
+ * elsewhere is no span of time (see {@link cacheproxy.measure.Incarnation}).
  */
 final class Clock {
 
--- a/src/main/java/hopglade/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.Router.Settings;
+import cacheproxy.benchlink.SettingsReader;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import hopglade.Router.Settings;
-import hopglade.benchlink.SettingsReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/hopglade/proxy/ConfigException.java
+++ b/src/main/java/cacheproxy/proxy/ConfigException.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 /** A configuration that nothing can be started from; the message is for the operator. */
 public final class ConfigException extends Exception {
--- a/src/main/java/hopglade/proxy/ConfigFileWatch.java
+++ b/src/main/java/cacheproxy/proxy/ConfigFileWatch.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/hopglade/proxy/Discovery.java
+++ b/src/main/java/cacheproxy/proxy/Discovery.java
@@ -1,7 +1,7 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.Router.ListKind;
 import com.google.gson.JsonParser;
-import hopglade.Router.ListKind;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
--- a/src/main/java/hopglade/proxy/DiscoveryOutage.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryOutage.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/hopglade/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/Exchange.java
@@ -1,6 +1,6 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpResponse;
--- a/src/main/java/hopglade/proxy/Gatherer.java
+++ b/src/main/java/cacheproxy/proxy/Gatherer.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/hopglade/proxy/Governing.java
+++ b/src/main/java/cacheproxy/proxy/Governing.java
@@ -1,7 +1,7 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.config.Options;
-import hopglade.raft.PolicyService;
+import cacheproxy.config.Options;
+import cacheproxy.raft.PolicyService;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/proxy/Hangup.java
+++ b/src/main/java/cacheproxy/proxy/Hangup.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import java.lang.invoke.MethodHandle;
 import java.lang.invoke.MethodHandleProxies;
--- a/src/main/java/hopglade/proxy/HostList.java
+++ b/src/main/java/cacheproxy/proxy/HostList.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Node;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import hopglade.Router.Availability;
-import hopglade.Router.Node;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/hopglade/proxy/ListChanges.java
+++ b/src/main/java/cacheproxy/proxy/ListChanges.java
@@ -1,8 +1,8 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router.Availability;
-import hopglade.Router.Node;
-import hopglade.proxy.HostList.Host;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Node;
+import cacheproxy.proxy.HostList.Host;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/hopglade/proxy/Log.java
+++ b/src/main/java/cacheproxy/proxy/Log.java
@@ -1,6 +1,6 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.config.Options;
+import cacheproxy.config.Options;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,7 +24,7 @@
 
     /** Held apart, so that a choice of format comes before the library is first touched. */
     private static final class Lines {
-        static final Logger LOGGER = LoggerFactory.getLogger("hopglade");
+        static final Logger LOGGER = LoggerFactory.getLogger("cacheproxy");
     }
 
     /** Takes the options in; the format of the first call holds for the life of this process. */
@@ -40,7 +40,7 @@
                     format == Options.Format.JSON
                             ? "ch.qos.logback.classic.spi.LogbackServiceProvider"
                             : "org.slf4j.simple.SimpleServiceProvider");
-            System.setProperty("logback.configurationFile", "hopglade-logback.xml");
+            System.setProperty("logback.configurationFile", "cacheproxy-logback.xml");
         }
         chosen = true;
         options = new Options.Log(format, next.tallyS(), next.oddLines(), next.oddWindowS());
--- a/src/main/java/hopglade/proxy/LoopWatch.java
+++ b/src/main/java/cacheproxy/proxy/LoopWatch.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
--- a/src/main/java/hopglade/proxy/NodePool.java
+++ b/src/main/java/cacheproxy/proxy/NodePool.java
@@ -1,8 +1,8 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router.Availability;
-import hopglade.Router.Outcome;
-import hopglade.Router.ServiceClass;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.ServiceClass;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
--- a/src/main/java/hopglade/proxy/Operations.java
+++ b/src/main/java/cacheproxy/proxy/Operations.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.admin.AdminServer;
-import hopglade.admin.Desk;
-import hopglade.store.CallTime;
-import hopglade.store.OutageFiles;
-import hopglade.store.SupersededException;
+import cacheproxy.admin.AdminServer;
+import cacheproxy.admin.Desk;
+import cacheproxy.store.CallTime;
+import cacheproxy.store.OutageFiles;
+import cacheproxy.store.SupersededException;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
--- a/src/main/java/hopglade/proxy/PathKey.java
+++ b/src/main/java/cacheproxy/proxy/PathKey.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 /** The key that a path names. */
 public final class PathKey {
--- a/src/main/java/hopglade/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
-
-import hopglade.Router;
-import hopglade.Router.Actions;
-import hopglade.Router.AttemptEnd;
-import hopglade.Router.ListKind;
-import hopglade.Router.Outcome;
-import hopglade.Router.Request;
-import hopglade.Router.Settings;
+package cacheproxy.proxy;
+
+import cacheproxy.Router;
+import cacheproxy.Router.Actions;
+import cacheproxy.Router.AttemptEnd;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Request;
+import cacheproxy.Router.Settings;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
--- a/src/main/java/hopglade/proxy/Service.java
+++ b/src/main/java/cacheproxy/proxy/Service.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
-
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.Outcome;
-import hopglade.Router.ServiceClass;
-import hopglade.Router.Settings;
-import hopglade.config.BadFileException;
-import hopglade.config.Options;
+package cacheproxy.proxy;
+
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.ServiceClass;
+import cacheproxy.Router.Settings;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Options;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/hopglade/proxy/Sharing.java
+++ b/src/main/java/cacheproxy/proxy/Sharing.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.config.Options;
-import hopglade.gossip.GossipSocket;
-import hopglade.gossip.KeyException;
-import hopglade.membership.Gossip;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.config.Options;
+import cacheproxy.gossip.GossipSocket;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.membership.Gossip;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.List;
--- a/src/main/java/hopglade/proxy/StateWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateWriter.java
@@ -1,6 +1,6 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.store.SupersededException;
+import cacheproxy.store.SupersededException;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.HashMap;
--- a/src/main/java/hopglade/proxy/StrictHttp.java
+++ b/src/main/java/cacheproxy/proxy/StrictHttp.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpHeaderNames;
--- a/src/main/java/hopglade/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/Transport.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/hopglade/proxy/Upload.java
+++ b/src/main/java/cacheproxy/proxy/Upload.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.Channel;
 import io.netty.handler.codec.http.HttpContent;
--- a/src/main/java/hopglade/proxy/Warmup.java
+++ b/src/main/java/cacheproxy/proxy/Warmup.java
@@ -1,16 +1,16 @@
-package hopglade.proxy;
-
-import hopglade.Decide;
-import hopglade.Router.Availability;
-import hopglade.Router.Effect;
-import hopglade.Router.Group;
-import hopglade.Router.Limits;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Rules;
-import hopglade.Router.ServiceClass;
-import hopglade.Router.Settings;
-import hopglade.Router.Weights;
+package cacheproxy.proxy;
+
+import cacheproxy.Decide;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Effect;
+import cacheproxy.Router.Group;
+import cacheproxy.Router.Limits;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Rules;
+import cacheproxy.Router.ServiceClass;
+import cacheproxy.Router.Settings;
+import cacheproxy.Router.Weights;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/hopglade/raft/Backlog.java
+++ b/src/main/java/cacheproxy/raft/Backlog.java
@@ -1,7 +1,7 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
-import hopglade.epoch.Epochs.Activate;
-import hopglade.epoch.Epochs.Prepare;
+import cacheproxy.epoch.Epochs.Activate;
+import cacheproxy.epoch.Epochs.Prepare;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.log.LogEntry;
 import java.io.IOException;
--- a/src/main/java/hopglade/raft/Codec.java
+++ b/src/main/java/cacheproxy/raft/Codec.java
@@ -1,13 +1,13 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.epoch.Epochs;
+import cacheproxy.epoch.Epochs.Epoch;
+import cacheproxy.epoch.Message;
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Frames;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import hopglade.epoch.Epochs;
-import hopglade.epoch.Epochs.Epoch;
-import hopglade.epoch.Message;
-import hopglade.stream.Change;
-import hopglade.stream.Frames;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
 import io.microraft.model.impl.DefaultRaftModelFactory;
--- a/src/main/java/hopglade/raft/ControlMachine.java
+++ b/src/main/java/cacheproxy/raft/ControlMachine.java
@@ -1,15 +1,15 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Deliveries;
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Frames;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Message.Row;
+import cacheproxy.stream.Message.Tally;
+import cacheproxy.stream.Publisher;
+import cacheproxy.stream.Window;
 import com.google.gson.JsonObject;
-import hopglade.stream.Change;
-import hopglade.stream.Deliveries;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Frames;
-import hopglade.stream.Message;
-import hopglade.stream.Message.Row;
-import hopglade.stream.Message.Tally;
-import hopglade.stream.Publisher;
-import hopglade.stream.Window;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
--- a/src/main/java/hopglade/raft/DurableFiles.java
+++ b/src/main/java/cacheproxy/raft/DurableFiles.java
@@ -1,6 +1,6 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
-import hopglade.store.FileOperations;
+import cacheproxy.store.FileOperations;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
--- a/src/main/java/hopglade/raft/Links.java
+++ b/src/main/java/cacheproxy/raft/Links.java
@@ -1,8 +1,8 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.membership.Identity;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import hopglade.membership.Identity;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/hopglade/raft/LogFile.java
+++ b/src/main/java/cacheproxy/raft/LogFile.java
@@ -1,9 +1,9 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.epoch.Epochs.Epoch;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-import hopglade.epoch.Epochs.Epoch;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
--- a/src/main/java/hopglade/raft/OnLoop.java
+++ b/src/main/java/cacheproxy/raft/OnLoop.java
@@ -1,4 +1,4 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import io.microraft.executor.RaftNodeExecutor;
 import io.netty.channel.EventLoop;
--- a/src/main/java/hopglade/raft/PolicyService.java
+++ b/src/main/java/cacheproxy/raft/PolicyService.java
@@ -1,18 +1,18 @@
-package hopglade.raft;
-
+package cacheproxy.raft;
+
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Options;
+import cacheproxy.config.OptionsFile;
+import cacheproxy.epoch.Epochs;
+import cacheproxy.epoch.Epochs.Epoch;
+import cacheproxy.epoch.Message;
+import cacheproxy.epoch.PolicyMember;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.gossip.KeyRing;
+import cacheproxy.gossip.LocalSocket;
+import cacheproxy.gossip.NumericAddress;
+import cacheproxy.membership.Identity;
 import com.google.gson.JsonObject;
-import hopglade.config.BadFileException;
-import hopglade.config.Options;
-import hopglade.config.OptionsFile;
-import hopglade.epoch.Epochs;
-import hopglade.epoch.Epochs.Epoch;
-import hopglade.epoch.Message;
-import hopglade.epoch.PolicyMember;
-import hopglade.gossip.KeyException;
-import hopglade.gossip.KeyRing;
-import hopglade.gossip.LocalSocket;
-import hopglade.gossip.NumericAddress;
-import hopglade.membership.Identity;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
--- a/src/main/java/hopglade/raft/PolicySocket.java
+++ b/src/main/java/cacheproxy/raft/PolicySocket.java
@@ -1,10 +1,10 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.epoch.Message.Ending;
+import cacheproxy.gossip.LocalSocket;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-import hopglade.epoch.Message.Ending;
-import hopglade.gossip.LocalSocket;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
--- a/src/main/java/hopglade/raft/RaftLog.java
+++ b/src/main/java/cacheproxy/raft/RaftLog.java
@@ -1,10 +1,10 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.epoch.Epochs;
+import cacheproxy.epoch.Epochs.Change;
+import cacheproxy.epoch.Epochs.Outcome;
+import cacheproxy.epoch.PolicyMember;
 import com.google.gson.JsonObject;
-import hopglade.epoch.Epochs;
-import hopglade.epoch.Epochs.Change;
-import hopglade.epoch.Epochs.Outcome;
-import hopglade.epoch.PolicyMember;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
--- a/src/main/java/hopglade/raft/StorageUnavailableException.java
+++ b/src/main/java/cacheproxy/raft/StorageUnavailableException.java
@@ -1,4 +1,4 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/main/java/hopglade/raft/StreamLog.java
+++ b/src/main/java/cacheproxy/raft/StreamLog.java
@@ -1,12 +1,12 @@
-package hopglade.raft;
-
+package cacheproxy.raft;
+
+import cacheproxy.epoch.Epochs;
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Entry;
+import cacheproxy.stream.Frames;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Window;
 import com.google.gson.JsonObject;
-import hopglade.epoch.Epochs;
-import hopglade.stream.Change;
-import hopglade.stream.Entry;
-import hopglade.stream.Frames;
-import hopglade.stream.Message;
-import hopglade.stream.Window;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
--- a/src/main/java/hopglade/raft/StreamService.java
+++ b/src/main/java/cacheproxy/raft/StreamService.java
@@ -1,11 +1,11 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
+import cacheproxy.membership.Identity;
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Window;
+import cacheproxy.stream.wire.StreamServer;
 import com.google.gson.JsonObject;
-import hopglade.membership.Identity;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Message;
-import hopglade.stream.Window;
-import hopglade.stream.wire.StreamServer;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
--- a/src/main/java/hopglade/raft/Voter.java
+++ b/src/main/java/cacheproxy/raft/Voter.java
@@ -1,4 +1,4 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import com.google.gson.JsonObject;
 import io.microraft.QueryPolicy;
--- a/src/main/java/hopglade/share/Budget.java
+++ b/src/main/java/cacheproxy/share/Budget.java
@@ -1,4 +1,4 @@
-package hopglade.share;
+package cacheproxy.share;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/hopglade/share/package-info.java
+++ b/src/main/java/cacheproxy/share/package-info.java
@@ -3,4 +3,4 @@
  * that their sum in force never exceeds it under any cut. JDK alone; no I/O, no clock, no threads.
  * Start reading at {@link Budget}.
  */
-package hopglade.share;
+package cacheproxy.share;
--- a/src/main/java/hopglade/store/CallMarkers.java
+++ b/src/main/java/cacheproxy/store/CallMarkers.java
@@ -1,4 +1,4 @@
-package hopglade.store;
+package cacheproxy.store;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/hopglade/store/CallTime.java
+++ b/src/main/java/cacheproxy/store/CallTime.java
@@ -1,4 +1,4 @@
-package hopglade.store;
+package cacheproxy.store;
 
 /**
  * When an operator made a call, by the machine's monotonic clock: on Linux all processes share it
--- a/src/main/java/hopglade/store/FolderLock.java
+++ b/src/main/java/cacheproxy/store/FolderLock.java
@@ -1,4 +1,4 @@
-package hopglade.store;
+package cacheproxy.store;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/hopglade/stream/Change.java
+++ b/src/main/java/cacheproxy/stream/Change.java
@@ -1,4 +1,4 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
 /** What an entry of the stream changes. */
 public sealed interface Change permits Change.Purge, Change.Epoch {
--- a/src/main/java/hopglade/stream/Deliveries.java
+++ b/src/main/java/cacheproxy/stream/Deliveries.java
@@ -1,6 +1,6 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
-import hopglade.stream.Message.Row;
+import cacheproxy.stream.Message.Row;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/src/main/java/hopglade/stream/Frames.java
+++ b/src/main/java/cacheproxy/stream/Frames.java
@@ -1,14 +1,14 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
-import hopglade.stream.Change.Epoch;
-import hopglade.stream.Change.Purge;
-import hopglade.stream.Message.Ack;
-import hopglade.stream.Message.Batch;
-import hopglade.stream.Message.Beat;
-import hopglade.stream.Message.Hello;
-import hopglade.stream.Message.Row;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Message.Tally;
+import cacheproxy.stream.Change.Epoch;
+import cacheproxy.stream.Change.Purge;
+import cacheproxy.stream.Message.Ack;
+import cacheproxy.stream.Message.Batch;
+import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Hello;
+import cacheproxy.stream.Message.Row;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Message.Tally;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/hopglade/stream/Message.java
+++ b/src/main/java/cacheproxy/stream/Message.java
@@ -1,6 +1,6 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
-import hopglade.stream.Change.Epoch;
+import cacheproxy.stream.Change.Epoch;
 import java.util.List;
 
 /**
--- a/src/main/java/hopglade/stream/Pace.java
+++ b/src/main/java/cacheproxy/stream/Pace.java
@@ -1,4 +1,4 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
 /**
  * A bank of bytes that fills steadily: over any time t, {@code burst + rate * t} at most are taken
--- a/src/main/java/hopglade/stream/Publisher.java
+++ b/src/main/java/cacheproxy/stream/Publisher.java
@@ -1,10 +1,10 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
-import hopglade.stream.Message.Ack;
-import hopglade.stream.Message.Batch;
-import hopglade.stream.Message.Beat;
-import hopglade.stream.Message.Hello;
-import hopglade.stream.Message.Snapshot;
+import cacheproxy.stream.Message.Ack;
+import cacheproxy.stream.Message.Batch;
+import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Hello;
+import cacheproxy.stream.Message.Snapshot;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/hopglade/stream/Subscriber.java
+++ b/src/main/java/cacheproxy/stream/Subscriber.java
@@ -1,11 +1,11 @@
-package hopglade.stream;
-
-import hopglade.measure.Hash;
-import hopglade.stream.Message.Ack;
-import hopglade.stream.Message.Batch;
-import hopglade.stream.Message.Beat;
-import hopglade.stream.Message.Hello;
-import hopglade.stream.Message.Snapshot;
+package cacheproxy.stream;
+
+import cacheproxy.measure.Hash;
+import cacheproxy.stream.Message.Ack;
+import cacheproxy.stream.Message.Batch;
+import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Hello;
+import cacheproxy.stream.Message.Snapshot;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/hopglade/stream/Window.java
+++ b/src/main/java/cacheproxy/stream/Window.java
@@ -1,8 +1,8 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
-import hopglade.stream.Change.Epoch;
-import hopglade.stream.Message.Batch;
-import hopglade.stream.Message.Snapshot;
+import cacheproxy.stream.Change.Epoch;
+import cacheproxy.stream.Message.Batch;
+import cacheproxy.stream.Message.Snapshot;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/hopglade/stream/wire/StreamClient.java
+++ b/src/main/java/cacheproxy/stream/wire/StreamClient.java
@@ -1,10 +1,10 @@
-package hopglade.stream.wire;
+package cacheproxy.stream.wire;
 
-import hopglade.stream.Entry;
-import hopglade.stream.Frames;
-import hopglade.stream.Message;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Subscriber;
+import cacheproxy.stream.Entry;
+import cacheproxy.stream.Frames;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Subscriber;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/hopglade/stream/wire/StreamServer.java
+++ b/src/main/java/cacheproxy/stream/wire/StreamServer.java
@@ -1,8 +1,8 @@
-package hopglade.stream.wire;
+package cacheproxy.stream.wire;
 
-import hopglade.stream.Frames;
-import hopglade.stream.Message;
-import hopglade.stream.Publisher;
+import cacheproxy.stream.Frames;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Publisher;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/hopglade/admin/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * The operators' address: reads their calls, one to a connection, and writes the answers. It
- * carries each call to a {@link hopglade.admin.Desk} and decides nothing; it may touch Netty alone.
- * Start reading at {@link hopglade.admin.AdminServer}.
- */
-package hopglade.admin;
--- a/src/main/java/hopglade/gossip/package-info.java
+++ /dev/null
@@ -1,8 +0,0 @@
-/**
- * Gossip on sockets: UDP packets, signatures and key files around {@link
- * hopglade.membership.Gossip}, which decides everything. It may touch Netty, the JDK's cryptography
- * and the operator's options, but neither the proxy nor its router: those it reaches through {@link
- * hopglade.gossip.GossipSocket.Hooks}. Start reading at {@link hopglade.gossip.GossipSocket};
- * nothing here is loaded where gossip is off.
- */
-package hopglade.gossip;
--- a/src/main/java/hopglade/lab/faults/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * What goes wrong and when: a schedule of typed faults. It holds data and times alone; drivers
- * carry the faults out. Start reading at {@link hopglade.lab.faults.Fault}.
- */
-package hopglade.lab.faults;
--- a/src/main/java/hopglade/lab/ledger/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * Who was asked what and when, by id: every try, every attempt that reached a machine, everything
- * that was told. After a run {@link hopglade.lab.ledger.Rules} prove or disprove each rule from it.
- * No I/O and no clock; start reading at {@link hopglade.lab.ledger.Ledger}.
- */
-package hopglade.lab.ledger;
--- a/src/main/java/hopglade/membership/package-info.java
+++ /dev/null
@@ -1,8 +0,0 @@
-/**
- * What proxies tell one another: who is there ({@link hopglade.membership.Swim}) and what each saw
- * of the nodes ({@link hopglade.membership.Evidence}). No I/O, no clock, no threads and no logging:
- * packets, time and randomness come in as arguments, packets and events go out through {@link
- * hopglade.membership.Gossip.Actions}. Start reading at {@link hopglade.membership.Gossip}, which
- * joins the two and decides what a packet carries; docs/design/gossip.md has the reasons.
- */
-package hopglade.membership;
--- a/src/main/java/hopglade/stream/wire/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * Carries {@code hopglade.stream} between a control machine and its proxies: frames on TCP, one
- * connection a proxy. Decides nothing about entries, and what {@code serve} loads knows nothing of
- * it. Start reading at {@link StreamClient}; {@code hopglade.raft.StreamService} is the other end.
- */
-package hopglade.stream.wire;
--- a/src/test/java/hopglade/AdmissionTest.java
+++ b/src/test/java/cacheproxy/AdmissionTest.java
@@ -1,10 +1,10 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/hopglade/BadInputTest.java
+++ b/src/test/java/cacheproxy/BadInputTest.java
@@ -1,13 +1,13 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.AttemptEnd;
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.AttemptEnd;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/Bench.java
+++ b/src/test/java/cacheproxy/Bench.java
@@ -1,15 +1,15 @@
-package hopglade;
-
-import hopglade.Router.AttemptEnd;
-import hopglade.Router.Availability;
-import hopglade.Router.Effect;
-import hopglade.Router.Group;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.Router.Request;
-import hopglade.Router.ServiceClass;
-import hopglade.Router.Settings;
+package cacheproxy;
+
+import cacheproxy.Router.AttemptEnd;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Effect;
+import cacheproxy.Router.Group;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Request;
+import cacheproxy.Router.ServiceClass;
+import cacheproxy.Router.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/hopglade/HeavyRequestTest.java
+++ b/src/test/java/cacheproxy/HeavyRequestTest.java
@@ -1,9 +1,9 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
-import hopglade.Router.Request;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Request;
 import org.junit.jupiter.api.Test;
 
 /** A request that is known to be heavy is not taken for lost while it is being worked on. */
--- a/src/test/java/hopglade/HouseRulesTest.java
+++ b/src/test/java/cacheproxy/HouseRulesTest.java
@@ -1,4 +1,4 @@
-package hopglade;
+package cacheproxy;
 
 import static com.tngtech.archunit.base.DescribedPredicate.describe;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -17,7 +17,7 @@
     private static final JavaClasses CLASSES =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
-                    .importPackages("hopglade");
+                    .importPackages("cacheproxy");
     private static final String[] CLOCKS_SOCKETS_THREADS = {
         "java.io..",
         "java.net..",
@@ -57,7 +57,7 @@
                 noClasses()
                         .that()
                         .haveNameMatching(
-                                "hopglade\\.(Decide|SlowStartBudget|HysteresisController|TokenBucket).*")
+                                "cacheproxy\\.(Decide|SlowStartBudget|HysteresisController|TokenBucket).*")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
@@ -68,16 +68,16 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.proxy..",
-                                "hopglade.config..",
-                                "hopglade.lab..",
-                                "hopglade.cli..",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.config..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.cli..",
                                 "io.netty.."));
         holds(
                 noClasses()
                         .that()
                         .haveNameMatching(
-                                "hopglade\\.(Decide|Router|SlowStartBudget|HysteresisController|TokenBucket).*")
+                                "cacheproxy\\.(Decide|Router|SlowStartBudget|HysteresisController|TokenBucket).*")
                         .should()
                         .callMethod(System.class, "nanoTime")
                         .orShould()
@@ -86,7 +86,9 @@
 
     @Test
     void decisionPackagesUseTheJdkAlone() {
-        String[] packages = {"hopglade.measure..", "hopglade.maintenance..", "hopglade.epoch.."};
+        String[] packages = {
+            "cacheproxy.measure..", "cacheproxy.maintenance..", "cacheproxy.epoch.."
+        };
         holds(
                 noClasses()
                         .that()
@@ -101,12 +103,12 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.proxy..",
-                                "hopglade.lab..",
-                                "hopglade.config..",
-                                "hopglade.admin..",
-                                "hopglade.store..",
-                                "hopglade.raft..",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.config..",
+                                "cacheproxy.admin..",
+                                "cacheproxy.store..",
+                                "cacheproxy.raft..",
                                 "io.microraft.."));
         holds(
                 noClasses()
@@ -127,9 +129,9 @@
         holds(
                 noClasses()
                         .that()
-                        .resideOutsideOfPackage("hopglade.lab..")
+                        .resideOutsideOfPackage("cacheproxy.lab..")
                         .and()
-                        .doNotHaveFullyQualifiedName("hopglade.proxy.Clock")
+                        .doNotHaveFullyQualifiedName("cacheproxy.proxy.Clock")
                         .should()
                         .accessTargetWhere(
                                 describe(
@@ -141,14 +143,14 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAnyPackage("hopglade.admin..", "hopglade.store..")
+                        .resideInAnyPackage("cacheproxy.admin..", "cacheproxy.store..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade",
-                                "hopglade.proxy..",
-                                "hopglade.lab..",
-                                "hopglade.cli.."));
+                                "cacheproxy",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.cli.."));
     }
 
     @Test
@@ -156,12 +158,12 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAnyPackage("hopglade.proxy..", "hopglade.benchlink..")
+                        .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.benchlink..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.cli..",
-                                "hopglade.lab..",
+                                "cacheproxy.cli..",
+                                "cacheproxy.lab..",
                                 "picocli..",
                                 "com.fasterxml..",
                                 "ch.qos.logback..",
@@ -175,25 +177,25 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.membership..")
+                        .resideInAPackage("cacheproxy.membership..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.membership..")
+                        .resideInAPackage("cacheproxy.membership..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.proxy..",
-                                "hopglade.gossip..",
-                                "hopglade.lab..",
-                                "hopglade.config.."));
+                                "cacheproxy.proxy..",
+                                "cacheproxy.gossip..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.config.."));
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.membership..")
+                        .resideInAPackage("cacheproxy.membership..")
                         .should()
                         .callMethod(System.class, "nanoTime")
                         .orShould()
@@ -201,32 +203,32 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.gossip..")
+                        .resideInAPackage("cacheproxy.gossip..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.proxy..", "hopglade.lab..", "hopglade.cli.."));
+                                "cacheproxy.proxy..", "cacheproxy.lab..", "cacheproxy.cli.."));
         // Where gossip is off nothing of it may be loaded, and what the proxy's other classes name
         // is.
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.proxy..")
+                        .resideInAPackage("cacheproxy.proxy..")
                         .and()
                         .haveNameNotMatching(".*\\.Sharing(\\$.*)?")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAnyPackage("hopglade.gossip..", "hopglade.membership.."));
+                        .resideInAnyPackage("cacheproxy.gossip..", "cacheproxy.membership.."));
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.proxy..")
+                        .resideInAPackage("cacheproxy.proxy..")
                         .and()
                         .haveNameNotMatching(".*\\.Governing(\\$.*)?")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.raft..", "hopglade.epoch..", "io.microraft.."));
+                                "cacheproxy.raft..", "cacheproxy.epoch..", "io.microraft.."));
     }
 
     @Test
@@ -234,29 +236,29 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.stream")
+                        .resideInAPackage("cacheproxy.stream")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.stream")
+                        .resideInAPackage("cacheproxy.stream")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade",
-                                "hopglade.stream.wire..",
-                                "hopglade.proxy..",
-                                "hopglade.raft..",
-                                "hopglade.lab..",
-                                "hopglade.config..",
-                                "hopglade.store..",
+                                "cacheproxy",
+                                "cacheproxy.stream.wire..",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.raft..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.config..",
+                                "cacheproxy.store..",
                                 "io.microraft.."));
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.stream")
+                        .resideInAPackage("cacheproxy.stream")
                         .should()
                         .callMethod(System.class, "nanoTime")
                         .orShould()
@@ -264,35 +266,35 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.stream.wire..")
+                        .resideInAPackage("cacheproxy.stream.wire..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade",
-                                "hopglade.proxy..",
-                                "hopglade.lab..",
-                                "hopglade.cli.."));
+                                "cacheproxy",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.cli.."));
         holds(
                 noClasses()
                         .that()
                         .resideOutsideOfPackages(
-                                "hopglade.stream..",
-                                "hopglade.raft..",
-                                "hopglade.lab..",
-                                "hopglade.cli..")
+                                "cacheproxy.stream..",
+                                "cacheproxy.raft..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.cli..")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAPackage("hopglade.stream.."));
+                        .resideInAPackage("cacheproxy.stream.."));
         // The policy, where it is on, needs the log alone.
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.raft")
+                        .resideInAPackage("cacheproxy.raft")
                         .and()
                         .haveNameNotMatching(".*\\.Stream(Log|Service)(\\$.*)?")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAPackage("hopglade.stream.wire.."));
+                        .resideInAPackage("cacheproxy.stream.wire.."));
     }
 
     @Test
@@ -300,14 +302,14 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.config..")
+                        .resideInAPackage("cacheproxy.config..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade",
-                                "hopglade.proxy..",
-                                "hopglade.lab..",
-                                "hopglade.cli..",
+                                "cacheproxy",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.lab..",
+                                "cacheproxy.cli..",
                                 "io.netty.."));
     }
 
@@ -318,22 +320,22 @@
         holds(
                 noClasses()
                         .that()
-                        .resideInAPackage("hopglade.lab.hollow..")
+                        .resideInAPackage("cacheproxy.lab.hollow..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "hopglade.proxy..",
-                                "hopglade.lab.virtual..",
-                                "hopglade.lab.sockets..",
-                                "hopglade.membership..",
-                                "hopglade.epoch..",
+                                "cacheproxy.proxy..",
+                                "cacheproxy.lab.virtual..",
+                                "cacheproxy.lab.sockets..",
+                                "cacheproxy.membership..",
+                                "cacheproxy.epoch..",
                                 "io.microraft.."));
         holds(
                 noClasses()
                         .that()
-                        .resideOutsideOfPackages("hopglade.lab.hollow..", "hopglade.cli..")
+                        .resideOutsideOfPackages("cacheproxy.lab.hollow..", "cacheproxy.cli..")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAPackage("hopglade.lab.hollow.."));
+                        .resideInAPackage("cacheproxy.lab.hollow.."));
     }
 }
--- a/src/test/java/hopglade/LimitsTest.java
+++ b/src/test/java/cacheproxy/LimitsTest.java
@@ -1,4 +1,4 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,7 +14,7 @@
 /** Whoever is on call must be able to read the module at night. */
 class LimitsTest {
 
-    private static final Path MODULE = Path.of("src/main/java/hopglade/Decide.java");
+    private static final Path MODULE = Path.of("src/main/java/cacheproxy/Decide.java");
     private static final Path DEPLOY = Path.of("deploy/balancer.toml");
     private static final int MOST_MODULE_TOKENS = 9_327;
     private static final int MOST_FILE_LINES = 400;
@@ -99,6 +99,6 @@
                                         l.startsWith("import java.util.")
                                                 || l.equals("import java.nio.ByteBuffer;")
                                                 || l.matches(
-                                                        "import (static )?hopglade\\.(measure|maintenance)\\..*")));
+                                                        "import (static )?cacheproxy\\.(measure|maintenance)\\..*")));
     }
 }
--- a/src/test/java/hopglade/RulesTest.java
+++ b/src/test/java/cacheproxy/RulesTest.java
@@ -1,13 +1,13 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Outcome;
-import hopglade.Router.Settings;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Settings;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/hopglade/Sink.java
+++ b/src/test/java/cacheproxy/Sink.java
@@ -1,4 +1,4 @@
-package hopglade;
+package cacheproxy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/src/test/java/hopglade/SlowStartBudgetTest.java
+++ b/src/test/java/cacheproxy/SlowStartBudgetTest.java
@@ -1,11 +1,11 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Availability;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/SparingTest.java
+++ b/src/test/java/cacheproxy/SparingTest.java
@@ -1,8 +1,8 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/SpoilingTest.java
+++ b/src/test/java/cacheproxy/SpoilingTest.java
@@ -1,8 +1,8 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.util.HashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/SpoiltAnswersTest.java
+++ b/src/test/java/cacheproxy/SpoiltAnswersTest.java
@@ -1,9 +1,9 @@
-package hopglade;
+package cacheproxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/hopglade/UnassignedPort.java
+++ b/src/test/java/cacheproxy/UnassignedPort.java
@@ -1,4 +1,4 @@
-package hopglade;
+package cacheproxy;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/hopglade/benchlink/LinkTest.java
+++ b/src/test/java/cacheproxy/benchlink/LinkTest.java
@@ -1,4 +1,4 @@
-package hopglade.benchlink;
+package cacheproxy.benchlink;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/hopglade/cli/CapacityPageTest.java
+++ b/src/test/java/cacheproxy/cli/CapacityPageTest.java
@@ -1,11 +1,11 @@
-package hopglade.cli;
+package cacheproxy.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.capacity.Row;
-import hopglade.lab.capacity.Target;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.capacity.Row;
+import cacheproxy.lab.capacity.Target;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/hopglade/config/MistakesTest.java
+++ b/src/test/java/cacheproxy/config/MistakesTest.java
@@ -1,10 +1,10 @@
-package hopglade.config;
+package cacheproxy.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.lab.ExperimentFile;
+import cacheproxy.lab.ExperimentFile;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/hopglade/gossip/GossipSocketFailuresTest.java
+++ b/src/test/java/cacheproxy/gossip/GossipSocketFailuresTest.java
@@ -1,12 +1,12 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Options;
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.FaultSchedule;
-import hopglade.syscalls.FaultyProvider;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.config.Options;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.FaultSchedule;
+import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.SystemCall;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioDatagramChannel;
--- a/src/test/java/hopglade/gossip/HeldUpSocketsTest.java
+++ b/src/test/java/cacheproxy/gossip/HeldUpSocketsTest.java
@@ -1,8 +1,8 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Options;
+import cacheproxy.config.Options;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.nio.file.Path;
--- a/src/test/java/hopglade/gossip/KeysTest.java
+++ b/src/test/java/cacheproxy/gossip/KeysTest.java
@@ -1,20 +1,20 @@
-package hopglade.gossip;
+package cacheproxy.gossip;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.cli.Cli;
-import hopglade.config.Options;
-import hopglade.store.FaultyFiles;
-import hopglade.store.FaultyFiles.Killed;
-import hopglade.store.FaultyFiles.Step;
-import hopglade.store.FileWriteException;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.cli.Cli;
+import cacheproxy.config.Options;
+import cacheproxy.store.FaultyFiles;
+import cacheproxy.store.FaultyFiles.Killed;
+import cacheproxy.store.FaultyFiles.Step;
+import cacheproxy.store.FileWriteException;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/hopglade/lab/LabTest.java
+++ b/src/test/java/cacheproxy/lab/LabTest.java
@@ -1,17 +1,17 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Toml;
-import hopglade.lab.ledger.Rules.Rule;
-import hopglade.lab.load.LoadPlan;
-import hopglade.lab.report.HtmlReport;
-import hopglade.lab.report.Results;
-import hopglade.lab.sockets.SocketRun;
-import hopglade.proxy.BrokenServe;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.ledger.Rules.Rule;
+import cacheproxy.lab.load.LoadPlan;
+import cacheproxy.lab.report.HtmlReport;
+import cacheproxy.lab.report.Results;
+import cacheproxy.lab.sockets.SocketRun;
+import cacheproxy.proxy.BrokenServe;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -100,7 +100,7 @@
                 figure = "no.such_figure"
                 max = 1
                 """,
-                        "hopglade.Main serve");
+                        "cacheproxy.Main serve");
         assertEquals(List.of(), results.violations());
         assertEquals(1, results.missed().size(), results.missed().toString());
         assertTrue(results.figures().get("load.requests") > 300, results.figures().toString());
@@ -141,7 +141,7 @@
         } else if (fault == BrokenServe.Fault.OVERLOADS_COLD) {
             toml = toml.replace("keys = 500", "keys = 500\nmiss_work_ms = 40");
         }
-        Results results = play(toml, "hopglade.proxy.BrokenServe " + fault);
+        Results results = play(toml, "cacheproxy.proxy.BrokenServe " + fault);
         String word = rule.name().toLowerCase(Locale.ROOT);
         assertTrue(
                 results.figures().get("violations." + word) > 0,
@@ -175,14 +175,14 @@
                                 "count = 2",
                                 "count = 2\nrun = \"\"\"exec "
                                         + JAVA
-                                        + "hopglade.Main serve\"\"\""));
+                                        + "cacheproxy.Main serve\"\"\""));
         Process lab =
                 new ProcessBuilder(
                                 "/bin/sh",
                                 "-c",
                                 "exec "
                                         + JAVA
-                                        + "hopglade.Main lab run "
+                                        + "cacheproxy.Main lab run "
                                         + file
                                         + " --out "
                                         + directory.resolve("out"))
--- a/src/test/java/hopglade/lab/ProcessesTest.java
+++ b/src/test/java/cacheproxy/lab/ProcessesTest.java
@@ -1,11 +1,11 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Toml;
-import hopglade.lab.report.Results;
-import hopglade.lab.sockets.SocketRun;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.report.Results;
+import cacheproxy.lab.sockets.SocketRun;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -18,7 +18,7 @@
  */
 class ProcessesTest {
 
-    private static final String RUN = "exec " + LabTest.JAVA + "hopglade.Main serve";
+    private static final String RUN = "exec " + LabTest.JAVA + "cacheproxy.Main serve";
     private static final String FIVE =
             """
             name = "five"
--- a/src/test/java/hopglade/lab/SizesTest.java
+++ b/src/test/java/cacheproxy/lab/SizesTest.java
@@ -1,13 +1,13 @@
-package hopglade.lab;
+package cacheproxy.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Toml;
-import hopglade.lab.capacity.Slope;
-import hopglade.lab.virtual.ModuleCost;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.capacity.Slope;
+import cacheproxy.lab.virtual.ModuleCost;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/hopglade/lab/capacity/PlanTest.java
+++ b/src/test/java/cacheproxy/lab/capacity/PlanTest.java
@@ -1,12 +1,12 @@
-package hopglade.lab.capacity;
+package cacheproxy.lab.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.BadFileException;
-import hopglade.lab.capacity.Plan.Entry;
-import hopglade.lab.capacity.Plan.State;
+import cacheproxy.config.BadFileException;
+import cacheproxy.lab.capacity.Plan.Entry;
+import cacheproxy.lab.capacity.Plan.State;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -61,7 +61,7 @@
 
     @Test
     void aSlopeIsTakenAtTheTargetAndSaysHowFarItWasMeasured() {
-        Row row = row(List.of("rest"), "", "", "control.bytes_per_s", "hopglade.gossip");
+        Row row = row(List.of("rest"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
         Entry measured = only(row, slope("rest", "proxies", 0, 100, 780, 880));
         assertEquals(880, measured.value(), 1e-6);
         assertEquals(State.MEASURED, measured.state());
@@ -71,14 +71,15 @@
         assertEquals(State.EXTRAPOLATED, beyond.state());
         Entry busy =
                 only(
-                        row(List.of("cpu"), "requests/s a busy proxy", "", "", "hopglade.proxy"),
+                        row(List.of("cpu"), "requests/s a busy proxy", "", "", "cacheproxy.proxy"),
                         slope("cpu", "requests/s a proxy", 0, 0, 2000, 2000));
         assertEquals(3 * 400_000 / 780.0, busy.value(), 1e-6);
     }
 
     @Test
     void whereASlopeIsLackingNoFigureIsMadeUp() {
-        Row two = row(List.of("rest", "leases"), "", "", "control.bytes_per_s", "hopglade.gossip");
+        Row two =
+                row(List.of("rest", "leases"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
         assertEquals(State.NOT_MEASURED, only(two).state());
         assertTrue(Double.isNaN(only(two).value()));
         Plan part =
@@ -89,7 +90,7 @@
         assertEquals(
                 State.NOT_MEASURED,
                 only(
-                                row(List.of("moons"), "", "", "", "hopglade.gossip"),
+                                row(List.of("moons"), "", "", "", "cacheproxy.gossip"),
                                 slope("moons", "moons", 1, 1, 2, 2))
                         .state());
         assertTrue(
@@ -103,7 +104,7 @@
         Plan plan =
                 new Plan(
                         target,
-                        List.of(row(List.of("held"), "", "", "", "hopglade.gossip")),
+                        List.of(row(List.of("held"), "", "", "", "cacheproxy.gossip")),
                         List.of(slope("held", "objects", 10_000, 98, 100_000, 104, 1_000_000, 98)));
         assertEquals(100, plan.entries().get(0).value(), 1e-6);
         assertTrue(plan.markdown().contains("| 100 at every size measured |"), plan.markdown());
@@ -115,7 +116,7 @@
     @Test
     void whereThereIsNoStraightLineItIsReadBetweenWhatWasMeasuredAndNowhereElse() {
         Slope bent = slope("bent", "proxies", 60, 100, 390, 900, 780, 200);
-        Row row = row(List.of("bent"), "", "", "", "hopglade.gossip");
+        Row row = row(List.of("bent"), "", "", "", "cacheproxy.gossip");
         assertEquals(200, only(row, bent).value(), 1e-6);
         assertEquals(State.MEASURED, only(row, bent).state());
         Entry beyond = only(row, slope("bent", "proxies", 60, 100, 195, 900, 390, 200));
@@ -126,9 +127,9 @@
     @Test
     void whatNothingCarriesComesFirstAndThenWhatIsOverBudgetByMost() {
         Row missing = row(List.of(), "", "", "purges.everywhere_ms", "");
-        Row little = row(List.of("little"), "", "", "control.bytes_per_s", "hopglade.gossip");
-        Row much = row(List.of("much"), "", "", "control.bytes_per_s", "hopglade.gossip");
-        Row fits = row(List.of("fits"), "", "", "control.bytes_per_s", "hopglade.gossip");
+        Row little = row(List.of("little"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
+        Row much = row(List.of("much"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
+        Row fits = row(List.of("fits"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
         Plan plan =
                 new Plan(
                         target,
@@ -172,7 +173,7 @@
                 List.of(880.0, 490.0),
                 new Plan(
                                 target,
-                                List.of(row(List.of("y/rest"), "", "", "", "hopglade.gossip")),
+                                List.of(row(List.of("y/rest"), "", "", "", "cacheproxy.gossip")),
                                 List.of(first, second))
                         .entries().stream().map(e -> Math.rint(e.value())).toList());
         assertEquals(2 * 400_000 / 780.0, target.quantities().get("requests/s a proxy"), 1e-6);
--- a/src/test/java/hopglade/lab/capacity/SlopeTest.java
+++ b/src/test/java/cacheproxy/lab/capacity/SlopeTest.java
@@ -1,11 +1,11 @@
-package hopglade.lab.capacity;
+package cacheproxy.lab.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.BadFileException;
+import cacheproxy.config.BadFileException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/hopglade/lab/hollow/HollowTest.java
+++ b/src/test/java/cacheproxy/lab/hollow/HollowTest.java
@@ -1,12 +1,12 @@
-package hopglade.lab.hollow;
+package cacheproxy.lab.hollow;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.BadFileException;
-import hopglade.gossip.KeyException;
-import hopglade.lab.capacity.SlopeFile;
+import cacheproxy.config.BadFileException;
+import cacheproxy.gossip.KeyException;
+import cacheproxy.lab.capacity.SlopeFile;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/hopglade/lab/hunt/HuntTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/HuntTest.java
@@ -1,15 +1,15 @@
-package hopglade.lab.hunt;
+package cacheproxy.lab.hunt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Toml;
-import hopglade.lab.Experiment;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.faults.Fault;
-import hopglade.lab.report.Results;
-import hopglade.lab.virtual.VirtualRun;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.faults.Fault;
+import cacheproxy.lab.report.Results;
+import cacheproxy.lab.virtual.VirtualRun;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/test/java/hopglade/lab/hunt/Mutant.java
+++ b/src/test/java/cacheproxy/lab/hunt/Mutant.java
@@ -1,9 +1,9 @@
-package hopglade.lab.hunt;
+package cacheproxy.lab.hunt;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.Settings;
-import hopglade.lab.virtual.VirtualRun;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.Settings;
+import cacheproxy.lab.virtual.VirtualRun;
 import java.io.IOException;
 import java.net.URI;
 import java.net.URL;
@@ -38,7 +38,7 @@
                     "SlowStartBudget",
                     "TokenBucket");
 
-    private static final String PACKAGE = "hopglade";
+    private static final String PACKAGE = "cacheproxy";
 
     private Mutant() {}
 
--- a/src/test/java/hopglade/lab/hunt/MutantsTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/MutantsTest.java
@@ -1,9 +1,9 @@
-package hopglade.lab.hunt;
+package cacheproxy.lab.hunt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.lab.virtual.VirtualRun;
+import cacheproxy.lab.virtual.VirtualRun;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
--- a/src/test/java/hopglade/lab/hunt/SameDayTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/SameDayTest.java
@@ -1,10 +1,10 @@
-package hopglade.lab.hunt;
+package cacheproxy.lab.hunt;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.config.Toml;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.virtual.VirtualRun;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.virtual.VirtualRun;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.security.MessageDigest;
--- a/src/test/java/hopglade/lab/ledger/ColdStartsTest.java
+++ b/src/test/java/cacheproxy/lab/ledger/ColdStartsTest.java
@@ -1,16 +1,16 @@
-package hopglade.lab.ledger;
+package cacheproxy.lab.ledger;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.config.Toml;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.ledger.Ledger.Attempt;
-import hopglade.lab.ledger.Ledger.Started;
-import hopglade.lab.ledger.Ledger.Told;
-import hopglade.lab.ledger.Rules.Rule;
-import hopglade.lab.ledger.Rules.Violation;
-import hopglade.lab.world.ColdAllowance;
-import hopglade.lab.world.World.Health;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.ledger.Ledger.Attempt;
+import cacheproxy.lab.ledger.Ledger.Started;
+import cacheproxy.lab.ledger.Ledger.Told;
+import cacheproxy.lab.ledger.Rules.Rule;
+import cacheproxy.lab.ledger.Rules.Violation;
+import cacheproxy.lab.world.ColdAllowance;
+import cacheproxy.lab.world.World.Health;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/hopglade/lab/stream/StreamPlanTest.java
+++ b/src/test/java/cacheproxy/lab/stream/StreamPlanTest.java
@@ -1,10 +1,10 @@
-package hopglade.lab.stream;
+package cacheproxy.lab.stream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.BadFileException;
+import cacheproxy.config.BadFileException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/test/java/hopglade/lab/virtual/ColdFleetTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/ColdFleetTest.java
@@ -1,11 +1,11 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.Node;
-import hopglade.lab.ExperimentFile;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.Node;
+import cacheproxy.lab.ExperimentFile;
 import java.lang.reflect.InvocationTargetException;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/hopglade/lab/virtual/FleetDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/FleetDaysTest.java
@@ -1,12 +1,12 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
-import static hopglade.lab.virtual.VirtualTest.fault;
+import static cacheproxy.lab.virtual.VirtualTest.fault;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Toml;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.report.Results;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.report.Results;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/hopglade/lab/virtual/GossipDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/GossipDaysTest.java
@@ -1,10 +1,10 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.report.Results;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.report.Results;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/hopglade/lab/virtual/PolicyDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/PolicyDaysTest.java
@@ -1,17 +1,17 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Toml;
-import hopglade.epoch.Message.Ending;
-import hopglade.lab.Draw;
-import hopglade.lab.Experiment;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.faults.PeerLinks;
-import hopglade.lab.ledger.PolicyLedger;
-import hopglade.lab.report.Results;
+import cacheproxy.config.Toml;
+import cacheproxy.epoch.Message.Ending;
+import cacheproxy.lab.Draw;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.ledger.PolicyLedger;
+import cacheproxy.lab.report.Results;
 import java.util.Locale;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/lab/virtual/StreamDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/StreamDaysTest.java
@@ -1,15 +1,15 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.lab.virtual.VirtualStream.Plan;
-import hopglade.stream.Change;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Subscriber;
-import hopglade.stream.Subscriber.What;
-import hopglade.stream.Window;
+import cacheproxy.lab.virtual.VirtualStream.Plan;
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Subscriber;
+import cacheproxy.stream.Subscriber.What;
+import cacheproxy.stream.Window;
 import java.util.Arrays;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/lab/virtual/TiesTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/TiesTest.java
@@ -1,19 +1,19 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.Router.Request;
-import hopglade.config.Toml;
-import hopglade.lab.Draw;
-import hopglade.lab.Experiment;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.ProxySettings;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.Request;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.Draw;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.ProxySettings;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/hopglade/lab/virtual/VirtualTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/VirtualTest.java
@@ -1,13 +1,13 @@
-package hopglade.lab.virtual;
+package cacheproxy.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Toml;
-import hopglade.lab.Experiment;
-import hopglade.lab.ExperimentFile;
-import hopglade.lab.report.Results;
+import cacheproxy.config.Toml;
+import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ExperimentFile;
+import cacheproxy.lab.report.Results;
 import java.nio.file.Path;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/measure/SlidingSumTest.java
+++ b/src/test/java/cacheproxy/measure/SlidingSumTest.java
@@ -1,4 +1,4 @@
-package hopglade.measure;
+package cacheproxy.measure;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/hopglade/membership/GossipTest.java
+++ b/src/test/java/cacheproxy/membership/GossipTest.java
@@ -1,13 +1,13 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
-import hopglade.membership.Gossip.What;
-import hopglade.membership.Member.Status;
+import cacheproxy.Router.Outcome;
+import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Member.Status;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -204,7 +204,7 @@
             town.proxy(i).saw("node-5", Outcome.TIMEOUT, 2);
         }
         town.runFor(500);
-        List<hopglade.Router.Node> list = List.copyOf(town.nodes);
+        List<cacheproxy.Router.Node> list = List.copyOf(town.nodes);
         assertTrue(town.join("early", 0, 1).doubted.isEmpty());
         town.nodes.clear();
         Town.Proxy late = town.join("late", 0, 1);
@@ -219,14 +219,14 @@
                         .map(
                                 n ->
                                         n.id().equals("node-5")
-                                                ? new hopglade.Router.Node(
+                                                ? new cacheproxy.Router.Node(
                                                         "node-5",
                                                         "std",
                                                         "a",
                                                         0,
                                                         1,
                                                         town.now,
-                                                        hopglade.Router.Availability.UP)
+                                                        cacheproxy.Router.Availability.UP)
                                                 : n)
                         .toList(),
                 late);
--- a/src/test/java/hopglade/membership/HeldUpLoopTest.java
+++ b/src/test/java/cacheproxy/membership/HeldUpLoopTest.java
@@ -1,8 +1,8 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.membership.Gossip.What;
+import cacheproxy.membership.Gossip.What;
 import java.util.SplittableRandom;
 import java.util.function.DoubleSupplier;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/hopglade/membership/LifeguardTest.java
+++ b/src/test/java/cacheproxy/membership/LifeguardTest.java
@@ -1,11 +1,11 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.membership.Gossip.What;
-import hopglade.membership.Member.Status;
+import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Member.Status;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/hopglade/membership/SharedEventLoop.java
+++ b/src/test/java/cacheproxy/membership/SharedEventLoop.java
@@ -1,7 +1,7 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
-import hopglade.lab.virtual.HashIdentity;
-import hopglade.membership.Gossip.What;
+import cacheproxy.lab.virtual.HashIdentity;
+import cacheproxy.membership.Gossip.What;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/test/java/hopglade/membership/SwimHoldUpTest.java
+++ b/src/test/java/cacheproxy/membership/SwimHoldUpTest.java
@@ -1,9 +1,9 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.membership.Member.Status;
+import cacheproxy.membership.Member.Status;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/membership/Town.java
+++ b/src/test/java/cacheproxy/membership/Town.java
@@ -1,10 +1,10 @@
-package hopglade.membership;
+package cacheproxy.membership;
 
-import hopglade.Router.Availability;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
-import hopglade.lab.virtual.HashIdentity;
-import hopglade.membership.Gossip.What;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
+import cacheproxy.lab.virtual.HashIdentity;
+import cacheproxy.membership.Gossip.What;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/hopglade/proxy/AcceptFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/AcceptFailuresTest.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.SystemCall;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
--- a/src/test/java/hopglade/proxy/BrokenServe.java
+++ b/src/test/java/cacheproxy/proxy/BrokenServe.java
@@ -1,9 +1,9 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.Effect;
-import hopglade.Router.Outcome;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.Effect;
+import cacheproxy.Router.Outcome;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/hopglade/proxy/ClientLeftTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientLeftTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Actions;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Actions;
+import cacheproxy.Router.Outcome;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/hopglade/proxy/ClientTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
--- a/src/test/java/hopglade/proxy/DiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryTest.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/hopglade/proxy/DroppedRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/DroppedRequestsTest.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
-import hopglade.Router;
+import cacheproxy.Decide;
+import cacheproxy.Router;
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
--- a/src/test/java/hopglade/proxy/FailingConnectsTest.java
+++ b/src/test/java/cacheproxy/proxy/FailingConnectsTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.Decide;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.SystemCall;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/hopglade/proxy/FaultySite.java
+++ b/src/test/java/cacheproxy/proxy/FaultySite.java
@@ -1,8 +1,8 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router;
-import hopglade.syscalls.FaultSchedule;
-import hopglade.syscalls.FaultyProvider;
+import cacheproxy.Router;
+import cacheproxy.syscalls.FaultSchedule;
+import cacheproxy.syscalls.FaultyProvider;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/hopglade/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -1,7 +1,7 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Decide;
-import hopglade.Router;
+import cacheproxy.Decide;
+import cacheproxy.Router;
 import java.io.Closeable;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/test/java/hopglade/proxy/FullDescriptorsTest.java
+++ b/src/test/java/cacheproxy/proxy/FullDescriptorsTest.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -78,7 +78,7 @@
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
                                 archives(),
-                                "hopglade.Main",
+                                "cacheproxy.Main",
                                 "serve")
                         .redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", config.toString());
--- a/src/test/java/hopglade/proxy/FullTableTest.java
+++ b/src/test/java/cacheproxy/proxy/FullTableTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Availability;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Outcome;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpMethod;
--- a/src/test/java/hopglade/proxy/HandoverTest.java
+++ b/src/test/java/cacheproxy/proxy/HandoverTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.UnassignedPort;
+import cacheproxy.UnassignedPort;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -89,7 +89,7 @@
                         java.toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "hopglade.Main",
+                        "cacheproxy.Main",
                         "serve");
         holder.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         holder.getOutputStream().flush();
@@ -215,7 +215,7 @@
                                             .toString(),
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    "hopglade.Main",
+                                    "cacheproxy.Main",
                                     "serve")
                             .redirectErrorStream(true);
             builder.environment().put("BALANCER_CONFIG", config.toString());
--- a/src/test/java/hopglade/proxy/Held.java
+++ b/src/test/java/cacheproxy/proxy/Held.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/hopglade/proxy/HoldUpTest.java
+++ b/src/test/java/cacheproxy/proxy/HoldUpTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router;
-import hopglade.Router.Outcome;
+import cacheproxy.Router;
+import cacheproxy.Router.Outcome;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import org.junit.jupiter.api.AfterEach;
--- a/src/test/java/hopglade/proxy/IdleAgesTest.java
+++ b/src/test/java/cacheproxy/proxy/IdleAgesTest.java
@@ -1,9 +1,9 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/hopglade/proxy/JoinedFetchTest.java
+++ b/src/test/java/cacheproxy/proxy/JoinedFetchTest.java
@@ -1,8 +1,8 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.Decide;
+import cacheproxy.Decide;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/hopglade/proxy/LoadedClassesTest.java
+++ b/src/test/java/cacheproxy/proxy/LoadedClassesTest.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -104,8 +104,8 @@
 
     private static List<String> ownClasses(Path loaded) throws IOException {
         return Files.readAllLines(loaded).stream()
-                .filter(l -> l.contains(" hopglade."))
-                .map(l -> l.replaceFirst(".* (hopglade\\S+) .*", "$1"))
+                .filter(l -> l.contains(" cacheproxy."))
+                .map(l -> l.replaceFirst(".* (cacheproxy\\S+) .*", "$1"))
                 .toList();
     }
 }
--- a/src/test/java/hopglade/proxy/LongOutageTest.java
+++ b/src/test/java/cacheproxy/proxy/LongOutageTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
+import cacheproxy.Decide;
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/hopglade/proxy/ManualClockLoop.java
+++ b/src/test/java/cacheproxy/proxy/ManualClockLoop.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.SingleThreadIoEventLoop;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/hopglade/proxy/MixedAnswersTest.java
+++ b/src/test/java/cacheproxy/proxy/MixedAnswersTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/hopglade/proxy/OperationsTest.java
+++ b/src/test/java/cacheproxy/proxy/OperationsTest.java
@@ -1,13 +1,13 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
-import hopglade.store.FaultyFiles;
-import hopglade.store.FaultyFiles.Step;
-import hopglade.store.OutageFiles;
+import cacheproxy.Decide;
+import cacheproxy.store.FaultyFiles;
+import cacheproxy.store.FaultyFiles.Step;
+import cacheproxy.store.OutageFiles;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -117,7 +117,7 @@
     @Timeout(Peer.PATIENCE_S)
     void callersThatSayNothingOrHalfTakeNoPlaceFromThoseThatCall() throws Exception {
         List<Peer.Wire> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * hopglade.admin.AdminServer.PLACES; i++) {
+        for (int i = 0; i < 3 * cacheproxy.admin.AdminServer.PLACES; i++) {
             silent.add(Peer.connect(site.service.adminListening()));
             silent.get(i).write(i % 2 == 0 ? "" : "POST /cache-nodes/c0/ma");
         }
--- a/src/test/java/hopglade/proxy/OptionsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/OptionsReloadTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.BadFileException;
-import hopglade.config.Options;
+import cacheproxy.config.BadFileException;
+import cacheproxy.config.Options;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/test/java/hopglade/proxy/OutcomeTest.java
+++ b/src/test/java/cacheproxy/proxy/OutcomeTest.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.AttemptEnd;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.AttemptEnd;
+import cacheproxy.Router.Outcome;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/src/test/java/hopglade/proxy/PeerEarTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerEarTest.java
@@ -1,14 +1,14 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.FaultSchedule;
-import hopglade.syscalls.FaultyProvider;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.FaultSchedule;
+import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.SystemCall;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
--- a/src/test/java/hopglade/proxy/PeerSocketFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketFailuresTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.SystemCall;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
--- a/src/test/java/hopglade/proxy/RefusingAddress.java
+++ b/src/test/java/cacheproxy/proxy/RefusingAddress.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/test/java/hopglade/proxy/ReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/ReloadTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.ListKind;
+import cacheproxy.Router.ListKind;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/test/java/hopglade/proxy/Scripted.java
+++ b/src/test/java/cacheproxy/proxy/Scripted.java
@@ -1,6 +1,6 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router;
+import cacheproxy.Router;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/hopglade/proxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/proxy/ServeProcess.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.UnassignedPort;
+import cacheproxy.UnassignedPort;
 import java.io.BufferedReader;
 import java.io.Closeable;
 import java.io.IOException;
@@ -66,7 +66,7 @@
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         line.addAll(List.of(options));
         line.addAll(List.of("-cp", System.getProperty("java.class.path")));
-        line.addAll(List.of("hopglade.Main", "serve"));
+        line.addAll(List.of("cacheproxy.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(line).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", config.toString());
         process = builder.start();
--- a/src/test/java/hopglade/proxy/StaleConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/StaleConnectionTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/hopglade/proxy/StalledAnswerTest.java
+++ b/src/test/java/cacheproxy/proxy/StalledAnswerTest.java
@@ -1,12 +1,12 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Effect;
-import hopglade.Router.Group;
-import hopglade.Router.Outcome;
-import hopglade.Router.ServiceClass;
+import cacheproxy.Router.Effect;
+import cacheproxy.Router.Group;
+import cacheproxy.Router.Outcome;
+import cacheproxy.Router.ServiceClass;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
--- a/src/test/java/hopglade/proxy/StartTest.java
+++ b/src/test/java/cacheproxy/proxy/StartTest.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/hopglade/proxy/StreamingTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamingTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import io.netty.util.internal.PlatformDependent;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/hopglade/proxy/SupersededCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/SupersededCallsTest.java
@@ -1,13 +1,13 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
-import hopglade.store.FaultyFiles;
-import hopglade.store.FaultyFiles.Step;
-import hopglade.store.OutageFiles;
-import hopglade.store.OutageFiles.Kept;
+import cacheproxy.Decide;
+import cacheproxy.store.FaultyFiles;
+import cacheproxy.store.FaultyFiles.Step;
+import cacheproxy.store.OutageFiles;
+import cacheproxy.store.OutageFiles.Kept;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/hopglade/proxy/SystemCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/SystemCallsTest.java
@@ -1,13 +1,13 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.FaultSchedule;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.Router.Outcome;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.FaultSchedule;
+import cacheproxy.syscalls.SystemCall;
 import java.io.IOException;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/hopglade/proxy/ToldTest.java
+++ b/src/test/java/cacheproxy/proxy/ToldTest.java
@@ -1,11 +1,11 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Decide;
-import hopglade.Router;
-import hopglade.Router.ListKind;
+import cacheproxy.Decide;
+import cacheproxy.Router;
+import cacheproxy.Router.ListKind;
 import java.lang.reflect.Proxy;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/hopglade/proxy/UnwrittenTest.java
+++ b/src/test/java/cacheproxy/proxy/UnwrittenTest.java
@@ -1,10 +1,10 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Outcome;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/hopglade/proxy/WatchTest.java
+++ b/src/test/java/cacheproxy/proxy/WatchTest.java
@@ -1,13 +1,13 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.Router.Availability;
-import hopglade.Router.ListKind;
-import hopglade.Router.Settings;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.ListKind;
+import cacheproxy.Router.Settings;
 import io.netty.channel.ChannelException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/hopglade/proxy/WithPool.java
+++ b/src/test/java/cacheproxy/proxy/WithPool.java
@@ -1,8 +1,8 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
-import hopglade.Router.Availability;
-import hopglade.Router.Node;
-import hopglade.Router.Outcome;
+import cacheproxy.Router.Availability;
+import cacheproxy.Router.Node;
+import cacheproxy.Router.Outcome;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/hopglade/proxy/WithSite.java
+++ b/src/test/java/cacheproxy/proxy/WithSite.java
@@ -1,4 +1,4 @@
-package hopglade.proxy;
+package cacheproxy.proxy;
 
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
--- a/src/test/java/hopglade/raft/ControlMachineTest.java
+++ b/src/test/java/cacheproxy/raft/ControlMachineTest.java
@@ -1,12 +1,12 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Message;
+import cacheproxy.stream.Window;
 import com.google.gson.JsonObject;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Message;
-import hopglade.stream.Window;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.NopRaftStore;
 import java.util.ArrayDeque;
--- a/src/test/java/hopglade/raft/LinksTest.java
+++ b/src/test/java/cacheproxy/raft/LinksTest.java
@@ -1,13 +1,13 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.lab.virtual.HashIdentity;
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.FaultSchedule;
-import hopglade.syscalls.FaultyProvider;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.lab.virtual.HashIdentity;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.FaultSchedule;
+import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.SystemCall;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/hopglade/raft/LogFileFaultsTest.java
+++ b/src/test/java/cacheproxy/raft/LogFileFaultsTest.java
@@ -1,11 +1,11 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.epoch.Epochs;
-import hopglade.epoch.Epochs.Epoch;
+import cacheproxy.epoch.Epochs;
+import cacheproxy.epoch.Epochs.Epoch;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
--- a/src/test/java/hopglade/raft/LogFileTest.java
+++ b/src/test/java/cacheproxy/raft/LogFileTest.java
@@ -1,12 +1,12 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.epoch.Epochs;
-import hopglade.epoch.Epochs.Epoch;
+import cacheproxy.epoch.Epochs;
+import cacheproxy.epoch.Epochs.Epoch;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.SnapshotChunk;
 import io.microraft.model.log.SnapshotEntry;
--- a/src/test/java/hopglade/raft/PolicyRecoveryTest.java
+++ b/src/test/java/cacheproxy/raft/PolicyRecoveryTest.java
@@ -1,12 +1,12 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.config.Options;
-import hopglade.config.OptionsFile;
-import hopglade.epoch.Message.Ending;
-import hopglade.gossip.KeyFiles;
+import cacheproxy.config.Options;
+import cacheproxy.config.OptionsFile;
+import cacheproxy.epoch.Message.Ending;
+import cacheproxy.gossip.KeyFiles;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/hopglade/raft/StreamSocketsTest.java
+++ b/src/test/java/cacheproxy/raft/StreamSocketsTest.java
@@ -1,19 +1,19 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.gossip.KeyFiles;
-import hopglade.gossip.KeyRing;
-import hopglade.stream.Change;
-import hopglade.stream.Change.Purge;
-import hopglade.stream.Deliveries.Everywhere;
-import hopglade.stream.Entry;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Subscriber;
-import hopglade.stream.Window;
-import hopglade.stream.wire.StreamClient;
+import cacheproxy.gossip.KeyFiles;
+import cacheproxy.gossip.KeyRing;
+import cacheproxy.stream.Change;
+import cacheproxy.stream.Change.Purge;
+import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Entry;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Subscriber;
+import cacheproxy.stream.Window;
+import cacheproxy.stream.wire.StreamClient;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/hopglade/raft/VoterRecoveryTest.java
+++ b/src/test/java/cacheproxy/raft/VoterRecoveryTest.java
@@ -1,13 +1,13 @@
-package hopglade.raft;
+package cacheproxy.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cacheproxy.epoch.Epochs;
+import cacheproxy.epoch.Epochs.Outcome;
+import cacheproxy.epoch.Epochs.Prepare;
 import com.google.gson.JsonObject;
-import hopglade.epoch.Epochs;
-import hopglade.epoch.Epochs.Outcome;
-import hopglade.epoch.Epochs.Prepare;
 import io.microraft.executor.RaftNodeExecutor;
 import java.io.IOException;
 import java.nio.file.Path;
--- a/src/test/java/hopglade/share/BudgetTest.java
+++ b/src/test/java/cacheproxy/share/BudgetTest.java
@@ -1,4 +1,4 @@
-package hopglade.share;
+package cacheproxy.share;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/hopglade/store/DurableFilesTest.java
+++ b/src/test/java/cacheproxy/store/DurableFilesTest.java
@@ -1,12 +1,12 @@
-package hopglade.store;
+package cacheproxy.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.store.FaultyFiles.Killed;
-import hopglade.store.FaultyFiles.Step;
+import cacheproxy.store.FaultyFiles.Killed;
+import cacheproxy.store.FaultyFiles.Step;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/hopglade/store/FolderLockTest.java
+++ b/src/test/java/cacheproxy/store/FolderLockTest.java
@@ -1,4 +1,4 @@
-package hopglade.store;
+package cacheproxy.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/hopglade/store/OutageFilesTest.java
+++ b/src/test/java/cacheproxy/store/OutageFilesTest.java
@@ -1,13 +1,13 @@
-package hopglade.store;
+package cacheproxy.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.store.FaultyFiles.Killed;
-import hopglade.store.FaultyFiles.Step;
-import hopglade.store.OutageFiles.Kept;
+import cacheproxy.store.FaultyFiles.Killed;
+import cacheproxy.store.FaultyFiles.Step;
+import cacheproxy.store.OutageFiles.Kept;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/hopglade/stream/SubscriberTest.java
+++ b/src/test/java/cacheproxy/stream/SubscriberTest.java
@@ -1,18 +1,18 @@
-package hopglade.stream;
+package cacheproxy.stream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import hopglade.stream.Change.Epoch;
-import hopglade.stream.Change.Purge;
-import hopglade.stream.Message.Ack;
-import hopglade.stream.Message.Batch;
-import hopglade.stream.Message.Beat;
-import hopglade.stream.Message.Hello;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Subscriber.What;
+import cacheproxy.stream.Change.Epoch;
+import cacheproxy.stream.Change.Purge;
+import cacheproxy.stream.Message.Ack;
+import cacheproxy.stream.Message.Batch;
+import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Hello;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Subscriber.What;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/hopglade/stream/wire/StreamClientTest.java
+++ b/src/test/java/cacheproxy/stream/wire/StreamClientTest.java
@@ -1,14 +1,14 @@
-package hopglade.stream.wire;
+package cacheproxy.stream.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import hopglade.stream.Entry;
-import hopglade.stream.Message.Snapshot;
-import hopglade.stream.Subscriber;
-import hopglade.syscalls.Errno;
-import hopglade.syscalls.FaultSchedule;
-import hopglade.syscalls.FaultyProvider;
-import hopglade.syscalls.SystemCall;
+import cacheproxy.stream.Entry;
+import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.Subscriber;
+import cacheproxy.syscalls.Errno;
+import cacheproxy.syscalls.FaultSchedule;
+import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.SystemCall;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/test/java/hopglade/syscalls/FaultSchedule.java
+++ b/src/test/java/cacheproxy/syscalls/FaultSchedule.java
@@ -1,4 +1,4 @@
-package hopglade.syscalls;
+package cacheproxy.syscalls;
 
 import java.io.IOException;
 import java.util.EnumMap;
--- a/src/test/java/hopglade/syscalls/SystemCall.java
+++ b/src/test/java/cacheproxy/syscalls/SystemCall.java
@@ -1,4 +1,4 @@
-package hopglade.syscalls;
+package cacheproxy.syscalls;
 
 /**
  * The system calls that a {@link FaultSchedule} can make fail, as the sockets of the Java library
