--- a/src/main/java/cacheproxy/HysteresisController.java
+++ b/src/main/java/cacheproxy/HysteresisController.java
@@ -1,6 +1,6 @@
 package cacheproxy;
 
-import static cacheproxy.measure.Samples.beyondChance;
+import static cacheproxy.measure.Samples.excessOverChance;
 
 /**
  * The hysteresis level of admission and the base rate that its refill rates are multiples of. Fetch
@@ -10,23 +10,23 @@
 final class HysteresisController {
 
     /** Shares of bad fetches above which the level rises and below which it falls. */
-    static final double RISE = 0.10;
+    static final double RISE_THRESHOLD = 0.10;
 
-    static final double FALL = 0.05;
+    static final double FALL_THRESHOLD = 0.05;
 
     /** Fewer outcomes than this in an interval are a thin sample. */
-    static final int THIN = 4;
+    static final int MIN_SAMPLE_SIZE = 4;
 
     /** Standard deviations by which broken fetches may exceed what breaks elsewhere. */
-    static final double CHANCE = 2;
+    static final double CHANCE_DEVIATIONS = 2;
 
     /**
      * Intervals that a thin sample with a bad fetch waits to grow where balancers outnumber nodes.
      */
-    static final int SPAN = 6;
+    static final int MAX_ACCUMULATED_INTERVALS = 6;
 
     /** Refill rates of levels 1 and up, as multiples of the base. */
-    static final double[] LADDER = {1.25, 1.0, 0.8, 0.6, 0.45, 0.3};
+    static final double[] RATE_MULTIPLES = {1.25, 1.0, 0.8, 0.6, 0.45, 0.3};
 
     /** What is left of the base after an interval at level 0 that did not reach it. */
     static final double BASE_DECAY = 0.98;
@@ -44,26 +44,26 @@
      * refused most misses for half a minute. Could harm where a balancer starts while the origin is
      * slow.
      */
-    static final int LEARNED = 4;
+    static final int MIN_LEARNING_INTERVALS = 4;
 
     /** Smoothing of the rate whose peak the base is: one interval's peak is mostly luck. */
-    static final double RATE_SMOOTH = 0.3;
+    static final double RATE_SMOOTHING = 0.3;
 
     /** No base is lower, in fetches a second: a balancer that saw little must still try. */
-    static final double BASE_FLOOR = 1;
+    static final double MIN_BASE_RATE = 1;
 
     int level;
-    double floor = BASE_FLOOR;
-    double base = BASE_FLOOR;
+    double minBaseRate = MIN_BASE_RATE;
+    double baseRate = MIN_BASE_RATE;
 
     /**
      * Fetches of this interval that were cut off, and those answered with an error; {@link #judge}
      * says how many count as bad.
      */
-    int broken, spoilt;
+    int brokenFetches, errorFetches;
 
-    private double rate = -1;
-    private int good, bad, spans, learned;
+    private double smoothedRate = -1;
+    private int good, bad, accumulatedIntervals, learnedIntervals;
 
     /** Counts a fetch that tells of the origin's load. */
     void count(boolean wasGood) {
@@ -78,33 +78,39 @@
      * throttled. Could harm where origin and caches are overrun alike: late answers and time-outs
      * alone then throttle.
      */
-    void judge(double usualBreaks, double usualErrors) {
-        int all = good + bad + broken + spoilt;
+    void countUnexplainedFailures(double medianBreakRate, double medianErrorRate) {
+        int all = good + bad + brokenFetches + errorFetches;
         bad +=
-                beyondChance(broken, usualBreaks * all, CHANCE)
-                        + beyondChance(spoilt, usualErrors * all, CHANCE);
-        broken = 0;
-        spoilt = 0;
+                excessOverChance(brokenFetches, medianBreakRate * all, CHANCE_DEVIATIONS)
+                        + excessOverChance(errorFetches, medianErrorRate * all, CHANCE_DEVIATIONS);
+        brokenFetches = 0;
+        errorFetches = 0;
     }
 
     /** Ends an interval in which the token bucket refused so many. */
-    void step(double intervalMs, int refusals) {
+    void endInterval(double intervalMs, int failedTakes) {
         int all = good + bad;
         if (level == 0) {
             double perS = good * 1000 / intervalMs;
-            rate = rate < 0 ? perS : rate + RATE_SMOOTH * (perS - rate);
-            base = Math.max(floor, Math.max(base * BASE_DECAY, rate));
-            learned += all >= THIN ? 1 : 0;
+            smoothedRate =
+                    smoothedRate < 0 ? perS : smoothedRate + RATE_SMOOTHING * (perS - smoothedRate);
+            baseRate = Math.max(minBaseRate, Math.max(baseRate * BASE_DECAY, smoothedRate));
+            learnedIntervals += all >= MIN_SAMPLE_SIZE ? 1 : 0;
         }
-        if (floor < BASE_FLOOR && all < THIN && bad > 0 && ++spans < SPAN) {
+        if (minBaseRate < MIN_BASE_RATE
+                && all < MIN_SAMPLE_SIZE
+                && bad > 0
+                && ++accumulatedIntervals < MAX_ACCUMULATED_INTERVALS) {
             return;
         }
-        spans = 0;
-        if (all >= THIN && bad > RISE * all && (level > 0 || learned >= LEARNED)) {
-            level = Math.min(level + 1, LADDER.length);
-        } else if (all < THIN || bad < FALL * all) {
-            if (level == 1 && refusals > 0) {
-                base *= BASE_GROWTH;
+        accumulatedIntervals = 0;
+        if (all >= MIN_SAMPLE_SIZE
+                && bad > RISE_THRESHOLD * all
+                && (level > 0 || learnedIntervals >= MIN_LEARNING_INTERVALS)) {
+            level = Math.min(level + 1, RATE_MULTIPLES.length);
+        } else if (all < MIN_SAMPLE_SIZE || bad < FALL_THRESHOLD * all) {
+            if (level == 1 && failedTakes > 0) {
+                baseRate *= BASE_GROWTH;
             } else {
                 level = Math.max(level - 1, 0);
             }
@@ -114,7 +120,7 @@
     }
 
     /** The refill rate of the token bucket; infinite at level 0. */
-    double rate() {
-        return level == 0 ? Double.POSITIVE_INFINITY : base * LADDER[level - 1];
+    double refillRate() {
+        return level == 0 ? Double.POSITIVE_INFINITY : baseRate * RATE_MULTIPLES[level - 1];
     }
 }
--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -6,7 +6,7 @@
 import cacheproxy.proxy.Config;
 import cacheproxy.proxy.ConfigException;
 import cacheproxy.proxy.ConfigFileWatch;
-import cacheproxy.proxy.Hangup;
+import cacheproxy.proxy.HangupSignal;
 import cacheproxy.proxy.Log;
 import cacheproxy.proxy.Service;
 import java.io.IOException;
@@ -30,22 +30,22 @@
 
     public static void main(String[] args)
             throws IOException, InterruptedException, ConfigException {
-        String first = args.length == 0 ? "" : args[0];
-        if (first.equals("serve")
+        String command = args.length == 0 ? "" : args[0];
+        if (command.equals("serve")
                 && (args.length == 1 || args.length == 3 && args[1].equals("--options"))) {
             serve(args.length == 1 ? null : args[2]);
-        } else if (first.equals("rehearse") && args.length == 1) {
+        } else if (command.equals("rehearse") && args.length == 1) {
             // As serve does, so that the class archive holds what that loads.
             Log.configure(Options.DEFAULTS.log());
             Service.rehearse();
-        } else if (first.equals("benchlink") && args.length == 1) {
+        } else if (command.equals("benchlink") && args.length == 1) {
             cacheproxy.benchlink.Main.main(args);
         } else {
-            System.exit(tools(args));
+            System.exit(runCommandLineTool(args));
         }
     }
 
-    private static int tools(String[] args) {
+    private static int runCommandLineTool(String[] args) {
         Log.configure(Options.DEFAULTS.log());
         try {
             return cacheproxy.cli.Cli.run(args);
@@ -62,17 +62,18 @@
         CompletableFuture<Service> started = new CompletableFuture<>();
         Map<String, String> environment = System.getenv();
         Runnable reload = () -> started.thenAccept(s -> s.reload(environment));
-        ConfigFileWatch watch = Hangup.handle(reload) ? null : new ConfigFileWatch(environment);
+        ConfigFileWatch configWatch =
+                HangupSignal.handle(reload) ? null : new ConfigFileWatch(environment);
         // SIGTERM runs this hook; the process ends when the hook does, so it waits until nothing is
         // owed. One that comes before
         // clients can, finds nothing owed and forbids that they ever do.
-        CompletableFuture<Service> opening = new CompletableFuture<>();
+        CompletableFuture<Service> startup = new CompletableFuture<>();
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
                                 () -> {
-                                    if (!opening.cancel(false)) {
-                                        opening.join().drain();
+                                    if (!startup.cancel(false)) {
+                                        startup.join().shutDown();
                                     }
                                 },
                                 "drain"));
@@ -81,9 +82,9 @@
             Options options =
                     optionsFile == null ? Options.DEFAULTS : OptionsFile.read(Path.of(optionsFile));
             Log.configure(options.log());
-            service = Service.start(Config.fromEnvironment(environment), options, opening);
+            service = Service.start(Config.fromEnvironment(environment), options, startup);
             if (optionsFile != null) {
-                service.options(() -> OptionsFile.read(Path.of(optionsFile)), options);
+                service.useOptions(() -> OptionsFile.read(Path.of(optionsFile)), options);
             }
         } catch (ConfigException | BadFileException e) {
             System.err.println("flintmill: configuration: " + e.getMessage());
@@ -97,9 +98,9 @@
             System.exit(EXIT_FAILED);
         }
         started.complete(service);
-        if (watch != null) {
-            service.reloadOnChange(watch, reload);
+        if (configWatch != null) {
+            service.reloadOnChange(configWatch, reload);
         }
-        service.awaitEnd();
+        service.awaitTermination();
     }
 }
--- a/src/main/java/cacheproxy/PendingRequest.java
+++ b/src/main/java/cacheproxy/PendingRequest.java
@@ -14,7 +14,7 @@
 final class PendingRequest {
 
     /** Part of its latency objective that a read may wait for capacity at its key's two nodes. */
-    static final double PATIENCE = 0.25;
+    static final double CAPACITY_WAIT_FRACTION = 0.25;
 
     final Request request;
     final ServiceClass service;
@@ -43,13 +43,13 @@
     /** How many variants a hot key is spread over. */
     int variants = 1;
 
-    final List<Decide.NodeView> tried = new ArrayList<>(2);
+    final List<DecisionModule.NodeView> tried = new ArrayList<>(2);
 
     /** Nodes that answered that they lack the key. */
-    final List<Decide.NodeView> missed = new ArrayList<>(2);
+    final List<DecisionModule.NodeView> missed = new ArrayList<>(2);
 
     /** The node of the latest attempt; null before the first. */
-    Decide.NodeView node;
+    DecisionModule.NodeView node;
 
     double priorityWeight;
 
@@ -57,7 +57,7 @@
     double sentAt;
 
     /** When the first attempt began that may have run: a window for repeats opens then. */
-    double firstSent;
+    double firstSentAt;
 
     int attempts;
     int fetchAttempts;
@@ -86,7 +86,7 @@
     boolean pickedSecond;
 
     /** Whether the latest choice found no capacity at its key's nodes. */
-    boolean crowded;
+    boolean hasUntriedNode;
 
     /** Whether it has joined another request's fetch. */
     boolean joinedFetch;
@@ -94,13 +94,13 @@
     boolean hasToken;
 
     /** Whether it is the one that fetches its key, for which others may wait. */
-    boolean fetches;
+    boolean leadsFetch;
 
     /**
      * Whether it had an attempt with the short timeout: the next one gets the usual, as many may be
      * slow at once.
      */
-    boolean hurried;
+    boolean hadShortTimeout;
 
     /**
      * Takes a request in.
@@ -114,11 +114,12 @@
         this.draw = unit(hashText(request.id()));
         this.placementKey = request.key() >= 0 ? request.key() : hashText(request.id());
         this.answerBy = now + request.uploadMs() + Math.max(0, budget - marginMs);
-        this.waitUntil = now + PATIENCE * Math.min(service.aimMs(), budget);
+        this.waitUntil =
+                now + CAPACITY_WAIT_FRACTION * Math.min(service.latencyObjectiveMs(), budget);
     }
 
     /** Whether its attempt is at a cache node and too young to tell of that node's health. */
     boolean isYoung(double now) {
-        return inFlight && !node.isOrigin() && 2 * (now - sentAt) < service.aimMs();
+        return inFlight && !node.isOrigin() && 2 * (now - sentAt) < service.latencyObjectiveMs();
     }
 }
--- a/src/main/java/cacheproxy/Router.java
+++ b/src/main/java/cacheproxy/Router.java
@@ -15,7 +15,7 @@
      * How long a proxy may be held up between reading its clock and writing, in milliseconds: what
      * it writes against a limit in time begins so much before that limit.
      */
-    double HOLD_UP_MS = 150;
+    double MAX_PROCESSING_DELAY_MS = 150;
 
     /** What repeating a request does. */
     enum Effect {
@@ -42,15 +42,15 @@
     }
 
     /** What a delivery of the server list holds. */
-    enum ListKind {
+    enum EndpointListKind {
         /** Only entries that changed. */
-        CHANGES,
+        DELTA,
         /** Every node; one that is not named is gone. */
-        FULL,
+        SNAPSHOT,
         /** Every node as this proxy last knew them before a restart; may be stale. */
-        REMEMBERED,
+        STORED_SNAPSHOT,
         /** A call to discovery failed or the subscription broke; no entries. */
-        REFUSED
+        FAILED
     }
 
     /** How a node's weight is meant. */
@@ -84,7 +84,7 @@
         }
 
         /** Whether its connection broke or never came up. */
-        public boolean broke() {
+        public boolean isConnectionFailure() {
             return this == RESET || this == CONNECT_FAILED;
         }
     }
@@ -94,8 +94,8 @@
      */
     record ServiceClass(
             String name,
-            double aimMs,
-            double aimStretch,
+            double latencyObjectiveMs,
+            double latencyObjectiveStretch,
             double deadlineMs,
             double gain,
             double lateShare,
@@ -121,10 +121,10 @@
     /** The figures behind the rules. */
     record Rules(
             double drainGraceMs,
-            double coldFrom,
-            double coldMs,
-            double fallMultiple,
-            double fallMs,
+            double slowStartInitialFraction,
+            double slowStartMs,
+            double slowStartLoadMultiple,
+            double slowStartWindowMs,
             double answerSlackMs,
             double askWithinMs) {}
 
@@ -132,7 +132,7 @@
      * Connections: after how long idle ones close by themselves, the price of 100 open ones a node
      * all day, and the price of opening one for every request.
      */
-    record Connections(double idleMs, double heldPrice, double openingPrice) {
+    record Connections(double idleTimeoutMs, double connectionCost, double handshakeCost) {
 
         /** Idle ones stay and none has a price. */
         public static final Connections FREE = new Connections(Double.POSITIVE_INFINITY, 0, 0);
@@ -149,8 +149,8 @@
             double tickMs,
             List<ServiceClass> classes,
             List<Tenant> tenants,
-            double overShareWorth,
-            boolean worthByWork,
+            double overQuotaWeightFactor,
+            boolean weightByWork,
             Limits limits,
             Rules rules,
             boolean mustSubscribe,
@@ -166,8 +166,8 @@
                 double tickMs,
                 List<ServiceClass> classes,
                 List<Tenant> tenants,
-                double overShareWorth,
-                boolean worthByWork,
+                double overQuotaWeightFactor,
+                boolean weightByWork,
                 Limits limits,
                 Rules rules,
                 boolean mustSubscribe,
@@ -180,8 +180,8 @@
                     tickMs,
                     classes,
                     tenants,
-                    overShareWorth,
-                    worthByWork,
+                    overQuotaWeightFactor,
+                    weightByWork,
                     limits,
                     rules,
                     mustSubscribe,
@@ -195,10 +195,12 @@
             if (classes == null || classes.isEmpty()) {
                 throw new IllegalArgumentException("settings: classes: at least one is needed");
             }
-            for (ServiceClass c : classes) {
-                if (!(c.deadlineMs() > 0)) {
+            for (ServiceClass serviceClass : classes) {
+                if (!(serviceClass.deadlineMs() > 0)) {
                     throw new IllegalArgumentException(
-                            "settings: classes: " + c.name() + ": deadlineMs > 0 needed");
+                            "settings: classes: "
+                                    + serviceClass.name()
+                                    + ": deadlineMs > 0 needed");
                 }
             }
             classes = List.copyOf(classes);
@@ -261,7 +263,7 @@
             Outcome outcome,
             double elapsedMs,
             boolean finished,
-            int note,
+            int cacheStatus,
             Map<String, Double> load) {}
 
     /** Where a router's wishes go. */
@@ -274,13 +276,13 @@
         void cancel(String request, int attempt);
 
         /** Final answer: turned away, harmless to try again; 0 gives no advice on when. */
-        void refuse(String request, double retryAfterMs);
+        void reject(String request, double retryAfterMs);
 
         /** Final answer: failed, with no promise about its effect. */
         void fail(String request);
 
         /** Asks for {@link Router#timer} at a clock time. */
-        void timer(double atMs, String token);
+        void scheduleTimer(double atMs, String token);
 
         /** Asks discovery to send changes from now on. */
         void subscribe();
@@ -289,23 +291,24 @@
         void probe(String node);
 
         /** Sends a short message to every other proxy; it may be lost. */
-        void tell(byte[] contents);
+        void sendToPeers(byte[] contents);
 
         /**
          * Closes this proxy's idle connections to a node, and ends what waits for one there as
          * never sent.
          */
-        void close(String node);
+        void closeIdleConnections(String node);
     }
 
     /** The proxy has started; comes first. */
     void started(double now, Actions out);
 
     /** The server list, or news of it. */
-    void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out);
+    void endpointListReceived(
+            double now, EndpointListKind kind, long version, List<Node> entries, Actions out);
 
     /** A request came in; exactly one final answer is owed from here on. */
-    void request(double now, Request request, Actions out);
+    void requestReceived(double now, Request request, Actions out);
 
     /** The first part of a streamed answer has reached the client. */
     void streamStarted(double now, String request, int attempt, String node, Actions out);
@@ -314,13 +317,13 @@
     void attemptEnded(double now, AttemptEnd end, Actions out);
 
     /** The client is gone; nothing is owed any more. */
-    void clientGone(double now, String request, Actions out);
+    void clientDisconnected(double now, String request, Actions out);
 
     /** A timer that was asked for is due. */
-    void timer(double now, String token, Actions out);
+    void timerFired(double now, String token, Actions out);
 
     /** A probe's result. */
-    void probed(
+    void probeCompleted(
             double now,
             String node,
             Outcome outcome,
@@ -333,13 +336,13 @@
      * or no longer say so. It is hearsay: what is sent where may change only once our own probe has
      * shown the same.
      */
-    default void standing(double now, String node, boolean doubted, Actions out) {}
+    default void suspicionChanged(double now, String node, boolean suspected, Actions out) {}
 
     /**
      * Whether any list ever named this cache node: only such a one can be taken out. Changes
      * nothing.
      */
-    default boolean knows(String node) {
+    default boolean isKnownCacheNode(String node) {
         return false;
     }
 
@@ -348,23 +351,23 @@
      * there until it is put back, whatever the list says. False where no list ever named such a
      * cache node; then nothing has changed.
      */
-    default boolean maintain(double now, String node, boolean begins, Actions out) {
+    default boolean setMaintenance(double now, String node, boolean begins, Actions out) {
         return false;
     }
 
     /** A message from another proxy. */
-    void peerMessage(double now, int from, byte[] contents, Actions out);
+    void peerMessageReceived(double now, int from, byte[] contents, Actions out);
 
     /**
      * How it is doing, in a few words for the log; equal as long as nothing that matters there has
      * changed.
      */
-    default String state() {
+    default String describeState() {
         return "";
     }
 
     /** The control level, for the log: 0 where fetches are not throttled. */
-    default int level() {
+    default int controlLevel() {
         return 0;
     }
 
@@ -372,7 +375,7 @@
      * Entries that it keeps for requests it has been told of: 0 when all of them are over, or
      * something has leaked.
      */
-    default int entries() {
+    default int entryCount() {
         return 0;
     }
 }
--- a/src/main/java/cacheproxy/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/SlowStartBudget.java
@@ -31,24 +31,24 @@
      * What is left of the highest figure after a control interval: half of it after some 23 s, a
      * usual slow start.
      */
-    private static final double KEPT_AN_INTERVAL = 0.97;
+    private static final double RATE_DECAY_PER_INTERVAL = 0.97;
 
     /**
      * Part of what warm nodes serve that is used, as nodes of one model differ and requests come in
      * bursts.
      */
-    static final double CAUTION = 0.75;
+    static final double WARM_RATE_MARGIN = 0.75;
 
     /** The same of what the node itself has answered. */
-    static final double SHOWN = 0.8;
+    static final double ANSWERED_WORK_MARGIN = 0.8;
 
     /** Work of a miss as a part of that of a hit, which is what the rule counts. */
-    private static final double MISS = 0.3;
+    private static final double MISS_WORK_FRACTION = 0.3;
 
     /** What a request counts as at least: a hint may be far too low. */
-    private static final double LEAST_SIZE = 0.25;
+    private static final double MIN_WORK_UNITS = 0.25;
 
-    private final double multiple;
+    private final double loadMultiple;
     private final double windowMs;
     private final long salt;
     private final Map<String, Account> accounts = new HashMap<>();
@@ -67,14 +67,14 @@
      * others.
      */
     SlowStartBudget(Router.Rules rules, int proxy, long seed) {
-        this.multiple = rules.fallMultiple();
-        this.windowMs = rules.fallMs();
+        this.loadMultiple = rules.slowStartLoadMultiple();
+        this.windowMs = rules.slowStartWindowMs();
         this.salt = mix(seed ^ mix(proxy));
     }
 
     /** Whether the settings bound what such a node is sent; else nothing need be counted. */
-    private boolean isBounding() {
-        return multiple > 0;
+    private boolean isEnabled() {
+        return loadMultiple > 0;
     }
 
     /**
@@ -83,12 +83,12 @@
      * @param servedPerMs requests of mean work a millisecond
      * @param capacity of the node now, in the unit that {@link #allows} is given it in
      */
-    void observe(String model, boolean cold, double servedPerMs, double capacity) {
-        if (!isBounding()) {
+    void observe(String model, boolean warmingUp, double servedPerMs, double capacity) {
+        if (!isEnabled()) {
             return;
         }
         servedByAllNodes.add(model, servedPerMs, capacity);
-        if (!cold) {
+        if (!warmingUp) {
             servedByWarmNodes.add(model, servedPerMs, capacity);
         }
     }
@@ -102,11 +102,12 @@
     void endInterval(double startedBefore) {
         for (String model : servedByAllNodes.groups()) {
             boolean anyWarm = servedByWarmNodes.groups().contains(model);
-            measured(model, anyWarm ? servedByWarmNodes.of(model) : servedByAllNodes.of(model));
+            recordServedRate(
+                    model, anyWarm ? servedByWarmNodes.of(model) : servedByAllNodes.of(model));
         }
         servedByAllNodes.clear();
         servedByWarmNodes.clear();
-        forget(startedBefore);
+        removeStartedBefore(startedBefore);
     }
 
     /**
@@ -115,10 +116,10 @@
      * while: it is what the nodes have shown that they can do, and a lower one may only mean that
      * less was asked of them, or that this budget held requests back.
      */
-    void measured(String model, double requestsPerMs) {
+    void recordServedRate(String model, double requestsPerMs) {
         if (requestsPerMs > 0) {
-            double faded = KEPT_AN_INTERVAL * servedPerMs.getOrDefault(model, 0.0);
-            servedPerMs.put(model, Math.max(faded, requestsPerMs));
+            double decayed = RATE_DECAY_PER_INTERVAL * servedPerMs.getOrDefault(model, 0.0);
+            servedPerMs.put(model, Math.max(decayed, requestsPerMs));
         }
     }
 
@@ -138,25 +139,28 @@
             double startedAt,
             double capacity,
             double size,
-            boolean ordinary) {
-        if (!isBounding() || servedPerMs.isEmpty()) {
+            boolean byPlacement) {
+        if (!isEnabled() || servedPerMs.isEmpty()) {
             // Before any node has answered, as in the first second of a process, the ramp's chance
             // alone bounds it.
             return true;
         }
-        double most = multiple * capacity * servedPerMs(model) * windowMs;
+        double warmNodeLimit = loadMultiple * capacity * servedPerMs(model) * windowMs;
         double sent = 0;
         double answered = 0;
         Account account = account(node, startedAt);
         if (account != null) {
             // What was sent a whole window ago is free again.
             double windowStart = Math.nextUp(now - windowMs);
-            sent = account.requests.from(windowStart);
-            answered = account.answers.from(windowStart);
+            sent = account.sentWork.sumSince(windowStart);
+            answered = account.answeredWork.sumSince(windowStart);
         }
-        double part = Math.max(CAUTION * most, SHOWN * multiple * answered);
-        double limit = Math.max(part + rounding(node, startedAt), ordinary ? 1 : 0);
-        return sent + Math.min(size, Math.max(1, part)) <= limit;
+        double proxyShare =
+                Math.max(
+                        WARM_RATE_MARGIN * warmNodeLimit,
+                        ANSWERED_WORK_MARGIN * loadMultiple * answered);
+        double limit = Math.max(proxyShare + roundingOffset(node, startedAt), byPlacement ? 1 : 0);
+        return sent + Math.min(size, Math.max(1, proxyShare)) <= limit;
     }
 
     /**
@@ -164,8 +168,8 @@
      *
      * @param size of the request, in requests of mean work
      */
-    void sent(double now, String node, double startedAt, double size) {
-        if (!isBounding()) {
+    void recordSent(double now, String node, double startedAt, double size) {
+        if (!isEnabled()) {
             return;
         }
         Account account = account(node, startedAt);
@@ -173,7 +177,7 @@
             account = new Account(startedAt);
             accounts.put(node, account);
         }
-        account.requests.add(now, size);
+        account.sentWork.add(now, size);
     }
 
     /**
@@ -182,19 +186,19 @@
      * @param hit whether it had what was asked for; a miss shows less of what it can do
      * @param size of the request, in requests of mean work
      */
-    void answered(double now, String node, double startedAt, double size, boolean hit) {
+    void recordAnswered(double now, String node, double startedAt, double size, boolean hit) {
         Account account = account(node, startedAt);
         if (account != null) {
-            account.answers.add(now, hit ? size : MISS * size);
+            account.answeredWork.add(now, hit ? size : MISS_WORK_FRACTION * size);
         }
     }
 
     /** How many requests of mean work one counts as whose work is so many times the mean. */
-    static double size(double timesMeanWork) {
-        return Math.max(LEAST_SIZE, timesMeanWork);
+    static double workUnits(double timesMeanWork) {
+        return Math.max(MIN_WORK_UNITS, timesMeanWork);
     }
 
-    private void forget(double startedBefore) {
+    private void removeStartedBefore(double startedBefore) {
         for (Iterator<Account> all = accounts.values().iterator(); all.hasNext(); ) {
             if (all.next().startedAt < startedBefore) {
                 all.remove();
@@ -210,7 +214,7 @@
                 : servedPerMs.values().stream().mapToDouble(served -> served).average().orElse(0);
     }
 
-    private double rounding(String node, double startedAt) {
+    private double roundingOffset(String node, double startedAt) {
         return unit(mix(hashText(node) ^ mix(salt ^ Double.doubleToLongBits(startedAt))));
     }
 
@@ -224,8 +228,8 @@
     private static final class Account {
 
         private final double startedAt;
-        private final SlidingSum requests = new SlidingSum();
-        private final SlidingSum answers = new SlidingSum();
+        private final SlidingSum sentWork = new SlidingSum();
+        private final SlidingSum answeredWork = new SlidingSum();
 
         Account(double startedAt) {
             this.startedAt = startedAt;
--- a/src/main/java/cacheproxy/TokenBucket.java
+++ b/src/main/java/cacheproxy/TokenBucket.java
@@ -15,9 +15,9 @@
     double ratePerS = Double.POSITIVE_INFINITY;
 
     /** Draws that were refused since the rate was last set. */
-    int refusals;
+    int failedTakes;
 
-    private double filledAt;
+    private double refilledAt;
 
     /** A full one. */
     TokenBucket(double capacity) {
@@ -26,29 +26,29 @@
     }
 
     /** Sets the refill rate and counts refusals anew. */
-    void rate(double now, double perS) {
-        fill(now);
+    void setRate(double now, double perS) {
+        refill(now);
         ratePerS = perS;
-        refusals = 0;
+        failedTakes = 0;
     }
 
     /** Takes a token; a request of low priority only while more than one is there. */
-    boolean draw(double now, boolean lowPriority) {
-        fill(now);
+    boolean tryTake(double now, boolean lowPriority) {
+        refill(now);
         if (tokens < (lowPriority ? 2 : 1)) {
-            refusals++;
+            failedTakes++;
             return false;
         }
         tokens--;
         return true;
     }
 
-    private void fill(double now) {
+    private void refill(double now) {
         double gained =
                 ratePerS == Double.POSITIVE_INFINITY
                         ? capacity
-                        : (now - filledAt) * ratePerS / MS_PER_S;
+                        : (now - refilledAt) * ratePerS / MS_PER_S;
         tokens = Math.min(capacity, tokens + gained);
-        filledAt = now;
+        refilledAt = now;
     }
 }
--- a/src/main/java/cacheproxy/admin/Desk.java
+++ b/src/main/java/cacheproxy/admin/AdminOperations.java
@@ -7,23 +7,23 @@
  * changes something is answered once, on that loop, when it is known to be kept or not: within 1 s,
  * before or after the method returns.
  */
-public interface Desk {
+public interface AdminOperations {
 
     /** What an operator is answered: a status, and a line that says what happened. */
     record Reply(int status, String text) {
 
         /** It is so, or has been done. */
-        public static Reply yes(String text) {
+        public static Reply ok(String text) {
             return new Reply(200, text);
         }
 
         /** No such cache node. */
-        public static Reply unknown(String text) {
+        public static Reply notFound(String text) {
             return new Reply(404, text);
         }
 
         /** It is not so, or can't be done now. */
-        public static Reply no(String text) {
+        public static Reply unavailable(String text) {
             return new Reply(503, text);
         }
     }
@@ -32,8 +32,8 @@
     Reply health();
 
     /** Takes a cache node out or puts it back. */
-    void maintain(String node, boolean begins, Consumer<Reply> answer);
+    void setMaintenance(String node, boolean start, Consumer<Reply> answer);
 
     /** Empties the proxy or ends that. */
-    void drain(boolean begins, Consumer<Reply> answer);
+    void setDraining(boolean start, Consumer<Reply> answer);
 }
--- a/src/main/java/cacheproxy/admin/AdminServer.java
+++ b/src/main/java/cacheproxy/admin/AdminServer.java
@@ -1,6 +1,6 @@
 package cacheproxy.admin;
 
-import cacheproxy.admin.Desk.Reply;
+import cacheproxy.admin.AdminOperations.Reply;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -44,21 +44,21 @@
      * Connections at once: callers that say nothing may use them up, so one more ends the one that
      * has been here longest.
      */
-    public static final int PLACES = 16;
+    public static final int MAX_CONNECTIONS = 16;
 
     /** A call is short; one that has not come by then never will. */
-    private static final long PATIENCE_MS = 5000;
+    private static final long CONNECTION_TIMEOUT_MS = 5000;
 
-    private static final int MAX_HEAD = 4096;
-    private static final int MAX_BODY = 1024;
+    private static final int MAX_HEADER_BYTES = 4096;
+    private static final int MAX_BODY_BYTES = 1024;
 
     private final EventLoop loop;
-    private final Desk desk;
-    private final Deque<Channel> open = new ArrayDeque<>();
+    private final AdminOperations operations;
+    private final Deque<Channel> connections = new ArrayDeque<>();
 
-    public AdminServer(EventLoop loop, Desk desk) {
+    public AdminServer(EventLoop loop, AdminOperations operations) {
         this.loop = loop;
-        this.desk = desk;
+        this.operations = operations;
     }
 
     /** Begins to listen; the future tells of the address. */
@@ -72,36 +72,38 @@
                         new ChannelInitializer<>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                admit(channel);
+                                registerConnection(channel);
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpRequestDecoder(
                                                         new HttpDecoderConfig()
-                                                                .setMaxHeaderSize(MAX_HEAD)),
+                                                                .setMaxHeaderSize(
+                                                                        MAX_HEADER_BYTES)),
                                                 new HttpResponseEncoder(),
-                                                new HttpObjectAggregator(MAX_BODY),
-                                                new Calls());
+                                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                new CallHandler());
                             }
                         })
                 .bind(address);
     }
 
-    private void admit(Channel channel) {
-        if (open.size() >= PLACES) {
-            open.peekFirst().close();
+    private void registerConnection(Channel channel) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.peekFirst().close();
         }
-        open.addLast(channel);
-        var ends = loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
+        connections.addLast(channel);
+        var timeout =
+                loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         channel.closeFuture()
                 .addListener(
                         f -> {
-                            ends.cancel(false);
-                            open.remove(channel);
+                            timeout.cancel(false);
+                            connections.remove(channel);
                         });
     }
 
     /** What a call names is looked for here; what it does is the desk's. */
-    private void carry(FullHttpRequest call, Consumer<Reply> answer) {
+    private void dispatch(FullHttpRequest call, Consumer<Reply> answer) {
         String[] path;
         try {
             path = new URI(call.uri()).getRawPath().split("/", -1);
@@ -109,37 +111,39 @@
             answer.accept(new Reply(400, "no path: " + call.uri()));
             return;
         }
-        boolean health = path.length >= 2 && path[1].equals("healthcheck");
-        if (health && path.length == 2) {
-            boolean reads = call.method().equals(HttpMethod.GET);
-            answer.accept(reads ? desk.health() : wrongMethod("GET"));
+        boolean isHealthPath = path.length >= 2 && path[1].equals("healthcheck");
+        if (isHealthPath && path.length == 2) {
+            boolean isGet = call.method().equals(HttpMethod.GET);
+            answer.accept(isGet ? operations.health() : wrongMethod("GET"));
             return;
         }
-        boolean drains =
-                health && path.length == 3 && (path[2].equals("fail") || path[2].equals("ok"));
-        boolean node =
+        boolean isDrainPath =
+                isHealthPath
+                        && path.length == 3
+                        && (path[2].equals("fail") || path[2].equals("ok"));
+        boolean isNodePath =
                 path.length == 4
                         && path[1].equals("cache-nodes")
                         && (path[3].equals("maint") || path[3].equals("ready"));
-        if (!drains && !node) {
+        if (!isDrainPath && !isNodePath) {
             answer.accept(new Reply(404, "no such call: " + call.uri()));
         } else if (!call.method().equals(HttpMethod.POST)) {
             answer.accept(wrongMethod("POST"));
-        } else if (drains) {
-            desk.drain(path[2].equals("fail"), answer);
+        } else if (isDrainPath) {
+            operations.setDraining(path[2].equals("fail"), answer);
         } else {
             // A part of a path that the whole could be read with can be read.
-            String id = URI.create("/" + path[2]).getPath().substring(1);
-            desk.maintain(id, path[3].equals("maint"), answer);
+            String nodeId = URI.create("/" + path[2]).getPath().substring(1);
+            operations.setMaintenance(nodeId, path[3].equals("maint"), answer);
         }
     }
 
-    private static Reply wrongMethod(String right) {
-        return new Reply(405, "this call is a " + right);
+    private static Reply wrongMethod(String expected) {
+        return new Reply(405, "this call is a " + expected);
     }
 
     /** One connection's one call. */
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private boolean answered;
 
         @Override
@@ -149,7 +153,7 @@
                 if (call.decoderResult().isFailure()) {
                     answer(ctx, new Reply(400, "no HTTP request"));
                 } else {
-                    carry(call, reply -> answer(ctx, reply));
+                    dispatch(call, reply -> answer(ctx, reply));
                 }
             }
         }
--- a/src/main/java/cacheproxy/benchlink/Fields.java
+++ b/src/main/java/cacheproxy/benchlink/LineFields.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /** Reads the space-separated values of one line, in order. */
-final class Fields {
+final class LineFields {
 
     private final String line;
-    private int at;
+    private int position;
 
-    Fields(String line) {
+    LineFields(String line) {
         this.line = line;
     }
 
     /** The next value as text. */
     String text() {
-        if (at >= line.length()) {
-            throw new WireException("line too short: " + line);
+        if (position >= line.length()) {
+            throw new WireFormatException("line too short: " + line);
         }
-        int end = line.indexOf(' ', at);
+        int end = line.indexOf(' ', position);
         end = end < 0 ? line.length() : end;
-        String value = line.substring(at, end);
-        at = end + 1;
+        String value = line.substring(position, end);
+        position = end + 1;
         if (value.isEmpty()) {
-            throw new WireException("empty value: " + line);
+            throw new WireFormatException("empty value: " + line);
         }
         return value;
     }
@@ -36,11 +36,11 @@
 
     /** All that is left of the line. */
     String rest() {
-        if (at >= line.length()) {
-            throw new WireException("line too short: " + line);
+        if (position >= line.length()) {
+            throw new WireFormatException("line too short: " + line);
         }
-        String value = line.substring(at);
-        at = line.length();
+        String value = line.substring(position);
+        position = line.length();
         return value;
     }
 
@@ -48,24 +48,24 @@
         return (int) longValue(text());
     }
 
-    long longOr(long absent) {
+    long longOr(long defaultValue) {
         String value = optional();
-        return value == null ? absent : longValue(value);
+        return value == null ? defaultValue : longValue(value);
     }
 
     double number() {
         return numberValue(text());
     }
 
-    double numberOr(double absent) {
+    double numberOr(double defaultValue) {
         String value = optional();
-        return value == null ? absent : numberValue(value);
+        return value == null ? defaultValue : numberValue(value);
     }
 
     boolean flag() {
         String value = text();
         if (!value.equals("0") && !value.equals("1")) {
-            throw new WireException("neither 0 nor 1: " + line);
+            throw new WireFormatException("neither 0 nor 1: " + line);
         }
         return value.equals("1");
     }
@@ -92,8 +92,8 @@
 
     /** Ends the line: values beyond the known ones are malformed. */
     void end() {
-        if (at < line.length()) {
-            throw new WireException("line too long: " + line);
+        if (position < line.length()) {
+            throw new WireFormatException("line too long: " + line);
         }
     }
 
@@ -101,7 +101,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireException("not a whole number: " + line);
+            throw new WireFormatException("not a whole number: " + line);
         }
     }
 
@@ -109,7 +109,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireException("not a number: " + line);
+            throw new WireFormatException("not a number: " + line);
         }
     }
 }
--- a/src/main/java/cacheproxy/benchlink/Main.java
+++ b/src/main/java/cacheproxy/benchlink/Main.java
@@ -12,7 +12,7 @@
 /** Joins the module to the bench over standard input and output. */
 public final class Main {
 
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_CHARS = 1 << 16;
 
     private Main() {}
 
@@ -26,13 +26,13 @@
                 new BufferedReader(
                         new InputStreamReader(
                                 new FileInputStream(FileDescriptor.in), StandardCharsets.UTF_8),
-                        BUFFER);
+                        BUFFER_CHARS);
         var out =
                 new OutputStreamWriter(
                         new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8);
         try {
-            new Link(in, out).run();
-        } catch (WireException e) {
+            new SimulatorSession(in, out).run();
+        } catch (WireFormatException e) {
             System.err.println("flintmill: " + e.getMessage());
             System.exit(2);
         }
--- a/src/main/java/cacheproxy/benchlink/Reply.java
+++ b/src/main/java/cacheproxy/benchlink/ReplyWriter.java
@@ -4,12 +4,12 @@
 import java.util.Base64;
 
 /** Writes one instance's actions as lines of the reply. */
-final class Reply implements Actions {
+final class ReplyWriter implements Actions {
 
     private final StringBuilder lines;
     private final int instance;
 
-    Reply(StringBuilder lines, int instance) {
+    ReplyWriter(StringBuilder lines, int instance) {
         this.lines = lines;
         this.instance = instance;
     }
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void refuse(String request, double retryAfterMs) {
+    public void reject(String request, double retryAfterMs) {
         begin("PUSH_BACK").append(' ').append(request).append(' ');
         millis(retryAfterMs).append('\n');
     }
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void timer(double atMs, String token) {
+    public void scheduleTimer(double atMs, String token) {
         begin("ARM").append(' ');
         millis(atMs).append(' ').append(token).append('\n');
     }
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void tell(byte[] contents) {
+    public void sendToPeers(byte[] contents) {
         begin("ANNOUNCE")
                 .append(" -1 ")
                 .append(Base64.getEncoder().encodeToString(contents))
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void close(String node) {
+    public void closeIdleConnections(String node) {
         begin("HANG_UP").append(' ').append(node).append('\n');
     }
 
--- a/src/main/java/cacheproxy/benchlink/SettingsReader.java
+++ b/src/main/java/cacheproxy/benchlink/SettingsReader.java
@@ -29,7 +29,7 @@
         try {
             return read(JsonParser.parseString(json));
         } catch (JsonParseException e) {
-            throw new WireException("settings: " + e.getMessage());
+            throw new WireFormatException("settings: " + e.getMessage());
         }
     }
 
@@ -42,26 +42,26 @@
                 | UnsupportedOperationException
                 | ClassCastException
                 | NumberFormatException e) {
-            throw new WireException("settings: " + e.getMessage());
+            throw new WireFormatException("settings: " + e.getMessage());
         }
     }
 
-    private static Settings settings(JsonObject o) {
+    private static Settings settings(JsonObject json) {
         return new Settings(
-                (int) number(o, "rank", 0),
-                (int) number(o, "balancers", 1),
-                text(o, "zone", ""),
-                number(o, "tick_ms", 1),
-                classes(array(o, "services")),
-                tenants(array(o, "customers")),
-                number(o, "over_share_worth", 1),
-                text(o, "value_by", "request").equals("work"),
-                limits(object(o, "limits")),
-                rules(object(o, "obligations")),
-                text(o, "discovery", "automatic").equals("subscribe"),
-                weights(text(o, "weights", "silent")),
-                originModel(o),
-                connections(object(o, "limits"), object(o, "tariffs")));
+                (int) number(json, "rank", 0),
+                (int) number(json, "balancers", 1),
+                text(json, "zone", ""),
+                number(json, "tick_ms", 1),
+                classes(array(json, "services")),
+                tenants(array(json, "customers")),
+                number(json, "over_share_worth", 1),
+                text(json, "value_by", "request").equals("work"),
+                limits(object(json, "limits")),
+                rules(object(json, "obligations")),
+                text(json, "discovery", "automatic").equals("subscribe"),
+                weights(text(json, "weights", "silent")),
+                originModel(json),
+                connections(object(json, "limits"), object(json, "tariffs")));
     }
 
     private static Connections connections(JsonObject limits, JsonObject tariffs) {
@@ -74,20 +74,20 @@
     private static List<ServiceClass> classes(JsonArray services) {
         List<ServiceClass> classes = new ArrayList<>();
         for (JsonElement element : services) {
-            JsonObject o = element.getAsJsonObject();
-            double deadline = number(o, "deadline_ms", 0);
+            JsonObject json = element.getAsJsonObject();
+            double deadline = number(json, "deadline_ms", 0);
             classes.add(
                     new ServiceClass(
-                            text(o, "name", ""),
-                            number(o, "objective_ms", deadline),
-                            number(o, "aim_stretch", 0),
+                            text(json, "name", ""),
+                            number(json, "objective_ms", deadline),
+                            number(json, "aim_stretch", 0),
                             deadline,
-                            number(o, "gain", 1),
-                            number(o, "late_share", 0),
-                            effect(text(o, "effect", "fragile")),
-                            group(text(o, "group", "all")),
-                            number(o, "repeat_window_ms", 0),
-                            flag(o, "stream")));
+                            number(json, "gain", 1),
+                            number(json, "late_share", 0),
+                            effect(text(json, "effect", "fragile")),
+                            group(text(json, "group", "all")),
+                            number(json, "repeat_window_ms", 0),
+                            flag(json, "stream")));
         }
         return classes;
     }
@@ -95,41 +95,42 @@
     private static List<Tenant> tenants(JsonArray customers) {
         List<Tenant> tenants = new ArrayList<>();
         for (JsonElement element : customers) {
-            JsonObject o = element.getAsJsonObject();
+            JsonObject json = element.getAsJsonObject();
             tenants.add(
-                    new Tenant(text(o, "name", ""), number(o, "quota_per_s", Double.MAX_VALUE)));
+                    new Tenant(
+                            text(json, "name", ""), number(json, "quota_per_s", Double.MAX_VALUE)));
         }
         return tenants;
     }
 
-    private static Limits limits(JsonObject o) {
+    private static Limits limits(JsonObject json) {
         return new Limits(
-                (int) number(o, "try_limit", 1),
-                flag(o, "cancelling"),
-                flag(o, "probing"),
-                flag(o, "peers"),
-                flag(o, "retry_after"),
-                number(o, "max_retry_after_ms", 0),
-                flag(o, "second_copies"),
-                number(o, "connect_timeout_ms", 100));
+                (int) number(json, "try_limit", 1),
+                flag(json, "cancelling"),
+                flag(json, "probing"),
+                flag(json, "peers"),
+                flag(json, "retry_after"),
+                number(json, "max_retry_after_ms", 0),
+                flag(json, "second_copies"),
+                number(json, "connect_timeout_ms", 100));
     }
 
-    private static Rules rules(JsonObject o) {
+    private static Rules rules(JsonObject json) {
         return new Rules(
-                number(o, "stop_sending_within_ms", 0),
-                number(o, "cold_from", 1),
-                number(o, "cold_ms", 0),
-                number(o, "fall_multiple", 1),
-                number(o, "fall_ms", 1000),
-                number(o, "answer_slack_ms", 0),
-                number(o, "ask_within_ms", 10000));
+                number(json, "stop_sending_within_ms", 0),
+                number(json, "cold_from", 1),
+                number(json, "cold_ms", 0),
+                number(json, "fall_multiple", 1),
+                number(json, "fall_ms", 1000),
+                number(json, "answer_slack_ms", 0),
+                number(json, "ask_within_ms", 10000));
     }
 
     /** The model that marks the origin; null unless proxies fetch from it themselves. */
-    private static String originModel(JsonObject o) {
-        JsonObject domain = object(o, "domain");
+    private static String originModel(JsonObject json) {
+        JsonObject domain = object(json, "domain");
         int kind = (int) number(domain, "origin_kind", -1);
-        JsonArray kinds = array(o, "kinds");
+        JsonArray kinds = array(json, "kinds");
         boolean aside = text(domain, "mode", "through").equals("aside");
         return aside && kind >= 0 && kind < kinds.size() ? kinds.get(kind).getAsString() : null;
     }
@@ -139,7 +140,7 @@
             case "retryable" -> Effect.SAFE;
             case "dedup" -> Effect.KEYED;
             case "fragile" -> Effect.UNSAFE;
-            default -> throw new WireException("settings: services: unknown effect " + word);
+            default -> throw new WireFormatException("settings: services: unknown effect " + word);
         };
     }
 
@@ -148,7 +149,7 @@
             case "all" -> Group.ALL;
             case "zone" -> Group.ZONE;
             case "cell" -> Group.CELL;
-            default -> throw new WireException("settings: services: unknown group " + word);
+            default -> throw new WireFormatException("settings: services: unknown group " + word);
         };
     }
 
@@ -160,27 +161,27 @@
         };
     }
 
-    private static boolean present(JsonObject o, String name) {
-        return o.has(name) && !o.get(name).isJsonNull();
+    private static boolean present(JsonObject json, String name) {
+        return json.has(name) && !json.get(name).isJsonNull();
     }
 
-    private static String text(JsonObject o, String name, String absent) {
-        return present(o, name) ? o.get(name).getAsString() : absent;
+    private static String text(JsonObject json, String name, String defaultValue) {
+        return present(json, name) ? json.get(name).getAsString() : defaultValue;
     }
 
-    private static double number(JsonObject o, String name, double absent) {
-        return present(o, name) ? o.get(name).getAsDouble() : absent;
+    private static double number(JsonObject json, String name, double defaultValue) {
+        return present(json, name) ? json.get(name).getAsDouble() : defaultValue;
     }
 
-    private static boolean flag(JsonObject o, String name) {
-        return present(o, name) && o.get(name).getAsBoolean();
+    private static boolean flag(JsonObject json, String name) {
+        return present(json, name) && json.get(name).getAsBoolean();
     }
 
-    private static JsonObject object(JsonObject o, String name) {
-        return present(o, name) ? o.getAsJsonObject(name) : new JsonObject();
+    private static JsonObject object(JsonObject json, String name) {
+        return present(json, name) ? json.getAsJsonObject(name) : new JsonObject();
     }
 
-    private static JsonArray array(JsonObject o, String name) {
-        return present(o, name) ? o.getAsJsonArray(name) : new JsonArray();
+    private static JsonArray array(JsonObject json, String name) {
+        return present(json, name) ? json.getAsJsonArray(name) : new JsonArray();
     }
 }
--- a/src/main/java/cacheproxy/benchlink/WireException.java
+++ b/src/main/java/cacheproxy/benchlink/WireFormatException.java
@@ -1,11 +1,11 @@
 package cacheproxy.benchlink;
 
 /** A line that does not follow the wire's rules. */
-public final class WireException extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    WireFormatException(String message) {
         super(message);
     }
 }
--- a/src/main/java/cacheproxy/cli/CapacityCommand.java
+++ b/src/main/java/cacheproxy/cli/CapacityCommand.java
@@ -1,8 +1,8 @@
 package cacheproxy.cli;
 
 import cacheproxy.config.BadFileException;
-import cacheproxy.lab.capacity.Plan;
-import cacheproxy.lab.capacity.Row;
+import cacheproxy.lab.capacity.CapacityPlan;
+import cacheproxy.lab.capacity.PlanRow;
 import cacheproxy.lab.capacity.Slope;
 import cacheproxy.lab.capacity.SlopeFile;
 import cacheproxy.lab.capacity.Target;
@@ -29,27 +29,27 @@
         exitCodeList = {"0:printed", "2:a bad file"})
 final class CapacityCommand implements Callable<Integer> {
 
-    private static final Path FOLDER = Path.of("experiments", "capacity");
+    private static final Path SLOPES_DIRECTORY = Path.of("experiments", "capacity");
 
     @Option(
             names = "--target",
             paramLabel = "FILE",
             defaultValue = "deploy/target.toml",
             description = "the size to plan for (default: ${DEFAULT-VALUE})")
-    private Path target;
+    private Path targetFile;
 
     @Option(
             names = "--set",
             paramLabel = "KEY=VALUE",
             description = "another value for a key of the target, as --set fleet.proxies=400")
-    private Map<String, String> set = new LinkedHashMap<>();
+    private Map<String, String> overrides = new LinkedHashMap<>();
 
     @Option(
             names = "--slopes",
             paramLabel = "FILE",
             description =
                     "measured slopes; may be given again (default: every slopes*.toml in experiments/capacity)")
-    private List<Path> slopes = new ArrayList<>();
+    private List<Path> slopeFiles = new ArrayList<>();
 
     @Option(
             names = "--rows",
@@ -57,23 +57,24 @@
             defaultValue = "experiments/capacity/rows.toml",
             description =
                     "what each role has to bear, and what carries it (default: ${DEFAULT-VALUE})")
-    private Path rows;
+    private Path rowsFile;
 
     @Override
     public Integer call() throws BadFileException, IOException {
-        Target size = Target.read(target, set);
+        Target size = Target.read(targetFile, overrides);
         List<Slope> measured = new ArrayList<>();
-        for (Path file : slopes.isEmpty() ? committed() : slopes) {
+        for (Path file : slopeFiles.isEmpty() ? committedSlopeFiles() : slopeFiles) {
             measured.addAll(SlopeFile.read(file));
         }
-        System.out.print(new Plan(size, Row.read(rows, size), measured).markdown());
+        System.out.print(new CapacityPlan(size, PlanRow.read(rowsFile, size), measured).markdown());
         return Cli.OK;
     }
 
-    private static List<Path> committed() throws IOException {
+    private static List<Path> committedSlopeFiles() throws IOException {
         List<Path> files = new ArrayList<>();
-        if (Files.isDirectory(FOLDER)) {
-            try (DirectoryStream<Path> found = Files.newDirectoryStream(FOLDER, "slopes*.toml")) {
+        if (Files.isDirectory(SLOPES_DIRECTORY)) {
+            try (DirectoryStream<Path> found =
+                    Files.newDirectoryStream(SLOPES_DIRECTORY, "slopes*.toml")) {
                 found.forEach(files::add);
             }
         }
--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -42,7 +42,7 @@
     public static int run(String... args) {
         CommandLine line = new CommandLine(new Cli());
         line.setUsageHelpAutoWidth(true);
-        allUsage(line);
+        setUsageExitCodes(line);
         line.setExecutionExceptionHandler(
                 (e, command, result) -> {
                     if (e instanceof BadFileException) {
@@ -61,9 +61,9 @@
         return line.execute(args);
     }
 
-    private static void allUsage(CommandLine line) {
+    private static void setUsageExitCodes(CommandLine line) {
         line.getCommandSpec().exitCodeOnInvalidInput(USAGE);
-        line.getSubcommands().values().forEach(Cli::allUsage);
+        line.getSubcommands().values().forEach(Cli::setUsageExitCodes);
     }
 
     /** Shown in the help; the program takes these words itself, before any of this is loaded. */
--- a/src/main/java/cacheproxy/cli/ConfigCommands.java
+++ b/src/main/java/cacheproxy/cli/ConfigCommands.java
@@ -32,8 +32,8 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int show(@Parameters(paramLabel = "FILE") Path file) throws BadFileException {
-        for (Toml.Effective e : OptionsFile.show(file)) {
-            System.out.printf("%-24s %-12s %s%n", e.key(), e.value(), e.from());
+        for (Toml.EffectiveValue e : OptionsFile.show(file)) {
+            System.out.printf("%-24s %-12s %s%n", e.key(), e.value(), e.origin());
         }
         return Cli.OK;
     }
--- a/src/main/java/cacheproxy/cli/HollowCommand.java
+++ b/src/main/java/cacheproxy/cli/HollowCommand.java
@@ -36,40 +36,42 @@
             names = "--set",
             paramLabel = "KEY=VALUE",
             description = "another value for a key, as --set fleet.proxies=[60]")
-    private Map<String, String> set = new LinkedHashMap<>();
+    private Map<String, String> overrides = new LinkedHashMap<>();
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
             description = "where results and logs go (default: target/lab/NAME)")
-    private Path out;
+    private Path outputDirectory;
 
     @Option(
             names = "--slopes",
             paramLabel = "FILE",
             defaultValue = "experiments/capacity/slopes.toml",
             description = "where slopes go (default: ${DEFAULT-VALUE})")
-    private Path slopes;
+    private Path slopeFile;
 
     @Option(
             names = "--kept",
             description = "plays nothing: bounds and slopes of the results that earlier runs left")
-    private boolean kept;
+    private boolean reuseResults;
 
     @Option(
             names = "--beside",
             paramLabel = "TEXT",
             defaultValue = "not said",
             description = "what else runs on the machine, kept with the slopes")
-    private String beside;
+    private String machineLoad;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException, KeyException {
-        ScaleTest test = new ScaleTest(file, set, beside);
-        return test.play(
-                        out == null ? Path.of("target", "lab", test.name()) : out,
-                        slopes,
-                        kept,
+        ScaleTest test = new ScaleTest(file, overrides, machineLoad);
+        return test.run(
+                        outputDirectory == null
+                                ? Path.of("target", "lab", test.name())
+                                : outputDirectory,
+                        slopeFile,
+                        reuseResults,
                         System.out)
                 ? Cli.OK
                 : Cli.FAILED;
--- a/src/main/java/cacheproxy/cli/KeysCommands.java
+++ b/src/main/java/cacheproxy/cli/KeysCommands.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.BadFileException;
 import cacheproxy.gossip.KeyException;
 import cacheproxy.gossip.KeyFiles;
-import cacheproxy.gossip.KeyFiles.Own;
+import cacheproxy.gossip.KeyFiles.OwnKey;
 import cacheproxy.gossip.KeyRing;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -29,40 +29,40 @@
 final class KeysCommands {
 
     /** The two files that every command is about. */
-    static final class Files {
+    static final class KeyFileOptions {
         @Option(
                 names = "--key",
                 required = true,
                 paramLabel = "FILE",
                 description = "the proxy's own key file")
-        Path key;
+        Path keyFile;
 
         @Option(
                 names = "--ring",
                 required = true,
                 paramLabel = "FILE",
                 description = "the key ring, the same for all proxies")
-        Path ring;
+        Path ringFile;
     }
 
     private static final int PACKET_BYTES = 400;
     private static final int ROUNDS = 2000;
 
-    private interface Work {
-        String done() throws KeyException, IOException;
+    private interface KeyOperation {
+        String run() throws KeyException, IOException;
     }
 
-    private static int report(Work work) throws BadFileException, IOException {
+    private static int report(KeyOperation operation) throws BadFileException, IOException {
         try {
-            System.out.println(work.done());
+            System.out.println(operation.run());
             return Cli.OK;
         } catch (KeyException e) {
             throw new BadFileException(e.getMessage());
         }
     }
 
-    private static String id(Own key) {
-        return String.format(Locale.ROOT, "%08x", KeyFiles.id(key.open()));
+    private static String keyId(OwnKey key) {
+        return String.format(Locale.ROOT, "%08x", KeyFiles.id(key.publicKey()));
     }
 
     @Command(
@@ -71,16 +71,19 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int generate(
-            @Parameters(paramLabel = "NAME") String name, @picocli.CommandLine.Mixin Files files)
+            @Parameters(paramLabel = "NAME") String name,
+            @picocli.CommandLine.Mixin KeyFileOptions files)
             throws BadFileException, IOException {
         return report(
                 () -> {
-                    if (java.nio.file.Files.exists(files.key)) {
+                    if (java.nio.file.Files.exists(files.keyFile)) {
                         throw new KeyException(
-                                files.key
+                                files.keyFile
                                         + ": is there already; keys rotate changes the key of a proxy");
                     }
-                    return name + ": key " + id(KeyFiles.generate(name, files.key, files.ring));
+                    return name
+                            + ": key "
+                            + keyId(KeyFiles.generate(name, files.keyFile, files.ringFile));
                 });
     }
 
@@ -92,22 +95,23 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int rotate(
-            @picocli.CommandLine.Mixin Files files,
+            @picocli.CommandLine.Mixin KeyFileOptions files,
             @Option(names = "--use", description = "sign with the new key") boolean use,
             @Option(names = "--drop", description = "trust the old key no longer") boolean drop)
             throws BadFileException, IOException {
         return report(
                 () -> {
                     if (use) {
-                        return "signs with key " + id(KeyFiles.use(files.key));
+                        return "signs with key " + keyId(KeyFiles.activateNewKey(files.keyFile));
                     }
                     if (drop) {
-                        return KeyFiles.drop(files.key, files.ring) + " keys are trusted no longer";
+                        return KeyFiles.removeUnusedKeys(files.keyFile, files.ringFile)
+                                + " keys are trusted no longer";
                     }
-                    String name = KeyFiles.own(files.key).get(0).name();
+                    String name = KeyFiles.readOwnKeys(files.keyFile).get(0).name();
                     return name
                             + ": new key "
-                            + id(KeyFiles.generate(name, files.key, files.ring))
+                            + keyId(KeyFiles.generate(name, files.keyFile, files.ringFile))
                             + " is trusted; hand the ring to all, then keys rotate --use";
                 });
     }
@@ -133,7 +137,7 @@
         System.out.printf(
                 Locale.ROOT,
                 "Ed25519 sign       %8.1f us, 64 bytes%n",
-                us(
+                meanMicros(
                         () -> {
                             signature.initSign(pair.getPrivate());
                             signature.update(packet);
@@ -142,7 +146,7 @@
         System.out.printf(
                 Locale.ROOT,
                 "Ed25519 verify     %8.1f us%n",
-                us(
+                meanMicros(
                         () -> {
                             signature.initVerify(pair.getPublic());
                             signature.update(packet);
@@ -154,21 +158,21 @@
         System.out.printf(
                 Locale.ROOT,
                 "HMAC-SHA256 either %8.1f us, 32 bytes%n",
-                us(() -> mac.doFinal(packet)));
+                meanMicros(() -> mac.doFinal(packet)));
         return Cli.OK;
     }
 
-    private interface Step {
+    private interface CryptoOperation {
         void run() throws GeneralSecurityException;
     }
 
-    private static double us(Step step) throws GeneralSecurityException {
-        long begun = 0;
+    private static double meanMicros(CryptoOperation operation) throws GeneralSecurityException {
+        long startNs = 0;
         for (int i = 0; i < 2 * ROUNDS; i++) {
-            begun = i == ROUNDS ? System.nanoTime() : begun;
-            step.run();
+            startNs = i == ROUNDS ? System.nanoTime() : startNs;
+            operation.run();
         }
-        return (System.nanoTime() - begun) / 1e3 / ROUNDS;
+        return (System.nanoTime() - startNs) / 1e3 / ROUNDS;
     }
 
     @Command(
@@ -177,17 +181,20 @@
                     "Exit 0 if a proxy would start with these files; else one message and exit 2.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
-    int check(@picocli.CommandLine.Mixin Files files) throws BadFileException, IOException {
+    int check(@picocli.CommandLine.Mixin KeyFileOptions files)
+            throws BadFileException, IOException {
         return report(
                 () -> {
-                    KeyRing ring = new KeyRing(files.key, files.ring);
-                    List<Own> own = KeyFiles.own(files.key);
+                    KeyRing ring = new KeyRing(files.keyFile, files.ringFile);
+                    List<OwnKey> ownKeys = KeyFiles.readOwnKeys(files.keyFile);
                     return ring.name()
                             + ": signs with key "
-                            + id(own.get(0))
-                            + (own.size() > 1 ? ", key " + id(own.get(1)) + " waits" : "")
+                            + keyId(ownKeys.get(0))
+                            + (ownKeys.size() > 1
+                                    ? ", key " + keyId(ownKeys.get(1)) + " waits"
+                                    : "")
                             + "; the ring trusts "
-                            + KeyFiles.ring(files.ring).size()
+                            + KeyFiles.readRing(files.ringFile).size()
                             + " keys";
                 });
     }
--- a/src/main/java/cacheproxy/cli/LabCommands.java
+++ b/src/main/java/cacheproxy/cli/LabCommands.java
@@ -4,8 +4,8 @@
 import cacheproxy.config.Toml;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.ExperimentFile;
-import cacheproxy.lab.RunLine;
-import cacheproxy.lab.hunt.Hunt;
+import cacheproxy.lab.ProxyCommand;
+import cacheproxy.lab.hunt.FaultSearch;
 import cacheproxy.lab.load.LoadPlan;
 import cacheproxy.lab.report.Comparison;
 import cacheproxy.lab.report.CurveReport;
@@ -43,15 +43,15 @@
         subcommands = {HollowCommand.class, SlopeCommand.class, CapacityCommand.class})
 final class LabCommands {
 
-    private static final int BAR = 20;
+    private static final int PROGRESS_BAR_CHARS = 20;
 
     /** Proxies that one machine can hold as processes. */
-    private static final int MOST_PROCESSES = 64;
+    private static final int MAX_PROXY_PROCESSES = 64;
 
     @Spec private CommandSpec spec;
 
     /** What every command that reads an experiment takes. */
-    static final class Given {
+    static final class ExperimentArguments {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
 
@@ -62,14 +62,14 @@
                 names = "--set",
                 paramLabel = "KEY=VALUE",
                 description = "another value for a key, as --set load.rate=400")
-        Map<String, String> set = new LinkedHashMap<>();
+        Map<String, String> overrides = new LinkedHashMap<>();
 
-        Experiment read(Map<String, String> more) throws BadFileException {
-            Map<String, String> all = new LinkedHashMap<>(set);
+        Experiment read(Map<String, String> extraOverrides) throws BadFileException {
+            Map<String, String> all = new LinkedHashMap<>(overrides);
             if (seed != null) {
                 all.put("seed", String.valueOf(seed));
             }
-            all.putAll(more);
+            all.putAll(extraOverrides);
             return ExperimentFile.read(file, all);
         }
     }
@@ -80,14 +80,14 @@
                     "Says whether an experiment's file would be played, and what it would send.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
-    int check(@Mixin Given given) throws BadFileException {
-        Experiment experiment = given.read(Map.of());
+    int check(@Mixin ExperimentArguments arguments) throws BadFileException {
+        Experiment experiment = arguments.read(Map.of());
         LoadPlan plan = LoadPlan.of(experiment);
         System.out.printf(
                 "%s: good; %d requests in %s s, load %s%n",
-                given.file,
-                plan.firsts().size(),
-                Results.plain(experiment.durationS()),
+                arguments.file,
+                plan.requests().size(),
+                Results.formatNumber(experiment.durationS()),
                 plan.digest());
         return Cli.OK;
     }
@@ -104,7 +104,7 @@
                 "2:a bad file"
             })
     int run(
-            @Mixin Given given,
+            @Mixin ExperimentArguments arguments,
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
@@ -119,21 +119,22 @@
                     int repeat)
             throws BadFileException, IOException, InterruptedException {
         checkRepeat(repeat);
-        boolean good = true;
-        long first = given.read(Map.of()).seed();
+        boolean passed = true;
+        long firstSeed = arguments.read(Map.of()).seed();
         for (int i = 0; i < repeat; i++) {
             Experiment experiment =
-                    given.read(repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(first + i)));
-            Path directory = directory(out, experiment);
-            good &=
-                    play(
+                    arguments.read(
+                            repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(firstSeed + i)));
+            Path directory = outputDirectory(out, experiment);
+            passed &=
+                    runOnSockets(
                                     experiment,
                                     repeat == 1
                                             ? directory
                                             : directory.resolve(String.valueOf(i + 1)))
-                            .good();
+                            .passed();
         }
-        return good ? Cli.OK : Cli.FAILED;
+        return passed ? Cli.OK : Cli.FAILED;
     }
 
     @Command(
@@ -143,7 +144,7 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int sim(
-            @Mixin Given given,
+            @Mixin ExperimentArguments arguments,
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
@@ -158,21 +159,22 @@
                     int repeat)
             throws BadFileException, IOException {
         checkRepeat(repeat);
-        boolean good = true;
-        long first = given.read(Map.of()).seed();
+        boolean passed = true;
+        long firstSeed = arguments.read(Map.of()).seed();
         for (int i = 0; i < repeat; i++) {
             Experiment experiment =
-                    given.read(repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(first + i)));
+                    arguments.read(
+                            repeat == 1 ? Map.of() : Map.of("seed", String.valueOf(firstSeed + i)));
             Path directory =
                     out == null ? Path.of("target", "lab", experiment.name() + "-sim") : out;
-            Results results = new VirtualRun(experiment).play();
-            tell(
+            Results results = new VirtualRun(experiment).run();
+            writeResults(
                     results,
                     Files.createDirectories(
                             repeat == 1 ? directory : directory.resolve(String.valueOf(i + 1))));
-            good &= results.good();
+            passed &= results.passed();
         }
-        return good ? Cli.OK : Cli.FAILED;
+        return passed ? Cli.OK : Cli.FAILED;
     }
 
     @Command(
@@ -207,37 +209,41 @@
             throw new ParameterException(
                     spec.commandLine(), "--budget: found " + budget + ", allowed is 1s to 99999s");
         }
-        long end =
+        long endNs =
                 System.nanoTime()
                         + TimeUnit.SECONDS.toNanos(Long.parseLong(budget.replace("s", "")));
-        int[] days = new int[2];
-        List<Hunt.Found> found =
-                new Hunt(seed)
+        int[] scenarioCounts = new int[2];
+        List<FaultSearch.Finding> failures =
+                new FaultSearch(seed)
                         .search(
-                                () -> System.nanoTime() < end,
-                                (number, wrong) -> {
-                                    days[0]++;
-                                    days[1] += wrong.isEmpty() ? 0 : 1;
-                                    if (!wrong.isEmpty()) {
-                                        System.out.println("day " + number + ": " + wrong);
+                                () -> System.nanoTime() < endNs,
+                                (number, violation) -> {
+                                    scenarioCounts[0]++;
+                                    scenarioCounts[1] += violation.isEmpty() ? 0 : 1;
+                                    if (!violation.isEmpty()) {
+                                        System.out.println("day " + number + ": " + violation);
                                     }
                                 });
-        for (Hunt.Found f : found) {
+        for (FaultSearch.Finding failure : failures) {
             Files.createDirectories(out);
             Path file =
                     out.resolve(
-                            f.wrong().split(" ")[0].replace(":", "")
+                            failure.failure().split(" ")[0].replace(":", "")
                                     + "-"
                                     + seed
                                     + "-"
-                                    + f.number()
+                                    + failure.number()
                                     + ".toml");
             Files.writeString(
-                    file, "# " + f.wrong().lines().findFirst().orElse("") + "\n" + f.toml());
+                    file,
+                    "# "
+                            + failure.failure().lines().findFirst().orElse("")
+                            + "\n"
+                            + failure.toml());
             System.out.println("replay: ./flintmill lab sim " + file);
         }
-        System.out.println(days[0] + " days, " + days[1] + " of them bad");
-        return found.isEmpty() ? Cli.OK : Cli.FAILED;
+        System.out.println(scenarioCounts[0] + " days, " + scenarioCounts[1] + " of them bad");
+        return failures.isEmpty() ? Cli.OK : Cli.FAILED;
     }
 
     @Command(
@@ -261,7 +267,7 @@
                             names = "--set",
                             paramLabel = "KEY=VALUE",
                             description = "another value for a key, as --set fleet.proxies=390")
-                    Map<String, String> set,
+                    Map<String, String> overrides,
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
@@ -269,7 +275,9 @@
                                     "where the control machines' files go (default: target/lab/NAME)")
                     Path out)
             throws BadFileException, IOException, InterruptedException {
-        return StreamLoad.play(file, set == null ? Map.of() : set, out) ? Cli.OK : Cli.FAILED;
+        return StreamLoad.run(file, overrides == null ? Map.of() : overrides, out)
+                ? Cli.OK
+                : Cli.FAILED;
     }
 
     private void checkRepeat(int repeat) {
@@ -279,67 +287,81 @@
         }
     }
 
-    private static Path directory(Path out, Experiment experiment) {
+    private static Path outputDirectory(Path out, Experiment experiment) {
         return out == null ? Path.of("target", "lab", experiment.name()) : out;
     }
 
-    private static Results play(Experiment experiment, Path directory)
+    private static Results runOnSockets(Experiment experiment, Path directory)
             throws BadFileException, IOException, InterruptedException {
-        if (experiment.proxies().count() > MOST_PROCESSES) {
+        if (experiment.proxies().count() > MAX_PROXY_PROCESSES) {
             throw new BadFileException(
                     "proxies.count: found "
                             + experiment.proxies().count()
                             + ", allowed on sockets is 1 to "
-                            + MOST_PROCESSES
+                            + MAX_PROXY_PROCESSES
                             + "; lab sim plays more");
         }
-        RunLine line = RunLine.find(Path.of("."), experiment.proxies().run());
+        ProxyCommand runLine = ProxyCommand.find(Path.of("."), experiment.proxies().run());
         Files.createDirectories(directory);
         System.out.println(experiment.name() + ": " + experiment.about());
         boolean terminal = System.console() != null;
-        long[] shown = {Long.MIN_VALUE};
+        long[] lastShownStep = {Long.MIN_VALUE};
         Results results =
-                new SocketRun(experiment, directory, line.root(), line.run())
-                        .play(
-                                p -> {
+                new SocketRun(experiment, directory, runLine.directory(), runLine.command())
+                        .run(
+                                progress -> {
                                     long step =
-                                            (long) Math.floor(terminal ? p.atS() * 4 : p.atS() / 5);
-                                    if (p.atS() >= 0 && step != shown[0]) {
-                                        shown[0] = step;
+                                            (long)
+                                                    Math.floor(
+                                                            terminal
+                                                                    ? progress.elapsedS() * 4
+                                                                    : progress.elapsedS() / 5);
+                                    if (progress.elapsedS() >= 0 && step != lastShownStep[0]) {
+                                        lastShownStep[0] = step;
                                         System.out.print(
                                                 (terminal ? "\r" : "")
-                                                        + line(p)
+                                                        + progressLine(progress)
                                                         + (terminal ? "" : System.lineSeparator()));
                                         System.out.flush();
                                     }
                                 });
         System.out.println();
-        tell(results, directory);
+        writeResults(results, directory);
         return results;
     }
 
-    private static String line(SocketRun.Progress p) {
-        int full = (int) Math.min(BAR, Math.max(0, BAR * p.atS() / p.ofS()));
+    private static String progressLine(SocketRun.Progress progress) {
+        int filled =
+                (int)
+                        Math.min(
+                                PROGRESS_BAR_CHARS,
+                                Math.max(
+                                        0,
+                                        PROGRESS_BAR_CHARS
+                                                * progress.elapsedS()
+                                                / progress.durationS()));
         return String.format(
                 Locale.ROOT,
                 "[%s%s] %5.1f s  %4.0f req/s  worth served %5.1f%%  refused %d  failed %d  level %d ",
-                "#".repeat(full),
-                ".".repeat(BAR - full),
-                p.atS(),
-                p.atS() < 1 ? 0 : p.asked() / Math.min(p.ofS(), p.atS()),
-                100 * p.worthShare(),
-                p.refused(),
-                p.failed(),
-                p.level());
+                "#".repeat(filled),
+                ".".repeat(PROGRESS_BAR_CHARS - filled),
+                progress.elapsedS(),
+                progress.elapsedS() < 1
+                        ? 0
+                        : progress.ended() / Math.min(progress.durationS(), progress.elapsedS()),
+                100 * progress.servedWeightShare(),
+                progress.refused(),
+                progress.failed(),
+                progress.controlLevel());
     }
 
-    private static void tell(Results results, Path directory) throws IOException {
+    private static void writeResults(Results results, Path directory) throws IOException {
         results.write(directory.resolve("results.json"));
         HtmlReport.write(results, directory.resolve("report.html"));
-        summary(results, directory);
+        printSummary(results, directory);
     }
 
-    private static void summary(Results results, Path directory) {
+    private static void printSummary(Results results, Path directory) {
         String[] figures = {
             "load.requests",
             "served.worth",
@@ -359,7 +381,8 @@
         for (String figure : figures) {
             System.out.printf(
                     "  %-26s %s%n",
-                    figure, Results.plain(results.figures().getOrDefault(figure, Double.NaN)));
+                    figure,
+                    Results.formatNumber(results.figures().getOrDefault(figure, Double.NaN)));
         }
         results.violations().stream().limit(10).forEach(v -> System.out.println("  broken: " + v));
         if (results.violations().size() > 10) {
@@ -370,7 +393,7 @@
         }
         results.missed().forEach(m -> System.out.println("  missed: " + m));
         System.out.println(
-                (results.good() ? "all bounds hold, no rule is broken; " : "")
+                (results.passed() ? "all bounds hold, no rule is broken; " : "")
                         + "see "
                         + directory.resolve("report.html"));
     }
@@ -383,7 +406,7 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int sweep(
-            @Mixin Given given,
+            @Mixin ExperimentArguments arguments,
             @Option(
                             names = "--over",
                             required = true,
@@ -407,10 +430,10 @@
             @Option(
                             names = "--no-retries",
                             description = "plays each step without the clients' retries too")
-                    boolean both)
+                    boolean withoutRetries)
             throws BadFileException, IOException, InterruptedException {
-        Sweep sweep = Sweep.parse(over);
-        if (sweep == null) {
+        SweepRange range = SweepRange.parse(over);
+        if (range == null) {
             throw new ParameterException(
                     spec.commandLine(),
                     "--over: found "
@@ -420,19 +443,20 @@
         checkRepeat(repeat);
         // All of it is read before anything starts.
         Map<String, List<List<Experiment>>> series = new LinkedHashMap<>();
-        long first = given.read(Map.of()).seed();
-        for (boolean retries : both ? new boolean[] {true, false} : new boolean[] {true}) {
+        long firstSeed = arguments.read(Map.of()).seed();
+        for (boolean retries :
+                withoutRetries ? new boolean[] {true, false} : new boolean[] {true}) {
             List<List<Experiment>> steps = new ArrayList<>();
-            for (double value : sweep.values()) {
-                Map<String, String> set =
-                        new LinkedHashMap<>(Map.of(sweep.key(), Results.plain(value)));
+            for (double value : range.values()) {
+                Map<String, String> overrides =
+                        new LinkedHashMap<>(Map.of(range.key(), Results.formatNumber(value)));
                 if (!retries) {
-                    set.put("load.retries", "0");
+                    overrides.put("load.retries", "0");
                 }
                 List<Experiment> runs = new ArrayList<>();
                 for (int i = 0; i < repeat; i++) {
-                    set.put("seed", String.valueOf(virtual ? first + i : first));
-                    runs.add(given.read(set));
+                    overrides.put("seed", String.valueOf(virtual ? firstSeed + i : firstSeed));
+                    runs.add(arguments.read(overrides));
                 }
                 steps.add(runs);
             }
@@ -440,31 +464,36 @@
         }
         String name = series.values().iterator().next().get(0).get(0).name();
         Path directory = out == null ? Path.of("target", "lab", name + "-sweep") : out;
-        Map<String, List<List<Results>>> played = new LinkedHashMap<>();
+        Map<String, List<List<Results>>> resultsBySeries = new LinkedHashMap<>();
         for (Map.Entry<String, List<List<Experiment>>> entry : series.entrySet()) {
             List<List<Results>> steps = new ArrayList<>();
             for (List<Experiment> runs : entry.getValue()) {
                 List<Results> results = new ArrayList<>();
                 for (Experiment run : runs) {
-                    Path own =
+                    Path runDirectory =
                             directory
                                     .resolve(
                                             entry.getKey().replace(' ', '-')
                                                     + "-"
                                                     + (steps.size() + 1))
                                     .resolve(String.valueOf(results.size() + 1));
-                    results.add(virtual ? new VirtualRun(run).play() : play(run, own));
+                    results.add(
+                            virtual ? new VirtualRun(run).run() : runOnSockets(run, runDirectory));
                 }
                 steps.add(results);
             }
-            played.put(entry.getKey(), steps);
+            resultsBySeries.put(entry.getKey(), steps);
         }
-        System.out.print(CurveReport.table(sweep.key(), sweep.values(), played));
+        System.out.print(CurveReport.table(range.key(), range.values(), resultsBySeries));
         Files.createDirectories(directory);
         CurveReport.write(
-                name, sweep.key(), sweep.values(), played, directory.resolve("curve.html"));
+                name,
+                range.key(),
+                range.values(),
+                resultsBySeries,
+                directory.resolve("curve.html"));
         System.out.println("see " + directory.resolve("curve.html"));
-        return played.values().stream()
+        return resultsBySeries.values().stream()
                         .flatMap(List::stream)
                         .flatMap(List::stream)
                         .allMatch(r -> r.violations().isEmpty())
@@ -473,9 +502,9 @@
     }
 
     /** The values of one key that a sweep goes through. */
-    record Sweep(String key, List<Double> values) {
+    record SweepRange(String key, List<Double> values) {
 
-        static Sweep parse(String over) {
+        static SweepRange parse(String over) {
             var parts =
                     java.util.regex.Pattern.compile(
                                     "([a-z_.]+)=([0-9.]+?)\\.\\.([0-9.]+):(\\d{1,3})")
@@ -494,7 +523,7 @@
                 for (int i = 0; i < steps; i++) {
                     values.add(from + (to - from) * i / (steps - 1));
                 }
-                return new Sweep(parts.group(1), values);
+                return new SweepRange(parts.group(1), values);
             } catch (NumberFormatException e) {
                 return null;
             }
@@ -526,25 +555,25 @@
         System.out.printf(
                 "%8s %8s %18s %18s %14s%n",
                 "nodes", "proxies", "CPU us/request", "bytes/request", "bytes held");
-        for (int p : proxies) {
-            for (int n : nodes) {
+        for (int proxyCount : proxies) {
+            for (int nodeCount : nodes) {
                 ModuleCost.Cost cost =
                         ModuleCost.measure(
-                                ExperimentFile.of(
+                                ExperimentFile.parse(
                                         Toml.parse(
                                                 "lab cost",
                                                 "name = \"cost\"\n[fleet]\nkeys = 100000\nnodes = "
-                                                        + n
+                                                        + nodeCount
                                                         + "\n[proxies]\ncount = "
-                                                        + p
+                                                        + proxyCount
                                                         + "\n")));
                 System.out.printf(
                         Locale.ROOT,
                         "%8d %8d %10.2f ± %5.2f %18.0f %14.0f%n",
-                        n,
-                        p,
+                        nodeCount,
+                        proxyCount,
                         cost.cpuUs(),
-                        cost.spreadUs(),
+                        cost.cpuStdDevUs(),
                         cost.allocatedBytes(),
                         cost.retainedBytes());
             }
@@ -559,10 +588,12 @@
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int compare(
-            @Parameters(paramLabel = "A", description = "results.json, or a folder of runs") Path a,
-            @Parameters(paramLabel = "B", description = "results.json, or a folder of runs") Path b)
+            @Parameters(paramLabel = "A", description = "results.json, or a folder of runs")
+                    Path first,
+            @Parameters(paramLabel = "B", description = "results.json, or a folder of runs")
+                    Path second)
             throws BadFileException, IOException {
-        System.out.print(Comparison.table(Comparison.read(a), Comparison.read(b)));
+        System.out.print(Comparison.table(Comparison.read(first), Comparison.read(second)));
         return Cli.OK;
     }
 }
--- a/src/main/java/cacheproxy/cli/PolicyCommands.java
+++ b/src/main/java/cacheproxy/cli/PolicyCommands.java
@@ -20,10 +20,10 @@
 
     private static int ask(Path socket, String question, String content, long epoch) {
         try {
-            PolicySocket.Told told = PolicySocket.ask(socket, question, content, epoch);
-            (told.exit() == Cli.OK ? System.out : System.err)
-                    .println((told.exit() == Cli.OK ? "" : "flintmill: ") + told.text());
-            return told.exit();
+            PolicySocket.Answer answer = PolicySocket.ask(socket, question, content, epoch);
+            (answer.exit() == Cli.OK ? System.out : System.err)
+                    .println((answer.exit() == Cli.OK ? "" : "flintmill: ") + answer.text());
+            return answer.exit();
         } catch (IOException e) {
             System.err.println("flintmill: no proxy answers at " + socket + ": " + e.getMessage());
             return Cli.FAILED;
@@ -74,7 +74,7 @@
                     Path file)
             throws BadFileException, IOException {
         String content = Files.readString(file);
-        OptionsFile.policy(content, Options.DEFAULTS);
+        OptionsFile.withPolicy(content, Options.DEFAULTS);
         return ask(socket, "propose", content, 0);
     }
 
--- a/src/main/java/cacheproxy/cli/SlopeCommand.java
+++ b/src/main/java/cacheproxy/cli/SlopeCommand.java
@@ -4,8 +4,8 @@
 import cacheproxy.config.Toml;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.ExperimentFile;
-import cacheproxy.lab.RunLine;
-import cacheproxy.lab.Sizes;
+import cacheproxy.lab.ProxyCommand;
+import cacheproxy.lab.SizeSweep;
 import cacheproxy.lab.capacity.Slope;
 import cacheproxy.lab.capacity.SlopeFile;
 import cacheproxy.lab.report.Results;
@@ -43,7 +43,7 @@
         })
 final class SlopeCommand implements Callable<Integer> {
 
-    private static final int MOST_RUNS = 20;
+    private static final int MAX_RUNS = 20;
 
     @Spec private CommandSpec spec;
 
@@ -63,150 +63,151 @@
             required = true,
             description =
                     "what else runs on the machine, and the program's commit; kept with the slopes")
-    private String beside;
+    private String machineLoad;
 
     @Option(
             names = "--to",
             paramLabel = "FILE",
             defaultValue = "experiments/capacity/slopes-data.toml",
             description = "the file of slopes (default: ${DEFAULT-VALUE})")
-    private Path to;
+    private Path slopeFile;
 
     @Option(
             names = "--kept",
             description =
                     "plays nothing on sockets: fits the results that an earlier call left in target/lab/NAME, by the file's bounds as they are now")
-    private boolean kept;
+    private boolean reuseResults;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
-        if (runs < 1 || runs > MOST_RUNS) {
+        if (runs < 1 || runs > MAX_RUNS) {
             throw new ParameterException(
-                    spec.commandLine(), "--runs: found " + runs + ", allowed is 1 to " + MOST_RUNS);
+                    spec.commandLine(), "--runs: found " + runs + ", allowed is 1 to " + MAX_RUNS);
         }
-        Experiment plain = ExperimentFile.read(file, Map.of());
-        Sizes sizes = Sizes.read(Toml.read(file).root());
+        Experiment baseExperiment = ExperimentFile.read(file, Map.of());
+        SizeSweep sizes = SizeSweep.read(Toml.read(file).root());
         if (sizes.steps().isEmpty()) {
             throw new BadFileException(
                     file + ": sizes.over: found nothing, allowed is a list of KEY = V, V, V");
         }
         List<List<List<Double>>> measured = new ArrayList<>();
-        sizes.measures().forEach(m -> measured.add(new ArrayList<>()));
-        if (sizes.driver() == Sizes.Driver.MODULE) {
+        sizes.measures().forEach(measure -> measured.add(new ArrayList<>()));
+        if (sizes.driver() == SizeSweep.Driver.MODULE) {
             // Else the first size alone pays for the compiler.
-            ModuleCost.measure(plain);
+            ModuleCost.measure(baseExperiment);
         }
-        boolean good = true;
-        for (Sizes.Step step : sizes.steps()) {
-            measured.forEach(m -> m.add(new ArrayList<>()));
+        boolean passed = true;
+        for (SizeSweep.Step step : sizes.steps()) {
+            measured.forEach(measure -> measure.add(new ArrayList<>()));
             for (int run = 0; run < runs; run++) {
-                Map<String, String> set = new LinkedHashMap<>(step.set());
-                set.put("seed", String.valueOf(plain.seed() + run));
-                Experiment experiment = ExperimentFile.read(file, set);
+                Map<String, String> overrides = new LinkedHashMap<>(step.overrides());
+                overrides.put("seed", String.valueOf(baseExperiment.seed() + run));
+                Experiment experiment = ExperimentFile.read(file, overrides);
                 Map<String, Double> figures =
                         switch (sizes.driver()) {
                             case MODULE -> ModuleCost.measure(experiment).figures();
-                            case VIRTUAL -> judged(new VirtualRun(experiment).play());
+                            case VIRTUAL -> figuresIfPassed(new VirtualRun(experiment).run());
                             case SOCKETS ->
-                                    judged(
-                                            sockets(
+                                    figuresIfPassed(
+                                            runOnSockets(
                                                     experiment,
                                                     Path.of(
                                                             "target",
                                                             "lab",
-                                                            plain.name(),
-                                                            Results.plain(step.size())
+                                                            baseExperiment.name(),
+                                                            Results.formatNumber(step.size())
                                                                     + "-"
                                                                     + (run + 1))));
                         };
-                good &= !figures.isEmpty();
+                passed &= !figures.isEmpty();
                 for (int i = 0; i < measured.size(); i++) {
-                    Sizes.Measure m = sizes.measures().get(i);
-                    double value = m.value(figures, experiment);
+                    SizeSweep.Measure measure = sizes.measures().get(i);
+                    double value = measure.value(figures, experiment);
                     if (!Double.isFinite(value) && !figures.isEmpty()) {
                         throw new BadFileException(
                                 file
                                         + ": measure["
                                         + i
                                         + "].of: found "
-                                        + m.of()
+                                        + measure.sourceFigure()
                                         + ", allowed is a figure of the run");
                     }
                     measured.get(i).get(measured.get(i).size() - 1).add(value);
                     System.out.println(
-                            Results.plain(step.size())
+                            Results.formatNumber(step.size())
                                     + " "
-                                    + sizes.against()
+                                    + sizes.quantity()
                                     + ", run "
                                     + (run + 1)
                                     + ": "
-                                    + m.figure()
+                                    + measure.figure()
                                     + " "
                                     + value
                                     + " "
-                                    + m.unit());
+                                    + measure.unit());
                 }
             }
         }
-        if (!good) {
+        if (!passed) {
             return Cli.FAILED;
         }
         List<Slope> slopes = new ArrayList<>();
         for (int i = 0; i < measured.size(); i++) {
-            Sizes.Measure m = sizes.measures().get(i);
+            SizeSweep.Measure measure = sizes.measures().get(i);
             slopes.add(
                     Slope.fit(
-                            new Slope.Head(
-                                    m.role(),
-                                    m.figure(),
-                                    m.unit(),
-                                    sizes.against(),
+                            new Slope.SlopeMetadata(
+                                    measure.role(),
+                                    measure.figure(),
+                                    measure.unit(),
+                                    sizes.quantity(),
                                     file.toString(),
-                                    beside),
-                            sizes.steps().stream().map(Sizes.Step::size).toList(),
+                                    machineLoad),
+                            sizes.steps().stream().map(SizeSweep.Step::size).toList(),
                             measured.get(i)));
-            Slope s = slopes.get(i);
+            Slope slope = slopes.get(i);
             System.out.printf(
                     Locale.ROOT,
                     "%s: %.4g + %.4g a unit, r2 %.4f%s%n",
-                    s.figure(),
-                    s.fixed(),
-                    s.perUnit(),
-                    s.r2(),
-                    s.straight() ? "" : ", not straight");
+                    slope.figure(),
+                    slope.fixed(),
+                    slope.perUnit(),
+                    slope.r2(),
+                    slope.isLinear() ? "" : ", not straight");
         }
-        SlopeFile.put(to, file.toString(), slopes);
+        SlopeFile.replaceSlopes(slopeFile, file.toString(), slopes);
         return Cli.OK;
     }
 
     /** The figures of a run that holds its bounds; none of another, which is told. */
-    private static Map<String, Double> judged(Results results) {
+    private static Map<String, Double> figuresIfPassed(Results results) {
         results.violations().stream().limit(5).forEach(v -> System.out.println("  broken: " + v));
         results.missed().forEach(m -> System.out.println("  missed: " + m));
-        return results.good() ? results.figures() : Map.of();
+        return results.passed() ? results.figures() : Map.of();
     }
 
-    private Results sockets(Experiment experiment, Path directory)
+    private Results runOnSockets(Experiment experiment, Path directory)
             throws BadFileException, IOException, InterruptedException {
-        if (kept) {
-            Results r = Results.read(directory.resolve("results.json"));
+        if (reuseResults) {
+            Results stored = Results.read(directory.resolve("results.json"));
             return new Results(
-                    r.form(),
-                    r.experiment(),
-                    r.about(),
-                    r.driver(),
-                    r.seed(),
-                    r.load(),
-                    r.figures(),
-                    r.timeline(),
-                    r.marks(),
-                    r.violations(),
-                    Results.missed(r.figures(), experiment.expects()));
+                    stored.form(),
+                    stored.experiment(),
+                    stored.about(),
+                    stored.driver(),
+                    stored.seed(),
+                    stored.load(),
+                    stored.figures(),
+                    stored.timeline(),
+                    stored.marks(),
+                    stored.violations(),
+                    Results.missed(stored.figures(), experiment.expects()));
         }
-        RunLine line = RunLine.find(Path.of("."), experiment.proxies().run());
+        ProxyCommand runLine = ProxyCommand.find(Path.of("."), experiment.proxies().run());
         Files.createDirectories(directory);
         Results results =
-                new SocketRun(experiment, directory, line.root(), line.run()).play(p -> {});
+                new SocketRun(experiment, directory, runLine.directory(), runLine.command())
+                        .run(p -> {});
         results.write(directory.resolve("results.json"));
         return results;
     }
--- a/src/main/java/cacheproxy/config/OptionsFile.java
+++ b/src/main/java/cacheproxy/config/OptionsFile.java
@@ -10,48 +10,48 @@
 /** Reads {@code deploy/flintmill.toml} or a file of its form. */
 public final class OptionsFile {
 
-    private static final int HOUR_S = 3600;
-    private static final int MOST_LINES = 10_000;
-    private static final int LEAST_BYTES = 4096;
-    private static final int MOST_BYTES = 1 << 20;
-    private static final int LEAST_VERIFICATIONS = 10;
-    private static final int MOST_HEALTH = 16;
-    private static final int LEAST_VOTERS = 3;
-    private static final int MOST_VOTERS = 7;
+    private static final int MAX_INTERVAL_S = 3600;
+    private static final int MAX_COUNT = 10_000;
+    private static final int MIN_GOSSIP_BYTES_PER_S = 4096;
+    private static final int MAX_GOSSIP_BYTES_PER_S = 1 << 20;
+    private static final int MIN_VERIFICATIONS_PER_S = 10;
+    private static final int MAX_HEALTH_SCORE = 16;
+    private static final int MIN_VOTERS = 3;
+    private static final int MAX_VOTERS = 7;
     private static final Pattern ADDRESS =
             Pattern.compile("(\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:]+]):\\d{1,5}");
 
     private OptionsFile() {}
 
     public static Options read(Path file) throws BadFileException {
-        return options(Toml.read(file));
+        return fromToml(Toml.read(file));
     }
 
     /** Every key with its effective value and where it came from. */
-    public static List<Toml.Effective> show(Path file) throws BadFileException {
+    public static List<Toml.EffectiveValue> show(Path file) throws BadFileException {
         Toml toml = Toml.read(file);
-        options(toml);
+        fromToml(toml);
         return toml.effective();
     }
 
-    static Options options(Toml toml) throws BadFileException {
+    static Options fromToml(Toml toml) throws BadFileException {
         Toml.Table root = toml.root();
         Toml.Table log = root.table("log");
-        Options.Log absent = Options.DEFAULTS.log();
-        Format format = log.choice("format", absent.format(), Format.class);
+        Options.Log defaults = Options.DEFAULTS.log();
+        Format format = log.enumValue("format", defaults.format(), Format.class);
         Options options =
                 new Options(
-                        log(log, format, absent),
-                        gossip(root.table("gossip")),
-                        voting(root.table("policy")),
-                        nodes(root.table("nodes"), Options.DEFAULTS.nodes()));
+                        readLog(log, format, defaults),
+                        readGossip(root.table("gossip")),
+                        readPolicy(root.table("policy")),
+                        readNodes(root.table("nodes"), Options.DEFAULTS.nodes()));
         if (options.policy().enabled() && !options.gossip().enabled()) {
-            throw root.bad(
+            throw root.invalidValue(
                     "policy.voters",
                     options.policy().voters().toString(),
                     "none without gossip.enabled, by whose keys proxies know one another");
         }
-        root.done();
+        root.rejectUnknownKeys();
         return options;
     }
 
@@ -60,93 +60,101 @@
      * that a running proxy can change, and {@code [nodes]}. Anything else is each proxy's own and
      * refused.
      */
-    public static Options policy(String text, Options own) throws BadFileException {
+    public static Options withPolicy(String text, Options ownOptions) throws BadFileException {
         Toml.Table root = Toml.parse("policy", text).root();
-        Options.Log log = log(root.table("log"), own.log().format(), own.log());
-        Options.Nodes nodes = nodes(root.table("nodes"), own.nodes());
-        root.done();
-        return new Options(log, own.gossip(), own.policy(), nodes);
+        Options.Log log = readLog(root.table("log"), ownOptions.log().format(), ownOptions.log());
+        Options.Nodes nodes = readNodes(root.table("nodes"), ownOptions.nodes());
+        root.rejectUnknownKeys();
+        return new Options(log, ownOptions.gossip(), ownOptions.policy(), nodes);
     }
 
-    private static Options.Log log(Toml.Table t, Format format, Options.Log absent)
+    private static Options.Log readLog(Toml.Table table, Format format, Options.Log defaults)
             throws BadFileException {
         Options.Log log =
                 new Options.Log(
                         format,
-                        t.whole("tally_s", absent.tallyS(), 1, HOUR_S),
-                        t.whole("odd_lines", absent.oddLines(), 1, MOST_LINES),
-                        t.whole("odd_window_s", absent.oddWindowS(), 1, HOUR_S));
-        t.done();
+                        table.integer("tally_s", defaults.tallyS(), 1, MAX_INTERVAL_S),
+                        table.integer("odd_lines", defaults.oddLines(), 1, MAX_COUNT),
+                        table.integer("odd_window_s", defaults.oddWindowS(), 1, MAX_INTERVAL_S));
+        table.rejectUnknownKeys();
         return log;
     }
 
-    private static Options.Nodes nodes(Toml.Table t, Options.Nodes absent) throws BadFileException {
-        Options.Nodes nodes = new Options.Nodes(t.texts("out", absent.out()));
-        t.done();
+    private static Options.Nodes readNodes(Toml.Table table, Options.Nodes defaults)
+            throws BadFileException {
+        Options.Nodes nodes = new Options.Nodes(table.strings("out", defaults.out()));
+        table.rejectUnknownKeys();
         return nodes;
     }
 
-    private static Options.Policy voting(Toml.Table t) throws BadFileException {
-        Options.Policy absent = Options.DEFAULTS.policy();
+    private static Options.Policy readPolicy(Toml.Table table) throws BadFileException {
+        Options.Policy defaults = Options.DEFAULTS.policy();
         Options.Policy policy =
                 new Options.Policy(
-                        t.texts("voters", absent.voters()),
-                        address(t, "listen", t.text("listen", absent.listen())),
-                        t.text("folder", absent.folder()),
-                        t.text("socket", absent.socket()));
+                        table.strings("voters", defaults.voters()),
+                        checkAddress(table, "listen", table.string("listen", defaults.listen())),
+                        table.string("folder", defaults.folder()),
+                        table.string("socket", defaults.socket()));
         Set<String> names = new HashSet<>();
         for (String voter : policy.voters()) {
             int equals = voter.indexOf('=');
             if (equals < 1 || !names.add(voter.substring(0, equals))) {
-                throw t.bad("voters", '"' + voter + '"', "NAME=ADDRESS:PORT, each name once");
+                throw table.invalidValue(
+                        "voters", '"' + voter + '"', "NAME=ADDRESS:PORT, each name once");
             }
-            address(t, "voters", voter.substring(equals + 1));
+            checkAddress(table, "voters", voter.substring(equals + 1));
         }
         if (policy.enabled()
-                && (names.size() < LEAST_VOTERS
-                        || names.size() > MOST_VOTERS
+                && (names.size() < MIN_VOTERS
+                        || names.size() > MAX_VOTERS
                         || names.size() % 2 == 0)) {
-            throw t.bad("voters", names.size() + " voters", "3, 5 or 7");
+            throw table.invalidValue("voters", names.size() + " voters", "3, 5 or 7");
         }
-        t.done();
+        table.rejectUnknownKeys();
         return policy;
     }
 
-    private static Options.Gossip gossip(Toml.Table t) throws BadFileException {
-        Options.Gossip absent = Options.DEFAULTS.gossip();
+    private static Options.Gossip readGossip(Toml.Table table) throws BadFileException {
+        Options.Gossip defaults = Options.DEFAULTS.gossip();
         Options.Gossip gossip =
                 new Options.Gossip(
-                        t.flag("enabled", absent.enabled()),
-                        address(t, "listen", t.text("listen", absent.listen())),
-                        t.has("advertise")
-                                ? address(t, "advertise", t.text("advertise", ""))
-                                : absent.advertise(),
-                        t.texts("seeds", absent.seeds()),
-                        t.text("key_file", absent.keyFile()),
-                        t.text("ring_file", absent.ringFile()),
-                        t.whole("bytes_per_s", absent.bytesPerS(), LEAST_BYTES, MOST_BYTES),
-                        t.whole(
+                        table.bool("enabled", defaults.enabled()),
+                        checkAddress(table, "listen", table.string("listen", defaults.listen())),
+                        table.has("advertise")
+                                ? checkAddress(table, "advertise", table.string("advertise", ""))
+                                : defaults.advertise(),
+                        table.strings("seeds", defaults.seeds()),
+                        table.string("key_file", defaults.keyFile()),
+                        table.string("ring_file", defaults.ringFile()),
+                        table.integer(
+                                "bytes_per_s",
+                                defaults.bytesPerS(),
+                                MIN_GOSSIP_BYTES_PER_S,
+                                MAX_GOSSIP_BYTES_PER_S),
+                        table.integer(
                                 "verifications_per_s",
-                                absent.verificationsPerS(),
-                                LEAST_VERIFICATIONS,
-                                MOST_LINES),
-                        t.has("members_socket")
-                                ? t.text("members_socket", "")
-                                : absent.membersSocket(),
-                        t.whole("health_most", absent.healthMost(), 0, MOST_HEALTH));
+                                defaults.verificationsPerS(),
+                                MIN_VERIFICATIONS_PER_S,
+                                MAX_COUNT),
+                        table.has("members_socket")
+                                ? table.string("members_socket", "")
+                                : defaults.membersSocket(),
+                        table.integer("health_most", defaults.healthMost(), 0, MAX_HEALTH_SCORE));
         for (String seed : gossip.seeds()) {
-            address(t, "seeds", seed);
+            checkAddress(table, "seeds", seed);
         }
-        t.done();
+        table.rejectUnknownKeys();
         return gossip;
     }
 
     /**
      * Numbers alone: a name would have to be looked up, and who answers that could answer anything.
      */
-    private static String address(Toml.Table t, String key, String text) throws BadFileException {
+    private static String checkAddress(Toml.Table table, String key, String text)
+            throws BadFileException {
         if (!ADDRESS.matcher(text).matches()) {
-            throw t.bad(key, '"' + text + '"', "a numeric address and port, as 10.0.0.5:7946");
+            throw table.invalidValue(
+                    key, '"' + text + '"', "a numeric address and port, as 10.0.0.5:7946");
         }
         return text;
     }
--- a/src/main/java/cacheproxy/config/Toml.java
+++ b/src/main/java/cacheproxy/config/Toml.java
@@ -31,17 +31,17 @@
     /**
      * A key's effective value and its origin: {@code FILE:LINE}, {@code --set} or {@code default}.
      */
-    public record Effective(String key, String value, String from) {}
+    public record EffectiveValue(String key, String value, String origin) {}
 
-    private static final int MAX_BYTES = 1 << 20;
+    private static final int MAX_FILE_BYTES = 1 << 20;
 
     /** A known key that differs by more than this part of its length is no likely slip. */
-    private static final double SLIP = 0.5;
+    private static final double MAX_TYPO_FRACTION = 0.5;
 
     private final String file;
     private final Map<String, Integer> lines;
     private final Set<String> overridden = new LinkedHashSet<>();
-    private final Map<String, Effective> effective = new LinkedHashMap<>();
+    private final Map<String, EffectiveValue> effective = new LinkedHashMap<>();
     private final ObjectNode root;
 
     private Toml(String file, ObjectNode root, Map<String, Integer> lines) {
@@ -53,7 +53,7 @@
     /** Reads and parses; at most 1 MiB. */
     public static Toml read(Path file) throws BadFileException {
         try {
-            if (Files.size(file) > MAX_BYTES) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new BadFileException(file + ": larger than 1 MiB");
             }
             return parse(file.toString(), Files.readString(file));
@@ -73,7 +73,7 @@
             return new Toml(
                     file,
                     root instanceof ObjectNode o ? o : JsonNodeFactory.instance.objectNode(),
-                    KeyLines.of(text));
+                    KeyLineNumbers.find(text));
         } catch (JsonProcessingException e) {
             String where = e.getLocation() == null ? "" : ":" + e.getLocation().getLineNr();
             throw new BadFileException(
@@ -96,18 +96,18 @@
             parsed = JsonNodeFactory.instance.textNode(value);
         }
         ObjectNode table = root;
-        String[] steps = key.split("\\.");
-        for (int i = 0; i + 1 < steps.length; i++) {
-            JsonNode next = table.get(steps[i]);
+        String[] path = key.split("\\.");
+        for (int i = 0; i + 1 < path.length; i++) {
+            JsonNode next = table.get(path[i]);
             if (next == null) {
-                next = table.putObject(steps[i]);
+                next = table.putObject(path[i]);
             }
             if (!(next instanceof ObjectNode inner)) {
-                throw new BadFileException("--set " + key + ": " + steps[i] + " is no table");
+                throw new BadFileException("--set " + key + ": " + path[i] + " is no table");
             }
             table = inner;
         }
-        table.set(steps[steps.length - 1], parsed);
+        table.set(path[path.length - 1], parsed);
         overridden.add(key);
     }
 
@@ -116,11 +116,11 @@
     }
 
     /** Every value that was asked for, in the order of asking. */
-    public List<Effective> effective() {
+    public List<EffectiveValue> effective() {
         return List.copyOf(effective.values());
     }
 
-    private String place(String path) {
+    private String location(String path) {
         if (overridden.contains(path)) {
             return "--set";
         }
@@ -131,7 +131,7 @@
         return line == null ? file : file + ":" + line;
     }
 
-    private static String shown(JsonNode value) {
+    private static String describe(JsonNode value) {
         return value.isObject() ? "a table" : value.isArray() ? "a list" : value.toString();
     }
 
@@ -143,7 +143,7 @@
 
         private final ObjectNode node;
         private final String path;
-        private final Set<String> known = new LinkedHashSet<>();
+        private final Set<String> knownKeys = new LinkedHashSet<>();
 
         private Table(ObjectNode node, String path) {
             this.node = node;
@@ -154,25 +154,25 @@
             return path.isEmpty() ? key : path + "." + key;
         }
 
-        private JsonNode value(String key, Object absent) {
-            known.add(key);
+        private JsonNode value(String key, Object defaultValue) {
+            knownKeys.add(key);
             JsonNode value = node.get(key);
-            String full = path(key);
+            String fullKey = path(key);
             if (value == null || !value.isContainerNode() || value.isArray()) {
                 effective.put(
-                        full,
-                        new Effective(
-                                full,
-                                value == null ? String.valueOf(absent) : value.toString(),
-                                value == null ? "default" : place(full)));
+                        fullKey,
+                        new EffectiveValue(
+                                fullKey,
+                                value == null ? String.valueOf(defaultValue) : value.toString(),
+                                value == null ? "default" : location(fullKey)));
             }
             return value;
         }
 
         /** A mistake at one of this table's keys. */
-        public BadFileException bad(String key, String found, String allowed) {
+        public BadFileException invalidValue(String key, String found, String allowed) {
             return new BadFileException(
-                    place(path(key))
+                    location(path(key))
                             + ": "
                             + path(key)
                             + ": found "
@@ -186,82 +186,85 @@
         }
 
         /** A finite number between two bounds, both allowed. */
-        public double number(String key, double absent, double least, double most)
+        public double number(String key, double defaultValue, double min, double max)
                 throws BadFileException {
-            JsonNode value = value(key, absent);
+            JsonNode value = value(key, defaultValue);
             if (value == null) {
-                return absent;
+                return defaultValue;
             }
-            if (!value.isNumber()
-                    || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-                throw bad(
-                        key, shown(value), "a number from " + plain(least) + " to " + plain(most));
+            if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
+                throw invalidValue(
+                        key,
+                        describe(value),
+                        "a number from " + formatNumber(min) + " to " + formatNumber(max));
             }
             return value.doubleValue();
         }
 
-        public int whole(String key, int absent, int least, int most) throws BadFileException {
-            JsonNode value = value(key, absent);
+        public int integer(String key, int defaultValue, int min, int max) throws BadFileException {
+            JsonNode value = value(key, defaultValue);
             if (value == null) {
-                return absent;
+                return defaultValue;
             }
             if (!value.isIntegralNumber()
                     || !value.canConvertToInt()
-                    || value.intValue() < least
-                    || value.intValue() > most) {
-                throw bad(key, shown(value), "a whole number from " + least + " to " + most);
+                    || value.intValue() < min
+                    || value.intValue() > max) {
+                throw invalidValue(
+                        key, describe(value), "a whole number from " + min + " to " + max);
             }
             return value.intValue();
         }
 
-        public boolean flag(String key, boolean absent) throws BadFileException {
-            JsonNode value = value(key, absent);
+        public boolean bool(String key, boolean defaultValue) throws BadFileException {
+            JsonNode value = value(key, defaultValue);
             if (value != null && !value.isBoolean()) {
-                throw bad(key, shown(value), "true or false");
+                throw invalidValue(key, describe(value), "true or false");
             }
-            return value == null ? absent : value.booleanValue();
+            return value == null ? defaultValue : value.booleanValue();
         }
 
         /** A text that is not blank. */
-        public String text(String key, String absent) throws BadFileException {
-            JsonNode value = value(key, absent == null ? "" : absent);
+        public String string(String key, String defaultValue) throws BadFileException {
+            JsonNode value = value(key, defaultValue == null ? "" : defaultValue);
             if (value != null && (!value.isTextual() || value.textValue().isBlank())) {
-                throw bad(key, shown(value), "a text");
+                throw invalidValue(key, describe(value), "a text");
             }
-            return value == null ? absent : value.textValue();
+            return value == null ? defaultValue : value.textValue();
         }
 
         /** One of an enum's words, in lower case with hyphens. */
-        public <E extends Enum<E>> E choice(String key, E absent, Class<E> type)
+        public <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type)
                 throws BadFileException {
-            JsonNode value = value(key, absent == null ? "" : word(absent));
-            if (value == null && absent != null) {
-                return absent;
+            JsonNode value = value(key, defaultValue == null ? "" : enumWord(defaultValue));
+            if (value == null && defaultValue != null) {
+                return defaultValue;
             }
             String found =
-                    value == null ? "" : value.isTextual() ? value.textValue() : shown(value);
-            for (E e : type.getEnumConstants()) {
-                if (word(e).equals(found)) {
-                    return e;
+                    value == null ? "" : value.isTextual() ? value.textValue() : describe(value);
+            for (E constant : type.getEnumConstants()) {
+                if (enumWord(constant).equals(found)) {
+                    return constant;
                 }
             }
-            List<String> words = Arrays.stream(type.getEnumConstants()).map(Toml::word).toList();
-            throw bad(
+            List<String> words =
+                    Arrays.stream(type.getEnumConstants()).map(Toml::enumWord).toList();
+            throw invalidValue(
                     key,
-                    value == null ? "nothing" : shown(value),
-                    "one of " + String.join(", ", words) + nearest(found, words));
+                    value == null ? "nothing" : describe(value),
+                    "one of " + String.join(", ", words) + nearestSuggestion(found, words));
         }
 
         /** A list of texts. */
-        public List<String> texts(String key, List<String> absent) throws BadFileException {
-            JsonNode value = value(key, absent);
+        public List<String> strings(String key, List<String> defaultValue) throws BadFileException {
+            JsonNode value = value(key, defaultValue);
             if (value == null) {
-                return absent;
+                return defaultValue;
             }
             if (!value.isArray()
                     || StreamSupport.stream(value.spliterator(), false)
                             .anyMatch(v -> !v.isTextual())) {
-                throw bad(key, shown(value), "a list of texts");
+                throw invalidValue(key, describe(value), "a list of texts");
             }
             return StreamSupport.stream(value.spliterator(), false)
                     .map(JsonNode::textValue)
@@ -269,7 +272,7 @@
         }
 
         /** A list of finite numbers between two bounds, both allowed; it must be there. */
-        public List<Double> numbers(String key, double least, double most) throws BadFileException {
+        public List<Double> numbers(String key, double min, double max) throws BadFileException {
             JsonNode value = value(key, "");
             if (value == null
                     || !value.isArray()
@@ -277,12 +280,12 @@
                             .anyMatch(
                                     v ->
                                             !v.isNumber()
-                                                    || !(v.doubleValue() >= least
-                                                            && v.doubleValue() <= most))) {
-                throw bad(
+                                                    || !(v.doubleValue() >= min
+                                                            && v.doubleValue() <= max))) {
+                throw invalidValue(
                         key,
                         value == null ? "nothing" : value.toString(),
-                        "a list of numbers from " + plain(least) + " to " + plain(most));
+                        "a list of numbers from " + formatNumber(min) + " to " + formatNumber(max));
             }
             return StreamSupport.stream(value.spliterator(), false)
                     .map(JsonNode::doubleValue)
@@ -290,11 +293,11 @@
         }
 
         /** A range: one number, or a list of the least and the most. */
-        public double[] range(String key, double[] absent, double least, double most)
+        public double[] range(String key, double[] defaultValue, double min, double max)
                 throws BadFileException {
-            JsonNode value = value(key, Arrays.toString(absent));
+            JsonNode value = value(key, Arrays.toString(defaultValue));
             if (value == null) {
-                return absent;
+                return defaultValue;
             }
             double[] found =
                     value.isNumber()
@@ -307,21 +310,24 @@
                                         value.get(0).doubleValue(), value.get(1).doubleValue()
                                     }
                                     : null;
-            if (found == null || !(found[0] >= least && found[0] <= found[1] && found[1] <= most)) {
-                throw bad(
+            if (found == null || !(found[0] >= min && found[0] <= found[1] && found[1] <= max)) {
+                throw invalidValue(
                         key,
                         value.toString(),
-                        "a number or [least, most] from " + plain(least) + " to " + plain(most));
+                        "a number or [least, most] from "
+                                + formatNumber(min)
+                                + " to "
+                                + formatNumber(max));
             }
             return found;
         }
 
         /** A table below this one; empty where it is absent. */
         public Table table(String key) throws BadFileException {
-            known.add(key);
+            knownKeys.add(key);
             JsonNode value = node.get(key);
             if (value != null && !value.isObject()) {
-                throw bad(key, shown(value), "a table [" + path(key) + "]");
+                throw invalidValue(key, describe(value), "a table [" + path(key) + "]");
             }
             return new Table(
                     value == null ? JsonNodeFactory.instance.objectNode() : (ObjectNode) value,
@@ -330,15 +336,16 @@
 
         /** The tables of a list {@code [[key]]}, in the file's order. */
         public List<Table> tables(String key) throws BadFileException {
-            known.add(key);
+            knownKeys.add(key);
             JsonNode value = node.get(key);
             List<Table> tables = new ArrayList<>();
             if (value != null && !value.isArray()) {
-                throw bad(key, shown(value), "a list of tables [[" + path(key) + "]]");
+                throw invalidValue(key, describe(value), "a list of tables [[" + path(key) + "]]");
             }
             for (JsonNode element : value == null ? JsonNodeFactory.instance.arrayNode() : value) {
                 if (!element.isObject()) {
-                    throw bad(key, shown(element), "a list of tables [[" + path(key) + "]]");
+                    throw invalidValue(
+                            key, describe(element), "a list of tables [[" + path(key) + "]]");
                 }
                 tables.add(new Table((ObjectNode) element, path(key) + "[" + tables.size() + "]"));
             }
@@ -346,32 +353,32 @@
         }
 
         /** Refuses keys that nobody asked for, naming the known one that is nearest. */
-        public void done() throws BadFileException {
+        public void rejectUnknownKeys() throws BadFileException {
             for (Map.Entry<String, JsonNode> entry : node.properties()) {
-                if (!known.contains(entry.getKey())) {
+                if (!knownKeys.contains(entry.getKey())) {
                     throw new BadFileException(
-                            place(path(entry.getKey()))
+                            location(path(entry.getKey()))
                                     + ": "
                                     + path(entry.getKey())
                                     + ": unknown key, allowed is "
-                                    + String.join(", ", known)
-                                    + nearest(entry.getKey(), List.copyOf(known)));
+                                    + String.join(", ", knownKeys)
+                                    + nearestSuggestion(entry.getKey(), List.copyOf(knownKeys)));
                 }
             }
         }
     }
 
-    static String word(Enum<?> value) {
+    static String enumWord(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         return number == Math.rint(number) && Math.abs(number) < 1e15
                 ? String.valueOf((long) number)
                 : String.valueOf(number);
     }
 
-    private static String nearest(String found, List<String> known) {
+    private static String nearestSuggestion(String found, List<String> known) {
         LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
         String best =
                 known.stream()
@@ -383,7 +390,7 @@
                                         HashMap::new))
                         .entrySet()
                         .stream()
-                        .filter(e -> e.getValue() <= SLIP * e.getKey().length())
+                        .filter(e -> e.getValue() <= MAX_TYPO_FRACTION * e.getKey().length())
                         .min(
                                 Map.Entry.<String, Integer>comparingByValue()
                                         .thenComparing(Map.Entry.comparingByKey()))
--- a/src/main/java/cacheproxy/epoch/Epochs.java
+++ b/src/main/java/cacheproxy/epoch/Epochs.java
@@ -13,16 +13,16 @@
 public final class Epochs {
 
     /** Longest content of one policy, in characters. */
-    public static final int MOST_CONTENT = 16_384;
+    public static final int MAX_CONTENT_CHARS = 16_384;
 
     /** So many are kept; one who lacks more takes the oldest that is kept as a snapshot. */
-    static final int KEPT = 256;
+    static final int MAX_RETAINED_EPOCHS = 256;
 
     /** One policy: its number, from 1 on, the proposal it came from, and its text. */
     public record Epoch(long number, String proposal, String content) {}
 
     /** An entry of the log. */
-    public sealed interface Change permits Prepare, Activate, Begin {}
+    public sealed interface Change permits Prepare, Activate, NewTermEntry {}
 
     /**
      * Prepares the epoch after {@code base}; a base that is not in force any more refuses it, as
@@ -34,39 +34,41 @@
     public record Activate(long epoch) implements Change {}
 
     /** A new leader's first entry; changes nothing. */
-    public record Begin() implements Change {}
+    public record NewTermEntry() implements Change {}
 
     /** What a change came to: the epoch's number, or why it was refused. */
-    public record Outcome(long epoch, String refusal) {}
+    public record Outcome(long epoch, String rejectionReason) {}
 
-    private final List<Epoch> past = new ArrayList<>();
+    private final List<Epoch> retained = new ArrayList<>();
     private long inForce;
     private Epoch prepared;
 
     /** Applies a committed entry. */
     public Outcome apply(Change change) {
-        if (change instanceof Prepare p) {
-            return prepare(p);
+        if (change instanceof Prepare prepare) {
+            return prepare(prepare);
         }
-        if (change instanceof Activate a && prepared != null && prepared.number() == a.epoch()) {
-            learn(prepared);
+        if (change instanceof Activate activate
+                && prepared != null
+                && prepared.number() == activate.epoch()) {
+            recordInForce(prepared);
             prepared = null;
         }
         return new Outcome(inForce, null);
     }
 
-    private Outcome prepare(Prepare p) {
-        Epoch known =
-                prepared != null && prepared.proposal().equals(p.proposal())
+    private Outcome prepare(Prepare prepare) {
+        Epoch existing =
+                prepared != null && prepared.proposal().equals(prepare.proposal())
                         ? prepared
-                        : past.stream()
-                                .filter(e -> e.proposal().equals(p.proposal()))
+                        : retained.stream()
+                                .filter(e -> e.proposal().equals(prepare.proposal()))
                                 .findFirst()
                                 .orElse(null);
-        if (known != null) {
+        if (existing != null) {
             // A leader that was lost may have been asked before: the same proposal is the same
             // epoch.
-            return new Outcome(known.number(), null);
+            return new Outcome(existing.number(), null);
         }
         if (prepared != null) {
             return new Outcome(
@@ -75,16 +77,16 @@
                             + prepared.number()
                             + "; nothing was changed");
         }
-        if (p.base() != inForce) {
+        if (prepare.base() != inForce) {
             return new Outcome(
                     0,
                     "epoch "
                             + inForce
                             + " is in force, the change was made for epoch "
-                            + p.base()
+                            + prepare.base()
                             + "; nothing was changed");
         }
-        prepared = new Epoch(inForce + 1, p.proposal(), p.content());
+        prepared = new Epoch(inForce + 1, prepare.proposal(), prepare.content());
         return new Outcome(prepared.number(), null);
     }
 
@@ -92,11 +94,11 @@
      * An epoch is in force; called from outside for a proxy that does not vote, once a voter has
      * said so.
      */
-    void learn(Epoch epoch) {
+    void recordInForce(Epoch epoch) {
         inForce = epoch.number();
-        past.add(epoch);
-        if (past.size() > KEPT) {
-            past.remove(0);
+        retained.add(epoch);
+        if (retained.size() > MAX_RETAINED_EPOCHS) {
+            retained.remove(0);
         }
     }
 
@@ -112,16 +114,16 @@
 
     /** An epoch that was in force and is kept; null else. */
     public Epoch find(long number) {
-        return past.stream().filter(e -> e.number() == number).findFirst().orElse(null);
+        return retained.stream().filter(e -> e.number() == number).findFirst().orElse(null);
     }
 
     /** Those in force after {@code number}, in order, so many at most. */
-    public List<Epoch> after(long number, int most) {
-        return past.stream().filter(e -> e.number() > number).limit(most).toList();
+    public List<Epoch> after(long number, int limit) {
+        return retained.stream().filter(e -> e.number() > number).limit(limit).toList();
     }
 
     /** All that are kept, oldest first. */
     public List<Epoch> history() {
-        return List.copyOf(past);
+        return List.copyOf(retained);
     }
 }
--- a/src/main/java/cacheproxy/epoch/Grants.java
+++ b/src/main/java/cacheproxy/epoch/Leases.java
@@ -10,33 +10,33 @@
  * clock: the voter's runs longer by {@link #DRIFT}, so that clocks which differ in pace by less do
  * no harm.
  */
-final class Grants {
+final class Leases {
 
     /** Part of a lease by which the voter waits longer. */
-    static final double DRIFT = 0.1;
+    static final double CLOCK_DRIFT_MARGIN = 0.1;
 
     private final double leaseMs;
-    private final Map<String, Double> until = new HashMap<>();
+    private final Map<String, Double> expiryByProxy = new HashMap<>();
 
     /** An earlier life's promises are not known; they have passed by then. */
-    private final double quietUntil;
+    private final double earlierLeasesExpireAt;
 
-    Grants(double leaseMs, double startedAt) {
+    Leases(double leaseMs, double startedAt) {
         this.leaseMs = leaseMs;
-        this.quietUntil = startedAt + leaseMs * (1 + DRIFT);
+        this.earlierLeasesExpireAt = startedAt + leaseMs * (1 + CLOCK_DRIFT_MARGIN);
     }
 
     void grant(double now, String proxy) {
-        until.put(proxy, now + leaseMs * (1 + DRIFT));
+        expiryByProxy.put(proxy, now + leaseMs * (1 + CLOCK_DRIFT_MARGIN));
     }
 
     void release(String proxy) {
-        until.remove(proxy);
+        expiryByProxy.remove(proxy);
     }
 
     /** Whether no promise may still be relied on. */
-    boolean clear(double now) {
-        until.values().removeIf(t -> now >= t);
-        return until.isEmpty() && now >= quietUntil;
+    boolean allExpired(double now) {
+        expiryByProxy.values().removeIf(t -> now >= t);
+        return expiryByProxy.isEmpty() && now >= earlierLeasesExpireAt;
     }
 }
--- a/src/main/java/cacheproxy/epoch/Message.java
+++ b/src/main/java/cacheproxy/epoch/Message.java
@@ -35,12 +35,12 @@
             boolean granted,
             long inForce,
             long prepared,
-            boolean clear,
+            boolean olderLeasesExpired,
             List<Epoch> next,
             String leader,
             int term,
-            long applied,
-            boolean led)
+            long appliedIndex,
+            boolean leadershipConfirmed)
             implements Message {
 
         public Welcome {
@@ -52,7 +52,7 @@
     record Propose(String id, long base, String content) implements Message {}
 
     /** How a proposal ended. */
-    enum Ending {
+    enum ProposalStatus {
         IN_FORCE,
         REFUSED,
         NO_MAJORITY,
@@ -63,5 +63,5 @@
      * The leader's answer: the epoch that was prepared, or why not; after {@link Ending#UNKNOWN} it
      * may yet take hold.
      */
-    record Proposed(String id, Ending ending, long epoch, String text) implements Message {}
+    record Proposed(String id, ProposalStatus status, long epoch, String text) implements Message {}
 }
--- a/src/main/java/cacheproxy/epoch/PolicyMember.java
+++ b/src/main/java/cacheproxy/epoch/PolicyMember.java
@@ -4,8 +4,8 @@
 import cacheproxy.epoch.Epochs.Epoch;
 import cacheproxy.epoch.Epochs.Outcome;
 import cacheproxy.epoch.Epochs.Prepare;
-import cacheproxy.epoch.Message.Ending;
 import cacheproxy.epoch.Message.Hello;
+import cacheproxy.epoch.Message.ProposalStatus;
 import cacheproxy.epoch.Message.Propose;
 import cacheproxy.epoch.Message.Proposed;
 import cacheproxy.epoch.Message.Welcome;
@@ -31,31 +31,31 @@
 public final class PolicyMember {
 
     /** How often voters are asked; more often while a change is under way. */
-    private static final double ASK_MS = 250;
+    private static final double QUERY_INTERVAL_MS = 250;
 
-    private static final double ASK_SOON_MS = 100;
+    private static final double FAST_QUERY_INTERVAL_MS = 100;
 
     /** How long a grant lasts. */
     private static final double LEASE_MS = 1000;
 
     /** A voter counts as reachable for so long after its last answer. */
-    private static final double HEARD_MS = 2000;
+    private static final double VOTER_TIMEOUT_MS = 2000;
 
     /** How long a proposal is waited for. */
-    private static final double PATIENCE_MS = 10_000;
+    private static final double PROPOSAL_TIMEOUT_MS = 10_000;
 
-    private static final int FEW = 8;
-    private static final int ASKED_KEPT = 16;
+    private static final int MAX_EPOCHS_PER_ANSWER = 8;
+    private static final int MAX_SENT_QUERIES_PER_VOTER = 16;
 
     /** What a voter sees of the log that consensus keeps. */
     public interface Log {
-        boolean leads();
+        boolean isLeader();
 
         /**
          * Whether it leads and a majority has confirmed that in this term, so that it has applied
          * all that any earlier one committed.
          */
-        boolean led();
+        boolean isLeadershipConfirmed();
 
         /** Whom it takes for the leader; empty if for nobody. */
         String leader();
@@ -63,20 +63,20 @@
         int term();
 
         /** The index up to which it has applied the log. */
-        long applied();
+        long appliedIndex();
 
         /** Asks a majority whether this still leads; {@code then} is told once that is known. */
-        void confirm(Consumer<Boolean> then);
+        void confirmLeadership(Consumer<Boolean> callback);
 
         /**
          * Appends; {@code then} is told what applying it came to, or null where that can't be
          * known.
          */
-        void append(Epochs.Change change, Consumer<Outcome> then);
+        void append(Epochs.Change change, Consumer<Outcome> callback);
     }
 
     /** What an operator may want to know. */
-    public enum What {
+    public enum PolicyEvent {
         /** An epoch is in force here. */
         APPLIED,
         /** This proxy counts itself current from {@code atMs} on. */
@@ -96,21 +96,22 @@
         /** Puts an epoch in force on this proxy. */
         void apply(Epoch epoch);
 
-        void event(What what, long epoch, double atMs);
+        void event(PolicyEvent event, long epoch, double atMs);
     }
 
     /**
      * How a proposal ended: the epoch that is in force, or why none is; {@code text} is for people.
      */
-    public record Answer(Ending ending, long epoch, String text) {}
+    public record ProposalResult(ProposalStatus status, long epoch, String text) {}
 
     /** A proxy as a voter last heard it: the epoch in force there, and when it said so. */
-    public record Seen(long epoch, boolean fenced, double at) {}
+    public record ProxyReport(long epoch, boolean fenced, double atMs) {}
 
-    private record Asked(long seq, double at) {}
+    private record SentQuery(long seq, double sentAt) {}
 
     /** {@code epoch} is what it was prepared as; 0 before. */
-    private record Waiting(Consumer<Answer> then, double until, long epoch) {}
+    private record PendingProposal(
+            Consumer<ProposalResult> callback, double deadline, long epoch) {}
 
     private final String name;
     private final List<String> voters;
@@ -119,25 +120,25 @@
     private final Log log;
 
     private final Epochs epochs;
-    private final Grants grants;
-    private final int bornTerm;
-    private long barrier = -1;
+    private final Leases leases;
+    private final int startTerm;
+    private long catchUpIndex = -1;
 
     private long inForce;
     private double inForceSince;
     private long fenced;
     private long seq;
-    private double askAt = Double.NEGATIVE_INFINITY;
-    private boolean counted;
-    private double countedUntil;
-    private final Map<String, List<Asked>> asked = new HashMap<>();
+    private double lastQueryAt = Double.NEGATIVE_INFINITY;
+    private boolean reportedCurrent;
+    private double reportedCurrentUntil;
+    private final Map<String, List<SentQuery>> sentQueries = new HashMap<>();
     private final Map<String, Double> grantedUntil = new HashMap<>();
-    private final Map<String, Double> heardAt = new HashMap<>();
-    private final Map<String, Welcome> said = new HashMap<>();
-    private final Map<String, Seen> seen = new TreeMap<>();
-    private final Map<String, Waiting> waiting = new TreeMap<>();
+    private final Map<String, Double> lastAnswerAt = new HashMap<>();
+    private final Map<String, Welcome> lastAnswers = new HashMap<>();
+    private final Map<String, ProxyReport> proxyReports = new TreeMap<>();
+    private final Map<String, PendingProposal> pendingProposals = new TreeMap<>();
     private boolean activating;
-    private int proposals;
+    private int proposalCount;
 
     /**
      * @param log null where this proxy does not vote
@@ -146,14 +147,14 @@
      * @param last what was in force here when the last process ended, or null
      */
     public PolicyMember(
-            String name, List<String> voters, Log log, Epochs epochs, Epoch last, double now) {
+            String name, List<String> voters, Log log, Epochs epochs, Epoch lastEpoch, double now) {
         this.name = name;
         this.voters = List.copyOf(voters);
         this.log = log;
         this.epochs = epochs;
-        this.grants = new Grants(LEASE_MS, now);
-        this.bornTerm = log == null ? 0 : log.term();
-        this.inForce = last == null ? 0 : last.number();
+        this.leases = new Leases(LEASE_MS, now);
+        this.startTerm = log == null ? 0 : log.term();
+        this.inForce = lastEpoch == null ? 0 : lastEpoch.number();
         this.inForceSince = now;
     }
 
@@ -170,35 +171,35 @@
     }
 
     /** The highest epoch that any voter has called in force or prepared. */
-    public long highest() {
-        return said.values().stream()
+    public long highestKnownEpoch() {
+        return lastAnswers.values().stream()
                 .mapToLong(w -> Math.max(w.inForce(), w.prepared()))
                 .reduce(Math.max(inForce, fenced), Math::max);
     }
 
     /** Voters that answered lately. */
-    public long reachable(double now) {
-        return heardAt.values().stream().filter(t -> now - t < HEARD_MS).count();
+    public long reachableVoters(double now) {
+        return lastAnswerAt.values().stream().filter(t -> now - t < VOTER_TIMEOUT_MS).count();
     }
 
     /** Who leads the log, as far as told; empty if nobody is known to. */
     public String leader(double now) {
-        if (log != null && log.leads()) {
+        if (log != null && log.isLeader()) {
             return name;
         }
-        return said.entrySet().stream()
+        return lastAnswers.entrySet().stream()
                 .filter(
-                        e ->
-                                now - heardAt.get(e.getKey()) < HEARD_MS
-                                        && !e.getValue().leader().isEmpty())
-                .max(Comparator.comparingInt(e -> e.getValue().term()))
-                .map(e -> e.getValue().leader())
+                        entry ->
+                                now - lastAnswerAt.get(entry.getKey()) < VOTER_TIMEOUT_MS
+                                        && !entry.getValue().leader().isEmpty())
+                .max(Comparator.comparingInt(entry -> entry.getValue().term()))
+                .map(entry -> entry.getValue().leader())
                 .orElse("");
     }
 
     /** Every proxy that has asked this voter, as it last spoke. */
-    public Map<String, Seen> seen() {
-        return Map.copyOf(seen);
+    public Map<String, ProxyReport> proxyReports() {
+        return Map.copyOf(proxyReports);
     }
 
     /** The time until which a majority's grants hold. */
@@ -214,30 +215,30 @@
     }
 
     /** Whether this proxy runs what the fleet runs, and a majority of voters stands for that. */
-    public boolean current(double now) {
+    public boolean isCurrent(double now) {
         return now < currentUntil();
     }
 
-    private void count(double now, Out out) {
+    private void updateCurrent(double now, Out out) {
         double until = currentUntil();
-        if (counted && now >= countedUntil && now < until) {
+        if (reportedCurrent && now >= reportedCurrentUntil && now < until) {
             // It lapsed and came back between two looks.
-            out.event(What.NOT_CURRENT, inForce, countedUntil);
-            counted = false;
+            out.event(PolicyEvent.NOT_CURRENT, inForce, reportedCurrentUntil);
+            reportedCurrent = false;
         }
-        if (!counted && now < until) {
-            counted = true;
-            out.event(What.CURRENT, inForce, now);
-        } else if (counted && now >= until) {
-            stop(now, out);
+        if (!reportedCurrent && now < until) {
+            reportedCurrent = true;
+            out.event(PolicyEvent.CURRENT, inForce, now);
+        } else if (reportedCurrent && now >= until) {
+            markNotCurrent(now, out);
         }
-        countedUntil = counted ? Math.max(countedUntil, until) : until;
+        reportedCurrentUntil = reportedCurrent ? Math.max(reportedCurrentUntil, until) : until;
     }
 
-    private void stop(double now, Out out) {
-        if (counted) {
-            counted = false;
-            out.event(What.NOT_CURRENT, inForce, Math.min(now, countedUntil));
+    private void markNotCurrent(double now, Out out) {
+        if (reportedCurrent) {
+            reportedCurrent = false;
+            out.event(PolicyEvent.NOT_CURRENT, inForce, Math.min(now, reportedCurrentUntil));
         }
     }
 
@@ -245,57 +246,57 @@
      * Ends it, as another takes its place: it counts itself current no more, and how the proposals
      * that it waits for end is not known.
      */
-    public void end(double now, Out out) {
-        stop(now, out);
-        for (Waiting proposal : waiting.values()) {
-            proposal.then()
+    public void close(double now, Out out) {
+        markNotCurrent(now, out);
+        for (PendingProposal proposal : pendingProposals.values()) {
+            proposal.callback()
                     .accept(
-                            new Answer(
-                                    Ending.UNKNOWN,
+                            new ProposalResult(
+                                    ProposalStatus.UNKNOWN,
                                     0,
                                     "the voter's storage failed meanwhile: the change may still take hold; "
                                             + "see policy status"));
         }
-        waiting.clear();
+        pendingProposals.clear();
     }
 
     public void tick(double now, Out out) {
-        count(now, out);
-        boolean soon = fenced > inForce || epochs.prepared() > 0 || !counted;
-        if (now - askAt >= (soon ? ASK_SOON_MS : ASK_MS)) {
-            ask(now, out);
+        updateCurrent(now, out);
+        boolean fast = fenced > inForce || epochs.prepared() > 0 || !reportedCurrent;
+        if (now - lastQueryAt >= (fast ? FAST_QUERY_INTERVAL_MS : QUERY_INTERVAL_MS)) {
+            queryVoters(now, out);
         }
-        lead(now, out);
-        for (Map.Entry<String, Waiting> e : List.copyOf(waiting.entrySet())) {
-            if (now >= e.getValue().until()) {
-                waiting.remove(e.getKey());
-                e.getValue()
-                        .then()
+        activatePrepared(now, out);
+        for (Map.Entry<String, PendingProposal> entry : List.copyOf(pendingProposals.entrySet())) {
+            if (now >= entry.getValue().deadline()) {
+                pendingProposals.remove(entry.getKey());
+                entry.getValue()
+                        .callback()
                         .accept(
-                                new Answer(
-                                        Ending.UNKNOWN,
+                                new ProposalResult(
+                                        ProposalStatus.UNKNOWN,
                                         0,
-                                        (e.getValue().epoch() > 0
+                                        (entry.getValue().epoch() > 0
                                                         ? "prepared as epoch "
-                                                                + e.getValue().epoch()
+                                                                + entry.getValue().epoch()
                                                                 + " and not in force"
                                                         : "no answer")
                                                 + " after "
-                                                + Math.round(PATIENCE_MS / 1000)
+                                                + Math.round(PROPOSAL_TIMEOUT_MS / 1000)
                                                 + " s: the change may still take hold; see policy status"));
             }
         }
     }
 
-    private void ask(double now, Out out) {
-        askAt = now;
+    private void queryVoters(double now, Out out) {
+        lastQueryAt = now;
         seq++;
         Hello hello = new Hello(seq, inForce, fenced);
         for (String voter : voters) {
-            List<Asked> mine = asked.computeIfAbsent(voter, v -> new ArrayList<>());
-            mine.add(new Asked(seq, now));
-            if (mine.size() > ASKED_KEPT) {
-                mine.remove(0);
+            List<SentQuery> queries = sentQueries.computeIfAbsent(voter, v -> new ArrayList<>());
+            queries.add(new SentQuery(seq, now));
+            if (queries.size() > MAX_SENT_QUERIES_PER_VOTER) {
+                queries.remove(0);
             }
             if (voter.equals(name)) {
                 received(now, name, hello, out);
@@ -307,104 +308,117 @@
 
     /** A message of another proxy, whose name is proven. */
     public void received(double now, String from, Message message, Out out) {
-        if (message instanceof Hello h && log != null) {
-            hello(now, from, h, out);
-        } else if (message instanceof Welcome w && voters.contains(from)) {
-            welcome(now, from, w, out);
-        } else if (message instanceof Propose p && log != null) {
-            proposed(
+        if (message instanceof Hello hello && log != null) {
+            answerHello(now, from, hello, out);
+        } else if (message instanceof Welcome welcome && voters.contains(from)) {
+            handleWelcome(now, from, welcome, out);
+        } else if (message instanceof Propose proposal && log != null) {
+            handleProposal(
                     now,
-                    p,
-                    a -> out.send(from, new Proposed(p.id(), a.ending(), a.epoch(), a.text())));
-        } else if (message instanceof Proposed p && voters.contains(from)) {
-            answered(p.id(), new Answer(p.ending(), p.epoch(), p.text()));
+                    proposal,
+                    a ->
+                            out.send(
+                                    from,
+                                    new Proposed(proposal.id(), a.status(), a.epoch(), a.text())));
+        } else if (message instanceof Proposed proposal && voters.contains(from)) {
+            completeProposal(
+                    proposal.id(),
+                    new ProposalResult(proposal.status(), proposal.epoch(), proposal.text()));
         }
     }
 
     /** One that is prepared has ended once it is in force here. */
-    private void answered(String id, Answer answer) {
-        Waiting w = waiting.remove(id);
-        if (w != null && answer.ending() == Ending.IN_FORCE && answer.epoch() > inForce) {
-            waiting.put(id, new Waiting(w.then(), w.until(), answer.epoch()));
-        } else if (w != null) {
-            w.then().accept(answer);
+    private void completeProposal(String id, ProposalResult result) {
+        PendingProposal pending = pendingProposals.remove(id);
+        if (pending != null
+                && result.status() == ProposalStatus.IN_FORCE
+                && result.epoch() > inForce) {
+            pendingProposals.put(
+                    id,
+                    new PendingProposal(pending.callback(), pending.deadline(), result.epoch()));
+        } else if (pending != null) {
+            pending.callback().accept(result);
         }
     }
 
-    private void inForceNow() {
-        for (Map.Entry<String, Waiting> e : List.copyOf(waiting.entrySet())) {
-            if (e.getValue().epoch() > 0 && e.getValue().epoch() <= inForce) {
-                answered(
-                        e.getKey(),
-                        new Answer(
-                                Ending.IN_FORCE,
-                                e.getValue().epoch(),
-                                "epoch " + e.getValue().epoch() + " is in force"));
+    private void completeProposalsInForce() {
+        for (Map.Entry<String, PendingProposal> entry : List.copyOf(pendingProposals.entrySet())) {
+            if (entry.getValue().epoch() > 0 && entry.getValue().epoch() <= inForce) {
+                completeProposal(
+                        entry.getKey(),
+                        new ProposalResult(
+                                ProposalStatus.IN_FORCE,
+                                entry.getValue().epoch(),
+                                "epoch " + entry.getValue().epoch() + " is in force"));
             }
         }
     }
 
     // As a voter.
 
-    private boolean caughtUp() {
-        return log.led() || barrier >= 0 && log.applied() >= barrier;
+    private boolean isCaughtUp() {
+        return log.isLeadershipConfirmed()
+                || catchUpIndex >= 0 && log.appliedIndex() >= catchUpIndex;
     }
 
-    private void hello(double now, String from, Hello h, Out out) {
-        seen.put(from, new Seen(h.epoch(), h.fenced() > h.epoch(), now));
-        if (h.fenced() > h.epoch()) {
-            grants.release(from);
+    private void answerHello(double now, String from, Hello hello, Out out) {
+        proxyReports.put(from, new ProxyReport(hello.epoch(), hello.fenced() > hello.epoch(), now));
+        if (hello.fenced() > hello.epoch()) {
+            leases.release(from);
         }
         boolean granted =
-                h.fenced() <= h.epoch()
+                hello.fenced() <= hello.epoch()
                         && epochs.prepared() == 0
-                        && epochs.inForce() == h.epoch()
-                        && caughtUp();
+                        && epochs.inForce() == hello.epoch()
+                        && isCaughtUp();
         if (granted) {
-            grants.grant(now, from);
+            leases.grant(now, from);
         }
         Welcome answer =
                 new Welcome(
-                        h.seq(),
+                        hello.seq(),
                         granted,
                         epochs.inForce(),
                         epochs.prepared(),
-                        epochs.prepared() > 0 && grants.clear(now),
-                        epochs.after(h.epoch(), FEW),
-                        log.leads() ? name : log.leader(),
+                        epochs.prepared() > 0 && leases.allExpired(now),
+                        epochs.after(hello.epoch(), MAX_EPOCHS_PER_ANSWER),
+                        log.isLeader() ? name : log.leader(),
                         log.term(),
-                        log.applied(),
-                        log.led());
+                        log.appliedIndex(),
+                        log.isLeadershipConfirmed());
         if (from.equals(name)) {
-            welcome(now, name, answer, out);
+            handleWelcome(now, name, answer, out);
         } else {
             out.send(from, answer);
         }
     }
 
     /** The log has been applied further; the epochs say how far. */
-    public void committed(double now, Out out) {
-        take(now, epochs.after(inForce, Epochs.KEPT), out);
+    public void entriesCommitted(double now, Out out) {
+        applyEpochs(now, epochs.after(inForce, Epochs.MAX_RETAINED_EPOCHS), out);
         fence(now, epochs.prepared(), out);
     }
 
     /** A leader puts a prepared epoch in force once a majority relies on nothing older. */
-    private void lead(double now, Out out) {
+    private void activatePrepared(double now, Out out) {
         long prepared = epochs.prepared();
-        if (log == null || prepared == 0 || activating || !log.led()) {
+        if (log == null || prepared == 0 || activating || !log.isLeadershipConfirmed()) {
             return;
         }
-        long clear =
+        long votersWithoutOlderLeases =
                 voters.stream()
                         .filter(
-                                v ->
-                                        v.equals(name)
-                                                ? grants.clear(now)
-                                                : said.containsKey(v)
-                                                        && said.get(v).prepared() == prepared
-                                                        && said.get(v).clear())
+                                voter ->
+                                        voter.equals(name)
+                                                ? leases.allExpired(now)
+                                                : lastAnswers.containsKey(voter)
+                                                        && lastAnswers.get(voter).prepared()
+                                                                == prepared
+                                                        && lastAnswers
+                                                                .get(voter)
+                                                                .olderLeasesExpired())
                         .count();
-        if (clear >= majority()) {
+        if (votersWithoutOlderLeases >= majority()) {
             activating = true;
             log.append(new Activate(prepared), o -> activating = false);
         }
@@ -412,57 +426,60 @@
 
     // As a proxy.
 
-    private void welcome(double now, String from, Welcome w, Out out) {
-        heardAt.put(from, now);
-        said.put(from, w);
-        if (log != null && w.led() && w.term() >= bornTerm && barrier < 0) {
-            barrier = w.applied();
+    private void handleWelcome(double now, String from, Welcome welcome, Out out) {
+        lastAnswerAt.put(from, now);
+        lastAnswers.put(from, welcome);
+        if (log != null
+                && welcome.leadershipConfirmed()
+                && welcome.term() >= startTerm
+                && catchUpIndex < 0) {
+            catchUpIndex = welcome.appliedIndex();
         }
-        double asked =
-                this.asked.getOrDefault(from, List.of()).stream()
-                        .filter(a -> a.seq() == w.seq())
-                        .mapToDouble(Asked::at)
+        double sentAt =
+                this.sentQueries.getOrDefault(from, List.of()).stream()
+                        .filter(a -> a.seq() == welcome.seq())
+                        .mapToDouble(SentQuery::sentAt)
                         .findFirst()
                         .orElse(Double.NEGATIVE_INFINITY);
-        if (w.granted() && w.inForce() == inForce) {
-            grantedUntil.merge(from, asked + LEASE_MS, Math::max);
+        if (welcome.granted() && welcome.inForce() == inForce) {
+            grantedUntil.merge(from, sentAt + LEASE_MS, Math::max);
         }
-        if (w.inForce() > inForce && w.next().isEmpty()) {
-            out.event(What.BEHIND, w.inForce(), now);
+        if (welcome.inForce() > inForce && welcome.next().isEmpty()) {
+            out.event(PolicyEvent.BEHIND, welcome.inForce(), now);
         }
-        take(now, w.next(), out);
-        fence(now, w.prepared(), out);
-        count(now, out);
+        applyEpochs(now, welcome.next(), out);
+        fence(now, welcome.prepared(), out);
+        updateCurrent(now, out);
     }
 
     private void fence(double now, long prepared, Out out) {
         if (prepared > fenced && prepared > inForce) {
-            stop(now, out);
+            markNotCurrent(now, out);
             fenced = prepared;
-            out.event(What.FENCED, prepared, now);
+            out.event(PolicyEvent.FENCED, prepared, now);
             // Told at once, voters need not wait for the lease to run out.
-            ask(now, out);
+            queryVoters(now, out);
         }
     }
 
-    private void take(double now, List<Epoch> next, Out out) {
-        for (Epoch e : next) {
+    private void applyEpochs(double now, List<Epoch> next, Out out) {
+        for (Epoch epoch : next) {
             // The first may be the oldest that is kept, as a snapshot; else each follows the one
             // before.
-            if (e.number() == inForce + 1 || e == next.get(0) && e.number() > inForce) {
-                stop(now, out);
+            if (epoch.number() == inForce + 1 || epoch == next.get(0) && epoch.number() > inForce) {
+                markNotCurrent(now, out);
                 grantedUntil.clear();
                 if (log == null) {
-                    epochs.learn(e);
+                    epochs.recordInForce(epoch);
                 }
-                inForce = e.number();
+                inForce = epoch.number();
                 inForceSince = now;
-                out.apply(e);
-                out.event(What.APPLIED, e.number(), now);
-                askAt = Double.NEGATIVE_INFINITY;
+                out.apply(epoch);
+                out.event(PolicyEvent.APPLIED, epoch.number(), now);
+                lastQueryAt = Double.NEGATIVE_INFINITY;
             }
         }
-        inForceNow();
+        completeProposalsInForce();
     }
 
     // Proposals.
@@ -471,26 +488,26 @@
      * Proposes a policy for the epoch after the one in force; {@code then} is told once how it
      * ended.
      */
-    public void propose(double now, String content, Out out, Consumer<Answer> then) {
-        String id = name + "-" + Math.round(now) + "-" + ++proposals;
-        if (content.length() > Epochs.MOST_CONTENT) {
-            then.accept(
-                    new Answer(
-                            Ending.REFUSED,
+    public void propose(double now, String content, Out out, Consumer<ProposalResult> callback) {
+        String id = name + "-" + Math.round(now) + "-" + ++proposalCount;
+        if (content.length() > Epochs.MAX_CONTENT_CHARS) {
+            callback.accept(
+                    new ProposalResult(
+                            ProposalStatus.REFUSED,
                             0,
                             "longer than "
-                                    + Epochs.MOST_CONTENT
+                                    + Epochs.MAX_CONTENT_CHARS
                                     + " characters; nothing was changed"));
             return;
         }
         String leader = leader(now);
-        if (reachable(now) < majority() || leader.isEmpty()) {
-            then.accept(
-                    new Answer(
-                            Ending.NO_MAJORITY,
+        if (reachableVoters(now) < majority() || leader.isEmpty()) {
+            callback.accept(
+                    new ProposalResult(
+                            ProposalStatus.NO_MAJORITY,
                             0,
                             "only "
-                                    + reachable(now)
+                                    + reachableVoters(now)
                                     + " of "
                                     + voters.size()
                                     + " voters can be reached"
@@ -498,9 +515,9 @@
                                     + "; nothing was changed"));
             return;
         }
-        waiting.put(id, new Waiting(then, now + PATIENCE_MS, 0));
+        pendingProposals.put(id, new PendingProposal(callback, now + PROPOSAL_TIMEOUT_MS, 0));
         if (leader.equals(name)) {
-            proposed(now, new Propose(id, inForce, content), a -> answered(id, a));
+            handleProposal(now, new Propose(id, inForce, content), a -> completeProposal(id, a));
         } else {
             out.send(leader, new Propose(id, inForce, content));
         }
@@ -510,42 +527,46 @@
      * At the leader; before anything is appended a majority has confirmed that it leads, so that a
      * refusal is final.
      */
-    private void proposed(double now, Propose p, Consumer<Answer> then) {
-        if (!log.leads()) {
-            then.accept(
-                    new Answer(
-                            Ending.REFUSED,
+    private void handleProposal(double now, Propose proposal, Consumer<ProposalResult> callback) {
+        if (!log.isLeader()) {
+            callback.accept(
+                    new ProposalResult(
+                            ProposalStatus.REFUSED,
                             0,
                             "the leader has changed; nothing was changed, try again"));
             return;
         }
-        log.confirm(
-                leads -> {
-                    if (!leads) {
-                        then.accept(
-                                new Answer(
-                                        Ending.NO_MAJORITY,
+        log.confirmLeadership(
+                confirmed -> {
+                    if (!confirmed) {
+                        callback.accept(
+                                new ProposalResult(
+                                        ProposalStatus.NO_MAJORITY,
                                         0,
                                         "the leader can't reach a majority of voters; nothing was changed"));
                         return;
                     }
                     log.append(
-                            new Prepare(p.id(), p.base(), p.content()),
-                            o -> {
-                                if (o == null) {
-                                    then.accept(
-                                            new Answer(
-                                                    Ending.UNKNOWN,
+                            new Prepare(proposal.id(), proposal.base(), proposal.content()),
+                            outcome -> {
+                                if (outcome == null) {
+                                    callback.accept(
+                                            new ProposalResult(
+                                                    ProposalStatus.UNKNOWN,
                                                     0,
                                                     "the leader was lost meanwhile: the change may still take hold; see policy status"));
-                                } else if (o.refusal() != null) {
-                                    then.accept(new Answer(Ending.REFUSED, 0, o.refusal()));
+                                } else if (outcome.rejectionReason() != null) {
+                                    callback.accept(
+                                            new ProposalResult(
+                                                    ProposalStatus.REFUSED,
+                                                    0,
+                                                    outcome.rejectionReason()));
                                 } else {
-                                    then.accept(
-                                            new Answer(
-                                                    Ending.IN_FORCE,
-                                                    o.epoch(),
-                                                    "prepared as epoch " + o.epoch()));
+                                    callback.accept(
+                                            new ProposalResult(
+                                                    ProposalStatus.IN_FORCE,
+                                                    outcome.epoch(),
+                                                    "prepared as epoch " + outcome.epoch()));
                                 }
                             });
                 });
--- a/src/main/java/cacheproxy/gossip/GossipSocket.java
+++ b/src/main/java/cacheproxy/gossip/GossipSocket.java
@@ -1,12 +1,12 @@
 package cacheproxy.gossip;
 
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.config.Options;
 import cacheproxy.membership.Gossip;
-import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Gossip.EventType;
 import cacheproxy.membership.Member;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -44,11 +44,11 @@
      * A datagram that is longer than any of ours shows as one byte more than that, and is refused
      * for it.
      */
-    private static final int RECEIVED_BYTES = Gossip.MOST_BYTES + 1;
+    private static final int RECEIVE_BUFFER_BYTES = Gossip.MAX_PACKET_BYTES + 1;
 
     /** What the proxy does with what is heard. */
     public interface Hooks {
-        void standing(String node, boolean doubted);
+        void nodeSuspicionChanged(String node, boolean suspected);
 
         /** An event for the log. */
         void event(String name, Object... fields);
@@ -57,7 +57,7 @@
          * The socket is being set up; what is put into its pipeline here sees each packet as the
          * wire does.
          */
-        default void opens(Channel socket) {}
+        default void initializeChannel(Channel socket) {}
     }
 
     private final EventLoop loop;
@@ -69,7 +69,7 @@
     private final long seed;
     private Gossip gossip;
     private Channel channel;
-    private LocalSocket members;
+    private LocalSocket membersSocket;
 
     private GossipSocket(
             EventLoop loop,
@@ -125,7 +125,7 @@
                         .channelFactory(channels)
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
-                                new FixedRecvByteBufAllocator(RECEIVED_BYTES))
+                                new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
                         // Nothing is read before there is somebody to tell: the port, which may be
                         // drawn, is part of who we are.
                         .option(ChannelOption.AUTO_READ, false)
@@ -133,8 +133,8 @@
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel socket) {
-                                        hooks.opens(socket);
-                                        socket.pipeline().addLast(new Inbox());
+                                        hooks.initializeChannel(socket);
+                                        socket.pipeline().addLast(new DatagramHandler());
                                     }
                                 })
                         .bind(listen)
@@ -147,12 +147,14 @@
                             + bound.cause().getMessage());
         }
         channel = bound.channel();
-        String here =
-                options.advertise().isEmpty() ? NumericAddress.text(bound()) : options.advertise();
+        String advertisedAddress =
+                options.advertise().isEmpty()
+                        ? NumericAddress.format(localAddress())
+                        : options.advertise();
         gossip =
                 new Gossip(
                         new Gossip.Settings(
-                                here,
+                                advertisedAddress,
                                 options.seeds(),
                                 options.bytesPerS(),
                                 options.verificationsPerS(),
@@ -160,10 +162,18 @@
                         keys,
                         seed);
         if (!options.membersSocket().isEmpty()) {
-            members = MembersSocket.open(Path.of(options.membersSocket()), loop, this::view);
+            membersSocket =
+                    MembersSocket.open(
+                            Path.of(options.membersSocket()), loop, this::describeMembers);
         }
         hooks.event(
-                "gossip", "name", keys.name(), "address", here, "seeds", options.seeds().size());
+                "gossip",
+                "name",
+                keys.name(),
+                "address",
+                advertisedAddress,
+                "seeds",
+                options.seeds().size());
         loop.execute(
                 () -> {
                     gossip.start(clock.getAsDouble(), this);
@@ -181,13 +191,13 @@
     }
 
     /** Where it listens. */
-    public InetSocketAddress bound() {
+    public InetSocketAddress localAddress() {
         return (InetSocketAddress) channel.localAddress();
     }
 
     /** The same as text. */
-    public String address() {
-        return NumericAddress.text(bound());
+    public String addressText() {
+        return NumericAddress.format(localAddress());
     }
 
     /** Reads the keys again; what is wrong with them changes nothing. */
@@ -204,38 +214,38 @@
     /** Ends it; packets that are on their way still go. */
     public void close() {
         channel.close();
-        if (members != null) {
-            members.close();
+        if (membersSocket != null) {
+            membersSocket.close();
         }
     }
 
     // What the proxy sees.
 
     /** The server list or news of it, without the origin. */
-    public void listed(ListKind kind, List<Node> entries) {
-        if (kind == ListKind.FULL) {
+    public void updateNodes(EndpointListKind kind, List<Node> entries) {
+        if (kind == EndpointListKind.SNAPSHOT) {
             nodes.clear();
         }
-        for (Node n : entries) {
-            if (n.availability() == Availability.UP) {
-                nodes.put(n.id(), n);
+        for (Node node : entries) {
+            if (node.availability() == Availability.UP) {
+                nodes.put(node.id(), node);
             } else {
-                nodes.remove(n.id());
+                nodes.remove(node.id());
             }
         }
-        gossip.nodes(clock.getAsDouble(), nodes.values(), this);
+        gossip.updateNodes(clock.getAsDouble(), nodes.values(), this);
     }
 
-    public void sent(String node) {
-        gossip.sent(clock.getAsDouble(), node);
+    public void attemptStarted(String node) {
+        gossip.attemptStarted(clock.getAsDouble(), node);
     }
 
-    public void ended(String node, Outcome outcome, double elapsedMs) {
-        gossip.ended(clock.getAsDouble(), node, outcome, elapsedMs);
+    public void attemptEnded(String node, Outcome outcome, double elapsedMs) {
+        gossip.attemptEnded(clock.getAsDouble(), node, outcome, elapsedMs);
     }
 
-    public void probed(String node, Outcome outcome) {
-        gossip.probed(clock.getAsDouble(), node, outcome, this);
+    public void probeEnded(String node, Outcome outcome) {
+        gossip.probeEnded(clock.getAsDouble(), node, outcome, this);
     }
 
     /** Packets and bytes so far. */
@@ -248,33 +258,33 @@
      * its claims are believed, seconds of this proxy's own awake time since it was last heard, and
      * who suspects it.
      */
-    String view() {
+    String describeMembers() {
         double now = clock.getAsDouble();
-        StringBuilder lines =
+        StringBuilder report =
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
                                 "# health %d%s stalls %d%n",
                                 gossip.health(),
-                                gossip.steppedDown() ? " stepped-down" : "",
-                                gossip.stalls()));
-        for (Gossip.Seen seen : gossip.seen(now)) {
-            Member m = seen.member();
-            lines.append(
+                                gossip.isSteppedDown() ? " stepped-down" : "",
+                                gossip.stallCount()));
+        for (Gossip.MemberView memberView : gossip.memberViews(now)) {
+            Member member = memberView.member();
+            report.append(
                     String.format(
                             Locale.ROOT,
                             "%-32s %-8s %-24s %6d  %.2f %8.1f  %s%n",
-                            m.name(),
-                            m.status().name().toLowerCase(Locale.ROOT),
-                            m.address(),
-                            m.incarnation(),
-                            gossip.weight(now, m.name()),
-                            seen.heardAgoMs() / 1000,
-                            seen.suspectedBy().isEmpty()
+                            member.name(),
+                            member.status().name().toLowerCase(Locale.ROOT),
+                            member.address(),
+                            member.incarnation(),
+                            gossip.weight(now, member.name()),
+                            memberView.lastPacketAgeMs() / 1000,
+                            memberView.suspectedBy().isEmpty()
                                     ? "-"
-                                    : String.join(",", seen.suspectedBy())));
+                                    : String.join(",", memberView.suspectedBy())));
         }
-        return lines.toString();
+        return report.toString();
     }
 
     // What gossip wants.
@@ -288,26 +298,26 @@
     }
 
     @Override
-    public void standing(String node, boolean doubted) {
-        hooks.standing(node, doubted);
+    public void nodeSuspicionChanged(String node, boolean suspected) {
+        hooks.nodeSuspicionChanged(node, suspected);
     }
 
     @Override
-    public void event(What what, String subject, String evidence) {
+    public void event(EventType type, String subject, String evidence) {
         hooks.event(
-                "gossip_" + what.name().toLowerCase(Locale.ROOT),
+                "gossip_" + type.name().toLowerCase(Locale.ROOT),
                 "subject",
                 subject,
                 "evidence",
                 evidence);
     }
 
-    private final class Inbox extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             gossip.received(
                     clock.getAsDouble(),
-                    NumericAddress.text(packet.sender()),
+                    NumericAddress.format(packet.sender()),
                     ByteBufUtil.getBytes(packet.content()),
                     GossipSocket.this);
         }
