--- a/src/main/java/cacheproxy/gossip/KeyFiles.java
+++ b/src/main/java/cacheproxy/gossip/KeyFiles.java
@@ -35,23 +35,23 @@
 public final class KeyFiles {
 
     static final String ALGORITHM = "Ed25519";
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,32}");
-    private static final int MOST_BYTES = 1 << 20;
-    private static final Set<PosixFilePermission> OWNER =
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,32}");
+    private static final int MAX_FILE_BYTES = 1 << 20;
+    private static final Set<PosixFilePermission> KEY_FILE_PERMISSIONS =
             PosixFilePermissions.fromString("rw-------");
-    private static final Set<PosixFilePermission> RING =
+    private static final Set<PosixFilePermission> RING_FILE_PERMISSIONS =
             PosixFilePermissions.fromString("rw-r--r--");
-    private static final Set<PosixFilePermission> OTHERS =
+    private static final Set<PosixFilePermission> KEY_FILE_FORBIDDEN =
             EnumSet.complementOf(
                     EnumSet.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE));
-    private static final Set<PosixFilePermission> OTHERS_WRITE =
+    private static final Set<PosixFilePermission> RING_FILE_FORBIDDEN =
             EnumSet.of(PosixFilePermission.GROUP_WRITE, PosixFilePermission.OTHERS_WRITE);
 
     /** A proxy's own key. */
-    public record Own(String name, PrivateKey secret, PublicKey open) {}
+    public record OwnKey(String name, PrivateKey privateKey, PublicKey publicKey) {}
 
     /** A key that is trusted. */
-    public record Trusted(String name, int id, PublicKey open) {}
+    public record TrustedKey(String name, int id, PublicKey publicKey) {}
 
     private KeyFiles() {}
 
@@ -70,29 +70,30 @@
         }
     }
 
-    private interface Maker<T> {
-        T make(String name, String[] words) throws GeneralSecurityException;
+    private interface KeyLineParser<T> {
+        T parse(String name, String[] words) throws GeneralSecurityException;
     }
 
     /**
      * A proxy's keys, the one that signs first; refused where others than the owner may read or
      * write the file.
      */
-    public static List<Own> own(Path file) throws KeyException {
-        refuse(file, OTHERS, "only its owner may read and write it: chmod 600");
-        List<Own> keys =
-                read(
+    public static List<OwnKey> readOwnKeys(Path file) throws KeyException {
+        checkPermissions(
+                file, KEY_FILE_FORBIDDEN, "only its owner may read and write it: chmod 600");
+        List<OwnKey> keys =
+                readKeys(
                         file,
                         "NAME PRIVATE PUBLIC",
                         (name, words) ->
-                                new Own(
+                                new OwnKey(
                                         name,
                                         KeyFactory.getInstance(ALGORITHM)
                                                 .generatePrivate(
                                                         new PKCS8EncodedKeySpec(
                                                                 Base64.getDecoder()
                                                                         .decode(words[1]))),
-                                        open(words[2])));
+                                        parsePublicKey(words[2])));
         if (keys.isEmpty() || keys.stream().anyMatch(k -> !k.name().equals(keys.get(0).name()))) {
             throw new KeyException(
                     file + ": " + (keys.isEmpty() ? "holds no key" : "holds keys of two names"));
@@ -101,14 +102,14 @@
     }
 
     /** A ring's keys; refused where others than its owner may write it. */
-    public static List<Trusted> ring(Path file) throws KeyException {
-        refuse(file, OTHERS_WRITE, "only its owner may write it: chmod go-w");
-        return read(
+    public static List<TrustedKey> readRing(Path file) throws KeyException {
+        checkPermissions(file, RING_FILE_FORBIDDEN, "only its owner may write it: chmod go-w");
+        return readKeys(
                 file,
                 "NAME PUBLIC",
                 (name, words) -> {
-                    PublicKey open = open(words[1]);
-                    return new Trusted(name, id(open), open);
+                    PublicKey publicKey = parsePublicKey(words[1]);
+                    return new TrustedKey(name, id(publicKey), publicKey);
                 });
     }
 
@@ -116,42 +117,44 @@
      * One key a line, of as many words as its form has; blank lines and those that begin with a
      * hash are left out.
      */
-    private static <T> List<T> read(Path file, String form, Maker<T> maker) throws KeyException {
+    private static <T> List<T> readKeys(Path file, String format, KeyLineParser<T> parser)
+            throws KeyException {
         List<T> keys = new ArrayList<>();
-        int number = 0;
-        for (String line : lines(file)) {
-            number++;
-            String[] words = words(line);
+        int lineNumber = 0;
+        for (String line : readLines(file)) {
+            lineNumber++;
+            String[] words = splitLine(line);
             if (words.length == 0) {
                 continue;
             }
-            if (words.length != words(form).length || !NAME.matcher(words[0]).matches()) {
+            if (words.length != splitLine(format).length
+                    || !NAME_PATTERN.matcher(words[0]).matches()) {
                 throw new KeyException(
-                        file + ":" + number + ": not a key: " + form + " is expected");
+                        file + ":" + lineNumber + ": not a key: " + format + " is expected");
             }
             try {
-                keys.add(maker.make(words[0], words));
+                keys.add(parser.parse(words[0], words));
             } catch (GeneralSecurityException | IllegalArgumentException e) {
-                throw new KeyException(file + ":" + number + ": not an " + ALGORITHM + " key");
+                throw new KeyException(file + ":" + lineNumber + ": not an " + ALGORITHM + " key");
             }
         }
         return keys;
     }
 
-    private static PublicKey open(String text) throws GeneralSecurityException {
+    private static PublicKey parsePublicKey(String text) throws GeneralSecurityException {
         return KeyFactory.getInstance(ALGORITHM)
                 .generatePublic(new X509EncodedKeySpec(Base64.getDecoder().decode(text)));
     }
 
-    private static void refuse(Path file, Set<PosixFilePermission> none, String advice)
-            throws KeyException {
+    private static void checkPermissions(
+            Path file, Set<PosixFilePermission> forbidden, String advice) throws KeyException {
         try {
-            Set<PosixFilePermission> has = Files.getPosixFilePermissions(file);
-            if (has.stream().anyMatch(none::contains)) {
+            Set<PosixFilePermission> permissions = Files.getPosixFilePermissions(file);
+            if (permissions.stream().anyMatch(forbidden::contains)) {
                 throw new KeyException(
                         file
                                 + ": has permissions "
-                                + PosixFilePermissions.toString(has)
+                                + PosixFilePermissions.toString(permissions)
                                 + ", but "
                                 + advice);
             }
@@ -160,9 +163,9 @@
         }
     }
 
-    private static List<String> lines(Path file) throws KeyException {
+    private static List<String> readLines(Path file) throws KeyException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new KeyException(file + ": larger than 1 MiB");
             }
             return Files.readAllLines(file);
@@ -171,7 +174,7 @@
         }
     }
 
-    private static String[] words(String line) {
+    private static String[] splitLine(String line) {
         String text = line.strip();
         return text.isEmpty() || text.startsWith("#") ? new String[0] : text.split("\\s+");
     }
@@ -180,109 +183,115 @@
      * A new key; a key file that is there already gets it as its second, which waits until {@link
      * #use}.
      */
-    public static Own generate(String name, Path keyFile, Path ringFile)
+    public static OwnKey generate(String name, Path keyFile, Path ringFile)
             throws KeyException, IOException {
         return generate(name, keyFile, ringFile, FileOperations.SYSTEM);
     }
 
-    static Own generate(String name, Path keyFile, Path ringFile, FileOperations operations)
+    static OwnKey generate(String name, Path keyFile, Path ringFile, FileOperations operations)
             throws KeyException, IOException {
-        if (!NAME.matcher(name).matches()) {
+        if (!NAME_PATTERN.matcher(name).matches()) {
             throw new KeyException(
                     name + ": not a name: 1 to 32 letters, digits, dots, underscores and hyphens");
         }
-        List<Own> own = Files.exists(keyFile) ? new ArrayList<>(own(keyFile)) : new ArrayList<>();
-        if (!own.isEmpty() && !own.get(0).name().equals(name)) {
-            throw new KeyException(keyFile + ": is the key of " + own.get(0).name());
+        List<OwnKey> ownKeys =
+                Files.exists(keyFile) ? new ArrayList<>(readOwnKeys(keyFile)) : new ArrayList<>();
+        if (!ownKeys.isEmpty() && !ownKeys.get(0).name().equals(name)) {
+            throw new KeyException(keyFile + ": is the key of " + ownKeys.get(0).name());
         }
-        if (own.size() > 1) {
+        if (ownKeys.size() > 1) {
             throw new KeyException(
                     keyFile + ": a new key waits in it already; keys rotate --use puts it to use");
         }
-        List<Trusted> trusted =
-                Files.exists(ringFile) ? new ArrayList<>(ring(ringFile)) : new ArrayList<>();
-        if (own.isEmpty() && trusted.stream().anyMatch(t -> t.name().equals(name))) {
+        List<TrustedKey> trustedKeys =
+                Files.exists(ringFile) ? new ArrayList<>(readRing(ringFile)) : new ArrayList<>();
+        if (ownKeys.isEmpty() && trustedKeys.stream().anyMatch(t -> t.name().equals(name))) {
             throw new KeyException(
                     ringFile + ": knows " + name + " already; two proxies must not have one name");
         }
-        Own made = pair(name);
-        own.add(made);
-        trusted.add(new Trusted(name, id(made.open()), made.open()));
+        OwnKey newKey = generateKeyPair(name);
+        ownKeys.add(newKey);
+        trustedKeys.add(new TrustedKey(name, id(newKey.publicKey()), newKey.publicKey()));
         DurableFiles files = new DurableFiles(operations);
         byte[] ringBefore = Files.exists(ringFile) ? Files.readAllBytes(ringFile) : null;
         // The ring first: a key that signs before it is trusted would cut its proxy off.
-        writeRing(files, ringFile, trusted);
+        writeRing(files, ringFile, trustedKeys);
         try {
-            writeOwn(files, keyFile, own);
+            writeOwn(files, keyFile, ownKeys);
         } catch (FileWriteException e) {
             if (!e.isReplaced()) {
                 restoreRing(files, ringFile, ringBefore, e);
             }
             throw e;
         }
-        return made;
+        return newKey;
     }
 
     /** Ends the trust in a key that nobody has, as its own file could not be written. */
     private static void restoreRing(
-            DurableFiles files, Path ringFile, byte[] before, FileWriteException cause) {
+            DurableFiles files, Path ringFile, byte[] previousContent, FileWriteException cause) {
         try {
-            if (before == null) {
+            if (previousContent == null) {
                 files.delete(ringFile);
             } else {
-                files.replace(ringFile, before, RING);
+                files.replace(ringFile, previousContent, RING_FILE_PERMISSIONS);
             }
         } catch (IOException e) {
             cause.addSuppressed(e);
         }
     }
 
-    private static Own pair(String name) {
+    private static OwnKey generateKeyPair(String name) {
         try {
             KeyPair pair = KeyPairGenerator.getInstance(ALGORITHM).generateKeyPair();
-            return new Own(name, pair.getPrivate(), pair.getPublic());
+            return new OwnKey(name, pair.getPrivate(), pair.getPublic());
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** From now on the key that waited signs; the older one is forgotten. */
-    public static Own use(Path keyFile) throws KeyException, IOException {
-        return use(keyFile, FileOperations.SYSTEM);
+    public static OwnKey activateNewKey(Path keyFile) throws KeyException, IOException {
+        return activateNewKey(keyFile, FileOperations.SYSTEM);
     }
 
-    static Own use(Path keyFile, FileOperations operations) throws KeyException, IOException {
-        List<Own> own = own(keyFile);
-        if (own.size() < 2) {
+    static OwnKey activateNewKey(Path keyFile, FileOperations operations)
+            throws KeyException, IOException {
+        List<OwnKey> ownKeys = readOwnKeys(keyFile);
+        if (ownKeys.size() < 2) {
             throw new KeyException(keyFile + ": no new key waits in it; keys rotate makes one");
         }
-        Own last = own.get(own.size() - 1);
-        writeOwn(new DurableFiles(operations), keyFile, List.of(last));
-        return last;
+        OwnKey newest = ownKeys.get(ownKeys.size() - 1);
+        writeOwn(new DurableFiles(operations), keyFile, List.of(newest));
+        return newest;
     }
 
     /**
      * Takes keys of a proxy that it no longer signs with, nor will, out of a ring; returns how
      * many.
      */
-    public static int drop(Path keyFile, Path ringFile) throws KeyException, IOException {
-        return drop(keyFile, ringFile, FileOperations.SYSTEM);
+    public static int removeUnusedKeys(Path keyFile, Path ringFile)
+            throws KeyException, IOException {
+        return removeUnusedKeys(keyFile, ringFile, FileOperations.SYSTEM);
     }
 
-    static int drop(Path keyFile, Path ringFile, FileOperations operations)
+    static int removeUnusedKeys(Path keyFile, Path ringFile, FileOperations operations)
             throws KeyException, IOException {
-        List<Own> own = own(keyFile);
-        List<Integer> kept = own.stream().map(k -> id(k.open())).toList();
-        List<Trusted> trusted = ring(ringFile);
-        List<Trusted> left =
-                trusted.stream()
-                        .filter(t -> !t.name().equals(own.get(0).name()) || kept.contains(t.id()))
+        List<OwnKey> ownKeys = readOwnKeys(keyFile);
+        List<Integer> ownIds = ownKeys.stream().map(k -> id(k.publicKey())).toList();
+        List<TrustedKey> trustedKeys = readRing(ringFile);
+        List<TrustedKey> remaining =
+                trustedKeys.stream()
+                        .filter(
+                                t ->
+                                        !t.name().equals(ownKeys.get(0).name())
+                                                || ownIds.contains(t.id()))
                         .toList();
-        writeRing(new DurableFiles(operations), ringFile, left);
-        return trusted.size() - left.size();
+        writeRing(new DurableFiles(operations), ringFile, remaining);
+        return trustedKeys.size() - remaining.size();
     }
 
-    private static void writeOwn(DurableFiles files, Path file, List<Own> keys)
+    private static void writeOwn(DurableFiles files, Path file, List<OwnKey> keys)
             throws FileWriteException {
         List<String> lines =
                 keys.stream()
@@ -291,17 +300,17 @@
                                         String.join(
                                                 " ",
                                                 key.name(),
-                                                base64(key.secret()),
-                                                base64(key.open())))
+                                                base64(key.privateKey()),
+                                                base64(key.publicKey())))
                         .toList();
-        write(files, file, lines, OWNER);
+        write(files, file, lines, KEY_FILE_PERMISSIONS);
     }
 
-    private static void writeRing(DurableFiles files, Path file, List<Trusted> keys)
+    private static void writeRing(DurableFiles files, Path file, List<TrustedKey> keys)
             throws FileWriteException {
         List<String> lines =
-                keys.stream().map(key -> key.name() + " " + base64(key.open())).toList();
-        write(files, file, lines, RING);
+                keys.stream().map(key -> key.name() + " " + base64(key.publicKey())).toList();
+        write(files, file, lines, RING_FILE_PERMISSIONS);
     }
 
     private static String base64(Key key) {
@@ -311,8 +320,8 @@
     private static void write(
             DurableFiles files, Path file, List<String> lines, Set<PosixFilePermission> permissions)
             throws FileWriteException {
-        String end = System.lineSeparator();
-        String text = lines.isEmpty() ? "" : String.join(end, lines) + end;
+        String lineEnd = System.lineSeparator();
+        String text = lines.isEmpty() ? "" : String.join(lineEnd, lines) + lineEnd;
         files.replace(file, text.getBytes(StandardCharsets.UTF_8), permissions);
     }
 }
--- a/src/main/java/cacheproxy/gossip/KeyRing.java
+++ b/src/main/java/cacheproxy/gossip/KeyRing.java
@@ -1,7 +1,7 @@
 package cacheproxy.gossip;
 
-import cacheproxy.gossip.KeyFiles.Own;
-import cacheproxy.gossip.KeyFiles.Trusted;
+import cacheproxy.gossip.KeyFiles.OwnKey;
+import cacheproxy.gossip.KeyFiles.TrustedKey;
 import cacheproxy.membership.Identity;
 import java.nio.file.Path;
 import java.security.GeneralSecurityException;
@@ -16,9 +16,9 @@
     private final Path ringFile;
     private final Signature signer;
     private final Signature verifier;
-    private Own own;
-    private int id;
-    private List<Trusted> trusted = List.of();
+    private OwnKey ownKey;
+    private int ownKeyId;
+    private List<TrustedKey> trustedKeys = List.of();
 
     public KeyRing(Path keyFile, Path ringFile) throws KeyException {
         this.keyFile = keyFile;
@@ -35,17 +35,17 @@
 
     /** Reads both files again. What is wrong with them changes nothing of what holds. */
     public void reload() throws KeyException {
-        Own next = KeyFiles.own(keyFile).get(0);
-        List<Trusted> ring = KeyFiles.ring(ringFile);
-        if (own != null && !own.name().equals(next.name())) {
+        OwnKey next = KeyFiles.readOwnKeys(keyFile).get(0);
+        List<TrustedKey> ring = KeyFiles.readRing(ringFile);
+        if (ownKey != null && !ownKey.name().equals(next.name())) {
             throw new KeyException(
                     keyFile
                             + ": is the key of "
                             + next.name()
                             + ", but this proxy is "
-                            + own.name());
+                            + ownKey.name());
         }
-        int nextId = KeyFiles.id(next.open());
+        int nextId = KeyFiles.id(next.publicKey());
         if (ring.stream().noneMatch(t -> t.id() == nextId && t.name().equals(next.name()))) {
             throw new KeyException(
                     ringFile
@@ -53,25 +53,25 @@
                             + keyFile
                             + " signs with; nobody would believe this proxy");
         }
-        own = next;
-        id = nextId;
-        trusted = ring;
+        ownKey = next;
+        ownKeyId = nextId;
+        trustedKeys = ring;
     }
 
     @Override
     public String name() {
-        return own.name();
+        return ownKey.name();
     }
 
     @Override
     public int keyId() {
-        return id;
+        return ownKeyId;
     }
 
     @Override
     public byte[] sign(byte[] data, int length) {
         try {
-            signer.initSign(own.secret());
+            signer.initSign(ownKey.privateKey());
             signer.update(data, 0, length);
             return signer.sign();
         } catch (GeneralSecurityException e) {
@@ -80,31 +80,31 @@
     }
 
     @Override
-    public boolean knows(String name, int keyId) {
-        return trusted.stream()
+    public boolean hasKey(String name, int keyId) {
+        return trustedKeys.stream()
                 .anyMatch(t -> t.name().equals(name) && (keyId == ANY_KEY || t.id() == keyId));
     }
 
     @Override
     public boolean verify(String name, int keyId, byte[] data, int length, byte[] signature) {
-        return trusted.stream()
+        return trustedKeys.stream()
                 .anyMatch(
                         t ->
                                 t.id() == keyId
                                         && t.name().equals(name)
-                                        && signed(t.open(), data, length, signature));
+                                        && isSignedBy(t.publicKey(), data, length, signature));
     }
 
     @Override
     public boolean verify(String name, byte[] data, byte[] signature) {
-        return trusted.stream()
+        return trustedKeys.stream()
                 .anyMatch(
                         t ->
                                 t.name().equals(name)
-                                        && signed(t.open(), data, data.length, signature));
+                                        && isSignedBy(t.publicKey(), data, data.length, signature));
     }
 
-    private boolean signed(PublicKey key, byte[] data, int length, byte[] signature) {
+    private boolean isSignedBy(PublicKey key, byte[] data, int length, byte[] signature) {
         try {
             verifier.initVerify(key);
             verifier.update(data, 0, length);
--- a/src/main/java/cacheproxy/gossip/LocalSocket.java
+++ b/src/main/java/cacheproxy/gossip/LocalSocket.java
@@ -21,7 +21,7 @@
 /** A Unix domain socket at which operators ask a running proxy; its file is its owner's alone. */
 public final class LocalSocket {
 
-    private static final int MOST_ANSWER = 1 << 21;
+    private static final int MAX_ANSWER_BYTES = 1 << 21;
 
     private final Path path;
     private final Channel channel;
@@ -35,9 +35,9 @@
      * Listens; {@code pipes} sets up each connection. A file that nobody answers at is what an
      * earlier process left.
      */
-    public static LocalSocket open(Path path, EventLoop loop, Consumer<Channel> pipes)
+    public static LocalSocket open(Path path, EventLoop loop, Consumer<Channel> initializer)
             throws IOException, InterruptedException {
-        if (Files.exists(path) && answers(path)) {
+        if (Files.exists(path) && isAnswering(path)) {
             throw new IOException(path + ": another proxy listens there");
         }
         Files.deleteIfExists(path);
@@ -48,8 +48,8 @@
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
-                                    protected void initChannel(Channel ch) {
-                                        pipes.accept(ch);
+                                    protected void initChannel(Channel connection) {
+                                        initializer.accept(connection);
                                     }
                                 })
                         .bind(UnixDomainSocketAddress.of(path))
@@ -61,7 +61,7 @@
         return new LocalSocket(path, bound.channel());
     }
 
-    private static boolean answers(Path path) {
+    private static boolean isAnswering(Path path) {
         try (SocketChannel socket = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return socket.connect(UnixDomainSocketAddress.of(path));
         } catch (IOException e) {
@@ -70,20 +70,20 @@
     }
 
     /** Writes a question to the proxy behind a socket and reads until it closes. */
-    public static String ask(Path path, String question) throws IOException {
+    public static String ask(Path path, String request) throws IOException {
         try (SocketChannel socket = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             socket.connect(UnixDomainSocketAddress.of(path));
-            ByteBuffer asked = ByteBuffer.wrap(question.getBytes(StandardCharsets.UTF_8));
-            while (asked.hasRemaining()) {
-                socket.write(asked);
+            ByteBuffer requestBytes = ByteBuffer.wrap(request.getBytes(StandardCharsets.UTF_8));
+            while (requestBytes.hasRemaining()) {
+                socket.write(requestBytes);
             }
-            ByteArrayOutputStream all = new ByteArrayOutputStream();
-            ByteBuffer part = ByteBuffer.allocate(4096);
-            while (socket.read(part) >= 0 && all.size() < MOST_ANSWER) {
-                all.write(part.array(), 0, part.position());
-                part.clear();
+            ByteArrayOutputStream answer = new ByteArrayOutputStream();
+            ByteBuffer buffer = ByteBuffer.allocate(4096);
+            while (socket.read(buffer) >= 0 && answer.size() < MAX_ANSWER_BYTES) {
+                answer.write(buffer.array(), 0, buffer.position());
+                buffer.clear();
             }
-            return all.toString(StandardCharsets.UTF_8);
+            return answer.toString(StandardCharsets.UTF_8);
         }
     }
 
--- a/src/main/java/cacheproxy/gossip/NumericAddress.java
+++ b/src/main/java/cacheproxy/gossip/NumericAddress.java
@@ -31,7 +31,7 @@
     }
 
     /** The same as text. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return NetUtil.toAddressString(address.getAddress()) + ":" + address.getPort();
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/lab/CachePrefiller.java
@@ -0,0 +1,115 @@
+package cacheproxy.lab;
+
+import cacheproxy.DecisionModule;
+import cacheproxy.Router;
+import cacheproxy.Router.EndpointListKind;
+import cacheproxy.lab.load.ClientBehavior;
+import cacheproxy.lab.world.Installation;
+import cacheproxy.lab.world.World;
+import cacheproxy.proxy.PathKey;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.apache.commons.math3.random.RandomGenerator;
+
+/**
+ * Asks a router of its own, to which nothing else ever happens, at which cache nodes a key is
+ * looked for.
+ */
+public final class CachePrefiller extends NoopActions {
+
+    /** Far enough apart that no meter of the router's sees a load. */
+    private static final double REQUEST_SPACING_MS = 50;
+
+    private static final int MAX_PREFILLED_KEYS = 200_000;
+
+    private final Router router;
+    private final String origin;
+    private double now = 1;
+    private long requestCount;
+    private String lastSentTo;
+
+    private CachePrefiller(Router router, List<World.Entry> endpoints, Installation installation) {
+        this.router = router;
+        this.origin = installation.origin().id();
+        router.started(now, this);
+        router.endpointListReceived(
+                now,
+                EndpointListKind.SNAPSHOT,
+                1,
+                endpoints.stream().map(e -> ProxySettings.node(installation, e)).toList(),
+                this);
+    }
+
+    /**
+     * Nodes that run when the day begins hold what they were asked for lately: a router is asked
+     * where each key lives, the popular ones last, so that they are the freshest.
+     */
+    public static void prefill(
+            World world,
+            Experiment experiment,
+            Installation installation,
+            Router.Settings settings) {
+        CachePrefiller prefiller =
+                new CachePrefiller(
+                        new DecisionModule(settings, experiment.seed()),
+                        world.currentEndpoints(),
+                        installation);
+        RandomGenerator ages =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.STORES);
+        for (long key = Math.min(MAX_PREFILLED_KEYS, installation.data().keys()) - 1;
+                key >= 0;
+                key--) {
+            for (String node :
+                    prefiller.lookUpNodes(
+                            PathKey.of(ClientBehavior.pathOf(key)),
+                            experiment.load().classes().get(0).name())) {
+                world.putCopy(node, key, ages.nextDouble() * installation.data().ttlMs());
+            }
+        }
+    }
+
+    /** The nodes that a read of this key is sent to when the first has missed. */
+    private List<String> lookUpNodes(long key, String service) {
+        now += REQUEST_SPACING_MS;
+        String id = "o" + requestCount++;
+        List<String> nodes = new ArrayList<>();
+        lastSentTo = null;
+        router.requestReceived(
+                now, new Router.Request(id, service, null, key, 0, 1000, false, false), this);
+        for (int attempt = 0;
+                lastSentTo != null && !lastSentTo.equals(origin) && attempt < 2;
+                attempt++) {
+            String node = lastSentTo;
+            nodes.add(node);
+            lastSentTo = null;
+            router.attemptEnded(
+                    now,
+                    new Router.AttemptEnd(
+                            id, attempt, node, Router.Outcome.MISS, 1, false, 2, Map.of()),
+                    this);
+        }
+        router.clientDisconnected(now, id, this);
+        if (lastSentTo != null) {
+            router.attemptEnded(
+                    now,
+                    new Router.AttemptEnd(
+                            id,
+                            nodes.size(),
+                            lastSentTo,
+                            Router.Outcome.CANCELLED,
+                            1,
+                            true,
+                            0,
+                            Map.of()),
+                    this);
+        }
+        return nodes;
+    }
+
+    @Override
+    public void send(String request, String node, double timeoutMs) {
+        lastSentTo = node;
+    }
+}
--- a/src/main/java/cacheproxy/lab/Experiment.java
+++ b/src/main/java/cacheproxy/lab/Experiment.java
@@ -28,7 +28,7 @@
      * The longest value of a key, in bytes: a little over what a proxy of the largest fleet planned
      * for answers on average.
      */
-    public static final int MOST_BYTES = 2_000_000;
+    public static final int MAX_VALUE_BYTES = 2_000_000;
 
     /** Cache nodes, those that may take another's place, their zones and the links between them. */
     public record Fleet(
@@ -50,17 +50,17 @@
         /**
          * The place among the zones of a node or spare, by its number: they are dealt out in turn.
          */
-        public int zone(int node) {
+        public int zoneIndex(int node) {
             return node % zones.size();
         }
 
         /** The least share of its capacity that a node of any kind starts with. */
-        public double coldFrom() {
+        public double slowStartInitialFraction() {
             return kinds.stream().mapToDouble(k -> k.coldFrom()[0]).min().orElse(1);
         }
 
         /** When a node of any kind is warm at the latest. */
-        public double coldMs() {
+        public double slowStartMs() {
             return kinds.stream().mapToDouble(k -> 1000 * k.coldS()).max().orElse(0);
         }
     }
@@ -124,7 +124,7 @@
             List<Class> classes) {
 
         /** The longest time that a client of any class waits. */
-        public double longestMs() {
+        public double longestDeadlineMs() {
             return classes.stream().mapToDouble(Class::deadlineMs).max().orElse(0);
         }
     }
--- a/src/main/java/cacheproxy/lab/QuietActions.java
+++ b/src/main/java/cacheproxy/lab/NoopActions.java
@@ -3,7 +3,7 @@
 import cacheproxy.Router;
 
 /** Does nothing of what a router asks for; whoever plays a part of a proxy overrides that part. */
-public abstract class QuietActions implements Router.Actions {
+public abstract class NoopActions implements Router.Actions {
 
     @Override
     public void send(String request, String node, double timeoutMs) {}
@@ -12,13 +12,13 @@
     public void cancel(String request, int attempt) {}
 
     @Override
-    public void refuse(String request, double retryAfterMs) {}
+    public void reject(String request, double retryAfterMs) {}
 
     @Override
     public void fail(String request) {}
 
     @Override
-    public void timer(double atMs, String token) {}
+    public void scheduleTimer(double atMs, String token) {}
 
     @Override
     public void subscribe() {}
@@ -27,8 +27,8 @@
     public void probe(String node) {}
 
     @Override
-    public void tell(byte[] contents) {}
+    public void sendToPeers(byte[] contents) {}
 
     @Override
-    public void close(String node) {}
+    public void closeIdleConnections(String node) {}
 }
--- a/src/main/java/cacheproxy/lab/ProxySettings.java
+++ b/src/main/java/cacheproxy/lab/ProxySettings.java
@@ -21,48 +21,56 @@
 
     /** The same as the decision module is given them. */
     public static Router.Settings read(
-            Experiment experiment, Installation plan, int proxy, double idleMs, double connectMs) {
-        return SettingsReader.read(json(experiment, plan, proxy, idleMs, connectMs));
+            Experiment experiment,
+            Installation installation,
+            int proxy,
+            double idleMs,
+            double connectMs) {
+        return SettingsReader.read(json(experiment, installation, proxy, idleMs, connectMs));
     }
 
     /** An entry of the world's list as the decision module is told it. */
-    public static Router.Node node(Installation plan, World.Entry e) {
+    public static Router.Node node(Installation installation, World.Entry entry) {
         Router.Availability availability =
-                switch (e.health()) {
+                switch (entry.health()) {
                     case UP -> Router.Availability.UP;
                     case DRAINING -> Router.Availability.DRAINING;
                     case REMOVED -> Router.Availability.GONE;
                 };
         return new Router.Node(
-                e.id(),
-                e.kind(),
-                plan.zones().get(e.zone()),
+                entry.id(),
+                entry.kind(),
+                installation.zones().get(entry.zone()),
                 0,
-                e.weight(),
-                Math.max(0, e.startedAt()),
+                entry.weight(),
+                Math.max(0, entry.startedAt()),
                 availability);
     }
 
     /** The {@code settings} object of proxy number {@code proxy}; times in ms. */
     public static JsonObject json(
-            Experiment experiment, Installation plan, int proxy, double idleMs, double connectMs) {
-        Experiment.Load asks = experiment.load();
-        Map<String, Object> s = new HashMap<>();
-        s.put("rank", proxy);
-        s.put("balancers", experiment.proxies().count());
-        s.put("zone", plan.zones().get(plan.proxyZones().get(proxy)));
-        s.put("localities", plan.zones());
-        s.put("tick_ms", 5.0);
-        s.put("family", "cache");
-        s.put("discovery", "automatic");
-        s.put("value_by", "work");
-        s.put("weights", "live");
+            Experiment experiment,
+            Installation installation,
+            int proxy,
+            double idleMs,
+            double connectMs) {
+        Experiment.Load load = experiment.load();
+        Map<String, Object> settings = new HashMap<>();
+        settings.put("rank", proxy);
+        settings.put("balancers", experiment.proxies().count());
+        settings.put("zone", installation.zones().get(installation.proxyZones().get(proxy)));
+        settings.put("localities", installation.zones());
+        settings.put("tick_ms", 5.0);
+        settings.put("family", "cache");
+        settings.put("discovery", "automatic");
+        settings.put("value_by", "work");
+        settings.put("weights", "live");
         List<String> kinds =
                 new ArrayList<>(
                         experiment.fleet().kinds().stream().map(Experiment.Kind::name).toList());
         kinds.add("origin");
-        s.put("kinds", kinds);
-        s.put(
+        settings.put("kinds", kinds);
+        settings.put(
                 "domain",
                 Map.of(
                         "mode",
@@ -73,8 +81,8 @@
                         experiment.origin().fallMultiple(),
                         "origin_fall_ms",
                         experiment.origin().fallS() * MS_PER_S));
-        s.put("clients", Map.of("marks_retry", asks.marksRetries()));
-        s.put(
+        settings.put("clients", Map.of("marks_retry", load.marksRetries()));
+        settings.put(
                 "limits",
                 Map.of(
                         "cancelling",
@@ -86,7 +94,7 @@
                         "max_open",
                         20_000,
                         "max_retry_after_ms",
-                        asks.maxRetryAfterMs(),
+                        load.maxRetryAfterMs(),
                         "probing",
                         experiment.gossip().enabled(),
                         "retry_after",
@@ -95,7 +103,7 @@
                         experiment.rules().secondCopies(),
                         "try_limit",
                         experiment.rules().attempts()));
-        s.put(
+        settings.put(
                 "obligations",
                 Map.of(
                         "answer_slack_ms",
@@ -103,35 +111,35 @@
                         "ask_within_ms",
                         10_000.0,
                         "cold_from",
-                        experiment.fleet().coldFrom(),
+                        experiment.fleet().slowStartInitialFraction(),
                         "cold_ms",
-                        experiment.fleet().coldMs(),
+                        experiment.fleet().slowStartMs(),
                         "fall_ms",
                         experiment.rules().coldWindowMs(),
                         "fall_multiple",
                         experiment.rules().coldMultiple(),
                         "stop_sending_within_ms",
                         experiment.rules().drainMs()));
-        s.put("report", Map.of("fields", List.of(), "how", "silent"));
+        settings.put("report", Map.of("fields", List.of(), "how", "silent"));
         JsonArray classes = new JsonArray();
-        for (Experiment.Class c : asks.classes()) {
-            JsonObject o = new JsonObject();
-            o.addProperty("name", c.name());
-            o.addProperty(
+        for (Experiment.Class requestClass : load.classes()) {
+            JsonObject classJson = new JsonObject();
+            classJson.addProperty("name", requestClass.name());
+            classJson.addProperty(
                     "effect",
-                    switch (c.effect()) {
+                    switch (requestClass.effect()) {
                         case SAFE -> "retryable";
                         case KEYED -> "dedup";
                         case UNSAFE -> "fragile";
                     });
-            o.addProperty("group", "all");
-            o.addProperty("objective_ms", c.aimMs());
-            o.addProperty("deadline_ms", c.deadlineMs());
-            o.addProperty("gain", c.worth());
-            o.addProperty("repeat_window_ms", c.repeatWindowMs());
-            classes.add(o);
+            classJson.addProperty("group", "all");
+            classJson.addProperty("objective_ms", requestClass.aimMs());
+            classJson.addProperty("deadline_ms", requestClass.deadlineMs());
+            classJson.addProperty("gain", requestClass.worth());
+            classJson.addProperty("repeat_window_ms", requestClass.repeatWindowMs());
+            classes.add(classJson);
         }
-        JsonObject json = new Gson().toJsonTree(s).getAsJsonObject();
+        JsonObject json = new Gson().toJsonTree(settings).getAsJsonObject();
         json.add("services", classes);
         return json;
     }
--- a/src/main/java/cacheproxy/lab/Sizes.java
+++ b/src/main/java/cacheproxy/lab/SizeSweep.java
@@ -18,10 +18,10 @@
  * @param steps the sizes in their order
  * @param measures what is fitted
  */
-public record Sizes(Driver driver, String against, List<Step> steps, List<Measure> measures) {
+public record SizeSweep(Driver driver, String quantity, List<Step> steps, List<Measure> measures) {
 
     /** One size, and the experiment's keys that make it. */
-    public record Step(double size, Map<String, String> set) {}
+    public record Step(double size, Map<String, String> overrides) {}
 
     /**
      * A slope to find: {@code figure} and {@code unit} name it, {@code of} is the run's figure,
@@ -30,16 +30,16 @@
     public record Measure(
             Slope.Role role,
             String figure,
-            String of,
+            String sourceFigure,
             String unit,
-            boolean perS,
+            boolean perSecond,
             boolean perProxy) {
 
         /** The measured value of one run. */
-        public double value(Map<String, Double> figures, Experiment run) {
-            return figures.getOrDefault(of, Double.NaN)
-                    / (perS ? run.durationS() : 1)
-                    / (perProxy ? run.proxies().count() : 1);
+        public double value(Map<String, Double> figures, Experiment experiment) {
+            return figures.getOrDefault(sourceFigure, Double.NaN)
+                    / (perSecond ? experiment.durationS() : 1)
+                    / (perProxy ? experiment.proxies().count() : 1);
         }
     }
 
@@ -50,59 +50,59 @@
         MODULE
     }
 
-    private static final double MOST = 1e12;
+    private static final double MAX_FACTOR = 1e12;
 
     /** Two points lie on a line whatever is measured. */
-    private static final int LEAST = 3;
+    private static final int MIN_STEPS = 3;
 
-    private static final String WORD = "[a-z0-9-]{1,60}";
+    private static final String NAME = "[a-z0-9-]{1,60}";
 
     /** Reads both parts; without them there are no steps. */
-    public static Sizes read(Toml.Table root) throws BadFileException {
-        Toml.Table t = root.table("sizes");
-        Driver driver = t.choice("driver", Driver.SOCKETS, Driver.class);
-        double factor = t.number("factor", 1, 0, MOST);
-        String against = t.text("against", "");
-        List<Step> steps = steps(t, t.texts("over", List.of()), factor);
+    public static SizeSweep read(Toml.Table root) throws BadFileException {
+        Toml.Table table = root.table("sizes");
+        Driver driver = table.enumValue("driver", Driver.SOCKETS, Driver.class);
+        double factor = table.number("factor", 1, 0, MAX_FACTOR);
+        String quantity = table.string("against", "");
+        List<Step> steps = steps(table, table.strings("over", List.of()), factor);
         List<Measure> measures = new ArrayList<>();
-        for (Toml.Table m : root.tables("measure")) {
+        for (Toml.Table measureTable : root.tables("measure")) {
             measures.add(
                     new Measure(
-                            m.choice("role", null, Slope.Role.class),
-                            word(m, "figure"),
-                            m.text("of", ""),
-                            m.text("unit", ""),
-                            m.flag("per_s", false),
-                            m.flag("per_proxy", false)));
-            m.done();
+                            measureTable.enumValue("role", null, Slope.Role.class),
+                            name(measureTable, "figure"),
+                            measureTable.string("of", ""),
+                            measureTable.string("unit", ""),
+                            measureTable.bool("per_s", false),
+                            measureTable.bool("per_proxy", false)));
+            measureTable.rejectUnknownKeys();
         }
-        t.done();
-        if (steps.isEmpty() != measures.isEmpty() || steps.isEmpty() != against.isEmpty()) {
-            throw t.bad(
+        table.rejectUnknownKeys();
+        if (steps.isEmpty() != measures.isEmpty() || steps.isEmpty() != quantity.isEmpty()) {
+            throw table.invalidValue(
                     "over",
                     steps.size()
                             + " sizes against \""
-                            + against
+                            + quantity
                             + "\" and "
                             + measures.size()
                             + " [[measure]]",
                     "all of them or none");
         }
-        return new Sizes(driver, against, steps, List.copyOf(measures));
+        return new SizeSweep(driver, quantity, steps, List.copyOf(measures));
     }
 
-    private static List<Step> steps(Toml.Table t, List<String> over, double factor)
+    private static List<Step> steps(Toml.Table table, List<String> lines, double factor)
             throws BadFileException {
         List<Step> steps = new ArrayList<>();
-        for (String line : over) {
+        for (String line : lines) {
             String[] sides = line.split("=", 2);
             String[] values =
                     sides.length < 2 ? new String[0] : sides[1].strip().split("\\s*,\\s*");
             if (!sides[0].strip().matches("[a-z_.]+")
-                    || values.length < LEAST
+                    || values.length < MIN_STEPS
                     || !steps.isEmpty() && values.length != steps.size()
                     || !Arrays.stream(values).allMatch(v -> v.matches("\\d{1,9}(\\.\\d{1,9})?"))) {
-                throw t.bad(
+                throw table.invalidValue(
                         "over",
                         '"' + line + '"',
                         "KEY = V, V, V, ..., three values at least and as many in each line");
@@ -113,17 +113,17 @@
                             new Step(
                                     Double.parseDouble(values[i]) * factor, new LinkedHashMap<>()));
                 }
-                steps.get(i).set().put(sides[0].strip(), values[i]);
+                steps.get(i).overrides().put(sides[0].strip(), values[i]);
             }
         }
         return List.copyOf(steps);
     }
 
-    private static String word(Toml.Table t, String key) throws BadFileException {
-        String word = t.text(key, "");
-        if (!word.matches(WORD)) {
-            throw t.bad(key, '"' + word + '"', "1 to 60 of a to z, 0 to 9 and -");
+    private static String name(Toml.Table table, String key) throws BadFileException {
+        String name = table.string(key, "");
+        if (!name.matches(NAME)) {
+            throw table.invalidValue(key, '"' + name + '"', "1 to 60 of a to z, 0 to 9 and -");
         }
-        return word;
+        return name;
     }
 }
--- a/src/main/java/cacheproxy/lab/capacity/Row.java
+++ b/src/main/java/cacheproxy/lab/capacity/PlanRow.java
@@ -20,7 +20,7 @@
  * @param carriedBy the class or package that carries it; empty for nothing
  * @param note what the figure leaves out; may be empty
  */
-public record Row(
+public record PlanRow(
         Slope.Role role,
         String what,
         String unit,
@@ -32,38 +32,39 @@
         String note) {
 
     /** Reads the rows in their order; names that nobody knows are refused. */
-    public static List<Row> read(Path file, Target target) throws BadFileException {
+    public static List<PlanRow> read(Path file, Target target) throws BadFileException {
         Toml.Table root = Toml.read(file).root();
-        List<Row> rows = new ArrayList<>();
-        for (Toml.Table t : root.tables("row")) {
-            Row row =
-                    new Row(
-                            t.choice("role", null, Slope.Role.class),
-                            t.text("what", ""),
-                            t.text("unit", ""),
-                            t.texts("slopes", List.of()),
-                            t.text("at", ""),
-                            t.text("quantity", ""),
-                            t.text("budget", ""),
-                            t.text("carried_by", ""),
-                            t.text("note", ""));
-            known(t, "at", row.at, target.quantities().keySet());
-            known(t, "quantity", row.quantity, target.quantities().keySet());
-            known(t, "budget", row.budget, target.budgets().keySet());
-            t.done();
+        List<PlanRow> rows = new ArrayList<>();
+        for (Toml.Table table : root.tables("row")) {
+            PlanRow row =
+                    new PlanRow(
+                            table.enumValue("role", null, Slope.Role.class),
+                            table.string("what", ""),
+                            table.string("unit", ""),
+                            table.strings("slopes", List.of()),
+                            table.string("at", ""),
+                            table.string("quantity", ""),
+                            table.string("budget", ""),
+                            table.string("carried_by", ""),
+                            table.string("note", ""));
+            checkName(table, "at", row.at, target.quantities().keySet());
+            checkName(table, "quantity", row.quantity, target.quantities().keySet());
+            checkName(table, "budget", row.budget, target.budgets().keySet());
+            table.rejectUnknownKeys();
             rows.add(row);
         }
-        root.done();
+        root.rejectUnknownKeys();
         return rows;
     }
 
-    private static void known(Toml.Table t, String key, String found, java.util.Set<String> words)
+    private static void checkName(
+            Toml.Table table, String key, String name, java.util.Set<String> allowedNames)
             throws BadFileException {
-        if (!found.isEmpty() && !words.contains(found)) {
-            throw t.bad(
+        if (!name.isEmpty() && !allowedNames.contains(name)) {
+            throw table.invalidValue(
                     key,
-                    '"' + found + '"',
-                    "one of " + String.join(", ", new java.util.TreeSet<>(words)));
+                    '"' + name + '"',
+                    "one of " + String.join(", ", new java.util.TreeSet<>(allowedNames)));
         }
     }
 }
--- a/src/main/java/cacheproxy/lab/capacity/Slope.java
+++ b/src/main/java/cacheproxy/lab/capacity/Slope.java
@@ -38,7 +38,7 @@
         String beside) {
 
     /** Under this the means lie on no straight line. */
-    public static final double STRAIGHT_R2 = 0.95;
+    public static final double MIN_LINEAR_R2 = 0.95;
 
     /** Whose cost it is. */
     public enum Role {
@@ -51,7 +51,7 @@
     }
 
     /** A figure's name and where it comes from: all of a slope that is not measured. */
-    public record Head(
+    public record SlopeMetadata(
             Role role,
             String figure,
             String unit,
@@ -74,7 +74,8 @@
      *
      * @param measured one list of values a size, one value a run, as many for each
      */
-    public static Slope fit(Head head, List<Double> sizes, List<List<Double>> measured) {
+    public static Slope fit(
+            SlopeMetadata metadata, List<Double> sizes, List<List<Double>> measured) {
         List<Double> means = new ArrayList<>();
         List<Double> spreads = new ArrayList<>();
         SimpleRegression line = new SimpleRegression();
@@ -87,10 +88,10 @@
         }
         double r2 = line.getTotalSumSquares() == 0 ? 1 : line.getRSquare();
         return new Slope(
-                head.role,
-                head.figure,
-                head.unit,
-                head.against,
+                metadata.role,
+                metadata.figure,
+                metadata.unit,
+                metadata.against,
                 sizes,
                 means,
                 spreads,
@@ -98,24 +99,24 @@
                 line.getIntercept(),
                 line.getSlope(),
                 r2,
-                head.experiment,
-                head.beside);
+                metadata.experiment,
+                metadata.beside);
     }
 
     /**
      * What the line gives at a size, in the figure's unit; beyond the largest size measured it is
      * extrapolated.
      */
-    public double at(double size) {
+    public double valueAt(double size) {
         return fixed + perUnit * size;
     }
 
     /** The largest size that was measured. */
-    public double measuredTo() {
+    public double largestMeasuredSize() {
         return sizes.get(sizes.size() - 1);
     }
 
-    public boolean straight() {
-        return r2 >= STRAIGHT_R2;
+    public boolean isLinear() {
+        return r2 >= MIN_LINEAR_R2;
     }
 }
--- a/src/main/java/cacheproxy/lab/capacity/SlopeFile.java
+++ b/src/main/java/cacheproxy/lab/capacity/SlopeFile.java
@@ -19,11 +19,11 @@
  */
 public final class SlopeFile {
 
-    private static final String HEAD =
+    private static final String HEADER =
             "# Written by the experiments that each slope names; see docs/operate/lab.md.\n";
-    private static final MathContext DIGITS = new MathContext(6);
-    private static final double MOST = 1e15;
-    private static final int MOST_RUNS = 1000;
+    private static final MathContext PRECISION = new MathContext(6);
+    private static final double MAX_VALUE = 1e15;
+    private static final int MAX_RUNS = 1000;
 
     private SlopeFile() {}
 
@@ -31,114 +31,116 @@
     public static List<Slope> read(Path file) throws BadFileException {
         Toml.Table root = Toml.read(file).root();
         List<Slope> slopes = new ArrayList<>();
-        for (Toml.Table t : root.tables("slope")) {
-            List<Double> sizes = t.numbers("sizes", 0, MOST);
+        for (Toml.Table table : root.tables("slope")) {
+            List<Double> sizes = table.numbers("sizes", 0, MAX_VALUE);
             if (sizes.size() < 2) {
-                throw t.bad("sizes", sizes.toString(), "two numbers or more");
+                throw table.invalidValue("sizes", sizes.toString(), "two numbers or more");
             }
             slopes.add(
                     new Slope(
-                            t.choice("role", null, Slope.Role.class),
-                            named(t, "figure"),
-                            named(t, "unit"),
-                            named(t, "against"),
+                            table.enumValue("role", null, Slope.Role.class),
+                            requiredString(table, "figure"),
+                            requiredString(table, "unit"),
+                            requiredString(table, "against"),
                             sizes,
-                            asMany(t, "means", -MOST, sizes),
-                            asMany(t, "spreads", 0, sizes),
-                            t.whole("runs", 1, 1, MOST_RUNS),
-                            line(t, "fixed", -MOST, MOST),
-                            line(t, "per_unit", -MOST, MOST),
-                            line(t, "r2", 0, 1),
-                            named(t, "experiment"),
-                            t.text("beside", "nothing")));
-            t.done();
+                            numberPerSize(table, "means", -MAX_VALUE, sizes),
+                            numberPerSize(table, "spreads", 0, sizes),
+                            table.integer("runs", 1, 1, MAX_RUNS),
+                            requiredNumber(table, "fixed", -MAX_VALUE, MAX_VALUE),
+                            requiredNumber(table, "per_unit", -MAX_VALUE, MAX_VALUE),
+                            requiredNumber(table, "r2", 0, 1),
+                            requiredString(table, "experiment"),
+                            table.string("beside", "nothing")));
+            table.rejectUnknownKeys();
         }
-        root.done();
+        root.rejectUnknownKeys();
         return slopes;
     }
 
-    private static String named(Toml.Table t, String key) throws BadFileException {
-        String found = t.text(key, null);
-        if (found == null) {
-            throw t.bad(key, "nothing", "a text");
+    private static String requiredString(Toml.Table table, String key) throws BadFileException {
+        String value = table.string(key, null);
+        if (value == null) {
+            throw table.invalidValue(key, "nothing", "a text");
         }
-        return found;
+        return value;
     }
 
-    private static double line(Toml.Table t, String key, double least, double most)
+    private static double requiredNumber(Toml.Table table, String key, double min, double max)
             throws BadFileException {
-        if (!t.has(key)) {
-            throw t.bad(key, "nothing", "a number");
+        if (!table.has(key)) {
+            throw table.invalidValue(key, "nothing", "a number");
         }
-        return t.number(key, 0, least, most);
+        return table.number(key, 0, min, max);
     }
 
-    private static List<Double> asMany(Toml.Table t, String key, double least, List<Double> sizes)
-            throws BadFileException {
-        List<Double> found = t.numbers(key, least, MOST);
-        if (found.size() != sizes.size()) {
-            throw t.bad(key, found.size() + " numbers", sizes.size() + ", one a size");
+    private static List<Double> numberPerSize(
+            Toml.Table table, String key, double min, List<Double> sizes) throws BadFileException {
+        List<Double> numbers = table.numbers(key, min, MAX_VALUE);
+        if (numbers.size() != sizes.size()) {
+            throw table.invalidValue(
+                    key, numbers.size() + " numbers", sizes.size() + ", one a size");
         }
-        return found;
+        return numbers;
     }
 
     /**
      * Puts an experiment's slopes into a file, in the place of what that experiment wrote there
      * before; the others' stay as they are.
      */
-    public static void put(Path file, String experiment, List<Slope> slopes)
+    public static void replaceSlopes(Path file, String experiment, List<Slope> slopes)
             throws BadFileException, IOException {
         List<Slope> all = new ArrayList<>(Files.exists(file) ? read(file) : List.of());
         all.removeIf(s -> s.experiment().equals(experiment));
         all.addAll(slopes);
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+        Path newFile = file.resolveSibling(file.getFileName() + ".new");
         Files.writeString(
-                fresh, HEAD + all.stream().map(SlopeFile::text).collect(Collectors.joining()));
+                newFile,
+                HEADER + all.stream().map(SlopeFile::toToml).collect(Collectors.joining()));
         Files.move(
-                fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static String text(Slope s) {
+    private static String toToml(Slope slope) {
         return "\n[[slope]]\n"
-                + words("role", s.role().name().toLowerCase(Locale.ROOT).replace('_', '-'))
-                + words("figure", s.figure())
-                + words("unit", s.unit())
-                + words("against", s.against())
-                + numbers("sizes", s.sizes())
-                + numbers("means", s.means())
-                + numbers("spreads", s.spreads())
+                + stringLine("role", slope.role().name().toLowerCase(Locale.ROOT).replace('_', '-'))
+                + stringLine("figure", slope.figure())
+                + stringLine("unit", slope.unit())
+                + stringLine("against", slope.against())
+                + numbersLine("sizes", slope.sizes())
+                + numbersLine("means", slope.means())
+                + numbersLine("spreads", slope.spreads())
                 + "runs = "
-                + s.runs()
+                + slope.runs()
                 + "\nfixed = "
-                + number(s.fixed())
+                + formatNumber(slope.fixed())
                 + "\nper_unit = "
-                + number(s.perUnit())
+                + formatNumber(slope.perUnit())
                 + "\nr2 = "
-                + number(s.r2())
+                + formatNumber(slope.r2())
                 + "\n"
-                + words("experiment", s.experiment())
-                + words("beside", s.beside());
+                + stringLine("experiment", slope.experiment())
+                + stringLine("beside", slope.beside());
     }
 
-    private static String words(String key, String text) {
+    private static String stringLine(String key, String text) {
         return key
                 + " = \""
                 + text.replace("\\", "\\\\").replace("\"", "\\\"").replace('\n', ' ')
                 + "\"\n";
     }
 
-    private static String numbers(String key, List<Double> numbers) {
+    private static String numbersLine(String key, List<Double> numbers) {
         return key
                 + " = "
                 + numbers.stream()
-                        .map(SlopeFile::number)
+                        .map(SlopeFile::formatNumber)
                         .collect(Collectors.joining(", ", "[", "]"))
                 + "\n";
     }
 
     /** To six digits, without an exponent. */
-    private static String number(double number) {
-        BigDecimal rounded = new BigDecimal(number).round(DIGITS);
+    private static String formatNumber(double number) {
+        BigDecimal rounded = new BigDecimal(number).round(PRECISION);
         return rounded.signum() == 0 ? "0" : rounded.stripTrailingZeros().toPlainString();
     }
 }
--- a/src/main/java/cacheproxy/lab/faults/Fault.java
+++ b/src/main/java/cacheproxy/lab/faults/Fault.java
@@ -19,7 +19,7 @@
  * @param peer the other proxy of a link, as {@code target}
  */
 public record Fault(
-        Kind what,
+        Kind kind,
         double atS,
         double forS,
         String target,
@@ -29,24 +29,24 @@
         String peer) {
 
     public Fault(
-            Kind what,
+            Kind kind,
             double atS,
             double forS,
             String target,
             double share,
             double factor,
             int keys) {
-        this(what, atS, forS, target, share, factor, keys, "");
+        this(kind, atS, forS, target, share, factor, keys, "");
     }
 
     /** A prime above any count, so that a part takes each index once and neighbours fall apart. */
-    private static final int SPREAD = 7919;
+    private static final int INDEX_STRIDE = 7919;
 
     /** How often a liar pretends to have seen something of each node. */
-    public static final double LIE_EVERY_MS = 250;
+    public static final double FALSE_CLAIM_INTERVAL_MS = 250;
 
     /** A starved proxy is stopped once in so long. */
-    public static final double STARVE_EVERY_MS = 1000;
+    public static final double STARVATION_PERIOD_MS = 1000;
 
     /** Keys that a fault's table may hold beside {@code what} and {@code at_s}. */
     public enum Key {
@@ -187,19 +187,19 @@
         }
 
         /** Its name as files write it. */
-        public String word() {
+        public String configName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
         /** Whether it changes what is asked, and so belongs to the load. */
-        public boolean ofLoad() {
+        public boolean changesLoad() {
             return this == HOT_KEY || this == HEAVY || this == BURST;
         }
     }
 
     /** Its kind and what it strikes. */
     public String label() {
-        return what.word()
+        return kind.configName()
                 + (target.isEmpty() ? "" : " " + target)
                 + (peer.isEmpty() ? "" : " of " + peer);
     }
@@ -209,19 +209,20 @@
      * that one for its name. A part, as {@code 30%}, is spread evenly and the same at each fault,
      * and holds one at least.
      */
-    public boolean strikes(String prefix, int index, int count) {
-        return strikes(target, prefix, index, count);
+    public boolean affects(String prefix, int index, int count) {
+        return affects(target, prefix, index, count);
     }
 
     /** The same of the proxy at the other end of a link. */
-    public boolean strikesPeer(int index, int count) {
-        return strikes(peer, "proxy-", index, count);
+    public boolean affectsPeer(int index, int count) {
+        return affects(peer, "proxy-", index, count);
     }
 
-    private static boolean strikes(String target, String prefix, int index, int count) {
+    private static boolean affects(String target, String prefix, int index, int count) {
         if (target.endsWith("%")) {
-            int part = Integer.parseInt(target.substring(0, target.length() - 1));
-            return (long) index * SPREAD % count < Math.max(1, Math.round(part * count / 100.0));
+            int percentage = Integer.parseInt(target.substring(0, target.length() - 1));
+            return (long) index * INDEX_STRIDE % count
+                    < Math.max(1, Math.round(percentage * count / 100.0));
         }
         return target.equals("*") || target.equals(prefix + index);
     }
@@ -230,13 +231,13 @@
      * Whether it strikes the cache node of an index among {@code count} that stands in a zone; a
      * zone's name strikes all of its own.
      */
-    public boolean strikesNode(int index, String zone, int count) {
-        return target.equals(zone) || strikes("node-", index, count);
+    public boolean affectsNode(int index, String zone, int count) {
+        return target.equals(zone) || affects("node-", index, count);
     }
 
     /** Whether a liar accuses at this time: one that flips does so in every second second. */
-    public boolean accuses(double ms) {
-        return what == Kind.LIAR_ACCUSES || what == Kind.LIAR_FLIPS && (long) (ms / 1000) % 2 == 0;
+    public boolean accusesAt(double ms) {
+        return kind == Kind.LIAR_ACCUSES || kind == Kind.LIAR_FLIPS && (long) (ms / 1000) % 2 == 0;
     }
 
     public double atMs() {
@@ -247,7 +248,7 @@
         return (atS + forS) * 1000;
     }
 
-    public boolean at(double ms) {
+    public boolean isActiveAt(double ms) {
         return ms >= atMs() && ms < endMs();
     }
 }
--- a/src/main/java/cacheproxy/lab/faults/PolicyText.java
+++ b/src/main/java/cacheproxy/lab/faults/ProposedPolicies.java
@@ -1,12 +1,12 @@
 package cacheproxy.lab.faults;
 
 /** Policies that are proposed in an experiment: each another one that a proxy takes. */
-public final class PolicyText {
+public final class ProposedPolicies {
 
-    private PolicyText() {}
+    private ProposedPolicies() {}
 
     /** The content of the proposal of a number, from 1 on. */
-    public static String number(int proposal) {
+    public static String content(int proposal) {
         return "[log]\nodd_lines = " + (20 + proposal) + "\n";
     }
 }
--- a/src/main/java/cacheproxy/lab/hollow/ControlPlane.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlane.java
@@ -21,11 +21,11 @@
     private static final double NS_PER_MS = 1e6;
 
     /** An epoch came in force here, at a time of the machine's monotonic clock. */
-    record Applied(long epoch, double atMs) {}
+    record AppliedEpoch(long epoch, double atMs) {}
 
     private final int number;
     private final EventLoop loop;
-    private final LinkTable links;
+    private final LinkConditions links;
     private final Options options;
     private long seed;
     private GossipSocket gossip;
@@ -34,14 +34,14 @@
     // Changed and read on the loop.
     final Traffic packets = new Traffic();
     final Traffic streams = new Traffic();
-    final Set<String> known = new TreeSet<>();
-    final List<Applied> applied = new ArrayList<>();
-    long suspected;
-    long died;
-    boolean current;
-    boolean leads;
+    final Set<String> knownMembers = new TreeSet<>();
+    final List<AppliedEpoch> appliedEpochs = new ArrayList<>();
+    long suspicions;
+    long deaths;
+    boolean policyCurrent;
+    boolean leader;
 
-    ControlPlane(int number, EventLoop loop, LinkTable links, Options options, long seed) {
+    ControlPlane(int number, EventLoop loop, LinkConditions links, Options options, long seed) {
         this.number = number;
         this.loop = loop;
         this.links = links;
@@ -61,19 +61,19 @@
                             options.gossip(),
                             new GossipSocket.Hooks() {
                                 @Override
-                                public void standing(String node, boolean doubted) {
+                                public void nodeSuspicionChanged(String node, boolean suspected) {
                                     // A hollow proxy sends to no node.
                                 }
 
                                 @Override
                                 public void event(String name, Object... fields) {
-                                    told(name, fields);
+                                    handleEvent(name, fields);
                                 }
 
                                 @Override
-                                public void opens(Channel socket) {
+                                public void initializeChannel(Channel socket) {
                                     socket.pipeline()
-                                            .addLast(new PacketWire(number, links, packets));
+                                            .addLast(new PacketLinkHandler(number, links, packets));
                                 }
                             });
         }
@@ -92,35 +92,35 @@
 
                                 @Override
                                 public void event(String name, Object... fields) {
-                                    told(name, fields);
+                                    handleEvent(name, fields);
                                 }
 
                                 @Override
-                                public void opens(Channel connection) {
+                                public void connectionOpened(Channel connection) {
                                     connection
                                             .pipeline()
-                                            .addLast(new StreamWire(number, links, streams));
+                                            .addLast(new StreamLinkHandler(number, links, streams));
                                 }
                             });
         }
     }
 
-    private void told(String event, Object... fields) {
+    private void handleEvent(String event, Object... fields) {
         String subject = String.valueOf(fields[1]);
         switch (event) {
-            case "gossip_member" -> known.add(subject);
-            case "gossip_suspected" -> suspected++;
+            case "gossip_member" -> knownMembers.add(subject);
+            case "gossip_suspected" -> suspicions++;
             case "gossip_died" -> {
-                died++;
-                known.remove(subject);
+                deaths++;
+                knownMembers.remove(subject);
             }
-            case "gossip_left" -> known.remove(subject);
-            case "policy_current" -> current = true;
-            case "policy_not_current" -> current = false;
-            case "policy_leads" -> leads = true;
+            case "gossip_left" -> knownMembers.remove(subject);
+            case "policy_current" -> policyCurrent = true;
+            case "policy_not_current" -> policyCurrent = false;
+            case "policy_leads" -> leader = true;
             case "policy_applied" ->
-                    applied.add(
-                            new Applied(
+                    appliedEpochs.add(
+                            new AppliedEpoch(
                                     Long.parseLong(subject),
                                     Double.parseDouble(
                                             String.valueOf(fields[3]).substring("at:".length()))));
@@ -148,8 +148,8 @@
                             if (policy != null) {
                                 policy.close();
                             }
-                            known.clear();
-                            current = false;
+                            knownMembers.clear();
+                            policyCurrent = false;
                         })
                 .sync();
     }
--- a/src/main/java/cacheproxy/lab/hollow/HollowProcess.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlaneProcess.java
@@ -29,16 +29,16 @@
  * {@code go}, {@code look}, {@code weigh}, {@code replace NUMBER}, {@code cut FROM TO}, {@code heal
  * FROM TO}.
  */
-public final class HollowProcess {
+public final class ControlPlaneProcess {
 
-    private static final long GOES_MS = 300;
-    private static final long BACK_MS = 1000;
+    private static final long STOP_DELAY_MS = 300;
+    private static final long RESTART_DELAY_MS = 1000;
     private static final double NS_PER_S = 1e9;
 
     /**
      * What one plane shows; sums since the start. {@code applied} are epochs since the last look.
      */
-    record Shown(
+    record PlaneStats(
             int number,
             long sent,
             long sentBytes,
@@ -54,48 +54,49 @@
             long died,
             boolean current,
             boolean leads,
-            List<ControlPlane.Applied> applied) {}
+            List<ControlPlane.AppliedEpoch> applied) {}
 
     /**
      * What the process shows: CPU seconds so far of the loop and of all threads, and open
      * descriptors; all read at {@code atS}.
      */
-    record Look(
+    record ProcessStats(
             double atS,
             double loopCpuS,
             double cpuS,
             long descriptors,
             double lateMs,
-            List<Shown> planes) {}
+            List<PlaneStats> planes) {}
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor();
-    private final Gson json = new Gson();
-    private final Planes given;
-    private final LinkTable links;
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+    private final Gson gson = new Gson();
+    private final ControlPlaneSpec spec;
+    private final LinkConditions links;
     private final List<ControlPlane> planes = new ArrayList<>();
-    private long loopThread;
+    private long loopThreadId;
 
-    private HollowProcess(Planes given) {
-        this.given = given;
-        SplittableRandom random = new SplittableRandom(given.seed() + given.first());
-        links = new LinkTable(given.places(), given.links(), random.split());
-        for (int i = given.first(); i < given.first() + given.count(); i++) {
-            planes.add(new ControlPlane(i, loop, links, given.options(i), random.nextLong()));
+    private ControlPlaneProcess(ControlPlaneSpec spec) {
+        this.spec = spec;
+        SplittableRandom random = new SplittableRandom(spec.seed() + spec.first());
+        links = new LinkConditions(spec.locations(), spec.links(), random.split());
+        for (int i = spec.first(); i < spec.first() + spec.count(); i++) {
+            planes.add(new ControlPlane(i, loop, links, spec.options(i), random.nextLong()));
         }
     }
 
-    /** {@code args} is the file of {@link Planes}. */
+    /** {@code args} is the file of {@link ControlPlaneSpec}. */
     public static void main(String[] args) throws IOException {
         PrintStream answers = System.out;
         // What libraries print must not stand between answers.
         System.setOut(System.err);
-        Planes given = new Gson().fromJson(Files.readString(Path.of(args[0])), Planes.class);
-        HollowProcess process = new HollowProcess(given);
-        process.later.schedule(
+        ControlPlaneSpec spec =
+                new Gson().fromJson(Files.readString(Path.of(args[0])), ControlPlaneSpec.class);
+        ControlPlaneProcess process = new ControlPlaneProcess(spec);
+        process.scheduler.schedule(
                 () -> Runtime.getRuntime().halt(1),
-                (long) (given.limitS() * 1000),
+                (long) (spec.limitS() * 1000),
                 TimeUnit.MILLISECONDS);
         try {
             process.serve(answers);
@@ -109,16 +110,16 @@
 
     private void serve(PrintStream answers)
             throws IOException, InterruptedException, ExecutionException, KeyException {
-        loopThread = loop.submit(() -> Thread.currentThread().getId()).get();
+        loopThreadId = loop.submit(() -> Thread.currentThread().getId()).get();
         answers.println(ProcessUse.retainedBytes());
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            answers.println(told(line.split(" ")));
+            answers.println(execute(line.split(" ")));
         }
     }
 
-    private String told(String[] words)
+    private String execute(String[] words)
             throws InterruptedException, ExecutionException, IOException, KeyException {
         switch (words[0]) {
             case "go" -> {
@@ -127,12 +128,12 @@
                 }
             }
             case "look" -> {
-                return json.toJson(look());
+                return gson.toJson(collectStats());
             }
             case "weigh" -> {
                 return String.valueOf(ProcessUse.retainedBytes());
             }
-            case "replace" -> replace(planes.get(Integer.parseInt(words[1]) - given.first()));
+            case "replace" -> replace(planes.get(Integer.parseInt(words[1]) - spec.first()));
             case "cut" -> loop.submit(() -> links.cut(words[1], words[2])).sync();
             case "heal" -> loop.submit(() -> links.heal(words[1], words[2])).sync();
             default -> throw new IOException("no such word: " + words[0]);
@@ -142,17 +143,17 @@
 
     private void replace(ControlPlane plane) {
         plane.leave();
-        later.schedule(() -> step(plane::stop), GOES_MS, TimeUnit.MILLISECONDS);
-        later.schedule(() -> step(plane::start), BACK_MS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> runTask(plane::stop), STOP_DELAY_MS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> runTask(plane::start), RESTART_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    private interface Step {
-        void take() throws IOException, InterruptedException, KeyException;
+    private interface PlaneTask {
+        void run() throws IOException, InterruptedException, KeyException;
     }
 
-    private static void step(Step step) {
+    private static void runTask(PlaneTask task) {
         try {
-            step.take();
+            task.run();
         } catch (IOException | KeyException e) {
             // The fleet stays without it, which its figures show.
             e.printStackTrace();
@@ -161,52 +162,53 @@
         }
     }
 
-    private Look look() throws InterruptedException, ExecutionException {
-        long asked = System.nanoTime();
+    private ProcessStats collectStats() throws InterruptedException, ExecutionException {
+        long requestedNs = System.nanoTime();
         return loop.submit(
                         () -> {
-                            long now = System.nanoTime();
+                            long nowNs = System.nanoTime();
                             var system =
                                     (UnixOperatingSystemMXBean)
                                             ManagementFactory.getOperatingSystemMXBean();
                             double loopCpuS =
-                                    ManagementFactory.getThreadMXBean().getThreadCpuTime(loopThread)
+                                    ManagementFactory.getThreadMXBean()
+                                                    .getThreadCpuTime(loopThreadId)
                                             / NS_PER_S;
-                            return new Look(
-                                    now / NS_PER_S,
+                            return new ProcessStats(
+                                    nowNs / NS_PER_S,
                                     loopCpuS,
                                     system.getProcessCpuTime() / NS_PER_S,
                                     system.getOpenFileDescriptorCount(),
-                                    (now - asked) / 1e6,
-                                    show());
+                                    (nowNs - requestedNs) / 1e6,
+                                    planeStats());
                         })
                 .get();
     }
 
-    private List<Shown> show() {
-        List<Shown> shown = new ArrayList<>();
+    private List<PlaneStats> planeStats() {
+        List<PlaneStats> stats = new ArrayList<>();
         for (int i = 0; i < planes.size(); i++) {
-            ControlPlane p = planes.get(i);
-            shown.add(
-                    new Shown(
-                            given.first() + i,
-                            p.packets.sent,
-                            p.packets.sentBytes,
-                            p.packets.received,
-                            p.packets.receivedBytes,
-                            p.streams.sent,
-                            p.streams.sentBytes,
-                            p.streams.received,
-                            p.streams.receivedBytes,
-                            p.streams.connections,
-                            p.known.size(),
-                            p.suspected,
-                            p.died,
-                            p.current,
-                            p.leads,
-                            List.copyOf(p.applied)));
-            p.applied.clear();
+            ControlPlane plane = planes.get(i);
+            stats.add(
+                    new PlaneStats(
+                            spec.first() + i,
+                            plane.packets.sent,
+                            plane.packets.sentBytes,
+                            plane.packets.received,
+                            plane.packets.receivedBytes,
+                            plane.streams.sent,
+                            plane.streams.sentBytes,
+                            plane.streams.received,
+                            plane.streams.receivedBytes,
+                            plane.streams.connections,
+                            plane.knownMembers.size(),
+                            plane.suspicions,
+                            plane.deaths,
+                            plane.policyCurrent,
+                            plane.leader,
+                            List.copyOf(plane.appliedEpochs)));
+            plane.appliedEpochs.clear();
         }
-        return shown;
+        return stats;
     }
 }
--- a/src/main/java/cacheproxy/lab/hollow/Planes.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlaneSpec.java
@@ -15,30 +15,30 @@
  * @param folder of the run: keys, the ring, logs
  * @param limitS after which the process ends whatever happens
  */
-record Planes(
+record ControlPlaneSpec(
         int net,
         int first,
         int count,
         int size,
-        HollowExperiment.Fleet fleet,
-        HollowExperiment.Gossip gossip,
-        HollowExperiment.Policy policy,
-        HollowExperiment.Links links,
+        ScaleExperiment.Fleet fleet,
+        ScaleExperiment.Gossip gossip,
+        ScaleExperiment.Policy policy,
+        ScaleExperiment.Links links,
         String folder,
         long seed,
         double limitS) {
 
     private static final int GOSSIP_PORT = 7946;
     private static final int POLICY_PORT = 7947;
-    private static final int SEEDS = 3;
-    private static final int HEALTH_MOST = 8;
+    private static final int MAX_PROXY_SEEDS = 3;
+    private static final int MAX_HEALTH_SCORE = 8;
 
-    List<Place> places() {
-        List<Place> places = new ArrayList<>();
+    List<PlaneLocation> locations() {
+        List<PlaneLocation> locations = new ArrayList<>();
         for (int i = 0; i < size + fleet.control(); i++) {
-            places.add(Place.of(i, fleet, size));
+            locations.add(PlaneLocation.of(i, fleet, size));
         }
-        return places;
+        return locations;
     }
 
     static Path keyFile(Path folder, String name) {
@@ -49,12 +49,12 @@
         return folder.resolve("ring");
     }
 
-    static Path socket(Path folder, int control) {
+    static Path socketFile(Path folder, int control) {
         return folder.resolve("c" + control + ".sock");
     }
 
     /** Where a plane keeps its epoch, and a control machine its log. */
-    static Path store(Path folder, String name) {
+    static Path storeDirectory(Path folder, String name) {
         return folder.resolve("policy-" + name);
     }
 
@@ -63,36 +63,43 @@
      * voters, proxies the seeds where there are none.
      */
     Options options(int number) {
-        Path at = Path.of(folder);
-        String name = Place.of(number, fleet, size).name();
-        String host = LinkTable.host(net, number);
+        Path directory = Path.of(folder);
+        String name = PlaneLocation.of(number, fleet, size).name();
+        String host = LinkConditions.hostOf(net, number);
         List<String> seeds = new ArrayList<>();
         List<String> voters = new ArrayList<>();
         for (int c = 0; c < fleet.control(); c++) {
-            seeds.add(LinkTable.host(net, size + c) + ":" + GOSSIP_PORT);
-            voters.add("control-" + c + "=" + LinkTable.host(net, size + c) + ":" + POLICY_PORT);
+            seeds.add(LinkConditions.hostOf(net, size + c) + ":" + GOSSIP_PORT);
+            voters.add(
+                    "control-"
+                            + c
+                            + "="
+                            + LinkConditions.hostOf(net, size + c)
+                            + ":"
+                            + POLICY_PORT);
         }
-        for (int p = 0; fleet.control() == 0 && p < Math.min(SEEDS, size); p++) {
-            seeds.add(LinkTable.host(net, p) + ":" + GOSSIP_PORT);
+        for (int p = 0; fleet.control() == 0 && p < Math.min(MAX_PROXY_SEEDS, size); p++) {
+            seeds.add(LinkConditions.hostOf(net, p) + ":" + GOSSIP_PORT);
         }
-        Options.Gossip talk =
+        Options.Gossip gossipOptions =
                 new Options.Gossip(
                         gossip.enabled(),
                         host + ":" + GOSSIP_PORT,
                         "",
                         seeds,
-                        keyFile(at, name).toString(),
-                        ringFile(at).toString(),
+                        keyFile(directory, name).toString(),
+                        ringFile(directory).toString(),
                         gossip.bytesPerS(),
                         gossip.verificationsPerS(),
                         "",
-                        HEALTH_MOST);
-        Options.Policy change =
+                        MAX_HEALTH_SCORE);
+        Options.Policy policyOptions =
                 new Options.Policy(
                         policy.enabled() ? voters : List.of(),
                         host + ":" + POLICY_PORT,
-                        store(at, name).toString(),
-                        number < size ? "" : socket(at, number - size).toString());
-        return new Options(Options.DEFAULTS.log(), talk, change, Options.DEFAULTS.nodes());
+                        storeDirectory(directory, name).toString(),
+                        number < size ? "" : socketFile(directory, number - size).toString());
+        return new Options(
+                Options.DEFAULTS.log(), gossipOptions, policyOptions, Options.DEFAULTS.nodes());
     }
 }
--- a/src/main/java/cacheproxy/lab/hollow/Child.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlaneWorker.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * A {@link HollowProcess} as its driver has it: asked by lines, ended by its pipe or by its process
- * id.
+ * A {@link ControlPlaneProcess} as its driver has it: asked by lines, ended by its pipe or by its
+ * process id.
  */
-final class Child {
+final class ControlPlaneWorker {
 
     /**
      * As the deploy file's run line, so that CPU compares, but for the heap, which many planes
      * share.
      */
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of(
                     "-XX:+UseSerialGC",
                     "-XX:-UsePerfData",
@@ -34,73 +34,73 @@
                     "-Dio.netty.allocator.maxOrder=5",
                     "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider");
 
-    final Planes planes;
-    private final Path spec;
-    private final Path errors;
+    final ControlPlaneSpec spec;
+    private final Path specFile;
+    private final Path errorLog;
     private WorkerProcess worker;
-    private long bareBytes;
-    private int waiting;
-    private int starts;
+    private long baselineHeapBytes;
+    private int pendingAnswers;
+    private int startCount;
 
-    Child(Planes planes, Path folder) throws IOException {
-        this.planes = planes;
-        this.spec = folder.resolve("planes-" + planes.first() + ".json");
-        this.errors = folder.resolve("planes-" + planes.first() + ".log");
-        Files.writeString(spec, new Gson().toJson(planes));
+    ControlPlaneWorker(ControlPlaneSpec spec, Path directory) throws IOException {
+        this.spec = spec;
+        this.specFile = directory.resolve("planes-" + spec.first() + ".json");
+        this.errorLog = directory.resolve("planes-" + spec.first() + ".log");
+        Files.writeString(specFile, new Gson().toJson(spec));
     }
 
     void start() throws IOException {
         worker =
                 WorkerProcess.start(
-                        HollowProcess.class,
-                        FLAGS,
-                        List.of(spec.toString()),
-                        ProcessBuilder.Redirect.appendTo(errors.toFile()));
-        waiting = 0;
-        starts++;
+                        ControlPlaneProcess.class,
+                        JVM_FLAGS,
+                        List.of(specFile.toString()),
+                        ProcessBuilder.Redirect.appendTo(errorLog.toFile()));
+        pendingAnswers = 0;
+        startCount++;
     }
 
     /** Waits until it runs; no plane of it has begun then. */
     void awaitReady() throws IOException {
-        waiting++;
-        bareBytes = Long.parseLong(answer());
+        pendingAnswers++;
+        baselineHeapBytes = Long.parseLong(readAnswer());
     }
 
     /** Its heap without planes. */
-    long bareBytes() {
-        return bareBytes;
+    long baselineHeapBytes() {
+        return baselineHeapBytes;
     }
 
     /** Whether it has been killed and started again, so that its sums began anew. */
-    boolean startedAgain() {
-        return starts > 1;
+    boolean wasRestarted() {
+        return startCount > 1;
     }
 
-    boolean runs() {
+    boolean isRunning() {
         return worker != null && worker.isAlive();
     }
 
     /** Asks without waiting for the answer. */
-    void ask(String line) throws IOException {
-        worker.send(line);
-        waiting++;
+    void send(String command) throws IOException {
+        worker.send(command);
+        pendingAnswers++;
     }
 
     /** The answer to the earliest question that has none yet. */
-    String answer() throws IOException {
-        waiting--;
+    String readAnswer() throws IOException {
+        pendingAnswers--;
         try {
             return worker.readLine();
         } catch (IOException e) {
             throw new IOException(
-                    "planes from " + planes.first() + " on have ended; see " + errors, e);
+                    "planes from " + spec.first() + " on have ended; see " + errorLog, e);
         }
     }
 
     /** Takes all answers that are still out. */
-    void drain() throws IOException {
-        while (waiting > 0) {
-            answer();
+    void readPendingAnswers() throws IOException {
+        while (pendingAnswers > 0) {
+            readAnswer();
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** Ends it if it runs. */
-    void end() {
+    void close() {
         if (worker != null) {
             worker.close();
         }
--- a/src/main/java/cacheproxy/lab/hollow/LinkTable.java
+++ b/src/main/java/cacheproxy/lab/hollow/LinkConditions.java
@@ -9,51 +9,59 @@
  * How what one plane sends another travels: late, lost, or held by a cut, by where the two stand.
  * Used by one thread.
  */
-final class LinkTable {
+final class LinkConditions {
 
     /**
      * In each third number; none ends in 0 or 255, which some machines take for a network's own and
      * give to nobody.
      */
-    private static final int HOSTS = 250;
+    private static final int HOSTS_PER_SUBNET = 250;
 
     private record Cut(String from, String to) {}
 
-    private final List<Place> places;
-    private final HollowExperiment.Links links;
+    private final List<PlaneLocation> locations;
+    private final ScaleExperiment.Links links;
     private final SplittableRandom random;
     private final List<Cut> cuts = new ArrayList<>();
 
-    LinkTable(List<Place> places, HollowExperiment.Links links, SplittableRandom random) {
-        this.places = places;
+    LinkConditions(
+            List<PlaneLocation> locations, ScaleExperiment.Links links, SplittableRandom random) {
+        this.locations = locations;
         this.links = links;
         this.random = random;
     }
 
     /** Which plane has an address: its last two numbers say so. */
-    static int plane(InetSocketAddress address) {
+    static int planeOf(InetSocketAddress address) {
         byte[] ip = address.getAddress().getAddress();
-        return (ip[2] & 0xff) * HOSTS + (ip[3] & 0xff) - 1;
+        return (ip[2] & 0xff) * HOSTS_PER_SUBNET + (ip[3] & 0xff) - 1;
     }
 
     /** The address of a plane in a network of a run's own, {@code 127.NET.x.y}. */
-    static String host(int net, int plane) {
-        return "127." + net + "." + plane / HOSTS + "." + (plane % HOSTS + 1);
+    static String hostOf(int network, int plane) {
+        return "127."
+                + network
+                + "."
+                + plane / HOSTS_PER_SUBNET
+                + "."
+                + (plane % HOSTS_PER_SUBNET + 1);
     }
 
     /** One-way delay between two planes, in ms. */
     double delayMs(int from, int to) {
-        return links.delayMs().get(places.get(from).to(places.get(to)).ordinal());
+        return links.delayMs().get(locations.get(from).distanceTo(locations.get(to)).ordinal());
     }
 
     /** Whether this packet is lost, by chance or by a cut. */
-    boolean loses(int from, int to) {
-        double share = links.loss().get(places.get(from).to(places.get(to)).ordinal());
-        return cut(from, to) || share > 0 && random.nextDouble() < share;
+    boolean losesPacket(int from, int to) {
+        double lossProbability =
+                links.loss().get(locations.get(from).distanceTo(locations.get(to)).ordinal());
+        return cut(from, to) || lossProbability > 0 && random.nextDouble() < lossProbability;
     }
 
     boolean cut(int from, int to) {
-        return cuts.stream().anyMatch(c -> places.get(from).in(c.from) && places.get(to).in(c.to));
+        return cuts.stream()
+                .anyMatch(c -> locations.get(from).isIn(c.from) && locations.get(to).isIn(c.to));
     }
 
     void cut(String from, String to) {
--- a/src/main/java/cacheproxy/lab/hollow/PacketWire.java
+++ b/src/main/java/cacheproxy/lab/hollow/PacketLinkHandler.java
@@ -11,15 +11,15 @@
  * The link of a plane's packets, at the sender's socket: counts both ways, delays and loses what is
  * sent.
  */
-final class PacketWire extends ChannelDuplexHandler {
+final class PacketLinkHandler extends ChannelDuplexHandler {
 
     private static final double US_PER_MS = 1000;
 
     private final int self;
-    private final LinkTable links;
+    private final LinkConditions links;
     private final Traffic traffic;
 
-    PacketWire(int self, LinkTable links, Traffic traffic) {
+    PacketLinkHandler(int self, LinkConditions links, Traffic traffic) {
         this.self = self;
         this.links = links;
         this.traffic = traffic;
@@ -28,10 +28,10 @@
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         DatagramPacket packet = (DatagramPacket) message;
-        int to = LinkTable.plane(packet.recipient());
-        traffic.sent(packet.content().readableBytes() + Traffic.PACKET_HEADERS);
+        int to = LinkConditions.planeOf(packet.recipient());
+        traffic.countSent(packet.content().readableBytes() + Traffic.UDP_HEADER_BYTES);
         double delayMs = links.delayMs(self, to);
-        if (links.loses(self, to)) {
+        if (links.losesPacket(self, to)) {
             packet.release();
             promise.trySuccess();
         } else if (delayMs == 0) {
@@ -48,7 +48,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof DatagramPacket p) {
-            traffic.received(p.content().readableBytes() + Traffic.PACKET_HEADERS);
+            traffic.countReceived(p.content().readableBytes() + Traffic.UDP_HEADER_BYTES);
             ctx.fireChannelRead(p);
         } else {
             ReferenceCountUtil.release(message);
--- a/src/main/java/cacheproxy/lab/hollow/Place.java
+++ b/src/main/java/cacheproxy/lab/hollow/PlaneLocation.java
@@ -10,7 +10,7 @@
  * @param name {@code proxy-0} and up, {@code control-0} and up
  * @param region numbered from 0, as zone and site are
  */
-record Place(String name, int site, int zone, int region) {
+record PlaneLocation(String name, int site, int zone, int region) {
 
     private static final Pattern AREA = Pattern.compile("(site|zone|region)-(\\d{1,4})");
 
@@ -22,17 +22,17 @@
         FAR
     }
 
-    static Place of(int number, HollowExperiment.Fleet fleet, int proxies) {
+    static PlaneLocation of(int number, ScaleExperiment.Fleet fleet, int proxies) {
         int site = (number < proxies ? number : number - proxies) % fleet.sites();
         int zone = site % fleet.zones();
-        return new Place(
+        return new PlaneLocation(
                 number < proxies ? "proxy-" + number : "control-" + (number - proxies),
                 site,
                 zone,
                 zone % fleet.regions());
     }
 
-    Distance to(Place other) {
+    Distance distanceTo(PlaneLocation other) {
         return site == other.site
                 ? Distance.SITE
                 : zone == other.zone
@@ -44,7 +44,7 @@
      * Whether an area's word is for this place: {@code *}, a name, or a site, zone or region by its
      * number.
      */
-    boolean in(String area) {
+    boolean isIn(String area) {
         Matcher m = AREA.matcher(area);
         if (!m.matches()) {
             return area.equals("*") || area.equals(name);
--- a/src/main/java/cacheproxy/lab/hollow/HollowExperiment.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleExperiment.java
@@ -13,7 +13,7 @@
  * @param calmS from then until it is measured
  * @param durationS how long is measured
  */
-record HollowExperiment(
+record ScaleExperiment(
         String file,
         String name,
         String about,
@@ -27,7 +27,7 @@
         Policy policy,
         Links links,
         List<Fault> faults,
-        List<Measure> slopes,
+        List<SlopeDefinition> slopes,
         List<Experiment.Expect> expects) {
 
     /**
@@ -46,8 +46,8 @@
     record Policy(boolean enabled, int changes, double everyMs, int pastEpochs) {}
 
     /**
-     * One-way delay and loss of packets by distance, in {@link Place.Distance}'s order. Streams
-     * have the delay alone.
+     * One-way delay and loss of packets by distance, in {@link PlaneLocation.Distance}'s order.
+     * Streams have the delay alone.
      */
     record Links(List<Double> delayMs, List<Double> loss) {}
 
@@ -63,9 +63,9 @@
      * again; {@code CUT} holds what goes from one area to another, both ways where {@code both}.
      */
     record Fault(
-            Kind what,
+            Kind kind,
             double atS,
-            double forS,
+            double durationS,
             int control,
             int count,
             String from,
@@ -76,14 +76,15 @@
      * A slope to fit: figures of the run, added up and taken so many times, and the name, unit and
      * role that this has in the slopes' file.
      */
-    record Measure(List<String> figures, double times, Slope.Role role, String name, String unit) {
+    record SlopeDefinition(
+            List<String> figures, double factor, Slope.Role role, String name, String unit) {
 
-        boolean in(Map<String, Double> run) {
-            return run.keySet().containsAll(figures);
+        boolean isMeasuredIn(Map<String, Double> figuresOfRun) {
+            return figuresOfRun.keySet().containsAll(figures);
         }
 
-        double of(Map<String, Double> run) {
-            return times * figures.stream().mapToDouble(run::get).sum();
+        double value(Map<String, Double> figuresOfRun) {
+            return factor * figures.stream().mapToDouble(figuresOfRun::get).sum();
         }
     }
 }
--- a/src/main/java/cacheproxy/lab/hollow/ScaleTest.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleTest.java
@@ -25,7 +25,7 @@
 public final class ScaleTest {
 
     /** Figures that are shown for each run. */
-    private static final List<String> SHOWN =
+    private static final List<String> PRINTED_FIGURES =
             List.of(
                     "start.whole_s",
                     "members.known_share",
@@ -46,19 +46,20 @@
                     "change.not_everywhere",
                     "loop.late_ms_max");
 
-    private static final String RESULTS = "results.json";
-    private static final Gson JSON =
+    private static final String RESULTS_FILE = "results.json";
+    private static final Gson GSON =
             new GsonBuilder().setPrettyPrinting().serializeSpecialFloatingPointValues().create();
 
-    private final HollowExperiment experiment;
-    private final String beside;
+    private final ScaleExperiment experiment;
+    private final String machineLoad;
 
     /**
      * @param beside what else runs on the machine, for whoever reads the slopes
      */
-    public ScaleTest(Path file, Map<String, String> set, String beside) throws BadFileException {
-        this.experiment = HollowFile.read(file, set);
-        this.beside = beside;
+    public ScaleTest(Path file, Map<String, String> overrides, String machineLoad)
+            throws BadFileException {
+        this.experiment = ScaleExperimentFile.read(file, overrides);
+        this.machineLoad = machineLoad;
     }
 
     public String name() {
@@ -70,85 +71,94 @@
      *
      * @param kept takes the results that earlier runs have left in the folder, and plays nothing
      */
-    public boolean play(Path folder, Path slopes, boolean kept, PrintStream out)
+    public boolean run(Path folder, Path slopeFile, boolean reuseResults, PrintStream out)
             throws IOException, InterruptedException, BadFileException, KeyException {
-        Map<Integer, List<Map<String, Double>>> played = new LinkedHashMap<>();
-        boolean good = true;
+        Map<Integer, List<Map<String, Double>>> figuresBySize = new LinkedHashMap<>();
+        boolean passed = true;
         for (int size : experiment.fleet().proxies()) {
             for (int run = 0; run < experiment.runs(); run++) {
-                Path own = folder.resolve(size + "-" + (run + 1));
+                Path runDirectory = folder.resolve(size + "-" + (run + 1));
                 Map<String, Double> figures =
-                        kept ? kept(own) : new HollowRun(experiment, size, run, own).play();
-                Files.writeString(own.resolve(RESULTS), JSON.toJson(figures));
-                played.computeIfAbsent(size, s -> new ArrayList<>()).add(figures);
+                        reuseResults
+                                ? readResults(runDirectory)
+                                : new ScaleRun(experiment, size, run, runDirectory).run();
+                Files.writeString(runDirectory.resolve(RESULTS_FILE), GSON.toJson(figures));
+                figuresBySize.computeIfAbsent(size, s -> new ArrayList<>()).add(figures);
                 out.printf("%s: %d proxies, run %d%n", experiment.name(), size, run + 1);
-                SHOWN.stream()
+                PRINTED_FIGURES.stream()
                         .filter(figures::containsKey)
-                        .forEach(f -> out.printf("  %-32s %s%n", f, Results.plain(figures.get(f))));
+                        .forEach(
+                                f ->
+                                        out.printf(
+                                                "  %-32s %s%n",
+                                                f, Results.formatNumber(figures.get(f))));
                 List<String> missed = Results.missed(figures, experiment.expects());
                 missed.forEach(m -> out.println("  missed: " + m));
-                good &= missed.isEmpty();
+                passed &= missed.isEmpty();
             }
         }
-        fit(played, slopes, out);
-        return good;
+        fitSlopes(figuresBySize, slopeFile, out);
+        return passed;
     }
 
-    private static Map<String, Double> kept(Path folder) throws IOException, BadFileException {
-        if (!Files.exists(folder.resolve(RESULTS))) {
-            throw new BadFileException(folder.resolve(RESULTS) + ": no earlier run left it");
+    private static Map<String, Double> readResults(Path runDirectory)
+            throws IOException, BadFileException {
+        if (!Files.exists(runDirectory.resolve(RESULTS_FILE))) {
+            throw new BadFileException(
+                    runDirectory.resolve(RESULTS_FILE) + ": no earlier run left it");
         }
-        return JSON.fromJson(
-                Files.readString(folder.resolve(RESULTS)),
+        return GSON.fromJson(
+                Files.readString(runDirectory.resolve(RESULTS_FILE)),
                 new TypeToken<TreeMap<String, Double>>() {}.getType());
     }
 
-    private void fit(Map<Integer, List<Map<String, Double>>> played, Path slopes, PrintStream out)
+    private void fitSlopes(
+            Map<Integer, List<Map<String, Double>>> figuresBySize, Path slopeFile, PrintStream out)
             throws IOException, BadFileException {
         List<Slope> fitted = new ArrayList<>();
-        for (HollowExperiment.Measure m : experiment.slopes()) {
+        for (ScaleExperiment.SlopeDefinition definition : experiment.slopes()) {
             List<Double> sizes = new ArrayList<>();
             List<List<Double>> measured = new ArrayList<>();
-            played.forEach(
+            figuresBySize.forEach(
                     (size, runs) -> {
-                        if (runs.stream().allMatch(m::in)) {
+                        if (runs.stream().allMatch(definition::isMeasuredIn)) {
                             sizes.add((double) size);
-                            measured.add(runs.stream().map(m::of).toList());
+                            measured.add(runs.stream().map(definition::value).toList());
                         }
                     });
             if (sizes.size() < 2) {
                 out.println(
                         "no slope of "
-                                + m.name()
+                                + definition.name()
                                 + ": "
-                                + m.figures()
+                                + definition.figures()
                                 + " were measured at "
                                 + sizes.size()
                                 + " sizes");
             } else {
                 fitted.add(
                         Slope.fit(
-                                new Slope.Head(
-                                        m.role(),
-                                        m.name(),
-                                        m.unit(),
+                                new Slope.SlopeMetadata(
+                                        definition.role(),
+                                        definition.name(),
+                                        definition.unit(),
                                         "proxies",
                                         experiment.file(),
-                                        beside),
+                                        machineLoad),
                                 sizes,
                                 measured));
             }
         }
         if (!fitted.isEmpty()) {
-            SlopeFile.put(slopes, experiment.file(), fitted);
+            SlopeFile.replaceSlopes(slopeFile, experiment.file(), fitted);
             fitted.forEach(
-                    s ->
+                    slope ->
                             out.printf(
                                     "slope %s: %s + %s a proxy, r2 %s%n",
-                                    s.figure(),
-                                    Results.plain(s.fixed()),
-                                    Results.plain(s.perUnit()),
-                                    Results.plain(s.r2())));
+                                    slope.figure(),
+                                    Results.formatNumber(slope.fixed()),
+                                    Results.formatNumber(slope.perUnit()),
+                                    Results.formatNumber(slope.r2())));
         }
     }
 }
--- a/src/main/java/cacheproxy/lab/hollow/Traffic.java
+++ b/src/main/java/cacheproxy/lab/hollow/Traffic.java
@@ -10,9 +10,9 @@
      * Of IPv4 and UDP, and of IPv4 and TCP with timestamps; a flush counts as one segment, bare
      * acknowledgements are not counted.
      */
-    static final int PACKET_HEADERS = 28;
+    static final int UDP_HEADER_BYTES = 28;
 
-    static final int SEGMENT_HEADERS = 52;
+    static final int TCP_HEADER_BYTES = 52;
 
     long sent;
     long sentBytes;
@@ -20,12 +20,12 @@
     long receivedBytes;
     int connections;
 
-    void sent(long bytes) {
+    void countSent(long bytes) {
         sent++;
         sentBytes += bytes;
     }
 
-    void received(long bytes) {
+    void countReceived(long bytes) {
         received++;
         receivedBytes += bytes;
     }
--- a/src/main/java/cacheproxy/lab/hunt/Day.java
+++ b/src/main/java/cacheproxy/lab/hunt/Scenario.java
@@ -10,11 +10,11 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /** One drawn day, small enough to be written down whole and to be made smaller piece by piece. */
-public record Day(
+public record Scenario(
         int nodes,
         int zones,
         int proxies,
-        double load,
+        double loadFactor,
         int durationS,
         int seed,
         List<Fault> faults) {
@@ -45,7 +45,7 @@
                     Kind.PROXY_STOP);
 
     /** Those that may strike the origin's connections and answers as well as a node's. */
-    private static final Set<Kind> ORIGIN_TOO =
+    private static final Set<Kind> ORIGIN_KINDS =
             EnumSet.of(Kind.RESET_BEFORE, Kind.RESET_AFTER, Kind.HALF_ANSWER, Kind.SPOILT_ANSWER);
 
     private static final List<String> ZONES = List.of("a", "b", "c");
@@ -54,35 +54,35 @@
      * Core-milliseconds a second that a node of two cores of speed 1 has, over the mean work of a
      * request.
      */
-    private static final double REQUESTS_A_NODE = 2000 / 35.0;
+    private static final double REQUESTS_PER_S_PER_NODE = 2000 / 35.0;
 
     /** One day in so many is one of overload. */
-    private static final int OVERLOADED = 6;
+    private static final int SCENARIOS_PER_OVERLOAD = 6;
 
-    private static final int FIRST_S = 4;
+    private static final int FIRST_FAULT_S = 4;
 
     /** Calm at the end, in which everything must come back. */
-    static final int CALM_S = 14;
+    static final int RECOVERY_S = 14;
 
-    public Day {
+    public Scenario {
         faults = List.copyOf(faults);
     }
 
-    static Day draw(RandomGenerator random) {
+    static Scenario generate(RandomGenerator random) {
         int nodes = 2 + random.nextInt(9);
         int zones = 1 + random.nextInt(ZONES.size());
         int proxies = 1 + random.nextInt(4);
-        int duration = FIRST_S + CALM_S + 4 + random.nextInt(10);
+        int durationS = FIRST_FAULT_S + RECOVERY_S + 4 + random.nextInt(10);
         List<Fault> faults = new ArrayList<>();
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
             Kind kind = KINDS.get(random.nextInt(KINDS.size()));
-            double at = FIRST_S + random.nextInt(duration - FIRST_S - CALM_S);
-            double length = 0.5 + random.nextInt(16) / 2.0;
+            double atS = FIRST_FAULT_S + random.nextInt(durationS - FIRST_FAULT_S - RECOVERY_S);
+            double lengthS = 0.5 + random.nextInt(16) / 2.0;
             double share = (1 + random.nextInt(10)) / 10.0;
             double factor = kind == Kind.BURST ? 1.5 + random.nextInt(3) : 2 + random.nextInt(8);
-            boolean origin = random.nextInt(4) == 0 && ORIGIN_TOO.contains(kind);
+            boolean atOrigin = random.nextInt(4) == 0 && ORIGIN_KINDS.contains(kind);
             String target =
-                    origin
+                    atOrigin
                             ? "origin"
                             : kind.keys().contains(Fault.Key.NODE)
                                     ? "node-" + random.nextInt(nodes)
@@ -94,29 +94,30 @@
             faults.add(
                     new Fault(
                             kind,
-                            at,
-                            Math.min(length, duration - CALM_S - at),
+                            atS,
+                            Math.min(lengthS, durationS - RECOVERY_S - atS),
                             target,
                             share,
                             factor,
                             1 + random.nextInt(3)));
         }
         // Some days ask for far more than there is from beginning to end.
-        double load =
-                random.nextInt(OVERLOADED) == 0
+        double loadFactor =
+                random.nextInt(SCENARIOS_PER_OVERLOAD) == 0
                         ? 1.5 + random.nextInt(4) / 2.0
                         : (2 + random.nextInt(7)) / 10.0;
-        return new Day(nodes, zones, proxies, load, duration, random.nextInt(1_000_000), faults);
+        return new Scenario(
+                nodes, zones, proxies, loadFactor, durationS, random.nextInt(1_000_000), faults);
     }
 
     /** First tries a second. */
-    double rate() {
-        return Math.max(5, load * nodes * REQUESTS_A_NODE);
+    double requestsPerS() {
+        return Math.max(5, loadFactor * nodes * REQUESTS_PER_S_PER_NODE);
     }
 
     /** The experiment file that plays this day. */
     String toml(String name, String about) {
-        StringBuilder t =
+        StringBuilder text =
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
@@ -154,98 +155,107 @@
                                         .collect(java.util.stream.Collectors.joining(", ")),
                                 Math.max(1, nodes / 2),
                                 proxies,
-                                rate()));
-        for (Fault f : faults) {
-            t.append("\n[[fault]]\nwhat = \"")
-                    .append(f.what().word())
+                                requestsPerS()));
+        for (Fault fault : faults) {
+            text.append("\n[[fault]]\nwhat = \"")
+                    .append(fault.kind().configName())
                     .append("\"\nat_s = ")
-                    .append(f.atS())
+                    .append(fault.atS())
                     .append('\n');
-            for (Fault.Key key : f.what().keys()) {
-                t.append(key.name().toLowerCase(Locale.ROOT))
+            for (Fault.Key key : fault.kind().keys()) {
+                text.append(key.name().toLowerCase(Locale.ROOT))
                         .append(" = ")
                         .append(
                                 switch (key) {
-                                    case FOR_S -> String.valueOf(Math.max(0.1, f.forS()));
-                                    case SHARE -> String.valueOf(f.share());
-                                    case FACTOR -> String.valueOf(f.factor());
-                                    case KEYS -> String.valueOf(f.keys());
-                                    case NODE, PROXY, ZONE, CLASS -> '"' + f.target() + '"';
-                                    case PEER -> '"' + f.peer() + '"';
+                                    case FOR_S -> String.valueOf(Math.max(0.1, fault.forS()));
+                                    case SHARE -> String.valueOf(fault.share());
+                                    case FACTOR -> String.valueOf(fault.factor());
+                                    case KEYS -> String.valueOf(fault.keys());
+                                    case NODE, PROXY, ZONE, CLASS -> '"' + fault.target() + '"';
+                                    case PEER -> '"' + fault.peer() + '"';
                                 })
                         .append('\n');
             }
         }
-        return t.toString();
+        return text.toString();
     }
 
     /**
      * Days that are a little smaller, the greatest step first; a fault whose target is gone goes
      * with it.
      */
-    List<Day> smaller() {
-        List<Day> days = new ArrayList<>();
+    List<Scenario> reductions() {
+        List<Scenario> reductions = new ArrayList<>();
         for (int i = 0; i < faults.size(); i++) {
             List<Fault> rest = new ArrayList<>(faults);
             rest.remove(i);
-            days.add(new Day(nodes, zones, proxies, load, durationS, seed, rest));
+            reductions.add(new Scenario(nodes, zones, proxies, loadFactor, durationS, seed, rest));
         }
         for (int fewer : new int[] {nodes / 2, nodes - 1}) {
             if (fewer >= 1 && fewer < nodes) {
-                days.add(
-                        new Day(
+                reductions.add(
+                        new Scenario(
                                 fewer,
                                 zones,
                                 proxies,
-                                load,
+                                loadFactor,
                                 durationS,
                                 seed,
-                                kept("node-", fewer)));
+                                faultsBelow("node-", fewer)));
             }
         }
         for (int fewer : new int[] {1, proxies - 1}) {
             if (fewer >= 1 && fewer < proxies) {
-                days.add(
-                        new Day(nodes, zones, fewer, load, durationS, seed, kept("proxy-", fewer)));
+                reductions.add(
+                        new Scenario(
+                                nodes,
+                                zones,
+                                fewer,
+                                loadFactor,
+                                durationS,
+                                seed,
+                                faultsBelow("proxy-", fewer)));
             }
         }
         if (zones > 1 && faults.stream().noneMatch(f -> f.target().equals(ZONES.get(zones - 1)))) {
-            days.add(new Day(nodes, zones - 1, proxies, load, durationS, seed, faults));
+            reductions.add(
+                    new Scenario(nodes, zones - 1, proxies, loadFactor, durationS, seed, faults));
         }
-        int end =
+        int endS =
                 (int)
                                 Math.ceil(
                                         faults.stream()
                                                 .mapToDouble(f -> f.atS() + f.forS())
                                                 .max()
-                                                .orElse(FIRST_S))
+                                                .orElse(FIRST_FAULT_S))
                         + 1;
-        for (int shorter : new int[] {end, durationS - 2}) {
-            if (shorter >= end && shorter < durationS) {
-                days.add(new Day(nodes, zones, proxies, load, shorter, seed, faults));
+        for (int shorterS : new int[] {endS, durationS - 2}) {
+            if (shorterS >= endS && shorterS < durationS) {
+                reductions.add(
+                        new Scenario(nodes, zones, proxies, loadFactor, shorterS, seed, faults));
             }
         }
-        if (load > 0.1) {
-            days.add(
-                    new Day(
+        if (loadFactor > 0.1) {
+            reductions.add(
+                    new Scenario(
                             nodes,
                             zones,
                             proxies,
-                            Math.round(5 * load) / 10.0,
+                            Math.round(5 * loadFactor) / 10.0,
                             durationS,
                             seed,
                             faults));
         }
-        return days;
+        return reductions;
     }
 
-    private List<Fault> kept(String prefix, int fewer) {
+    private List<Fault> faultsBelow(String prefix, int count) {
         return faults.stream()
                 .filter(
                         f ->
                                 !f.target().startsWith(prefix)
                                         || Integer.parseInt(f.target().substring(prefix.length()))
-                                                < fewer)
+                                                < count)
                 .toList();
     }
 }
--- a/src/main/java/cacheproxy/lab/ledger/Ledger.java
+++ b/src/main/java/cacheproxy/lab/ledger/Ledger.java
@@ -1,7 +1,7 @@
 package cacheproxy.lab.ledger;
 
-import cacheproxy.lab.world.ColdAllowance;
-import cacheproxy.lab.world.ColdWindow;
+import cacheproxy.lab.world.SlowStartAllowance;
+import cacheproxy.lab.world.SlowStartWindow;
 import cacheproxy.lab.world.World;
 import cacheproxy.lab.world.World.Answer;
 import cacheproxy.lab.world.World.Health;
@@ -49,7 +49,7 @@
 
         /** What an answer that leaves its machine says of its attempt. */
         public static Verdict of(Answer answer) {
-            if (answer.manner() != World.Manner.WHOLE) {
+            if (answer.completion() != World.AnswerCompletion.COMPLETE) {
                 return BROKEN;
             }
             return answer.rejected()
@@ -64,7 +64,7 @@
      */
     public static final class Attempt {
         public final long number;
-        public final String call;
+        public final String callId;
         public final String machine;
         public final boolean origin;
         public final int proxy;
@@ -78,7 +78,7 @@
          * Work of its request where that is a hit, by which it weighs at a cold node; 0 where it
          * never arrived.
          */
-        public final double callMs;
+        public final double requestWorkMs;
 
         public Verdict verdict = Verdict.OPEN;
         public double answeredAt = Double.POSITIVE_INFINITY;
@@ -86,28 +86,28 @@
         /** When the proxy ended its side; infinite while it had not. */
         public double closedAt = Double.POSITIVE_INFINITY;
 
-        public boolean ran;
-        public boolean atColdNode;
+        public boolean executed;
+        public boolean atWarmingNode;
 
         public Attempt(
                 long number,
-                String call,
+                String callId,
                 String machine,
                 boolean origin,
                 int proxy,
                 double firstByteAt,
                 double lastByteAt,
                 double workMs,
-                double callMs) {
+                double requestWorkMs) {
             this.number = number;
-            this.call = call;
+            this.callId = callId;
             this.machine = machine;
             this.origin = origin;
             this.proxy = proxy;
             this.firstByteAt = firstByteAt;
             this.lastByteAt = lastByteAt;
             this.workMs = workMs;
-            this.callMs = callMs;
+            this.requestWorkMs = requestWorkMs;
         }
     }
 
@@ -115,22 +115,22 @@
      * A final answer as the client read it. {@code retryAfterMs} is NaN without one; {@code made}
      * is the attempt named in a served body, or 0.
      */
-    public record Reply(double at, int status, double retryAfterMs, long made) {}
+    public record FinalAnswer(double at, int status, double retryAfterMs, long attemptNumber) {}
 
     /** One try of a client. */
-    public static final class Try {
+    public static final class ClientTry {
         public final String id;
-        public final int first;
-        public final int type;
+        public final int requestIndex;
+        public final int classIndex;
         public final long key;
         public final int proxy;
         public final double sentAt;
         public final double budgetMs;
-        public final List<Reply> replies = new ArrayList<>(1);
+        public final List<FinalAnswer> replies = new ArrayList<>(1);
         public final List<Attempt> attempts = new ArrayList<>(2);
 
         /** When the proxy closed on it without a whole answer; infinite if it did not. */
-        public double lostAt = Double.POSITIVE_INFINITY;
+        public double connectionLostAt = Double.POSITIVE_INFINITY;
 
         /** When the client stopped waiting; infinite if it had an answer. */
         public double gaveUpAt = Double.POSITIVE_INFINITY;
@@ -139,15 +139,22 @@
          * It was the first request on its connection; closed without a word, such a one has failed
          * and is not lost.
          */
-        public boolean fresh;
+        public boolean firstOnConnection;
 
         /** The proxy began an answer that it could not finish. */
-        public boolean begun;
+        public boolean answerBegun;
 
-        Try(String id, int first, int type, long key, int proxy, double sentAt, double budgetMs) {
+        ClientTry(
+                String id,
+                int requestIndex,
+                int classIndex,
+                long key,
+                int proxy,
+                double sentAt,
+                double budgetMs) {
             this.id = id;
-            this.first = first;
-            this.type = type;
+            this.requestIndex = requestIndex;
+            this.classIndex = classIndex;
             this.key = key;
             this.proxy = proxy;
             this.sentAt = sentAt;
@@ -155,91 +162,102 @@
         }
 
         public double endedAt() {
-            double replied = replies.isEmpty() ? Double.POSITIVE_INFINITY : replies.get(0).at();
-            return Math.min(replied, Math.min(lostAt, gaveUpAt));
+            double repliedAt = replies.isEmpty() ? Double.POSITIVE_INFINITY : replies.get(0).at();
+            return Math.min(repliedAt, Math.min(connectionLostAt, gaveUpAt));
         }
     }
 
     /** Discovery told a proxy of a machine; {@code startedAt} is negative for long ago. */
-    public record Told(int proxy, String machine, Health health, double startedAt, double at) {}
+    public record ListNotification(
+            int proxy, String machine, Health health, double startedAt, double at) {}
 
     /**
      * A machine started cold; {@code capacity} is what it has when it is warm, in core-milliseconds
      * a millisecond.
      */
-    public record Started(String machine, double at, double capacity, ColdAllowance allowance) {
+    public record MachineStart(
+            String machine, double at, double capacity, SlowStartAllowance allowance) {
 
-        ColdWindow window() {
-            return new ColdWindow(allowance, at, capacity);
+        SlowStartWindow window() {
+            return new SlowStartWindow(allowance, at, capacity);
         }
     }
 
     /** For a cause of ours a proxy could not do its work from one time to another. */
-    public record Excuse(int proxy, double from, double to, String why) {}
+    public record ExcusedInterval(int proxy, double from, double to, String cause) {}
 
     /** The origin stopped because of what it was sent. */
     public record OriginStop(double at) {}
 
-    private final Map<String, Try> tries = new ConcurrentHashMap<>();
+    private final Map<String, ClientTry> tries = new ConcurrentHashMap<>();
     private final List<Attempt> attempts = Collections.synchronizedList(new ArrayList<>());
-    private final List<Attempt> strangers = Collections.synchronizedList(new ArrayList<>());
-    private final List<Told> told = Collections.synchronizedList(new ArrayList<>());
-    private final List<Told> changes = Collections.synchronizedList(new ArrayList<>());
-    private final List<Started> started = Collections.synchronizedList(new ArrayList<>());
-    private final List<Excuse> excuses = Collections.synchronizedList(new ArrayList<>());
-    private final List<OriginStop> stops = Collections.synchronizedList(new ArrayList<>());
+    private final List<Attempt> unmatchedAttempts = Collections.synchronizedList(new ArrayList<>());
+    private final List<ListNotification> notifications =
+            Collections.synchronizedList(new ArrayList<>());
+    private final List<ListNotification> changes = Collections.synchronizedList(new ArrayList<>());
+    private final List<MachineStart> started = Collections.synchronizedList(new ArrayList<>());
+    private final List<ExcusedInterval> excuses = Collections.synchronizedList(new ArrayList<>());
+    private final List<OriginStop> originStops = Collections.synchronizedList(new ArrayList<>());
 
     /** A client's try is about to go out; its time runs from its last byte. */
-    public Try sent(
-            String id, int first, int type, long key, int proxy, double at, double budgetMs) {
-        Try t = new Try(id, first, type, key, proxy, at, budgetMs);
-        tries.put(id, t);
-        return t;
+    public ClientTry sent(
+            String id,
+            int requestIndex,
+            int classIndex,
+            long key,
+            int proxy,
+            double at,
+            double budgetMs) {
+        ClientTry clientTry = new ClientTry(id, requestIndex, classIndex, key, proxy, at, budgetMs);
+        tries.put(id, clientTry);
+        return clientTry;
     }
 
     /**
      * An attempt's last byte has come to a machine; one with an id that no client sent is kept
      * apart.
      */
-    public void attempt(Attempt a) {
-        attempts.add(a);
-        Try t = tries.get(a.call);
-        if (t == null) {
-            strangers.add(a);
+    public void attempt(Attempt attempt) {
+        attempts.add(attempt);
+        ClientTry clientTry = tries.get(attempt.callId);
+        if (clientTry == null) {
+            unmatchedAttempts.add(attempt);
         } else {
-            t.attempts.add(a);
+            clientTry.attempts.add(attempt);
         }
     }
 
-    public void told(Told entry) {
-        told.add(entry);
+    public void notified(ListNotification entry) {
+        notifications.add(entry);
     }
 
     /** The list itself changed; proxies hear of it later. */
     public void changed(String machine, Health health, double startedAt, double at) {
-        changes.add(new Told(-1, machine, health, startedAt, at));
+        changes.add(new ListNotification(-1, machine, health, startedAt, at));
     }
 
-    public void started(Started start) {
+    public void started(MachineStart start) {
         started.add(start);
     }
 
-    public void excuse(Excuse excuse) {
+    public void excuse(ExcusedInterval excuse) {
         excuses.add(excuse);
     }
 
     public void originStopped(double at) {
-        stops.add(new OriginStop(at));
+        originStops.add(new OriginStop(at));
     }
 
-    public Try find(String id) {
+    public ClientTry find(String id) {
         return tries.get(id);
     }
 
     /** All tries in the order in which they were sent. */
-    public List<Try> tries() {
+    public List<ClientTry> tries() {
         return tries.values().stream()
-                .sorted(Comparator.comparingDouble((Try t) -> t.sentAt).thenComparing(t -> t.id))
+                .sorted(
+                        Comparator.comparingDouble((ClientTry t) -> t.sentAt)
+                                .thenComparing(t -> t.id))
                 .toList();
     }
 
@@ -247,27 +265,27 @@
         return List.copyOf(attempts);
     }
 
-    List<Attempt> strangers() {
-        return List.copyOf(strangers);
+    List<Attempt> unmatchedAttempts() {
+        return List.copyOf(unmatchedAttempts);
     }
 
-    List<Told> told() {
-        return List.copyOf(told);
+    List<ListNotification> notified() {
+        return List.copyOf(notifications);
     }
 
-    List<Told> changes() {
+    List<ListNotification> changes() {
         return List.copyOf(changes);
     }
 
-    List<Started> started() {
+    List<MachineStart> started() {
         return List.copyOf(started);
     }
 
-    List<OriginStop> stops() {
-        return List.copyOf(stops);
+    List<OriginStop> originStops() {
+        return List.copyOf(originStops);
     }
 
-    boolean excused(int proxy, double from, double to) {
+    boolean isExcused(int proxy, double from, double to) {
         return excuses.stream()
                 .anyMatch(e -> e.proxy() == proxy && e.from() <= to && e.to() >= from);
     }
--- a/src/main/java/cacheproxy/lab/ledger/PolicyLedger.java
+++ b/src/main/java/cacheproxy/lab/ledger/PolicyLedger.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.epoch.Message;
 import cacheproxy.lab.Experiment;
-import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PeerLinkFaults;
 import cacheproxy.lab.ledger.Rules.Rule;
 import cacheproxy.lab.ledger.Rules.Violation;
 import java.util.ArrayList;
@@ -23,13 +23,13 @@
 public final class PolicyLedger {
 
     /** A proxy counted itself current at an epoch. */
-    private static final class Span {
+    private static final class CurrentSpan {
         final int proxy;
         final long epoch;
         final double from;
         double to = Double.POSITIVE_INFINITY;
 
-        Span(int proxy, long epoch, double from) {
+        CurrentSpan(int proxy, long epoch, double from) {
             this.proxy = proxy;
             this.epoch = epoch;
             this.from = from;
@@ -37,140 +37,144 @@
     }
 
     private static final class Proposal {
-        final double at;
+        final double proposedAt;
         double answeredAt = Double.NaN;
-        Message.Ending ending = Message.Ending.UNKNOWN;
+        Message.ProposalStatus status = Message.ProposalStatus.UNKNOWN;
 
-        Proposal(double at) {
-            this.at = at;
+        Proposal(double proposedAt) {
+            this.proposedAt = proposedAt;
         }
 
         boolean refused() {
-            return ending == Message.Ending.REFUSED || ending == Message.Ending.NO_MAJORITY;
+            return status == Message.ProposalStatus.REFUSED
+                    || status == Message.ProposalStatus.NO_MAJORITY;
         }
     }
 
     private final int proxies;
-    private final List<Span> spans = new ArrayList<>();
-    private final Span[] open;
-    private final long[] running;
+    private final List<CurrentSpan> spans = new ArrayList<>();
+    private final CurrentSpan[] openSpans;
+    private final long[] runningEpochs;
     private final boolean[] alive;
-    private final double[] stoppedUntil;
+    private final double[] pausedUntil;
     private final int voters;
-    private final PeerLinks links;
-    private final Map<Long, String> contents = new TreeMap<>();
+    private final PeerLinkFaults links;
+    private final Map<Long, String> contentByEpoch = new TreeMap<>();
     private final Map<String, Proposal> proposals = new TreeMap<>();
     private final Map<Long, Map<Integer, Double>> appliedAt = new TreeMap<>();
-    private final double[] backAt;
-    private final List<Double> back = new ArrayList<>();
-    private final List<Violation> found = new ArrayList<>();
+    private final double[] faultEndedAt;
+    private final List<Double> recoveryMs = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
     private int fences;
 
     /** {@code links} are those between the proxies. */
-    public PolicyLedger(Experiment experiment, PeerLinks links) {
+    public PolicyLedger(Experiment experiment, PeerLinkFaults links) {
         this.links = links;
         proxies = experiment.proxies().count();
         voters = experiment.policy().voters();
-        stoppedUntil = new double[proxies];
-        open = new Span[proxies];
-        running = new long[proxies];
+        pausedUntil = new double[proxies];
+        openSpans = new CurrentSpan[proxies];
+        runningEpochs = new long[proxies];
         alive = new boolean[proxies];
-        backAt = new double[proxies];
+        faultEndedAt = new double[proxies];
         Arrays.fill(alive, true);
-        Arrays.fill(backAt, Double.NaN);
+        Arrays.fill(faultEndedAt, Double.NaN);
     }
 
-    public synchronized void ended(int proxy, double at) {
+    public synchronized void processEnded(int proxy, double at) {
         alive[proxy] = false;
-        close(proxy, at);
-        backAt[proxy] = Double.NaN;
+        endSpan(proxy, at);
+        faultEndedAt[proxy] = Double.NaN;
     }
 
     /** A new process; what it keeps on its disk it will tell of. */
-    public synchronized void started(int proxy) {
+    public synchronized void processStarted(int proxy) {
         alive[proxy] = true;
     }
 
     /** A process stands still until then. */
-    public synchronized void stopped(int proxy, double until) {
-        stoppedUntil[proxy] = until;
+    public synchronized void processPaused(int proxy, double until) {
+        pausedUntil[proxy] = until;
     }
 
     /**
      * Something that may have kept a proxy from the others is over; if a majority of voters is
      * there for it, it should be current soon.
      */
-    public synchronized void back(int proxy, double at) {
-        long there =
+    public synchronized void faultEnded(int proxy, double at) {
+        long reachableVoters =
                 IntStream.range(0, voters)
                         .filter(
                                 v ->
                                         alive[v]
-                                                && at >= stoppedUntil[v]
-                                                && !links.cut(v, proxy, at)
-                                                && !links.cut(proxy, v, at))
+                                                && at >= pausedUntil[v]
+                                                && !links.isCut(v, proxy, at)
+                                                && !links.isCut(proxy, v, at))
                         .count();
-        if (alive[proxy] && open[proxy] == null && 2 * there > voters) {
-            backAt[proxy] = at;
+        if (alive[proxy] && openSpans[proxy] == null && 2 * reachableVoters > voters) {
+            faultEndedAt[proxy] = at;
         }
     }
 
     /** A proposal that is known by its content, which no other has. */
-    public synchronized void proposed(String content, double at) {
+    public synchronized void proposalSent(String content, double at) {
         proposals.put(content, new Proposal(at));
     }
 
     /** How it ended. */
-    public synchronized void answered(String content, Message.Ending ending, double at) {
-        Proposal p = proposals.get(content);
-        p.answeredAt = at;
-        p.ending = ending;
+    public synchronized void proposalAnswered(
+            String content, Message.ProposalStatus status, double at) {
+        Proposal proposal = proposals.get(content);
+        proposal.answeredAt = at;
+        proposal.status = status;
     }
 
     /** A proxy runs an epoch from now on; {@code content} is null where it could not say it. */
-    public synchronized void applied(int proxy, long epoch, String content, double at) {
-        String known = content == null ? null : contents.putIfAbsent(epoch, content);
-        if (known != null && !known.equals(content)) {
-            broken(proxy, at, "runs other content as epoch " + epoch + " than another proxy");
+    public synchronized void epochApplied(int proxy, long epoch, String content, double at) {
+        String earlier = content == null ? null : contentByEpoch.putIfAbsent(epoch, content);
+        if (earlier != null && !earlier.equals(content)) {
+            addViolation(proxy, at, "runs other content as epoch " + epoch + " than another proxy");
         }
-        if (epoch > 1 && !contents.containsKey(epoch - 1)) {
-            broken(proxy, at, "runs epoch " + epoch + " and nobody ever ran " + (epoch - 1));
+        if (epoch > 1 && !contentByEpoch.containsKey(epoch - 1)) {
+            addViolation(proxy, at, "runs epoch " + epoch + " and nobody ever ran " + (epoch - 1));
         }
-        if (epoch < running[proxy] && appliedAt.getOrDefault(epoch, Map.of()).containsKey(proxy)) {
-            broken(proxy, at, "went back from epoch " + running[proxy] + " to " + epoch);
+        if (epoch < runningEpochs[proxy]
+                && appliedAt.getOrDefault(epoch, Map.of()).containsKey(proxy)) {
+            addViolation(
+                    proxy, at, "went back from epoch " + runningEpochs[proxy] + " to " + epoch);
         }
-        close(proxy, at);
-        running[proxy] = epoch;
+        endSpan(proxy, at);
+        runningEpochs[proxy] = epoch;
         appliedAt.computeIfAbsent(epoch, e -> new HashMap<>()).putIfAbsent(proxy, at);
     }
 
-    public synchronized void current(int proxy, long epoch, double at) {
-        close(proxy, at);
-        open[proxy] = new Span(proxy, epoch, at);
-        spans.add(open[proxy]);
-        if (!Double.isNaN(backAt[proxy])) {
-            back.add(at - backAt[proxy]);
-            backAt[proxy] = Double.NaN;
+    public synchronized void becameCurrent(int proxy, long epoch, double at) {
+        endSpan(proxy, at);
+        openSpans[proxy] = new CurrentSpan(proxy, epoch, at);
+        spans.add(openSpans[proxy]);
+        if (!Double.isNaN(faultEndedAt[proxy])) {
+            recoveryMs.add(at - faultEndedAt[proxy]);
+            faultEndedAt[proxy] = Double.NaN;
         }
     }
 
-    public synchronized void notCurrent(int proxy, double at) {
-        close(proxy, at);
+    public synchronized void ceasedCurrent(int proxy, double at) {
+        endSpan(proxy, at);
     }
 
-    public synchronized void fenced() {
+    public synchronized void countFence() {
         fences++;
     }
 
-    private void close(int proxy, double at) {
-        if (open[proxy] != null) {
-            open[proxy].to = Math.min(open[proxy].to, at);
-            open[proxy] = null;
+    private void endSpan(int proxy, double at) {
+        if (openSpans[proxy] != null) {
+            openSpans[proxy].to = Math.min(openSpans[proxy].to, at);
+            openSpans[proxy] = null;
         }
     }
 
-    private void broken(int proxy, double at, String proof) {
-        found.add(new Violation(Rule.POLICY, "proxy-" + proxy, at, proof));
+    private void addViolation(int proxy, double at, String proof) {
+        violations.add(new Violation(Rule.POLICY, "proxy-" + proxy, at, proof));
     }
 
     /**
@@ -178,37 +182,39 @@
      * refusals that took hold.
      */
     public synchronized List<Violation> violations() {
-        List<Violation> all = new ArrayList<>(found);
+        List<Violation> all = new ArrayList<>(violations);
         for (int i = 0; i < spans.size(); i++) {
             for (int j = i + 1; j < spans.size(); j++) {
-                Span a = spans.get(i);
-                Span b = spans.get(j);
-                double from = Math.max(a.from, b.from);
-                if (a.epoch != b.epoch && a.proxy != b.proxy && from < Math.min(a.to, b.to)) {
+                CurrentSpan first = spans.get(i);
+                CurrentSpan second = spans.get(j);
+                double from = Math.max(first.from, second.from);
+                if (first.epoch != second.epoch
+                        && first.proxy != second.proxy
+                        && from < Math.min(first.to, second.to)) {
                     all.add(
                             new Violation(
                                     Rule.POLICY,
-                                    "proxy-" + a.proxy,
+                                    "proxy-" + first.proxy,
                                     from,
                                     String.format(
                                             Locale.ROOT,
                                             "current at epoch %d until %.1f ms while proxy-%d is at %d from %.1f ms on",
-                                            a.epoch,
-                                            a.to,
-                                            b.proxy,
-                                            b.epoch,
-                                            b.from)));
+                                            first.epoch,
+                                            first.to,
+                                            second.proxy,
+                                            second.epoch,
+                                            second.from)));
                 }
             }
         }
         proposals.forEach(
-                (content, p) -> {
-                    if (p.refused() && contents.containsValue(content)) {
+                (content, proposal) -> {
+                    if (proposal.refused() && contentByEpoch.containsValue(content)) {
                         all.add(
                                 new Violation(
                                         Rule.POLICY,
                                         "proposal",
-                                        p.answeredAt,
+                                        proposal.answeredAt,
                                         "was refused and took hold"));
                     }
                 });
@@ -217,45 +223,48 @@
 
     /** What it came to by the end of the run. */
     public synchronized Map<String, Double> figures() {
-        List<Double> took = new ArrayList<>();
+        List<Double> applyMs = new ArrayList<>();
         int refused = 0;
         int unknown = 0;
-        for (Proposal p : proposals.values()) {
-            refused += p.refused() ? 1 : 0;
-            unknown += p.ending == Message.Ending.UNKNOWN ? 1 : 0;
+        for (Proposal proposal : proposals.values()) {
+            refused += proposal.refused() ? 1 : 0;
+            unknown += proposal.status == Message.ProposalStatus.UNKNOWN ? 1 : 0;
         }
         proposals.forEach(
-                (content, p) ->
-                        contents.forEach(
+                (content, proposal) ->
+                        contentByEpoch.forEach(
                                 (epoch, c) -> {
-                                    Map<Integer, Double> at =
+                                    Map<Integer, Double> appliedTimes =
                                             appliedAt.getOrDefault(epoch, Map.of());
-                                    if (c.equals(content) && at.size() == proxies) {
-                                        took.add(
-                                                at.values().stream()
+                                    if (c.equals(content) && appliedTimes.size() == proxies) {
+                                        applyMs.add(
+                                                appliedTimes.values().stream()
                                                                 .mapToDouble(d -> d)
                                                                 .max()
                                                                 .orElse(0)
-                                                        - p.at);
+                                                        - proposal.proposedAt);
                                     }
                                 }));
-        took.sort(null);
-        long highest = contents.keySet().stream().mapToLong(e -> e).max().orElse(0);
+        applyMs.sort(null);
+        long latestEpoch = contentByEpoch.keySet().stream().mapToLong(e -> e).max().orElse(0);
         int behind = 0;
         int notCurrent = 0;
         for (int i = 0; i < proxies; i++) {
-            behind += alive[i] && running[i] < highest ? 1 : 0;
-            notCurrent += alive[i] && open[i] == null ? 1 : 0;
+            behind += alive[i] && runningEpochs[i] < latestEpoch ? 1 : 0;
+            notCurrent += alive[i] && openSpans[i] == null ? 1 : 0;
         }
         Map<String, Double> figures = new TreeMap<>();
-        figures.put("policy.epochs", (double) highest);
+        figures.put("policy.epochs", (double) latestEpoch);
         figures.put("policy.proposals", (double) proposals.size());
         figures.put("policy.refused", (double) refused);
         figures.put("policy.unknown", (double) unknown);
         figures.put(
-                "policy.everywhere_ms_p50", took.isEmpty() ? 0 : took.get((took.size() - 1) / 2));
-        figures.put("policy.everywhere_ms_max", took.isEmpty() ? 0 : took.get(took.size() - 1));
-        figures.put("policy.back_ms_max", back.stream().mapToDouble(d -> d).max().orElse(0));
+                "policy.everywhere_ms_p50",
+                applyMs.isEmpty() ? 0 : applyMs.get((applyMs.size() - 1) / 2));
+        figures.put(
+                "policy.everywhere_ms_max",
+                applyMs.isEmpty() ? 0 : applyMs.get(applyMs.size() - 1));
+        figures.put("policy.back_ms_max", recoveryMs.stream().mapToDouble(d -> d).max().orElse(0));
         figures.put("policy.behind_at_end", (double) behind);
         figures.put("policy.not_current_at_end", (double) notCurrent);
         figures.put("policy.fences", (double) fences);
--- a/src/main/java/cacheproxy/lab/ledger/Rules.java
+++ b/src/main/java/cacheproxy/lab/ledger/Rules.java
@@ -3,9 +3,9 @@
 import cacheproxy.Router.Effect;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.ledger.Ledger.Attempt;
-import cacheproxy.lab.ledger.Ledger.Reply;
-import cacheproxy.lab.ledger.Ledger.Told;
-import cacheproxy.lab.ledger.Ledger.Try;
+import cacheproxy.lab.ledger.Ledger.ClientTry;
+import cacheproxy.lab.ledger.Ledger.FinalAnswer;
+import cacheproxy.lab.ledger.Ledger.ListNotification;
 import cacheproxy.lab.world.World.Health;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -70,24 +70,24 @@
     }
 
     /** Part of the load of a cold machine that must come from proxies that knew of its start. */
-    private static final double KNEW = 2.0 / 3;
+    private static final double MIN_NOTIFIED_SHARE = 2.0 / 3;
 
     /** Part of what a stopping origin was sent that cold nodes' misses may make. */
-    private static final double COLD_PART = 0.3;
+    private static final double MAX_COLD_MISS_SHARE = 0.3;
 
     /**
      * Two attempts to connect that never came up: no machine sees them, so they stand in no ledger.
      */
-    private static final double UNSEEN_MS = 200;
+    private static final double UNSEEN_CONNECT_MS = 200;
 
     private static final int HTTP_OK = 200;
-    private static final int HTTP_MANY = 429;
+    private static final int HTTP_TOO_MANY_REQUESTS = 429;
     private static final int HTTP_UNAVAILABLE = 503;
 
     private final Ledger ledger;
     private final Experiment experiment;
-    private final double fallMs;
-    private final List<Violation> found = new ArrayList<>();
+    private final double originOverloadWindowMs;
+    private final List<Violation> violations = new ArrayList<>();
 
     /** Fetches of each key by each proxy: a read may wait for one that another read has begun. */
     private final Map<String, List<Attempt>> fetches = new HashMap<>();
@@ -95,11 +95,12 @@
     private Rules(Ledger ledger, Experiment experiment) {
         this.ledger = ledger;
         this.experiment = experiment;
-        this.fallMs = experiment.origin().fallS() * 1000;
-        for (Attempt a : ledger.attempts()) {
-            Try t = ledger.find(a.call);
-            if (a.origin && t != null) {
-                fetches.computeIfAbsent(a.proxy + " " + t.key, k -> new ArrayList<>()).add(a);
+        this.originOverloadWindowMs = experiment.origin().fallS() * 1000;
+        for (Attempt attempt : ledger.attempts()) {
+            ClientTry clientTry = ledger.find(attempt.callId);
+            if (attempt.origin && clientTry != null) {
+                fetches.computeIfAbsent(attempt.proxy + " " + clientTry.key, k -> new ArrayList<>())
+                        .add(attempt);
             }
         }
     }
@@ -107,185 +108,221 @@
     /** Every violation in the ledger, in the order of time. */
     public static List<Violation> check(Ledger ledger, Experiment experiment) {
         Rules rules = new Rules(ledger, experiment);
-        ledger.tries().forEach(rules::tried);
-        ledger.strangers()
+        ledger.tries().forEach(rules::checkTry);
+        ledger.unmatchedAttempts()
                 .forEach(
-                        a ->
-                                rules.broken(
+                        attempt ->
+                                rules.addViolation(
                                         Rule.KNOWN_ID,
-                                        a.call,
-                                        a.lastByteAt,
-                                        "came to " + a.machine + ", and no client sent it"));
-        rules.drains();
-        rules.cold();
-        ledger.stops().forEach(s -> rules.originStop(s.at()));
-        rules.found.sort(Comparator.comparingDouble(Violation::atMs));
-        return List.copyOf(rules.found);
+                                        attempt.callId,
+                                        attempt.lastByteAt,
+                                        "came to " + attempt.machine + ", and no client sent it"));
+        rules.checkDrains();
+        rules.checkColdNodes();
+        ledger.originStops().forEach(s -> rules.checkOriginStop(s.at()));
+        rules.violations.sort(Comparator.comparingDouble(Violation::atMs));
+        return List.copyOf(rules.violations);
     }
 
-    private void broken(Rule rule, String request, double at, String proof) {
-        found.add(new Violation(rule, request, at, proof));
+    private void addViolation(Rule rule, String request, double at, String proof) {
+        violations.add(new Violation(rule, request, at, proof));
     }
 
-    private static boolean refused(Reply reply) {
-        return reply.status() == HTTP_MANY || reply.status() == HTTP_UNAVAILABLE;
+    private static boolean isRefusal(FinalAnswer reply) {
+        return reply.status() == HTTP_TOO_MANY_REQUESTS || reply.status() == HTTP_UNAVAILABLE;
     }
 
-    private void tried(Try t) {
+    private void checkTry(ClientTry clientTry) {
         boolean excused =
-                ledger.excused(
-                        t.proxy,
-                        t.sentAt,
+                ledger.isExcused(
+                        clientTry.proxy,
+                        clientTry.sentAt,
                         Math.min(
-                                t.endedAt(), t.sentAt + t.budgetMs + experiment.rules().slackMs()));
-        double due = t.sentAt + t.budgetMs + experiment.rules().slackMs();
+                                clientTry.endedAt(),
+                                clientTry.sentAt
+                                        + clientTry.budgetMs
+                                        + experiment.rules().slackMs()));
+        double dueAt = clientTry.sentAt + clientTry.budgetMs + experiment.rules().slackMs();
         List<Attempt> attempts =
-                t.attempts.stream().sorted(Comparator.comparingDouble(a -> a.firstByteAt)).toList();
-        if (t.replies.size() > 1) {
-            broken(
+                clientTry.attempts.stream()
+                        .sorted(Comparator.comparingDouble(attempt -> attempt.firstByteAt))
+                        .toList();
+        if (clientTry.replies.size() > 1) {
+            addViolation(
                     Rule.ONE_ANSWER,
-                    t.id,
-                    t.replies.get(1).at(),
-                    t.replies.size() + " final answers: " + t.replies);
+                    clientTry.id,
+                    clientTry.replies.get(1).at(),
+                    clientTry.replies.size() + " final answers: " + clientTry.replies);
         }
-        boolean turnedAway = t.fresh && t.lostAt < t.gaveUpAt && attempts.isEmpty();
-        if (t.replies.isEmpty() && !excused && !t.begun && !turnedAway) {
-            broken(
+        boolean connectionRejected =
+                clientTry.firstOnConnection
+                        && clientTry.connectionLostAt < clientTry.gaveUpAt
+                        && attempts.isEmpty();
+        if (clientTry.replies.isEmpty()
+                && !excused
+                && !clientTry.answerBegun
+                && !connectionRejected) {
+            addViolation(
                     Rule.ONE_ANSWER,
-                    t.id,
-                    Math.min(t.lostAt, t.gaveUpAt),
+                    clientTry.id,
+                    Math.min(clientTry.connectionLostAt, clientTry.gaveUpAt),
                     "sent at "
-                            + ms(t.sentAt)
+                            + formatMs(clientTry.sentAt)
                             + " to proxy-"
-                            + t.proxy
+                            + clientTry.proxy
                             + " and "
-                            + (t.lostAt < t.gaveUpAt
-                                    ? "closed at " + ms(t.lostAt) + " without an answer"
-                                    : "not answered by " + ms(due))
+                            + (clientTry.connectionLostAt < clientTry.gaveUpAt
+                                    ? "closed at "
+                                            + formatMs(clientTry.connectionLostAt)
+                                            + " without an answer"
+                                    : "not answered by " + formatMs(dueAt))
                             + ", attempts "
-                            + listed(attempts));
-        } else if (!t.replies.isEmpty() && t.replies.get(0).at() > due && !excused) {
-            broken(Rule.IN_TIME, t.id, t.replies.get(0).at(), "due at " + ms(due));
+                            + describe(attempts));
+        } else if (!clientTry.replies.isEmpty()
+                && clientTry.replies.get(0).at() > dueAt
+                && !excused) {
+            addViolation(
+                    Rule.IN_TIME,
+                    clientTry.id,
+                    clientTry.replies.get(0).at(),
+                    "due at " + formatMs(dueAt));
         }
-        for (Reply reply : t.replies) {
+        for (FinalAnswer reply : clientTry.replies) {
             if (reply.status() == HTTP_OK) {
-                served(t, reply, attempts);
-            } else if (refused(reply)) {
-                refusal(t, reply, attempts, excused);
+                checkServed(clientTry, reply, attempts);
+            } else if (isRefusal(reply)) {
+                checkRefusal(clientTry, reply, attempts, excused);
             }
         }
-        repeats(t, attempts);
+        checkRepeats(clientTry, attempts);
     }
 
-    private void served(Try t, Reply reply, List<Attempt> attempts) {
+    private void checkServed(ClientTry clientTry, FinalAnswer reply, List<Attempt> attempts) {
         if (attempts.stream()
                 .noneMatch(
-                        a -> a.number == reply.made() && a.ran && a.answeredAt <= reply.at() + 1)) {
-            broken(
+                        attempt ->
+                                attempt.number == reply.attemptNumber()
+                                        && attempt.executed
+                                        && attempt.answeredAt <= reply.at() + 1)) {
+            addViolation(
                     Rule.MADE_FOR_IT,
-                    t.id,
+                    clientTry.id,
                     reply.at(),
                     "its body names attempt "
-                            + reply.made()
+                            + reply.attemptNumber()
                             + ", and its own are "
-                            + listed(attempts));
+                            + describe(attempts));
         }
     }
 
-    private void refusal(Try t, Reply reply, List<Attempt> attempts, boolean excused) {
-        Effect effect = experiment.load().classes().get(t.type).effect();
-        for (Attempt a : attempts) {
-            if (effect == Effect.UNSAFE && !provedBy(a, reply.at())) {
-                broken(
+    private void checkRefusal(
+            ClientTry clientTry, FinalAnswer reply, List<Attempt> attempts, boolean excused) {
+        Effect effect = experiment.load().classes().get(clientTry.classIndex).effect();
+        for (Attempt attempt : attempts) {
+            if (effect == Effect.UNSAFE && !provedNotRunBy(attempt, reply.at())) {
+                addViolation(
                         Rule.DUPLICATE,
-                        t.id,
+                        clientTry.id,
                         reply.at(),
                         "refused as harmless to repeat though "
-                                + listed(List.of(a))
+                                + describe(List.of(attempt))
                                 + " may have run");
             }
         }
         if (Double.isNaN(reply.retryAfterMs())) {
-            broken(Rule.REFUSAL, t.id, reply.at(), "no Retry-After");
+            addViolation(Rule.REFUSAL, clientTry.id, reply.at(), "no Retry-After");
         }
-        double idleSince = t.sentAt;
-        for (Attempt a : attempts) {
+        double idleSince = clientTry.sentAt;
+        for (Attempt attempt : attempts) {
             idleSince =
-                    Math.max(idleSince, Math.min(Math.min(a.answeredAt, a.closedAt), reply.at()));
+                    Math.max(
+                            idleSince,
+                            Math.min(Math.min(attempt.answeredAt, attempt.closedAt), reply.at()));
         }
-        for (Attempt a : fetches.getOrDefault(t.proxy + " " + t.key, List.of())) {
-            boolean meanwhile =
-                    a.firstByteAt <= reply.at() && Math.min(a.answeredAt, a.closedAt) >= t.sentAt;
+        for (Attempt attempt :
+                fetches.getOrDefault(clientTry.proxy + " " + clientTry.key, List.of())) {
+            boolean overlaps =
+                    attempt.firstByteAt <= reply.at()
+                            && Math.min(attempt.answeredAt, attempt.closedAt) >= clientTry.sentAt;
             idleSince =
-                    meanwhile
+                    overlaps
                             ? Math.max(
                                     idleSince,
-                                    Math.min(Math.min(a.answeredAt, a.closedAt), reply.at()))
+                                    Math.min(
+                                            Math.min(attempt.answeredAt, attempt.closedAt),
+                                            reply.at()))
                             : idleSince;
         }
         double share = experiment.rules().refusalIdleShare();
         if (!excused
                 && reply.at() - idleSince
-                        > share * t.budgetMs + experiment.rules().slackMs() + UNSEEN_MS) {
-            broken(
+                        > share * clientTry.budgetMs
+                                + experiment.rules().slackMs()
+                                + UNSEEN_CONNECT_MS) {
+            addViolation(
                     Rule.REFUSAL,
-                    t.id,
+                    clientTry.id,
                     reply.at(),
-                    "held back: nothing was out for it since " + ms(idleSince));
+                    "held back: nothing was out for it since " + formatMs(idleSince));
         }
     }
 
     /** Whether by a time the proxy had proof that an attempt did not run. */
-    private static boolean provedBy(Attempt a, double at) {
-        return a.verdict.provesNotRun() && a.answeredAt <= at;
+    private static boolean provedNotRunBy(Attempt attempt, double at) {
+        return attempt.verdict.provesNotRun() && attempt.answeredAt <= at;
     }
 
-    private void repeats(Try t, List<Attempt> attempts) {
-        Experiment.Class type = experiment.load().classes().get(t.type);
+    private void checkRepeats(ClientTry clientTry, List<Attempt> attempts) {
+        Experiment.Class requestClass = experiment.load().classes().get(clientTry.classIndex);
         if (attempts.size() > experiment.rules().attempts()) {
-            broken(
+            addViolation(
                     Rule.DUPLICATE,
-                    t.id,
-                    t.sentAt,
-                    attempts.size() + " attempts: " + listed(attempts));
+                    clientTry.id,
+                    clientTry.sentAt,
+                    attempts.size() + " attempts: " + describe(attempts));
         }
-        if (attempts.stream().filter(a -> a.ran).count() > 1 && type.effect() == Effect.UNSAFE) {
-            broken(Rule.DUPLICATE, t.id, t.sentAt, "ran twice: " + listed(attempts));
+        if (attempts.stream().filter(attempt -> attempt.executed).count() > 1
+                && requestClass.effect() == Effect.UNSAFE) {
+            addViolation(
+                    Rule.DUPLICATE,
+                    clientTry.id,
+                    clientTry.sentAt,
+                    "ran twice: " + describe(attempts));
         }
         Attempt mayHaveRun = null;
-        for (Attempt a : attempts) {
-            if (mayHaveRun != null && type.effect() == Effect.UNSAFE) {
-                broken(
+        for (Attempt attempt : attempts) {
+            if (mayHaveRun != null && requestClass.effect() == Effect.UNSAFE) {
+                addViolation(
                         Rule.DUPLICATE,
-                        t.id,
-                        a.firstByteAt,
-                        "sent again though it may have run: " + listed(attempts));
+                        clientTry.id,
+                        attempt.firstByteAt,
+                        "sent again though it may have run: " + describe(attempts));
             } else if (mayHaveRun != null
-                    && type.effect() == Effect.KEYED
-                    && a.firstByteAt
+                    && requestClass.effect() == Effect.KEYED
+                    && attempt.firstByteAt
                             > mayHaveRun.lastByteAt
-                                    + type.repeatWindowMs()
+                                    + requestClass.repeatWindowMs()
                                     + experiment.rules().slackMs()) {
-                broken(
+                addViolation(
                         Rule.DUPLICATE,
-                        t.id,
-                        a.firstByteAt,
+                        clientTry.id,
+                        attempt.firstByteAt,
                         "sent again past the window of "
-                                + ms(type.repeatWindowMs())
+                                + formatMs(requestClass.repeatWindowMs())
                                 + ": "
-                                + listed(attempts));
+                                + describe(attempts));
             }
-            double at = a.firstByteAt;
+            double at = attempt.firstByteAt;
             Attempt before = mayHaveRun;
             if (!experiment.rules().secondCopies()
                     && before != null
                     && Math.min(before.answeredAt, before.closedAt)
                             > at + experiment.rules().slackMs()) {
-                broken(
+                addViolation(
                         Rule.DUPLICATE,
-                        t.id,
+                        clientTry.id,
                         at,
-                        "a second copy while the first is out: " + listed(attempts));
+                        "a second copy while the first is out: " + describe(attempts));
             }
             // The next one begins after this: what is proved by then decides.
             double next =
@@ -294,75 +331,81 @@
                             .mapToDouble(b -> b.firstByteAt)
                             .min()
                             .orElse(Double.POSITIVE_INFINITY);
-            if (mayHaveRun == null && !provedBy(a, next)) {
-                mayHaveRun = a;
+            if (mayHaveRun == null && !provedNotRunBy(attempt, next)) {
+                mayHaveRun = attempt;
             }
         }
     }
 
     /** What one proxy knows of one machine as its news comes in, in order. */
-    private static final class Knowledge {
-        private Told news;
-        private double unfitSince;
+    private static final class KnownState {
+        private ListNotification latest;
+        private double unavailableSince;
         private double startedAt = Double.NEGATIVE_INFINITY;
 
-        void hear(Told told) {
+        void apply(ListNotification notification) {
             // What is known of a later start stands against late news of an earlier end.
-            if (told.health() == Health.UP) {
-                news = told;
-                startedAt = Math.max(startedAt, told.startedAt());
-            } else if (told.startedAt() >= startedAt
-                    && (news == null || news.health() == Health.UP)) {
-                news = told;
-                unfitSince = told.at();
+            if (notification.health() == Health.UP) {
+                latest = notification;
+                startedAt = Math.max(startedAt, notification.startedAt());
+            } else if (notification.startedAt() >= startedAt
+                    && (latest == null || latest.health() == Health.UP)) {
+                latest = notification;
+                unavailableSince = notification.at();
             }
         }
     }
 
-    private void drains() {
-        List<Told> all = new ArrayList<>(ledger.told());
-        for (Told change : ledger.changes()) {
+    private void checkDrains() {
+        List<ListNotification> notifications = new ArrayList<>(ledger.notified());
+        for (ListNotification change : ledger.changes()) {
             for (int proxy = 0; proxy < experiment.proxies().count(); proxy++) {
-                all.add(
-                        new Told(
+                notifications.add(
+                        new ListNotification(
                                 proxy,
                                 change.machine(),
                                 change.health(),
                                 change.startedAt(),
-                                change.at() + ColdStarts.TOLD_MS));
+                                change.at() + SlowStartLoad.MAX_NOTIFICATION_DELAY_MS));
             }
         }
-        all.sort(Comparator.comparingDouble(Told::at));
+        notifications.sort(Comparator.comparingDouble(ListNotification::at));
         List<Attempt> sent =
                 ledger.attempts().stream()
-                        .sorted(Comparator.comparingDouble(a -> a.firstByteAt))
+                        .sorted(Comparator.comparingDouble(attempt -> attempt.firstByteAt))
                         .toList();
-        List<Map<String, Knowledge>> known = new ArrayList<>();
+        List<Map<String, KnownState>> known = new ArrayList<>();
         for (int proxy = 0; proxy < experiment.proxies().count(); proxy++) {
             known.add(new HashMap<>());
         }
-        double limit = experiment.rules().drainMs() + experiment.rules().slackMs();
-        int heard = 0;
-        for (Attempt a : sent) {
-            for (; heard < all.size() && all.get(heard).at() <= a.firstByteAt; heard++) {
-                known.get(all.get(heard).proxy())
-                        .computeIfAbsent(all.get(heard).machine(), m -> new Knowledge())
-                        .hear(all.get(heard));
+        double limitMs = experiment.rules().drainMs() + experiment.rules().slackMs();
+        int applied = 0;
+        for (Attempt attempt : sent) {
+            for (;
+                    applied < notifications.size()
+                            && notifications.get(applied).at() <= attempt.firstByteAt;
+                    applied++) {
+                known.get(notifications.get(applied).proxy())
+                        .computeIfAbsent(
+                                notifications.get(applied).machine(), m -> new KnownState())
+                        .apply(notifications.get(applied));
             }
-            Knowledge k = known.get(a.proxy).get(a.machine);
-            if (k != null && k.news.health() != Health.UP && a.firstByteAt > k.unfitSince + limit) {
-                broken(
+            KnownState state = known.get(attempt.proxy).get(attempt.machine);
+            if (state != null
+                    && state.latest.health() != Health.UP
+                    && attempt.firstByteAt > state.unavailableSince + limitMs) {
+                addViolation(
                         Rule.DRAIN,
-                        a.call,
-                        a.firstByteAt,
+                        attempt.callId,
+                        attempt.firstByteAt,
                         "sent to "
-                                + a.machine
+                                + attempt.machine
                                 + " by proxy-"
-                                + a.proxy
+                                + attempt.proxy
                                 + ", told "
-                                + k.news.health()
+                                + state.latest.health()
                                 + " at "
-                                + ms(k.unfitSince));
+                                + formatMs(state.unavailableSince));
             }
         }
     }
@@ -371,70 +414,76 @@
      * A cold node falls at the first window over what is allowed; the rule is broken if two thirds
      * of it came from those that knew.
      */
-    private void cold() {
-        Set<String> seen = new HashSet<>();
-        for (ColdStarts.Window w : ColdStarts.windows(ledger)) {
-            if (w.work() > 1 && w.told() >= KNEW && seen.add(w.machine() + " " + w.startedAt())) {
-                broken(
+    private void checkColdNodes() {
+        Set<String> reported = new HashSet<>();
+        for (SlowStartLoad.LoadWindow window : SlowStartLoad.windows(ledger)) {
+            if (window.workRatio() > 1
+                    && window.notifiedShare() >= MIN_NOTIFIED_SHARE
+                    && reported.add(window.machine() + " " + window.startedAt())) {
+                addViolation(
                         Rule.COLD_NODE,
-                        w.machine(),
-                        w.at(),
+                        window.machine(),
+                        window.at(),
                         String.format(
                                 Locale.ROOT,
                                 "sent %.2f of what is allowed %.0f ms after its start, %.0f%% of it by proxies that knew",
-                                w.work(),
-                                w.at() - w.startedAt(),
-                                100 * w.told()));
+                                window.workRatio(),
+                                window.at() - window.startedAt(),
+                                100 * window.notifiedShare()));
             }
         }
     }
 
-    private void originStop(double at) {
+    private void checkOriginStop(double at) {
         List<Attempt> sent =
                 ledger.attempts().stream()
-                        .filter(a -> a.origin && a.lastByteAt > at - fallMs && a.lastByteAt <= at)
+                        .filter(
+                                attempt ->
+                                        attempt.origin
+                                                && attempt.lastByteAt > at - originOverloadWindowMs
+                                                && attempt.lastByteAt <= at)
                         .toList();
-        double work = sent.stream().mapToDouble(a -> a.workMs).sum();
-        double cold =
+        double workMs = sent.stream().mapToDouble(attempt -> attempt.workMs).sum();
+        double coldMissWorkMs =
                 sent.stream()
                         .filter(
-                                a ->
-                                        ledger.find(a.call) != null
-                                                && ledger.find(a.call).attempts.stream()
+                                attempt ->
+                                        ledger.find(attempt.callId) != null
+                                                && ledger.find(attempt.callId).attempts.stream()
                                                         .anyMatch(
                                                                 b ->
-                                                                        b.atColdNode
+                                                                        b.atWarmingNode
                                                                                 && b.verdict
                                                                                         == Ledger
                                                                                                 .Verdict
                                                                                                 .MISSED))
-                        .mapToDouble(a -> a.workMs)
+                        .mapToDouble(attempt -> attempt.workMs)
                         .sum();
-        if (work > 0 && cold > COLD_PART * work) {
-            broken(
+        if (workMs > 0 && coldMissWorkMs > MAX_COLD_MISS_SHARE * workMs) {
+            addViolation(
                     Rule.COLD_ORIGIN,
                     "origin",
                     at,
                     String.format(
                             Locale.ROOT,
                             "stopped, and %.0f%% of what it was sent were misses at cold nodes",
-                            100 * cold / work));
+                            100 * coldMissWorkMs / workMs));
         }
     }
 
-    private static String ms(double at) {
+    private static String formatMs(double at) {
         return String.format(Locale.ROOT, "%.1f ms", at);
     }
 
-    private static String listed(List<Attempt> attempts) {
+    private static String describe(List<Attempt> attempts) {
         StringBuilder text = new StringBuilder("[");
-        for (Attempt a : attempts) {
+        for (Attempt attempt : attempts) {
             text.append(text.length() > 1 ? ", " : "")
-                    .append(a.machine)
+                    .append(attempt.machine)
                     .append(" at ")
-                    .append(ms(a.firstByteAt))
+                    .append(formatMs(attempt.firstByteAt))
                     .append(' ')
-                    .append(a.verdict.name().toLowerCase(Locale.ROOT));
+                    .append(attempt.verdict.name().toLowerCase(Locale.ROOT));
         }
         return text.append(']').toString();
     }
--- a/src/main/java/cacheproxy/lab/load/Front.java
+++ b/src/main/java/cacheproxy/lab/load/LoadBalancer.java
@@ -1,7 +1,7 @@
 package cacheproxy.lab.load;
 
-import cacheproxy.lab.Draw;
 import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ScenarioGenerator;
 import java.util.List;
 import org.apache.commons.math3.random.RandomGenerator;
 
@@ -9,7 +9,7 @@
  * The plain front: deals requests out over the proxies in service in a zone, or over all where that
  * zone has none; in turn, or by chance where they have uneven shares.
  */
-public final class Front {
+public final class LoadBalancer {
 
     private final List<Integer> zones;
     private final boolean[] inService;
@@ -18,9 +18,9 @@
     private final double[] shares;
 
     private final RandomGenerator random;
-    private int turn;
+    private int nextIndex;
 
-    private Front(List<Integer> zones, double[] shares, RandomGenerator random) {
+    private LoadBalancer(List<Integer> zones, double[] shares, RandomGenerator random) {
         this.zones = zones;
         this.inService = new boolean[zones.size()];
         this.shares = shares;
@@ -31,9 +31,11 @@
      * {@code zones} holds each proxy's zone, by its number. Shares are drawn evenly on a
      * logarithmic scale.
      */
-    public static Front of(Experiment experiment, List<Integer> zones) {
+    public static LoadBalancer of(Experiment experiment, List<Integer> zones) {
         double[] range = experiment.load().proxyShares();
-        RandomGenerator random = Draw.generator(experiment.seed(), Draw.Stream.SHARES);
+        RandomGenerator random =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.SHARES);
         double[] shares =
                 range[0] == range[1]
                         ? new double[0]
@@ -45,10 +47,10 @@
                                                                 range[1] / range[0],
                                                                 random.nextDouble()))
                                 .toArray();
-        return new Front(zones, shares, random);
+        return new LoadBalancer(zones, shares, random);
     }
 
-    public void inService(int proxy, boolean on) {
+    public void setInService(int proxy, boolean on) {
         inService[proxy] = on;
     }
 
@@ -60,9 +62,9 @@
         }
         for (boolean anywhere : new boolean[] {false, true}) {
             for (int i = 0; i < inService.length; i++) {
-                int proxy = Math.floorMod(turn + i, inService.length);
+                int proxy = Math.floorMod(nextIndex + i, inService.length);
                 if (inService[proxy] && (anywhere || zones.get(proxy) == zone)) {
-                    turn = proxy + 1;
+                    nextIndex = proxy + 1;
                     return proxy;
                 }
             }
@@ -71,15 +73,15 @@
     }
 
     private int draw(int zone, boolean anywhere) {
-        double all = 0;
-        int drawn = -1;
+        double totalShare = 0;
+        int chosen = -1;
         for (int i = 0; i < shares.length; i++) {
             if (inService[i] && (anywhere || zones.get(i) == zone)) {
-                all += shares[i];
+                totalShare += shares[i];
                 // Each in turn takes the place of those before it by its part of all so far.
-                drawn = random.nextDouble() * all < shares[i] ? i : drawn;
+                chosen = random.nextDouble() * totalShare < shares[i] ? i : chosen;
             }
         }
-        return drawn;
+        return chosen;
     }
 }
--- a/src/main/java/cacheproxy/lab/load/LoadPlan.java
+++ b/src/main/java/cacheproxy/lab/load/LoadPlan.java
@@ -1,7 +1,7 @@
 package cacheproxy.lab.load;
 
-import cacheproxy.lab.Draw;
 import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ScenarioGenerator;
 import cacheproxy.lab.faults.Fault;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -29,95 +29,115 @@
      * {@code pause} places the pause before a retry in its range, {@code honours} whether this
      * client heeds a Retry-After.
      */
-    public record First(
+    public record PlannedRequest(
             int index,
             double atMs,
-            int type,
+            int classIndex,
             long key,
             double workMs,
             double hintMs,
             int zone,
-            double patience,
-            double pause,
-            boolean honours) {}
+            double timeoutFraction,
+            double retryPauseFraction,
+            boolean honorsRetryAfter) {}
 
     private final Experiment.Load load;
-    private final List<First> firsts;
+    private final List<PlannedRequest> requests;
 
-    private LoadPlan(Experiment.Load load, List<First> firsts) {
+    private LoadPlan(Experiment.Load load, List<PlannedRequest> requests) {
         this.load = load;
-        this.firsts = firsts;
+        this.requests = requests;
     }
 
-    public static LoadPlan of(Experiment e) {
-        Experiment.Load load = e.load();
-        RandomGenerator arrivals = Draw.generator(e.seed(), Draw.Stream.ARRIVALS);
-        RandomGenerator keyDraw = Draw.generator(e.seed(), Draw.Stream.KEYS);
-        RandomGenerator workDraw = Draw.generator(e.seed(), Draw.Stream.WORK);
-        RandomGenerator clients = Draw.generator(e.seed(), Draw.Stream.CLIENTS);
-        RandomGenerator faultDraw = Draw.generator(e.seed(), Draw.Stream.FAULTS);
-        ZipfDistribution zipf = new ZipfDistribution(keyDraw, (int) e.fleet().keys(), load.zipf());
-        double[] means =
+    public static LoadPlan of(Experiment experiment) {
+        Experiment.Load load = experiment.load();
+        RandomGenerator arrivalRandom =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.ARRIVALS);
+        RandomGenerator keyRandom =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.KEYS);
+        RandomGenerator workRandom =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.WORK);
+        RandomGenerator clientRandom =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.CLIENTS);
+        RandomGenerator faultRandom =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.FAULTS);
+        ZipfDistribution zipf =
+                new ZipfDistribution(keyRandom, (int) experiment.fleet().keys(), load.zipf());
+        double[] meanWorkMs =
                 load.classes().stream()
                         .mapToDouble(
                                 c ->
                                         c.workMs()[0]
                                                 + (c.workMs()[1] - c.workMs()[0])
-                                                        * clients.nextDouble())
+                                                        * clientRandom.nextDouble())
                         .toArray();
-        double shares = load.classes().stream().mapToDouble(Experiment.Class::share).sum();
-        List<First> firsts = new ArrayList<>();
-        double end = e.durationS() * 1000;
-        double at = 0;
+        double totalShare = load.classes().stream().mapToDouble(Experiment.Class::share).sum();
+        List<PlannedRequest> requests = new ArrayList<>();
+        double endMs = experiment.durationS() * 1000;
+        double atMs = 0;
         while (true) {
             double factor = 1;
-            for (Fault f : e.faults()) {
-                factor *= f.what() == Fault.Kind.BURST && f.at(at) ? f.factor() : 1;
+            for (Fault fault : experiment.faults()) {
+                factor *=
+                        fault.kind() == Fault.Kind.BURST && fault.isActiveAt(atMs)
+                                ? fault.factor()
+                                : 1;
             }
-            at += -Math.log(1 - arrivals.nextDouble()) * 1000 / (load.rate() * factor);
-            if (at >= end) {
-                return new LoadPlan(load, List.copyOf(firsts));
+            atMs += -Math.log(1 - arrivalRandom.nextDouble()) * 1000 / (load.rate() * factor);
+            if (atMs >= endMs) {
+                return new LoadPlan(load, List.copyOf(requests));
             }
-            int type = type(load.classes(), clients.nextDouble() * shares);
-            double work = means[type] * gamma(workDraw);
-            long key = drifted(zipf.sample() - 1, at, load.drift(), e.fleet().keys());
+            int classIndex = pickClass(load.classes(), clientRandom.nextDouble() * totalShare);
+            double workMs = meanWorkMs[classIndex] * gammaSample(workRandom);
+            long key = keyOfRank(zipf.sample() - 1, atMs, load.drift(), experiment.fleet().keys());
             // From a stream of their own: a fault that strikes machines leaves the load as it is.
-            for (Fault f : e.faults().stream().filter(f -> f.what().ofLoad()).toList()) {
-                double u = faultDraw.nextDouble();
-                if (f.what() == Fault.Kind.HOT_KEY && f.at(at) && u < f.share()) {
+            for (Fault fault :
+                    experiment.faults().stream()
+                            .filter(fault -> fault.kind().changesLoad())
+                            .toList()) {
+                double uniform = faultRandom.nextDouble();
+                if (fault.kind() == Fault.Kind.HOT_KEY
+                        && fault.isActiveAt(atMs)
+                        && uniform < fault.share()) {
                     key =
-                            (e.fleet().keys() / 2 + (long) (u / f.share() * f.keys()))
-                                    % e.fleet().keys();
-                } else if (f.what() == Fault.Kind.HEAVY
-                        && f.at(at)
-                        && f.target().equals(load.classes().get(type).name())
-                        && u < f.share()) {
-                    work *= f.factor();
+                            (experiment.fleet().keys() / 2
+                                            + (long) (uniform / fault.share() * fault.keys()))
+                                    % experiment.fleet().keys();
+                } else if (fault.kind() == Fault.Kind.HEAVY
+                        && fault.isActiveAt(atMs)
+                        && fault.target().equals(load.classes().get(classIndex).name())
+                        && uniform < fault.share()) {
+                    workMs *= fault.factor();
                 }
             }
-            double hint = work * Math.exp(load.costHintError() * clients.nextGaussian());
-            firsts.add(
-                    new First(
-                            firsts.size(),
-                            at,
-                            type,
+            double hintMs = workMs * Math.exp(load.costHintError() * clientRandom.nextGaussian());
+            requests.add(
+                    new PlannedRequest(
+                            requests.size(),
+                            atMs,
+                            classIndex,
                             key,
-                            work,
-                            hint,
-                            clients.nextInt(e.fleet().zones().size()),
+                            workMs,
+                            hintMs,
+                            clientRandom.nextInt(experiment.fleet().zones().size()),
                             load.patience()[0]
                                     + (load.patience()[1] - load.patience()[0])
-                                            * clients.nextDouble(),
-                            clients.nextDouble(),
-                            clients.nextDouble() < load.honours()));
+                                            * clientRandom.nextDouble(),
+                            clientRandom.nextDouble(),
+                            clientRandom.nextDouble() < load.honours()));
         }
     }
 
-    private static int type(List<Experiment.Class> classes, double u) {
-        double passed = 0;
+    private static int pickClass(List<Experiment.Class> classes, double uniform) {
+        double cumulativeShare = 0;
         for (int i = 0; i < classes.size(); i++) {
-            passed += classes.get(i).share();
-            if (u < passed) {
+            cumulativeShare += classes.get(i).share();
+            if (uniform < cumulativeShare) {
                 return i;
             }
         }
@@ -125,47 +145,47 @@
     }
 
     /** Mean 1: the mean of two exponentials. */
-    private static double gamma(RandomGenerator random) {
+    private static double gammaSample(RandomGenerator random) {
         return -Math.log((1 - random.nextDouble()) * (1 - random.nextDouble())) / WORK_SHAPE;
     }
 
     /** Popularity moves on: each second a part {@code drift} of the ranks belongs to other keys. */
-    private static long drifted(long rank, double atMs, double drift, long keys) {
-        long moved =
+    private static long keyOfRank(long rank, double atMs, double drift, long keys) {
+        long shift =
                 (long) (drift * atMs / 1000 + ((rank * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53);
-        return (rank + moved * 7919) % keys;
+        return (rank + shift * 7919) % keys;
     }
 
     /** Mean work of a read that is a hit, as cache nodes get no writes; core-milliseconds. */
     public double meanReadMs() {
-        return firsts.stream()
-                .filter(f -> !load.classes().get(f.type()).write())
-                .mapToDouble(First::workMs)
+        return requests.stream()
+                .filter(f -> !load.classes().get(f.classIndex()).write())
+                .mapToDouble(PlannedRequest::workMs)
                 .average()
                 .orElse(1);
     }
 
-    public List<First> firsts() {
-        return firsts;
+    public List<PlannedRequest> requests() {
+        return requests;
     }
 
     /** SHA-256 over every field of every first try. */
     public String digest() {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            ByteBuffer line = ByteBuffer.allocate(9 * Long.BYTES);
-            for (First f : firsts) {
-                line.clear()
-                        .putDouble(f.atMs())
-                        .putInt(f.type())
-                        .putLong(f.key())
-                        .putDouble(f.workMs())
-                        .putDouble(f.hintMs())
-                        .putInt(f.zone())
-                        .putDouble(f.patience())
-                        .putDouble(f.pause())
-                        .put((byte) (f.honours() ? 1 : 0));
-                sha.update(line.flip());
+            ByteBuffer buffer = ByteBuffer.allocate(9 * Long.BYTES);
+            for (PlannedRequest request : requests) {
+                buffer.clear()
+                        .putDouble(request.atMs())
+                        .putInt(request.classIndex())
+                        .putLong(request.key())
+                        .putDouble(request.workMs())
+                        .putDouble(request.hintMs())
+                        .putInt(request.zone())
+                        .putDouble(request.timeoutFraction())
+                        .putDouble(request.retryPauseFraction())
+                        .put((byte) (request.honorsRetryAfter() ? 1 : 0));
+                sha.update(buffer.flip());
             }
             return HexFormat.of().formatHex(sha.digest());
         } catch (NoSuchAlgorithmException ex) {
--- a/src/main/java/cacheproxy/lab/report/Comparison.java
+++ b/src/main/java/cacheproxy/lab/report/Comparison.java
@@ -20,7 +20,7 @@
 public final class Comparison {
 
     /** A difference of means counts as told apart from noise beyond so many standard errors. */
-    private static final double APART = 2;
+    private static final double SIGNIFICANT_ERRORS = 2;
 
     private Comparison() {}
 
@@ -57,33 +57,40 @@
             SummaryStatistics left = statistics(a, name);
             SummaryStatistics right = statistics(b, name);
             double difference = right.getMean() - left.getMean();
-            boolean known = a.size() > 1 && b.size() > 1;
-            double error =
+            boolean repeated = a.size() > 1 && b.size() > 1;
+            double standardError =
                     Math.sqrt(left.getVariance() / a.size() + right.getVariance() / b.size());
             table.append(
                     String.format(
                             Locale.ROOT,
                             "%-34s %22s %22s %12s%s%n",
                             name,
-                            shown(left),
-                            shown(right),
-                            Results.plain(difference),
-                            known && Math.abs(difference) > APART * error && difference != 0
+                            format(left),
+                            format(right),
+                            Results.formatNumber(difference),
+                            repeated
+                                            && Math.abs(difference)
+                                                    > SIGNIFICANT_ERRORS * standardError
+                                            && difference != 0
                                     ? " *"
                                     : ""));
         }
         return table.append(
                         a.size() > 1 && b.size() > 1
-                                ? "* beyond " + Results.plain(APART) + " standard errors\n"
+                                ? "* beyond "
+                                        + Results.formatNumber(SIGNIFICANT_ERRORS)
+                                        + " standard errors\n"
                                 : "")
                 .toString();
     }
 
-    private static String shown(SummaryStatistics s) {
-        return s.getN() == 0
+    private static String format(SummaryStatistics statistics) {
+        return statistics.getN() == 0
                 ? "-"
-                : Results.plain(s.getMean())
-                        + (s.getN() > 1 ? " ± " + Results.plain(s.getStandardDeviation()) : "");
+                : Results.formatNumber(statistics.getMean())
+                        + (statistics.getN() > 1
+                                ? " ± " + Results.formatNumber(statistics.getStandardDeviation())
+                                : "");
     }
 
     private static SummaryStatistics statistics(List<Results> runs, String name) {
