--- a/src/main/java/cacheproxy/lab/report/Played.java
+++ b/src/main/java/cacheproxy/lab/report/CompletedRun.java
@@ -6,7 +6,7 @@
 import cacheproxy.lab.ledger.Rules.Rule;
 import cacheproxy.lab.ledger.Rules.Violation;
 import cacheproxy.lab.load.LoadPlan;
-import cacheproxy.lab.load.Story;
+import cacheproxy.lab.load.RequestRecord;
 import cacheproxy.lab.report.Results.Mark;
 import cacheproxy.lab.world.Installation;
 import java.util.ArrayList;
@@ -18,54 +18,56 @@
  * What a driver hands in when its run is over. {@code levels} is the highest control level seen in
  * each second, {@code seen} holds what the driver itself found broken.
  */
-public record Played(
+public record CompletedRun(
         Experiment experiment,
         String driver,
-        Installation plan,
+        Installation installation,
         LoadPlan load,
         Ledger ledger,
-        List<Story> stories,
+        List<RequestRecord> records,
         int[] levels,
         List<Mark> marks,
-        List<Violation> seen) {
+        List<Violation> driverViolations) {
 
-    private static final int MOST_VIOLATIONS = 100;
+    private static final int MAX_REPORTED_VIOLATIONS = 100;
 
     /**
      * Judges the run by every rule and counts its figures; {@code own} are the driver's own
      * figures.
      */
-    public Results judged(Map<String, Double> own) {
+    public Results evaluate(Map<String, Double> driverFigures) {
         List<Violation> violations = new ArrayList<>(Rules.check(ledger, experiment));
-        violations.addAll(seen);
-        List<Results.Window> timeline = Figures.windows(experiment, stories, levels);
+        violations.addAll(driverViolations);
+        List<Results.Window> timeline = Figures.windows(experiment, records, levels);
         Map<String, Double> figures =
-                Figures.of(experiment, plan, stories, ledger, violations, timeline);
-        double late = figures.get("generator.late_p99_ms");
-        if (late > experiment.load().latenessMs()) {
+                Figures.of(experiment, installation, records, ledger, violations, timeline);
+        double sendDelayP99Ms = figures.get("generator.late_p99_ms");
+        if (sendDelayP99Ms > experiment.load().latenessMs()) {
             violations.add(
                     new Violation(
                             Rule.GENERATOR,
                             "load",
                             0,
                             "p99 of its lateness is "
-                                    + Results.plain(late)
+                                    + Results.formatNumber(sendDelayP99Ms)
                                     + " ms, the bound is "
-                                    + Results.plain(experiment.load().latenessMs())));
+                                    + Results.formatNumber(experiment.load().latenessMs())));
             figures.merge("violations.generator", 1.0, Double::sum);
             figures.merge("violations.all", 1.0, Double::sum);
         }
-        figures.putAll(own);
+        figures.putAll(driverFigures);
         Experiment.Prices prices = experiment.prices();
-        double asked = Math.max(1, figures.get("load.requests"));
+        double requestCount = Math.max(1, figures.get("load.requests"));
         figures.put(
                 "served.after_prices",
                 figures.get("served.worth")
-                        - prices.connection() * figures.get("machines.connections_opened") / asked
+                        - prices.connection()
+                                * figures.get("machines.connections_opened")
+                                / requestCount
                         - prices.crossing() * figures.get("attempts.crossing_share")
                         - prices.waste() * figures.get("attempts.abandoned_work_share"));
         return new Results(
-                Results.FORM,
+                Results.FORM_VERSION,
                 experiment.name(),
                 experiment.about(),
                 driver,
@@ -74,7 +76,10 @@
                 figures,
                 timeline,
                 marks.stream().sorted(Comparator.comparingDouble(Mark::atS)).toList(),
-                violations.stream().limit(MOST_VIOLATIONS).map(Violation::toString).toList(),
+                violations.stream()
+                        .limit(MAX_REPORTED_VIOLATIONS)
+                        .map(Violation::toString)
+                        .toList(),
                 Results.missed(figures, experiment.expects()));
     }
 }
--- a/src/main/java/cacheproxy/lab/report/CurveReport.java
+++ b/src/main/java/cacheproxy/lab/report/CurveReport.java
@@ -45,12 +45,12 @@
                     for (int i = 0; i < steps.size(); i++) {
                         List<Results> runs = steps.get(i);
                         SummaryStatistics served =
-                                Comparison.statistics(runs, CurveReport::servedPerS);
+                                Comparison.statistics(runs, CurveReport::servedWeightPerS);
                         table.append(
                                 String.format(
                                         Locale.ROOT,
                                         "%12s %10.0f %18s %8.3f",
-                                        Results.plain(values.get(i)),
+                                        Results.formatNumber(values.get(i)),
                                         mean(runs, "load.worth_per_s"),
                                         String.format(
                                                 Locale.ROOT,
@@ -69,13 +69,13 @@
                                         " %8.3f %8.2f %6s%n",
                                         mean(runs, "refused.share"),
                                         mean(runs, "attempts.per_request"),
-                                        Results.plain(mean(runs, "control.level_max"))));
+                                        Results.formatNumber(mean(runs, "control.level_max"))));
                     }
                 });
         return table.toString();
     }
 
-    private static double servedPerS(Results r) {
+    private static double servedWeightPerS(Results r) {
         return r.figures().get("load.worth_per_s") * r.figures().get("served.worth");
     }
 
@@ -98,24 +98,25 @@
                             runs ->
                                     line.add(
                                             mean(runs, "load.worth_per_s"),
-                                            Comparison.statistics(runs, CurveReport::servedPerS)
+                                            Comparison.statistics(
+                                                            runs, CurveReport::servedWeightPerS)
                                                     .getMean()));
                     curve.addSeries(line);
                 });
         StringBuilder page =
                 new StringBuilder(
                         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>"
-                                + HtmlReport.safe(name)
+                                + HtmlReport.escape(name)
                                 + "</title><body style=\"font:15px sans-serif;margin:2em auto;max-width:60em\"><h1>"
-                                + HtmlReport.safe(name)
+                                + HtmlReport.escape(name)
                                 + "</h1>");
-        HtmlReport.picture(
+        HtmlReport.appendChart(
                 page,
-                HtmlReport.chart(
+                HtmlReport.createChart(
                         "Worth served against worth offered, a second", "offered", "served", curve),
                 "load-service curve");
         page.append("<pre>")
-                .append(HtmlReport.safe(table(key, values, series)))
+                .append(HtmlReport.escape(table(key, values, series)))
                 .append("</pre></html>\n");
         Files.writeString(file, page);
     }
--- a/src/main/java/cacheproxy/lab/report/Figures.java
+++ b/src/main/java/cacheproxy/lab/report/Figures.java
@@ -1,13 +1,13 @@
 package cacheproxy.lab.report;
 
 import cacheproxy.lab.Experiment;
-import cacheproxy.lab.ledger.ColdStarts;
 import cacheproxy.lab.ledger.Ledger;
 import cacheproxy.lab.ledger.Ledger.Attempt;
 import cacheproxy.lab.ledger.Ledger.Verdict;
 import cacheproxy.lab.ledger.Rules;
 import cacheproxy.lab.ledger.Rules.Violation;
-import cacheproxy.lab.load.Story;
+import cacheproxy.lab.ledger.SlowStartLoad;
+import cacheproxy.lab.load.RequestRecord;
 import cacheproxy.lab.report.Results.Window;
 import cacheproxy.lab.world.Installation;
 import java.util.ArrayList;
@@ -28,183 +28,213 @@
 
     private static final double US_PER_MS = 1000;
     private static final double MS_PER_S = 1000;
-    private static final int WORST_S = 10;
-    private static final int DIGITS = 3;
+    private static final int WORST_WINDOW_S = 10;
+    private static final int HISTOGRAM_DIGITS = 3;
 
     /** A key that was asked for so often and never served is starved. */
-    private static final int OFTEN = 10;
+    private static final int STARVED_KEY_MIN_REQUESTS = 10;
 
     /**
      * Service counts as back when this part of what was usual before is served again for {@link
      * #BACK_S} seconds.
      */
-    private static final double BACK = 0.95;
+    private static final double RECOVERED_FRACTION = 0.95;
 
-    private static final int BACK_S = 2;
+    private static final int RECOVERED_S = 2;
 
     private final Experiment experiment;
-    private final Installation plan;
-    private final List<Story> stories;
+    private final Installation installation;
+    private final List<RequestRecord> records;
     private final Ledger ledger;
-    private final Map<String, Integer> zones;
+    private final Map<String, Integer> zoneByMachine;
     private final Map<String, Double> figures = new TreeMap<>();
 
-    private Figures(Experiment experiment, Installation plan, List<Story> stories, Ledger ledger) {
+    private Figures(
+            Experiment experiment,
+            Installation installation,
+            List<RequestRecord> records,
+            Ledger ledger) {
         this.experiment = experiment;
-        this.plan = plan;
-        this.stories = stories;
+        this.installation = installation;
+        this.records = records;
         this.ledger = ledger;
-        this.zones = plan == null ? Map.of() : plan.machineZones();
+        this.zoneByMachine = installation == null ? Map.of() : installation.zoneByMachine();
     }
 
     /** Every figure that both drivers have. */
     public static Map<String, Double> of(
             Experiment experiment,
-            Installation plan,
-            List<Story> stories,
+            Installation installation,
+            List<RequestRecord> records,
             Ledger ledger,
             List<Violation> violations,
             List<Window> timeline) {
-        Figures f = new Figures(experiment, plan, stories, ledger);
-        f.worth();
-        f.latency();
-        f.attempts();
-        f.cold();
-        f.timeline(timeline);
+        Figures counted = new Figures(experiment, installation, records, ledger);
+        counted.weight();
+        counted.latency();
+        counted.attempts();
+        counted.slowStarts();
+        counted.timeline(timeline);
         for (Rules.Rule rule : Rules.Rule.values()) {
-            f.put(
+            counted.put(
                     "violations." + rule.name().toLowerCase(Locale.ROOT),
                     violations.stream().filter(v -> v.rule() == rule).count());
         }
-        f.put("violations.all", violations.size());
-        return f.figures;
+        counted.put("violations.all", violations.size());
+        return counted.figures;
     }
 
     private void put(String name, double value) {
         figures.put(name, value);
     }
 
-    private static double share(double part, double whole) {
+    private static double ratio(double part, double whole) {
         return whole == 0 ? 0 : part / whole;
     }
 
-    private double worth(Story s) {
-        return experiment.load().classes().get(s.first().type()).worth() * s.first().workMs();
+    private double weight(RequestRecord record) {
+        return experiment.load().classes().get(record.request().classIndex()).worth()
+                * record.request().workMs();
     }
 
     /** Worth counts in full within the aim and for nothing after it. */
-    private double earned(Story s) {
-        return s.served()
-                        && s.latencyMs()
-                                <= experiment.load().classes().get(s.first().type()).aimMs()
-                ? worth(s)
+    private double servedWeight(RequestRecord record) {
+        return record.served()
+                        && record.latencyMs()
+                                <= experiment
+                                        .load()
+                                        .classes()
+                                        .get(record.request().classIndex())
+                                        .aimMs()
+                ? weight(record)
                 : 0;
     }
 
-    private void worth() {
-        double asked = stories.stream().mapToDouble(this::worth).sum();
-        put("served.worth", share(stories.stream().mapToDouble(this::earned).sum(), asked));
-        put("served.share", share(stories.stream().filter(Story::served).count(), stories.size()));
+    private void weight() {
+        double offeredWeight = records.stream().mapToDouble(this::weight).sum();
+        put(
+                "served.worth",
+                ratio(records.stream().mapToDouble(this::servedWeight).sum(), offeredWeight));
+        put(
+                "served.share",
+                ratio(records.stream().filter(RequestRecord::served).count(), records.size()));
         put(
                 "served.late_or_not_share",
-                share(
-                        stories.stream().filter(s -> !s.served() || earned(s) == 0).count(),
-                        stories.size()));
+                ratio(
+                        records.stream()
+                                .filter(record -> !record.served() || servedWeight(record) == 0)
+                                .count(),
+                        records.size()));
         put(
                 "served.late_share",
-                share(
-                        stories.stream().filter(s -> s.served() && earned(s) == 0).count(),
-                        stories.size()));
+                ratio(
+                        records.stream()
+                                .filter(record -> record.served() && servedWeight(record) == 0)
+                                .count(),
+                        records.size()));
         put(
                 "refused.share",
-                share(stories.stream().filter(Story::refused).count(), stories.size()));
+                ratio(records.stream().filter(RequestRecord::refused).count(), records.size()));
         put(
                 "failed.share",
-                share(
-                        stories.stream().filter(s -> !s.served() && !s.refused()).count(),
-                        stories.size()));
+                ratio(
+                        records.stream()
+                                .filter(record -> !record.served() && !record.refused())
+                                .count(),
+                        records.size()));
         put(
                 "failed.turned_away_share",
-                share(
+                ratio(
                         ledger.tries().stream()
                                 .filter(
                                         t ->
-                                                t.fresh
+                                                t.firstOnConnection
                                                         && t.replies.isEmpty()
                                                         && t.attempts.isEmpty()
-                                                        && t.lostAt < t.gaveUpAt)
+                                                        && t.connectionLostAt < t.gaveUpAt)
                                 .count(),
-                        stories.size()));
-        Map<Long, int[]> keys = new HashMap<>();
-        stories.forEach(
-                s -> {
-                    int[] counts = keys.computeIfAbsent(s.first().key(), k -> new int[2]);
+                        records.size()));
+        Map<Long, int[]> countsByKey = new HashMap<>();
+        records.forEach(
+                record -> {
+                    int[] counts =
+                            countsByKey.computeIfAbsent(record.request().key(), k -> new int[2]);
                     counts[0]++;
-                    counts[1] += s.served() ? 1 : 0;
+                    counts[1] += record.served() ? 1 : 0;
                 });
         put(
                 "served.starved_keys",
-                keys.values().stream().filter(c -> c[0] >= OFTEN && c[1] == 0).count());
-        put("load.requests", stories.size());
-        put("load.rate", stories.size() / experiment.durationS());
+                countsByKey.values().stream()
+                        .filter(c -> c[0] >= STARVED_KEY_MIN_REQUESTS && c[1] == 0)
+                        .count());
+        put("load.requests", records.size());
+        put("load.rate", records.size() / experiment.durationS());
         double capacity =
-                plan.nodes().stream()
+                installation.nodes().stream()
                                 .mapToDouble(n -> n.machine().cores() * n.machine().speed())
                                 .sum()
                         * MS_PER_S;
         put(
                 "load.over_capacity",
-                stories.stream().mapToDouble(s -> s.first().workMs()).sum()
+                records.stream().mapToDouble(record -> record.request().workMs()).sum()
                         / experiment.durationS()
                         / capacity);
-        put("load.worth_per_s", asked / experiment.durationS());
+        put("load.worth_per_s", offeredWeight / experiment.durationS());
         put(
                 "load.tries_per_request",
-                share(stories.stream().mapToInt(Story::tries).sum(), stories.size()));
+                ratio(records.stream().mapToInt(RequestRecord::tries).sum(), records.size()));
         for (int i = 0; i < experiment.load().classes().size(); i++) {
-            int type = i;
+            int classIndex = i;
             String name = "class." + experiment.load().classes().get(i).name();
-            List<Story> mine = stories.stream().filter(s -> s.first().type() == type).toList();
+            List<RequestRecord> classRecords =
+                    records.stream()
+                            .filter(record -> record.request().classIndex() == classIndex)
+                            .toList();
             put(
                     name + ".worth",
-                    share(
-                            mine.stream().mapToDouble(this::earned).sum(),
-                            mine.stream().mapToDouble(this::worth).sum()));
+                    ratio(
+                            classRecords.stream().mapToDouble(this::servedWeight).sum(),
+                            classRecords.stream().mapToDouble(this::weight).sum()));
             put(
                     name + ".refused_share",
-                    share(mine.stream().filter(Story::refused).count(), mine.size()));
-            put(name + ".requests", mine.size());
+                    ratio(
+                            classRecords.stream().filter(RequestRecord::refused).count(),
+                            classRecords.size()));
+            put(name + ".requests", classRecords.size());
         }
     }
 
     private void latency() {
-        Histogram latency = new Histogram(DIGITS);
-        stories.stream()
-                .filter(Story::served)
+        Histogram latency = new Histogram(HISTOGRAM_DIGITS);
+        records.stream()
+                .filter(RequestRecord::served)
                 .forEach(s -> latency.recordValue((long) Math.max(0, s.latencyMs() * US_PER_MS)));
-        Histogram late = new Histogram(DIGITS);
-        stories.forEach(s -> late.recordValue((long) Math.max(0, s.lateMs() * US_PER_MS)));
+        Histogram sendDelay = new Histogram(HISTOGRAM_DIGITS);
+        records.forEach(
+                s -> sendDelay.recordValue((long) Math.max(0, s.sendDelayMs() * US_PER_MS)));
         double[] points = {50, 90, 99, 99.9};
         String[] names = {"p50_ms", "p90_ms", "p99_ms", "p999_ms"};
         for (int i = 0; i < points.length; i++) {
             put("latency." + names[i], latency.getValueAtPercentile(points[i]) / US_PER_MS);
-            put("generator.late_" + names[i], late.getValueAtPercentile(points[i]) / US_PER_MS);
+            put(
+                    "generator.late_" + names[i],
+                    sendDelay.getValueAtPercentile(points[i]) / US_PER_MS);
         }
         put("latency.max_ms", latency.getMaxValue() / US_PER_MS);
-        put("generator.late_max_ms", late.getMaxValue() / US_PER_MS);
+        put("generator.late_max_ms", sendDelay.getMaxValue() / US_PER_MS);
     }
 
     private void attempts() {
         List<Attempt> all = ledger.attempts();
         List<Attempt> lookUps = all.stream().filter(a -> !a.origin).toList();
         List<Attempt> fetches = all.stream().filter(a -> a.origin).toList();
-        put("attempts.per_request", share(all.size(), stories.size()));
+        put("attempts.per_request", ratio(all.size(), records.size()));
         put(
                 "attempts.crossing_share",
-                share(all.stream().filter(this::crosses).count(), stories.size()));
+                ratio(all.stream().filter(this::crossesZones).count(), records.size()));
         put(
                 "cache.hit_share",
-                share(
+                ratio(
                         lookUps.stream().filter(a -> a.verdict == Verdict.RAN).count(),
                         lookUps.stream()
                                 .filter(
@@ -214,15 +244,17 @@
                                 .count()));
         put("origin.fetches_per_s", fetches.size() / experiment.durationS());
         double capacity =
-                plan.origin().machine().cores() * plan.origin().machine().speed() * MS_PER_S;
+                installation.origin().machine().cores()
+                        * installation.origin().machine().speed()
+                        * MS_PER_S;
         put(
                 "origin.load",
-                share(
+                ratio(
                         fetches.stream().mapToDouble(a -> a.workMs).sum() / experiment.durationS(),
                         capacity));
-        Map<Integer, Double> bySecond = new HashMap<>();
+        Map<Integer, Double> workBySecond = new HashMap<>();
         fetches.forEach(
-                a -> bySecond.merge((int) (a.lastByteAt / MS_PER_S), a.workMs, Double::sum));
+                a -> workBySecond.merge((int) (a.lastByteAt / MS_PER_S), a.workMs, Double::sum));
         put(
                 "origin.fetches_peak_per_s",
                 fetches.stream()
@@ -237,74 +269,80 @@
                         .orElse(0));
         put(
                 "origin.load_peak",
-                bySecond.values().stream().mapToDouble(w -> w).max().orElse(0) / capacity);
-        Map<String, Double> byNode = new HashMap<>();
-        plan.machines().forEach(n -> byNode.put(n.id(), 0.0));
-        lookUps.forEach(a -> byNode.merge(a.machine, 1.0, Double::sum));
-        put("routing.busiest_over_mean", busiest(byNode));
+                workBySecond.values().stream().mapToDouble(w -> w).max().orElse(0) / capacity);
+        Map<String, Double> countByNode = new HashMap<>();
+        installation.allNodes().forEach(n -> countByNode.put(n.id(), 0.0));
+        lookUps.forEach(a -> countByNode.merge(a.machine, 1.0, Double::sum));
+        put("routing.busiest_over_mean", maxOverMean(countByNode));
         // Of a node's own capacity: machines differ, and a count would blame the large ones.
-        Map<String, Double> use = new HashMap<>();
-        Map<String, Double> sizes = new HashMap<>();
-        plan.machines().forEach(n -> use.put(n.id(), 0.0));
-        plan.machines().forEach(n -> sizes.put(n.id(), n.machine().cores() * n.machine().speed()));
-        lookUps.forEach(a -> use.merge(a.machine, a.workMs / sizes.get(a.machine), Double::sum));
-        put("routing.busiest_use_over_mean", busiest(use));
-        double wasted =
+        Map<String, Double> useByNode = new HashMap<>();
+        Map<String, Double> capacityByNode = new HashMap<>();
+        installation.allNodes().forEach(n -> useByNode.put(n.id(), 0.0));
+        installation
+                .allNodes()
+                .forEach(
+                        n -> capacityByNode.put(n.id(), n.machine().cores() * n.machine().speed()));
+        lookUps.forEach(
+                a ->
+                        useByNode.merge(
+                                a.machine, a.workMs / capacityByNode.get(a.machine), Double::sum));
+        put("routing.busiest_use_over_mean", maxOverMean(useByNode));
+        double abandonedWorkMs =
                 all.stream()
-                        .filter(a -> a.ran && a.closedAt < Double.POSITIVE_INFINITY)
+                        .filter(a -> a.executed && a.closedAt < Double.POSITIVE_INFINITY)
                         .mapToDouble(a -> a.workMs)
                         .sum();
         put(
                 "attempts.abandoned_work_share",
-                share(wasted, all.stream().mapToDouble(a -> a.workMs).sum()));
+                ratio(abandonedWorkMs, all.stream().mapToDouble(a -> a.workMs).sum()));
     }
 
-    private void cold() {
-        List<ColdStarts.Window> windows = ColdStarts.windows(ledger);
-        over("calls", windows.stream().mapToDouble(ColdStarts.Window::calls));
-        over("work", windows.stream().mapToDouble(ColdStarts.Window::work));
+    private void slowStarts() {
+        List<SlowStartLoad.LoadWindow> windows = SlowStartLoad.windows(ledger);
+        putMaxAndP99("calls", windows.stream().mapToDouble(SlowStartLoad.LoadWindow::callRatio));
+        putMaxAndP99("work", windows.stream().mapToDouble(SlowStartLoad.LoadWindow::workRatio));
         put(
                 "cold.starts",
                 windows.stream().map(w -> w.machine() + " " + w.startedAt()).distinct().count());
         put(
                 "cold.over_allowed",
                 windows.stream()
-                        .filter(w -> w.work() > 1)
+                        .filter(w -> w.workRatio() > 1)
                         .map(w -> w.machine() + " " + w.startedAt())
                         .distinct()
                         .count());
     }
 
-    private void over(String what, DoubleStream parts) {
-        double[] sorted = parts.sorted().toArray();
+    private void putMaxAndP99(String unit, DoubleStream ratios) {
+        double[] sorted = ratios.sorted().toArray();
         put(
-                "cold." + what + "_over_allowed_max",
+                "cold." + unit + "_over_allowed_max",
                 sorted.length == 0 ? 0 : sorted[sorted.length - 1]);
         put(
-                "cold." + what + "_over_allowed_p99",
+                "cold." + unit + "_over_allowed_p99",
                 sorted.length == 0 ? 0 : sorted[(int) Math.ceil(0.99 * sorted.length) - 1]);
     }
 
-    private static double busiest(Map<String, Double> byNode) {
-        double mean = byNode.values().stream().mapToDouble(w -> w).average().orElse(0);
-        return share(byNode.values().stream().mapToDouble(w -> w).max().orElse(0), mean);
+    private static double maxOverMean(Map<String, Double> valueByNode) {
+        double mean = valueByNode.values().stream().mapToDouble(w -> w).average().orElse(0);
+        return ratio(valueByNode.values().stream().mapToDouble(w -> w).max().orElse(0), mean);
     }
 
-    private boolean crosses(Attempt a) {
-        return plan.proxyZones().get(a.proxy) != zones.get(a.machine);
+    private boolean crossesZones(Attempt attempt) {
+        return installation.proxyZones().get(attempt.proxy) != zoneByMachine.get(attempt.machine);
     }
 
     private void timeline(List<Window> windows) {
         put("control.level_max", windows.stream().mapToInt(Window::level).max().orElse(0));
         put("control.throttled_s", windows.stream().filter(w -> w.level() > 0).count());
         double worst = 1;
-        int span = Math.min(WORST_S, windows.size());
+        int span = Math.min(WORST_WINDOW_S, windows.size());
         for (int i = 0; i + span <= windows.size(); i++) {
             List<Window> part = windows.subList(i, i + span);
             worst =
                     Math.min(
                             worst,
-                            share(
+                            ratio(
                                     part.stream().mapToDouble(Window::worthServed).sum(),
                                     part.stream().mapToDouble(Window::worthAsked).sum()));
         }
@@ -317,77 +355,84 @@
      * never was, 0 without a fault.
      */
     private double recovery(List<Window> windows) {
-        double first =
+        double firstFaultS =
                 experiment.faults().stream().mapToDouble(f -> f.atS()).min().orElse(Double.NaN);
-        double last =
+        double lastFaultEndS =
                 experiment.faults().stream()
                         .mapToDouble(f -> f.atS() + f.forS())
                         .max()
                         .orElse(Double.NaN);
         List<Window> before =
-                windows.stream().filter(w -> w.s() + 1 <= first && w.s() >= 1).toList();
-        if (Double.isNaN(first) || before.isEmpty()) {
+                windows.stream().filter(w -> w.s() + 1 <= firstFaultS && w.s() >= 1).toList();
+        if (Double.isNaN(firstFaultS) || before.isEmpty()) {
             return 0;
         }
-        double usual =
-                share(
+        double usualShare =
+                ratio(
                         before.stream().mapToDouble(Window::worthServed).sum(),
                         before.stream().mapToDouble(Window::worthAsked).sum());
-        int good = 0;
+        int recoveredWindows = 0;
         for (Window w : windows) {
-            if (w.s() < last) {
+            if (w.s() < lastFaultEndS) {
                 continue;
             }
-            good = share(w.worthServed(), w.worthAsked()) >= BACK * usual ? good + 1 : 0;
-            if (good == BACK_S) {
-                return Math.max(0, w.s() + 1 - BACK_S - last);
+            recoveredWindows =
+                    ratio(w.worthServed(), w.worthAsked()) >= RECOVERED_FRACTION * usualShare
+                            ? recoveredWindows + 1
+                            : 0;
+            if (recoveredWindows == RECOVERED_S) {
+                return Math.max(0, w.s() + 1 - RECOVERED_S - lastFaultEndS);
             }
         }
-        return Math.max(0, experiment.durationS() - last);
+        return Math.max(0, experiment.durationS() - lastFaultEndS);
     }
 
     /**
      * A window a second, by when requests were meant to go out; {@code levels} is the highest level
      * seen in each.
      */
-    public static List<Window> windows(Experiment experiment, List<Story> stories, int[] levels) {
-        Figures f = new Figures(experiment, null, stories, null);
-        List<List<Story>> bySecond = new ArrayList<>();
+    public static List<Window> windows(
+            Experiment experiment, List<RequestRecord> records, int[] levels) {
+        Figures weights = new Figures(experiment, null, records, null);
+        List<List<RequestRecord>> bySecond = new ArrayList<>();
         for (int s = 0; s < Math.ceil(experiment.durationS()); s++) {
             bySecond.add(new ArrayList<>());
         }
-        stories.forEach(
+        records.forEach(
                 s ->
                         bySecond.get(
                                         Math.min(
                                                 bySecond.size() - 1,
-                                                (int) (s.first().atMs() / MS_PER_S)))
+                                                (int) (s.request().atMs() / MS_PER_S)))
                                 .add(s));
         List<Window> windows = new ArrayList<>();
         for (int s = 0; s < bySecond.size(); s++) {
-            List<Story> mine = bySecond.get(s);
-            Histogram latency = new Histogram(DIGITS);
-            mine.stream()
-                    .filter(Story::served)
+            List<RequestRecord> secondRecords = bySecond.get(s);
+            Histogram latency = new Histogram(HISTOGRAM_DIGITS);
+            secondRecords.stream()
+                    .filter(RequestRecord::served)
                     .forEach(
                             x ->
                                     latency.recordValue(
                                             (long) Math.max(0, x.latencyMs() * US_PER_MS)));
-            int served = (int) mine.stream().filter(Story::served).count();
-            int refused = (int) mine.stream().filter(Story::refused).count();
+            int served = (int) secondRecords.stream().filter(RequestRecord::served).count();
+            int refused = (int) secondRecords.stream().filter(RequestRecord::refused).count();
             windows.add(
                     new Window(
                             s,
-                            mine.size(),
+                            secondRecords.size(),
                             served,
                             refused,
-                            mine.size() - served - refused,
-                            mine.stream().mapToDouble(f::worth).sum(),
-                            mine.stream().mapToDouble(f::earned).sum(),
+                            secondRecords.size() - served - refused,
+                            secondRecords.stream().mapToDouble(weights::weight).sum(),
+                            secondRecords.stream().mapToDouble(weights::servedWeight).sum(),
                             latency.getValueAtPercentile(50) / US_PER_MS,
                             latency.getValueAtPercentile(99) / US_PER_MS,
                             s < levels.length ? levels[s] : 0,
-                            mine.stream().mapToDouble(Story::lateMs).max().orElse(0)));
+                            secondRecords.stream()
+                                    .mapToDouble(RequestRecord::sendDelayMs)
+                                    .max()
+                                    .orElse(0)));
         }
         return windows;
     }
--- a/src/main/java/cacheproxy/lab/report/HtmlReport.java
+++ b/src/main/java/cacheproxy/lab/report/HtmlReport.java
@@ -33,14 +33,14 @@
         StringBuilder page =
                 new StringBuilder(
                                 "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>")
-                        .append(safe(results.experiment()))
+                        .append(escape(results.experiment()))
                         .append(
                                 "</title><style>body{font:15px sans-serif;margin:2em auto;max-width:60em}"
                                         + "td,th{padding:.1em .8em;text-align:left}td:nth-child(2){text-align:right;font-family:monospace}"
                                         + ".bad{color:#a00}img{max-width:100%}</style><h1>")
-                        .append(safe(results.experiment()))
+                        .append(escape(results.experiment()))
                         .append("</h1><p>")
-                        .append(safe(results.about()))
+                        .append(escape(results.about()))
                         .append("</p><p>Driver ")
                         .append(results.driver())
                         .append(", seed ")
@@ -48,12 +48,12 @@
                         .append(", load ")
                         .append(results.load(), 0, 16)
                         .append("…</p>");
-        list(page, "Bounds that do not hold", results.missed());
-        list(page, "Broken rules", results.violations());
-        if (results.good()) {
+        appendList(page, "Bounds that do not hold", results.missed());
+        appendList(page, "Broken rules", results.violations());
+        if (results.passed()) {
             page.append("<p>All bounds hold, no rule is broken.</p>");
         }
-        plot(
+        appendPlot(
                 page,
                 results,
                 "Requests a second",
@@ -66,22 +66,22 @@
                         Window::refused,
                         "failed",
                         Window::failed));
-        plot(
+        appendPlot(
                 page,
                 results,
                 "Share of worth served",
                 Map.of("worth", w -> w.worthAsked() == 0 ? 1 : w.worthServed() / w.worthAsked()));
-        plot(
+        appendPlot(
                 page,
                 results,
                 "Latency of what was served, ms",
                 Map.of("p50", Window::p50Ms, "p99", Window::p99Ms));
-        plot(
+        appendPlot(
                 page,
                 results,
                 "Control level, highest of all proxies",
                 Map.of("level", Window::level));
-        list(
+        appendList(
                 page,
                 "What happened",
                 results.marks().stream().map(m -> m.atS() + " s: " + m.what()).toList());
@@ -90,22 +90,22 @@
                 .forEach(
                         (name, value) ->
                                 page.append("<tr><td>")
-                                        .append(safe(name))
+                                        .append(escape(name))
                                         .append("</td><td>")
-                                        .append(Results.plain(value))
+                                        .append(Results.formatNumber(value))
                                         .append("</td></tr>"));
         Files.writeString(file, page.append("</table></html>\n"));
     }
 
-    private static void list(StringBuilder page, String title, List<String> lines) {
+    private static void appendList(StringBuilder page, String title, List<String> lines) {
         if (!lines.isEmpty()) {
             page.append("<h2>").append(title).append("</h2><ul>");
-            lines.forEach(l -> page.append("<li>").append(safe(l)).append("</li>"));
+            lines.forEach(l -> page.append("<li>").append(escape(l)).append("</li>"));
             page.append("</ul>");
         }
     }
 
-    private static void plot(
+    private static void appendPlot(
             StringBuilder page,
             Results results,
             String title,
@@ -125,7 +125,7 @@
                                                             line.getValue().applyAsDouble(w)));
                             data.addSeries(series);
                         });
-        JFreeChart chart = chart(title, "s", "", data);
+        JFreeChart chart = createChart(title, "s", "", data);
         for (Mark mark : results.marks()) {
             ValueMarker line =
                     new ValueMarker(
@@ -140,10 +140,10 @@
                                     0));
             chart.getXYPlot().addDomainMarker(line);
         }
-        picture(page, chart, title);
+        appendChart(page, chart, title);
     }
 
-    static JFreeChart chart(String title, String x, String y, XYSeriesCollection data) {
+    static JFreeChart createChart(String title, String x, String y, XYSeriesCollection data) {
         JFreeChart chart =
                 ChartFactory.createXYLineChart(
                         title,
@@ -164,17 +164,17 @@
         return chart;
     }
 
-    static void picture(StringBuilder page, JFreeChart chart, String title) throws IOException {
+    static void appendChart(StringBuilder page, JFreeChart chart, String title) throws IOException {
         ByteArrayOutputStream png = new ByteArrayOutputStream();
         ChartUtils.writeChartAsPNG(png, chart, WIDTH, HEIGHT);
         page.append("<p><img alt=\"")
-                .append(safe(title))
+                .append(escape(title))
                 .append("\" src=\"data:image/png;base64,")
                 .append(Base64.getEncoder().encodeToString(png.toByteArray()))
                 .append("\"></p>");
     }
 
-    static String safe(String text) {
+    static String escape(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
--- a/src/main/java/cacheproxy/lab/report/Results.java
+++ b/src/main/java/cacheproxy/lab/report/Results.java
@@ -43,7 +43,7 @@
         List<String> violations,
         List<String> missed) {
 
-    public static final int FORM = 1;
+    public static final int FORM_VERSION = 1;
 
     /**
      * One second: requests meant for it, what became of them, the highest control level seen, and
@@ -77,26 +77,28 @@
     public static List<String> missed(
             Map<String, Double> figures, List<Experiment.Expect> expects) {
         List<String> missed = new ArrayList<>();
-        for (Experiment.Expect e : expects) {
-            Double found = figures.get(e.figure());
-            if (found == null || !(found >= e.min() && found <= e.max())) {
+        for (Experiment.Expect expect : expects) {
+            Double value = figures.get(expect.figure());
+            if (value == null || !(value >= expect.min() && value <= expect.max())) {
                 missed.add(
-                        e.figure()
+                        expect.figure()
                                 + " is "
-                                + (found == null ? "not a figure of this run" : plain(found))
+                                + (value == null ? "not a figure of this run" : formatNumber(value))
                                 + ", expected "
-                                + (Double.isInfinite(e.min())
-                                        ? "at most " + plain(e.max())
-                                        : Double.isInfinite(e.max())
-                                                ? "at least " + plain(e.min())
-                                                : plain(e.min()) + " to " + plain(e.max())));
+                                + (Double.isInfinite(expect.min())
+                                        ? "at most " + formatNumber(expect.max())
+                                        : Double.isInfinite(expect.max())
+                                                ? "at least " + formatNumber(expect.min())
+                                                : formatNumber(expect.min())
+                                                        + " to "
+                                                        + formatNumber(expect.max())));
             }
         }
         return List.copyOf(missed);
     }
 
     /** Whether every bound holds and no rule was broken. */
-    public boolean good() {
+    public boolean passed() {
         return missed.isEmpty() && violations.isEmpty();
     }
 
@@ -115,9 +117,9 @@
     public static Results read(Path file) throws BadFileException {
         try {
             Results results = JSON.readValue(Files.readString(file), Results.class);
-            if (results.form() != FORM) {
+            if (results.form() != FORM_VERSION) {
                 throw new BadFileException(
-                        file + ": form " + results.form() + ", this program reads " + FORM);
+                        file + ": form " + results.form() + ", this program reads " + FORM_VERSION);
             }
             return results;
         } catch (IOException e) {
@@ -127,7 +129,7 @@
     }
 
     /** Up to four digits that count. */
-    public static String plain(double number) {
+    public static String formatNumber(double number) {
         return Double.isNaN(number)
                 ? "none"
                 : number == Math.rint(number) && Math.abs(number) < 1e9
--- a/src/main/java/cacheproxy/lab/sockets/Clients.java
+++ b/src/main/java/cacheproxy/lab/sockets/Clients.java
@@ -3,13 +3,13 @@
 import cacheproxy.Router.Effect;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.ledger.Ledger;
-import cacheproxy.lab.ledger.Ledger.Reply;
-import cacheproxy.lab.ledger.Ledger.Try;
-import cacheproxy.lab.load.Front;
-import cacheproxy.lab.load.Habits;
-import cacheproxy.lab.load.Habits.Ending;
+import cacheproxy.lab.ledger.Ledger.ClientTry;
+import cacheproxy.lab.ledger.Ledger.FinalAnswer;
+import cacheproxy.lab.load.ClientBehavior;
+import cacheproxy.lab.load.ClientBehavior.TryOutcome;
+import cacheproxy.lab.load.LoadBalancer;
 import cacheproxy.lab.load.LoadPlan;
-import cacheproxy.lab.load.LoadPlan.First;
+import cacheproxy.lab.load.LoadPlan.PlannedRequest;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -47,22 +47,22 @@
  * first try goes out at its planned time whatever became of others, and how late it really went out
  * is kept. Runs on one event loop.
  */
-final class Clients implements Machines.Asked {
-
-    private static final int BODY = Experiment.MOST_BYTES + 1024;
-    private static final int CONNECT_MS = 1000;
-    private static final int REHEARSALS = 24;
-    private static final int REHEARSED = 100;
-    private static final long REHEARSAL_S = 3;
-    private static final int WRITE_BYTES = 200;
+final class Clients implements UpstreamServers.RequestLookup {
+
+    private static final int MAX_RESPONSE_BYTES = Experiment.MAX_VALUE_BYTES + 1024;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int WARMUP_CONNECTIONS = 24;
+    private static final int WARMUP_REQUESTS = 100;
+    private static final long WARMUP_TIMEOUT_S = 3;
+    private static final int WRITE_BODY_BYTES = 200;
     private static final double MS_PER_S = 1000;
 
     /** How a first try and its retries ended. */
-    static final class Story {
-        final First first;
+    static final class RequestState {
+        final PlannedRequest request;
 
         /** How late it went out. */
-        double lateMs;
+        double sendDelayMs;
 
         /** When its last answer came, or it was given up; infinite while it goes on. */
         double endedAt = Double.POSITIVE_INFINITY;
@@ -72,24 +72,24 @@
 
         int tries;
 
-        Story(First first) {
-            this.first = first;
+        RequestState(PlannedRequest request) {
+            this.request = request;
         }
     }
 
     private final EventLoop loop;
     private final RunClock clock;
     private final Experiment experiment;
-    private final Habits habits;
+    private final ClientBehavior clientBehavior;
     private final Ledger ledger;
     private final List<InetSocketAddress> proxies;
-    private final Front front;
-    private final List<Deque<Connection>> idle = new ArrayList<>();
-    private final Map<String, First> asked = new ConcurrentHashMap<>();
-    private final Story[] stories;
-    private volatile Counts counts = new Counts(0, 0, 0, 0, 0);
-    private int next;
-    private int open;
+    private final LoadBalancer loadBalancer;
+    private final List<Deque<Connection>> idleConnections = new ArrayList<>();
+    private final Map<String, PlannedRequest> requestsByTryId = new ConcurrentHashMap<>();
+    private final RequestState[] states;
+    private volatile OutcomeCounts counts = new OutcomeCounts(0, 0, 0, 0, 0);
+    private int nextIndex;
+    private int inFlight;
 
     Clients(
             EventLoop loop,
@@ -102,33 +102,37 @@
         this.loop = loop;
         this.clock = clock;
         this.experiment = experiment;
-        this.habits = new Habits(experiment);
+        this.clientBehavior = new ClientBehavior(experiment);
         this.ledger = ledger;
         this.proxies = proxies;
-        this.front = Front.of(experiment, zones);
-        this.stories = plan.firsts().stream().map(Story::new).toArray(Story[]::new);
-        proxies.forEach(p -> idle.add(new ArrayDeque<>()));
+        this.loadBalancer = LoadBalancer.of(experiment, zones);
+        this.states = plan.requests().stream().map(RequestState::new).toArray(RequestState[]::new);
+        proxies.forEach(p -> idleConnections.add(new ArrayDeque<>()));
     }
 
     @Override
-    public First first(String id) {
-        return asked.get(id);
+    public PlannedRequest find(String id) {
+        return requestsByTryId.get(id);
     }
 
     /** How every first try that was sent has ended; read once the loop has. */
-    List<cacheproxy.lab.load.Story> told() {
-        return java.util.Arrays.stream(stories)
-                .limit(next)
+    List<cacheproxy.lab.load.RequestRecord> records() {
+        return java.util.Arrays.stream(states)
+                .limit(nextIndex)
                 .map(
-                        s ->
-                                new cacheproxy.lab.load.Story(
-                                        s.first, s.lateMs, s.endedAt, s.status, s.tries))
+                        state ->
+                                new cacheproxy.lab.load.RequestRecord(
+                                        state.request,
+                                        state.sendDelayMs,
+                                        state.endedAt,
+                                        state.status,
+                                        state.tries))
                 .toList();
     }
 
     /** The front puts a proxy into service or takes it out. */
-    void inService(int proxy, boolean on) {
-        loop.execute(() -> front.inService(proxy, on));
+    void setInService(int proxy, boolean inService) {
+        loop.execute(() -> loadBalancer.setInService(proxy, inService));
     }
 
     /**
@@ -136,136 +140,142 @@
      * loaded would send the first requests of a run late, and lay its lateness at the proxies'
      * door.
      */
-    void rehearse() throws InterruptedException {
-        CountDownLatch done = new CountDownLatch(proxies.size() * REHEARSALS);
-        for (int i = 0; i < proxies.size() * REHEARSALS; i++) {
-            dial(i % proxies.size(), channel -> channel.pipeline().addLast(new Rehearsal(done)));
+    void warmUp() throws InterruptedException {
+        CountDownLatch done = new CountDownLatch(proxies.size() * WARMUP_CONNECTIONS);
+        for (int i = 0; i < proxies.size() * WARMUP_CONNECTIONS; i++) {
+            openConnection(
+                    i % proxies.size(),
+                    channel -> channel.pipeline().addLast(new WarmupHandler(done)));
         }
-        done.await(REHEARSAL_S, TimeUnit.SECONDS);
+        done.await(WARMUP_TIMEOUT_S, TimeUnit.SECONDS);
         // And the way of a request: one of no known class is refused with 400 on a connection of
         // its own.
-        CountDownLatch refused = new CountDownLatch(REHEARSED * proxies.size());
-        for (int i = 0; i < REHEARSALS; i++) {
-            loop.execute(() -> refusedIn(refused));
+        CountDownLatch rejected = new CountDownLatch(WARMUP_REQUESTS * proxies.size());
+        for (int i = 0; i < WARMUP_CONNECTIONS; i++) {
+            loop.execute(() -> sendInvalidRequest(rejected));
         }
-        refused.await(REHEARSAL_S, TimeUnit.SECONDS);
+        rejected.await(WARMUP_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private void refusedIn(CountDownLatch left) {
-        if (left.getCount() == 0 || stories.length == 0) {
+    private void sendInvalidRequest(CountDownLatch remaining) {
+        if (remaining.getCount() == 0 || states.length == 0) {
             return;
         }
-        Exchange exchange =
-                new Exchange(
-                        stories[0],
-                        habits.id(stories[0].first, REHEARSALS),
-                        (int) (left.getCount() % proxies.size()),
+        ClientExchange exchange =
+                new ClientExchange(
+                        states[0],
+                        clientBehavior.tryId(states[0].request, WARMUP_CONNECTIONS),
+                        (int) (remaining.getCount() % proxies.size()),
                         1000);
-        dial(exchange.proxy, channel -> {})
+        openConnection(exchange.proxy, channel -> {})
                 .addListener(
-                        (ChannelFuture f) -> {
-                            if (f.isSuccess()) {
-                                FullHttpRequest request = request(exchange);
+                        (ChannelFuture future) -> {
+                            if (future.isSuccess()) {
+                                FullHttpRequest request = buildRequest(exchange);
                                 request.headers().set("X-Call-Class", "rehearsal");
-                                f.channel().writeAndFlush(request);
+                                future.channel().writeAndFlush(request);
                             }
-                            f.channel()
+                            future.channel()
                                     .closeFuture()
                                     .addListener(
-                                            g -> {
-                                                left.countDown();
-                                                refusedIn(left);
+                                            closed -> {
+                                                remaining.countDown();
+                                                sendInvalidRequest(remaining);
                                             });
                         });
     }
 
-    private static final class Rehearsal extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private static final class WarmupHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final CountDownLatch done;
-        private int asked;
+        private int requestsSent;
 
-        Rehearsal(CountDownLatch done) {
+        WarmupHandler(CountDownLatch done) {
             this.done = done;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (asked < REHEARSED) {
-                ask(ctx);
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (requestsSent < WARMUP_REQUESTS) {
+                sendRequest(ctx);
             } else {
                 done.countDown();
                 ctx.close();
             }
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            asked++;
-            FullHttpRequest up =
+        private void sendRequest(ChannelHandlerContext ctx) {
+            requestsSent++;
+            FullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/up");
-            up.headers().set(HttpHeaderNames.HOST, "service.internal");
-            ctx.writeAndFlush(up);
+            request.headers().set(HttpHeaderNames.HOST, "service.internal");
+            ctx.writeAndFlush(request);
         }
     }
 
     void start() {
-        loop.execute(this::pump);
+        loop.execute(this::sendDueRequests);
     }
 
-    private void count(Story story, Ending ending) {
-        double worth = type(story).worth() * story.first.workMs();
-        Counts c = counts;
+    private void count(RequestState state, TryOutcome outcome) {
+        double weightedWork = requestClass(state).worth() * state.request.workMs();
+        OutcomeCounts previous = counts;
         counts =
-                new Counts(
-                        c.ended() + 1,
-                        c.served() + (ending == Ending.SERVED ? 1 : 0),
-                        c.refused() + (ending == Ending.REFUSED ? 1 : 0),
-                        c.worth() + worth,
-                        c.worthServed() + (ending == Ending.SERVED ? worth : 0));
+                new OutcomeCounts(
+                        previous.ended() + 1,
+                        previous.served() + (outcome == TryOutcome.SERVED ? 1 : 0),
+                        previous.refused() + (outcome == TryOutcome.REFUSED ? 1 : 0),
+                        previous.weightedWork() + weightedWork,
+                        previous.weightedWorkServed()
+                                + (outcome == TryOutcome.SERVED ? weightedWork : 0));
     }
 
     /** How many first tries have ended so far, and how; worth is the class's times the work. */
-    record Counts(int ended, int served, int refused, double worth, double worthServed) {}
+    record OutcomeCounts(
+            int ended, int served, int refused, double weightedWork, double weightedWorkServed) {}
 
-    Counts counts() {
+    OutcomeCounts counts() {
         return counts;
     }
 
     /** Sends what is due and comes back when the next one is. */
-    private void pump() {
-        while (next < stories.length && stories[next].first.atMs() <= clock.now()) {
-            Story story = stories[next++];
-            open++;
-            story.lateMs = clock.now() - story.first.atMs();
-            attempt(story);
+    private void sendDueRequests() {
+        while (nextIndex < states.length && states[nextIndex].request.atMs() <= clock.now()) {
+            RequestState state = states[nextIndex++];
+            inFlight++;
+            state.sendDelayMs = clock.now() - state.request.atMs();
+            sendTry(state);
         }
-        if (next < stories.length) {
+        if (nextIndex < states.length) {
             loop.schedule(
-                    this::pump, clock.nanosUntil(stories[next].first.atMs()), TimeUnit.NANOSECONDS);
+                    this::sendDueRequests,
+                    clock.nanosUntil(states[nextIndex].request.atMs()),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
-    private Experiment.Class type(Story story) {
-        return habits.type(story.first);
+    private Experiment.Class requestClass(RequestState state) {
+        return clientBehavior.classOf(state.request);
     }
 
-    private void attempt(Story story) {
-        double budget = habits.budgetMs(story.first, clock.now());
-        int proxy = front.pick(story.first.zone());
-        String id = habits.id(story.first, story.tries);
-        story.tries++;
-        asked.put(id, story.first);
-        Exchange exchange = new Exchange(story, id, proxy, budget);
+    private void sendTry(RequestState state) {
+        double budgetMs = clientBehavior.tryBudgetMs(state.request, clock.now());
+        int proxy = loadBalancer.pick(state.request.zone());
+        String id = clientBehavior.tryId(state.request, state.tries);
+        state.tries++;
+        requestsByTryId.put(id, state.request);
+        ClientExchange exchange = new ClientExchange(state, id, proxy, budgetMs);
         if (proxy < 0) {
-            exchange.end(Ending.UNREACHED, -1, 0);
+            exchange.end(TryOutcome.UNREACHED, -1, 0);
             return;
         }
-        Connection connection = idle.get(proxy).pollLast();
+        Connection connection = idleConnections.get(proxy).pollLast();
         while (connection != null && !connection.channel.isActive()) {
-            connection = idle.get(proxy).pollLast();
+            connection = idleConnections.get(proxy).pollLast();
         }
         if (connection != null) {
             connection.send(exchange);
@@ -274,28 +284,28 @@
         }
     }
 
-    private void connect(Exchange exchange) {
-        dial(
+    private void connect(ClientExchange exchange) {
+        openConnection(
                         exchange.proxy,
                         channel ->
                                 channel.pipeline().addLast(new Connection(channel, exchange.proxy)))
                 .addListener(
-                        (ChannelFuture f) -> {
-                            if (f.isSuccess()) {
-                                f.channel().pipeline().get(Connection.class).send(exchange);
+                        (ChannelFuture future) -> {
+                            if (future.isSuccess()) {
+                                future.channel().pipeline().get(Connection.class).send(exchange);
                             } else {
-                                exchange.end(Ending.UNREACHED, -1, 0);
+                                exchange.end(TryOutcome.UNREACHED, -1, 0);
                             }
                         });
     }
 
     /** Opens a connection to a proxy; {@code more} adds to what reads and writes HTTP on it. */
-    private ChannelFuture dial(int proxy, Consumer<Channel> more) {
+    private ChannelFuture openConnection(int proxy, Consumer<Channel> configurer) {
         return new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<>() {
                             @Override
@@ -303,73 +313,76 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(BODY));
-                                more.accept(channel);
+                                                new HttpObjectAggregator(MAX_RESPONSE_BYTES));
+                                configurer.accept(channel);
                             }
                         })
                 .connect(proxies.get(proxy));
     }
 
-    private FullHttpRequest request(Exchange exchange) {
-        First first = exchange.story.first;
-        Experiment.Class type = type(exchange.story);
-        byte[] body = type.write() ? new byte[WRITE_BYTES] : new byte[0];
+    private FullHttpRequest buildRequest(ClientExchange exchange) {
+        PlannedRequest plannedRequest = exchange.state.request;
+        Experiment.Class requestClass = requestClass(exchange.state);
+        byte[] body = requestClass.write() ? new byte[WRITE_BODY_BYTES] : new byte[0];
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
-                        type.write() ? HttpMethod.PUT : HttpMethod.GET,
-                        Habits.path(first.key()),
+                        requestClass.write() ? HttpMethod.PUT : HttpMethod.GET,
+                        ClientBehavior.pathOf(plannedRequest.key()),
                         Unpooled.wrappedBuffer(body));
         request.headers()
                 .set(HttpHeaderNames.HOST, "service.internal")
                 .set("X-Call-Id", exchange.id)
-                .set("X-Call-Class", type.name())
+                .set("X-Call-Class", requestClass.name())
                 .set("X-Budget", String.format(Locale.ROOT, "%.3f", exchange.budgetMs / MS_PER_S))
-                .set("X-Call-Cost", (long) (first.hintMs() * MS_PER_S));
-        if (type.write()) {
+                .set("X-Call-Cost", (long) (plannedRequest.hintMs() * MS_PER_S));
+        if (requestClass.write()) {
             request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
-        if (type.effect() == Effect.KEYED) {
-            request.headers().set("Idempotency-Key", String.format("k%015x", first.index()));
+        if (requestClass.effect() == Effect.KEYED) {
+            request.headers()
+                    .set("Idempotency-Key", String.format("k%015x", plannedRequest.index()));
         }
-        if (exchange.story.tries > 1 && experiment.load().marksRetries()) {
+        if (exchange.state.tries > 1 && experiment.load().marksRetries()) {
             request.headers().set("X-Again", "1");
         }
         return request;
     }
 
     /** One try from its first byte to its end. */
-    private final class Exchange {
-        final Story story;
+    private final class ClientExchange {
+        final RequestState state;
         final String id;
         final int proxy;
         final double budgetMs;
-        Try entry;
-        boolean over;
-        boolean again;
+        ClientTry clientTry;
+        boolean ended;
+        boolean sentOnNewConnection;
 
-        Exchange(Story story, String id, int proxy, double budgetMs) {
-            this.story = story;
+        ClientExchange(RequestState state, String id, int proxy, double budgetMs) {
+            this.state = state;
             this.id = id;
             this.proxy = proxy;
             this.budgetMs = budgetMs;
         }
 
         /** The client's side is over: it has an answer, or has given up. */
-        void end(Ending ending, int status, double retryAfterMs) {
-            if (over) {
+        void end(TryOutcome outcome, int status, double retryAfterMs) {
+            if (ended) {
                 return;
             }
-            over = true;
-            story.status = status;
-            double again =
-                    habits.againAt(story.first, story.tries, ending, retryAfterMs, clock.now());
-            if (!Double.isNaN(again)) {
-                loop.schedule(() -> attempt(story), clock.nanosUntil(again), TimeUnit.NANOSECONDS);
+            ended = true;
+            state.status = status;
+            double retryAt =
+                    clientBehavior.retryAt(
+                            state.request, state.tries, outcome, retryAfterMs, clock.now());
+            if (!Double.isNaN(retryAt)) {
+                loop.schedule(
+                        () -> sendTry(state), clock.nanosUntil(retryAt), TimeUnit.NANOSECONDS);
             } else {
-                story.endedAt = clock.now();
-                open--;
-                count(story, ending);
+                state.endedAt = clock.now();
+                inFlight--;
+                count(state, outcome);
             }
         }
     }
@@ -378,7 +391,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
         private final int proxy;
-        private Exchange current;
+        private ClientExchange current;
         private boolean used;
 
         Connection(Channel channel, int proxy) {
@@ -386,41 +399,43 @@
             this.proxy = proxy;
         }
 
-        void send(Exchange exchange) {
+        void send(ClientExchange exchange) {
             current = exchange;
             boolean reused = used;
             used = true;
-            if (exchange.entry == null) {
-                exchange.entry =
+            if (exchange.clientTry == null) {
+                exchange.clientTry =
                         ledger.sent(
                                 exchange.id,
-                                exchange.story.first.index(),
-                                exchange.story.first.type(),
-                                exchange.story.first.key(),
+                                exchange.state.request.index(),
+                                exchange.state.request.classIndex(),
+                                exchange.state.request.key(),
                                 proxy,
                                 clock.now(),
                                 exchange.budgetMs);
             }
-            exchange.again |= !reused;
-            exchange.entry.fresh = !reused;
-            channel.writeAndFlush(request(exchange));
+            exchange.sentOnNewConnection |= !reused;
+            exchange.clientTry.firstOnConnection = !reused;
+            channel.writeAndFlush(buildRequest(exchange));
             loop.schedule(
-                    () -> gaveUp(exchange), (long) (exchange.budgetMs * 1e6), TimeUnit.NANOSECONDS);
+                    () -> onTryTimeout(exchange),
+                    (long) (exchange.budgetMs * 1e6),
+                    TimeUnit.NANOSECONDS);
         }
 
         /**
          * The client has given up; the connection stays a little longer, to tell a late answer from
          * none.
          */
-        private void gaveUp(Exchange exchange) {
-            if (current != exchange || exchange.over) {
+        private void onTryTimeout(ClientExchange exchange) {
+            if (current != exchange || exchange.ended) {
                 return;
             }
-            exchange.end(Ending.FAILED, 0, 0);
+            exchange.end(TryOutcome.FAILED, 0, 0);
             loop.schedule(
                     () -> {
                         if (current == exchange) {
-                            exchange.entry.gaveUpAt = clock.now();
+                            exchange.clientTry.gaveUpAt = clock.now();
                             current = null;
                             channel.close();
                         }
@@ -430,34 +445,39 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            Exchange exchange = current;
-            if (exchange == null || answer.decoderResult().isFailure()) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            ClientExchange exchange = current;
+            if (exchange == null || response.decoderResult().isFailure()) {
                 ctx.close();
                 return;
             }
-            int status = answer.status().code();
-            String wait = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
-            double retryAfterMs = wait == null ? Double.NaN : Double.parseDouble(wait) * MS_PER_S;
-            exchange.entry.replies.add(
-                    new Reply(clock.now(), status, retryAfterMs, made(exchange.id, answer)));
+            int status = response.status().code();
+            String retryAfter = response.headers().get(HttpHeaderNames.RETRY_AFTER);
+            double retryAfterMs =
+                    retryAfter == null ? Double.NaN : Double.parseDouble(retryAfter) * MS_PER_S;
+            exchange.clientTry.replies.add(
+                    new FinalAnswer(
+                            clock.now(),
+                            status,
+                            retryAfterMs,
+                            servedAttempt(exchange.id, response)));
             current = null;
-            boolean keep = HttpUtil.isKeepAlive(answer);
-            exchange.end(Habits.ending(status), status, retryAfterMs);
-            if (keep && channel.isActive()) {
-                idle.get(proxy).addLast(this);
+            boolean keepAlive = HttpUtil.isKeepAlive(response);
+            exchange.end(ClientBehavior.outcomeOf(status), status, retryAfterMs);
+            if (keepAlive && channel.isActive()) {
+                idleConnections.get(proxy).addLast(this);
             } else {
                 channel.close();
             }
         }
 
         /** The attempt that a served body names, if it names this request; else 0. */
-        private long made(String id, FullHttpResponse answer) {
+        private long servedAttempt(String id, FullHttpResponse response) {
             String body =
-                    answer.content()
+                    response.content()
                             .toString(
                                     0,
-                                    Math.min(64, answer.content().readableBytes()),
+                                    Math.min(64, response.content().readableBytes()),
                                     StandardCharsets.US_ASCII);
             String[] parts = body.split(":");
             return parts.length >= 3 && parts[0].equals(id) ? Long.parseLong(parts[1]) : 0;
@@ -465,28 +485,28 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.get(proxy).remove(this);
-            Exchange exchange = current;
+            idleConnections.get(proxy).remove(this);
+            ClientExchange exchange = current;
             current = null;
             if (exchange == null) {
                 return;
             }
-            if (!exchange.again) {
+            if (!exchange.sentOnNewConnection) {
                 // The proxy's close crossed our request on a connection from before: it is sent
                 // once more on a new one.
-                exchange.again = true;
+                exchange.sentOnNewConnection = true;
                 connect(exchange);
                 return;
             }
-            exchange.entry.lostAt = clock.now();
-            exchange.end(Ending.FAILED, 0, 0);
+            exchange.clientTry.connectionLostAt = clock.now();
+            exchange.end(TryOutcome.FAILED, 0, 0);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (current != null
                     && cause instanceof io.netty.handler.codec.PrematureChannelClosureException) {
-                current.entry.begun = true;
+                current.clientTry.answerBegun = true;
             }
             ctx.close();
         }
--- a/src/main/java/cacheproxy/lab/sockets/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/lab/sockets/DiscoveryServer.java
@@ -39,76 +39,77 @@
  */
 final class DiscoveryServer {
 
-    private static final long HEARTBEAT_S = 2;
-    private static final long OLD_CLOSES_MS = 1500;
+    private static final long HEARTBEAT_INTERVAL_S = 2;
+    private static final long OLD_CONNECTIONS_CLOSE_DELAY_MS = 1500;
 
     private final EventLoop loop;
     private final RunClock clock;
-    private final Installation plan;
+    private final Installation installation;
     private final int proxy;
-    private final Machines machines;
+    private final UpstreamServers upstreamServers;
     private final Ledger ledger;
-    private final Map<String, Entry> known = new LinkedHashMap<>();
+    private final Map<String, Entry> endpoints = new LinkedHashMap<>();
 
     /** Entries as the proxy was told them last. */
-    private final Map<String, Entry> told = new LinkedHashMap<>();
+    private final Map<String, Entry> lastSent = new LinkedHashMap<>();
 
-    private final Set<SocketChannel> watches = new HashSet<>();
-    private Doors doors;
+    private final Set<SocketChannel> watchers = new HashSet<>();
+    private FaultyListener listener;
     private long version;
     private long sentBytes;
 
     /** The whole list as it was written last; null once it has changed. */
-    private String wholeText;
+    private String snapshotText;
 
     private boolean silent;
 
     DiscoveryServer(
             EventLoop loop,
             RunClock clock,
-            Installation plan,
+            Installation installation,
             int proxy,
-            Machines machines,
+            UpstreamServers upstreamServers,
             Ledger ledger,
             World world) {
         this.loop = loop;
         this.clock = clock;
-        this.plan = plan;
+        this.installation = installation;
         this.proxy = proxy;
-        this.machines = machines;
+        this.upstreamServers = upstreamServers;
         this.ledger = ledger;
         this.version = world.version();
-        world.truth().forEach(e -> known.put(e.id(), e));
+        world.currentEndpoints().forEach(e -> endpoints.put(e.id(), e));
     }
 
     void open() throws InterruptedException {
-        doors = new Doors(loop, this::accepted);
-        doors.open();
-        loop.scheduleAtFixedRate(this::beat, HEARTBEAT_S, HEARTBEAT_S, TimeUnit.SECONDS);
+        listener = new FaultyListener(loop, this::initializeConnection);
+        listener.open();
+        loop.scheduleAtFixedRate(
+                this::sendHeartbeat, HEARTBEAT_INTERVAL_S, HEARTBEAT_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    String dial() {
-        return doors.dial();
+    String address() {
+        return listener.address();
     }
 
     /**
      * Goes to another address; the old one takes nothing new, and closes what is open a while
      * later. Returns the new one.
      */
-    String move() throws InterruptedException {
-        Doors old = doors;
-        Doors next = new Doors(loop, this::accepted);
-        next.open();
+    String changeAddress() throws InterruptedException {
+        FaultyListener oldListener = listener;
+        FaultyListener newListener = new FaultyListener(loop, this::initializeConnection);
+        newListener.open();
         loop.execute(
                 () -> {
-                    doors = next;
-                    old.closeListener();
+                    listener = newListener;
+                    oldListener.closeListener();
                     loop.schedule(
-                            () -> old.links().forEach(SocketChannel::close),
-                            OLD_CLOSES_MS,
+                            () -> oldListener.connections().forEach(SocketChannel::close),
+                            OLD_CONNECTIONS_CLOSE_DELAY_MS,
                             TimeUnit.MILLISECONDS);
                 });
-        return next.dial();
+        return newListener.address();
     }
 
     /** Bytes of lists and changes written to this proxy so far, heartbeats left out. */
@@ -116,94 +117,97 @@
         return sentBytes;
     }
 
-    void silent(boolean on) {
-        silent = on;
+    void setSilent(boolean enabled) {
+        silent = enabled;
     }
 
     /** The list as a proxy is given it at its start: what it had last, or the first one. */
-    JsonObject whole() {
-        return message(true, new ArrayList<>(known.values()));
+    JsonObject snapshot() {
+        return message(true, new ArrayList<>(endpoints.values()));
     }
 
     /** News that reaches this agent now. */
-    void news(long next, List<Entry> entries) {
-        version = next;
-        wholeText = null;
+    void publish(long newVersion, List<Entry> entries) {
+        version = newVersion;
+        snapshotText = null;
         entries.forEach(
-                e -> {
-                    if (e.health() == Health.REMOVED) {
-                        known.remove(e.id());
+                entry -> {
+                    if (entry.health() == Health.REMOVED) {
+                        endpoints.remove(entry.id());
                     } else {
-                        known.put(e.id(), e);
+                        endpoints.put(entry.id(), entry);
                     }
                 });
-        if (!watches.isEmpty()) {
+        if (!watchers.isEmpty()) {
             String line = message(false, entries) + "\n";
-            watches.forEach(w -> send(w, line));
-            noteTold(entries);
+            watchers.forEach(w -> send(w, line));
+            recordSent(entries);
         }
     }
 
-    private void noteTold(List<Entry> entries) {
-        for (Entry e : entries) {
-            Entry before = told.put(e.id(), e);
-            if (before == null
-                    || before.health() != e.health()
-                    || before.startedAt() != e.startedAt()) {
-                ledger.told(new Ledger.Told(proxy, e.id(), e.health(), e.startedAt(), clock.now()));
+    private void recordSent(List<Entry> entries) {
+        for (Entry entry : entries) {
+            Entry previous = lastSent.put(entry.id(), entry);
+            if (previous == null
+                    || previous.health() != entry.health()
+                    || previous.startedAt() != entry.startedAt()) {
+                ledger.notified(
+                        new Ledger.ListNotification(
+                                proxy, entry.id(), entry.health(), entry.startedAt(), clock.now()));
             }
         }
     }
 
-    private JsonObject message(boolean whole, List<Entry> entries) {
+    private JsonObject message(boolean snapshot, List<Entry> entries) {
         JsonArray hosts = new JsonArray();
-        for (Entry e : entries) {
+        for (Entry entry : entries) {
             JsonObject host = new JsonObject();
-            host.addProperty("host", e.id());
-            host.addProperty("dial", machines.dial(e.id(), proxy));
-            host.addProperty("site", plan.zones().get(e.zone()));
-            host.addProperty("class", e.kind());
+            host.addProperty("host", entry.id());
+            host.addProperty("dial", upstreamServers.address(entry.id(), proxy));
+            host.addProperty("site", installation.zones().get(entry.zone()));
+            host.addProperty("class", entry.kind());
             host.addProperty("block", 0);
-            host.addProperty("health", e.health().name().toLowerCase(java.util.Locale.ROOT));
-            host.addProperty("share", e.weight());
-            host.addProperty("born_ms", clock.unixMs(e.startedAt()));
+            host.addProperty("health", entry.health().name().toLowerCase(java.util.Locale.ROOT));
+            host.addProperty("share", entry.weight());
+            host.addProperty("born_ms", clock.unixMs(entry.startedAt()));
             hosts.add(host);
         }
         JsonObject message = new JsonObject();
         message.addProperty("seq", version);
-        message.addProperty("whole", whole);
+        message.addProperty("whole", snapshot);
         message.add("hosts", hosts);
         return message;
     }
 
-    private void send(SocketChannel watch, String line) {
+    private void send(SocketChannel watcher, String line) {
         DefaultHttpContent chunk = chunk(line);
         sentBytes += chunk.content().readableBytes();
-        watch.writeAndFlush(chunk);
+        watcher.writeAndFlush(chunk);
     }
 
     private static DefaultHttpContent chunk(String line) {
         return new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8));
     }
 
-    private void beat() {
+    private void sendHeartbeat() {
         if (!silent) {
-            watches.forEach(w -> w.writeAndFlush(chunk("\n")));
+            watchers.forEach(w -> w.writeAndFlush(chunk("\n")));
         }
     }
 
-    private void accepted(SocketChannel channel) {
+    private void initializeConnection(SocketChannel channel) {
         channel.pipeline()
                 .addLast(
                         new HttpServerCodec(),
                         new HttpObjectAggregator(1 << 16),
-                        new Agent(channel));
+                        new DiscoveryRequestHandler(channel));
     }
 
-    private final class Agent extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class DiscoveryRequestHandler
+            extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final SocketChannel channel;
 
-        Agent(SocketChannel channel) {
+        DiscoveryRequestHandler(SocketChannel channel) {
             this.channel = channel;
         }
 
@@ -214,36 +218,37 @@
                 return;
             }
             if (!uri.path().equals("/discovery/hosts")) {
-                FullHttpResponse none =
+                FullHttpResponse notFound =
                         new DefaultFullHttpResponse(
                                 HttpVersion.HTTP_1_1, HttpResponseStatus.NOT_FOUND);
-                none.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
-                ctx.writeAndFlush(none);
+                notFound.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
+                ctx.writeAndFlush(notFound);
                 return;
             }
-            wholeText = wholeText == null ? whole().toString() : wholeText;
-            String list = wholeText;
-            noteTold(new ArrayList<>(known.values()));
+            snapshotText = snapshotText == null ? snapshot().toString() : snapshotText;
+            String json = snapshotText;
+            recordSent(new ArrayList<>(endpoints.values()));
             // What was told before and is no more on the whole list is gone with it.
-            told.keySet().removeIf(id -> !known.containsKey(id));
+            lastSent.keySet().removeIf(id -> !endpoints.containsKey(id));
             if (!uri.parameters().containsKey("watch")) {
-                FullHttpResponse all =
+                FullHttpResponse response =
                         new DefaultFullHttpResponse(
                                 HttpVersion.HTTP_1_1,
                                 HttpResponseStatus.OK,
-                                Unpooled.copiedBuffer(list, StandardCharsets.UTF_8));
-                sentBytes += all.content().readableBytes();
-                all.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, all.content().readableBytes());
-                ctx.writeAndFlush(all);
+                                Unpooled.copiedBuffer(json, StandardCharsets.UTF_8));
+                sentBytes += response.content().readableBytes();
+                response.headers()
+                        .setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+                ctx.writeAndFlush(response);
                 return;
             }
-            DefaultHttpResponse head =
+            DefaultHttpResponse responseHead =
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            ctx.write(head);
-            send(channel, list + "\n");
-            watches.add(channel);
-            channel.closeFuture().addListener(f -> watches.remove(channel));
+            responseHead.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            ctx.write(responseHead);
+            send(channel, json + "\n");
+            watchers.add(channel);
+            channel.closeFuture().addListener(f -> watchers.remove(channel));
         }
 
         @Override
--- a/src/main/java/cacheproxy/lab/sockets/Doors.java
+++ b/src/main/java/cacheproxy/lab/sockets/FaultyListener.java
@@ -22,26 +22,26 @@
  * up): nothing is accepted any more and the queue of the listener is filled, upon which the system
  * drops further attempts as a network that is cut would.
  */
-final class Doors {
+final class FaultyListener {
 
     private static final int BACKLOG = 32;
 
     /** The system lets in a few more than it was asked to queue. */
-    private static final int FILL = BACKLOG + 8;
+    private static final int FILLER_CONNECTIONS = BACKLOG + 8;
 
     private final EventLoop loop;
-    private final Consumer<SocketChannel> onOpen;
-    private final Set<SocketChannel> links = new HashSet<>();
-    private final List<java.nio.channels.SocketChannel> fill = new ArrayList<>();
-    private final Set<Integer> fillPorts = new HashSet<>();
+    private final Consumer<SocketChannel> initializer;
+    private final Set<SocketChannel> connections = new HashSet<>();
+    private final List<java.nio.channels.SocketChannel> fillers = new ArrayList<>();
+    private final Set<Integer> fillerPorts = new HashSet<>();
     private InetSocketAddress address;
     private Channel server;
     private boolean silent;
 
     /** {@code onOpen} fills the pipeline of each accepted connection, on the loop. */
-    Doors(EventLoop loop, Consumer<SocketChannel> onOpen) {
+    FaultyListener(EventLoop loop, Consumer<SocketChannel> initializer) {
         this.loop = loop;
-        this.onOpen = onOpen;
+        this.initializer = initializer;
     }
 
     /** Listens, on the address it had before if it had one. */
@@ -56,11 +56,11 @@
     }
 
     /** The same from the loop itself, which may not wait. */
-    void openAgain() {
+    void reopen() {
         server = bind(address).channel();
     }
 
-    private io.netty.channel.ChannelFuture bind(InetSocketAddress at) {
+    private io.netty.channel.ChannelFuture bind(InetSocketAddress bindAddress) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -71,36 +71,36 @@
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel channel) {
-                                if (fillPorts.remove(channel.remoteAddress().getPort())) {
+                                if (fillerPorts.remove(channel.remoteAddress().getPort())) {
                                     channel.close();
                                     return;
                                 }
-                                links.add(channel);
-                                channel.closeFuture().addListener(f -> links.remove(channel));
-                                onOpen.accept(channel);
+                                connections.add(channel);
+                                channel.closeFuture().addListener(f -> connections.remove(channel));
+                                initializer.accept(channel);
                             }
                         })
-                .bind(at);
+                .bind(bindAddress);
     }
 
-    String dial() {
+    String address() {
         return "127.0.0.1:" + address.getPort();
     }
 
-    boolean silent() {
+    boolean isSilent() {
         return silent;
     }
 
-    List<SocketChannel> links() {
-        return List.copyOf(links);
+    List<SocketChannel> connections() {
+        return List.copyOf(connections);
     }
 
     /** The process died: open connections are reset, new ones refused. */
-    void shut() {
+    void closeAndReset() {
         if (server != null) {
             server.close();
         }
-        links().forEach(Doors::reset);
+        connections().forEach(FaultyListener::reset);
     }
 
     /** Stops taking new connections; those that are open stay. */
@@ -108,20 +108,20 @@
         server.close();
     }
 
-    void silence() {
+    void makeSilent() {
         if (silent || server == null || !server.isOpen()) {
             return;
         }
         silent = true;
         server.config().setAutoRead(false);
-        for (int i = 0; i < FILL; i++) {
+        for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             try {
                 java.nio.channels.SocketChannel filler = java.nio.channels.SocketChannel.open();
                 filler.configureBlocking(false);
                 filler.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-                fillPorts.add(((InetSocketAddress) filler.getLocalAddress()).getPort());
+                fillerPorts.add(((InetSocketAddress) filler.getLocalAddress()).getPort());
                 filler.connect(address);
-                fill.add(filler);
+                fillers.add(filler);
             } catch (IOException e) {
                 break;
             }
@@ -132,20 +132,20 @@
      * Connections come up again; those from before are reset, as the other side has long given them
      * up.
      */
-    void heal() {
+    void endSilence() {
         if (!silent) {
             return;
         }
         silent = false;
-        links().forEach(Doors::reset);
-        for (java.nio.channels.SocketChannel filler : fill) {
+        connections().forEach(FaultyListener::reset);
+        for (java.nio.channels.SocketChannel filler : fillers) {
             try {
                 filler.close();
             } catch (IOException e) {
                 continue;
             }
         }
-        fill.clear();
+        fillers.clear();
         server.config().setAutoRead(true);
     }
 
--- a/src/main/java/cacheproxy/lab/sockets/HostilePeers.java
+++ b/src/main/java/cacheproxy/lab/sockets/HostileClients.java
@@ -22,7 +22,7 @@
  * Peers that are no clients: slow, endless, malformed, silent. Each is owed an error or a close
  * within 3 s.
  */
-final class HostilePeers {
+final class HostileClients {
 
     /** How a peer behaves. */
     enum Kind {
@@ -36,21 +36,21 @@
      * One peer's fate; {@code endedAt} is infinite while nothing came, {@code status} 0 for a close
      * without an answer.
      */
-    static final class Peer {
+    static final class HostileClient {
         final Kind kind;
         final int proxy;
-        final double at;
+        final double openedAt;
         double endedAt = Double.POSITIVE_INFINITY;
         int status;
 
-        Peer(Kind kind, int proxy, double at) {
+        HostileClient(Kind kind, int proxy, double openedAt) {
             this.kind = kind;
             this.proxy = proxy;
-            this.at = at;
+            this.openedAt = openedAt;
         }
     }
 
-    private static final List<String> RUBBISH =
+    private static final List<String> MALFORMED_REQUESTS =
             List.of(
                     "\u0016\u0003\u0001\u0002\u0000\u0001\r\n\r\n",
                     "GET / HTTP/9.9\r\n\r\n",
@@ -58,20 +58,20 @@
                     "GET /api/1 HTTP/1.1\r\nX-Call-Id\r\n\r\n",
                     "GET /api/000000000001 HTTP/1.1\r\nHost: s\r\nX-Budget: soon\r\n\r\n",
                     "PUT /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nzz\r\n");
-    private static final long DROP_MS = 200;
+    private static final long SLOW_BYTE_INTERVAL_MS = 200;
 
     /** Longer than a peer is owed anything, so that the end of ours is none of the proxy's. */
-    private static final long LIFE_MS = 8000;
+    private static final long LIFETIME_MS = 8000;
 
-    private static final int CHUNK = 4096;
+    private static final int CHUNK_BYTES = 4096;
 
     private final EventLoop loop;
     private final RunClock clock;
     private final List<InetSocketAddress> proxies;
     private final RandomGenerator random;
-    private final List<Peer> peers = Collections.synchronizedList(new ArrayList<>());
+    private final List<HostileClient> clients = Collections.synchronizedList(new ArrayList<>());
 
-    HostilePeers(
+    HostileClients(
             EventLoop loop,
             RunClock clock,
             List<InetSocketAddress> proxies,
@@ -82,23 +82,23 @@
         this.random = random;
     }
 
-    List<Peer> peers() {
-        return List.copyOf(peers);
+    List<HostileClient> clients() {
+        return List.copyOf(clients);
     }
 
     /** So many a second from now until a time of the run. */
-    void come(double perS, double until) {
-        loop.execute(() -> next(perS, until));
+    void start(double perSecond, double until) {
+        loop.execute(() -> openNext(perSecond, until));
     }
 
-    private void next(double perS, double until) {
+    private void openNext(double perSecond, double until) {
         if (clock.now() >= until) {
             return;
         }
         Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
         int proxy = random.nextInt(proxies.size());
-        String rubbish = RUBBISH.get(random.nextInt(RUBBISH.size()));
-        Peer peer = new Peer(kind, proxy, clock.now());
+        String malformedRequest = MALFORMED_REQUESTS.get(random.nextInt(MALFORMED_REQUESTS.size()));
+        HostileClient client = new HostileClient(kind, proxy, clock.now());
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -106,39 +106,42 @@
                         new ChannelInitializer<>() {
                             @Override
                             protected void initChannel(Channel channel) {
-                                channel.pipeline().addLast(new Speaks(peer, rubbish));
+                                channel.pipeline()
+                                        .addLast(
+                                                new HostileClientHandler(client, malformedRequest));
                             }
                         })
                 .connect(proxies.get(proxy));
-        loop.schedule(() -> next(perS, until), (long) (1e9 / perS), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> openNext(perSecond, until), (long) (1e9 / perSecond), TimeUnit.NANOSECONDS);
     }
 
-    private final class Speaks extends ChannelInboundHandlerAdapter {
-        private final Peer peer;
-        private final String rubbish;
+    private final class HostileClientHandler extends ChannelInboundHandlerAdapter {
+        private final HostileClient client;
+        private final String malformedRequest;
 
-        Speaks(Peer peer, String rubbish) {
-            this.peer = peer;
-            this.rubbish = rubbish;
+        HostileClientHandler(HostileClient client, String malformedRequest) {
+            this.client = client;
+            this.malformedRequest = malformedRequest;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            peers.add(peer);
-            loop.schedule(() -> ctx.close(), LIFE_MS, TimeUnit.MILLISECONDS);
-            switch (peer.kind) {
+            clients.add(client);
+            loop.schedule(() -> ctx.close(), LIFETIME_MS, TimeUnit.MILLISECONDS);
+            switch (client.kind) {
                 case SLOW ->
-                        drop(
+                        sendSlowly(
                                 ctx,
                                 "GET /api/000000000001 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: 00",
                                 0);
                 case ENDLESS -> {
                     write(ctx, "GET /api/1 HTTP/1.1\r\nX-Endless: ");
-                    pour(ctx);
+                    sendEndlessly(ctx);
                 }
-                case MALFORMED -> write(ctx, rubbish);
+                case MALFORMED -> write(ctx, malformedRequest);
                 case SILENT -> {}
-                default -> throw new IllegalStateException("no such kind: " + peer.kind);
+                default -> throw new IllegalStateException("no such kind: " + client.kind);
             }
         }
 
@@ -146,40 +149,43 @@
             ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
         }
 
-        private void drop(ChannelHandlerContext ctx, String text, int at) {
-            if (ctx.channel().isActive() && at < text.length()) {
-                write(ctx, text.substring(at, at + 1));
-                loop.schedule(() -> drop(ctx, text, at + 1), DROP_MS, TimeUnit.MILLISECONDS);
+        private void sendSlowly(ChannelHandlerContext ctx, String text, int position) {
+            if (ctx.channel().isActive() && position < text.length()) {
+                write(ctx, text.substring(position, position + 1));
+                loop.schedule(
+                        () -> sendSlowly(ctx, text, position + 1),
+                        SLOW_BYTE_INTERVAL_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
 
-        private void pour(ChannelHandlerContext ctx) {
-            if (ctx.channel().isActive() && peer.endedAt > clock.now()) {
-                write(ctx, "a".repeat(CHUNK));
-                loop.schedule(() -> pour(ctx), 2, TimeUnit.MILLISECONDS);
+        private void sendEndlessly(ChannelHandlerContext ctx) {
+            if (ctx.channel().isActive() && client.endedAt > clock.now()) {
+                write(ctx, "a".repeat(CHUNK_BYTES));
+                loop.schedule(() -> sendEndlessly(ctx), 2, TimeUnit.MILLISECONDS);
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if (message instanceof ByteBuf bytes && peer.status == 0) {
+            if (message instanceof ByteBuf bytes && client.status == 0) {
                 String head =
                         bytes.toString(
                                 0, Math.min(16, bytes.readableBytes()), StandardCharsets.US_ASCII);
-                String[] words = head.split(" ");
-                peer.status =
-                        words.length > 1 && words[1].matches("\\d{3}.*")
-                                ? Integer.parseInt(words[1].substring(0, 3))
+                String[] parts = head.split(" ");
+                client.status =
+                        parts.length > 1 && parts[1].matches("\\d{3}.*")
+                                ? Integer.parseInt(parts[1].substring(0, 3))
                                 : 0;
-                peer.endedAt = Math.min(peer.endedAt, clock.now());
+                client.endedAt = Math.min(client.endedAt, clock.now());
             }
             ReferenceCountUtil.release(message);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (clock.now() - peer.at < LIFE_MS) {
-                peer.endedAt = Math.min(peer.endedAt, clock.now());
+            if (clock.now() - client.openedAt < LIFETIME_MS) {
+                client.endedAt = Math.min(client.endedAt, clock.now());
             }
         }
 
--- a/src/main/java/cacheproxy/lab/sockets/PacketRelay.java
+++ b/src/main/java/cacheproxy/lab/sockets/PacketRelay.java
@@ -1,6 +1,6 @@
 package cacheproxy.lab.sockets;
 
-import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PeerLinkFaults;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -18,8 +18,8 @@
 
 /**
  * Stands between proxies that gossip: each is known to the others by a socket here, and what one
- * sends to another's is passed on from its own, or lost, doubled or held back as {@link PeerLinks}
- * says. All of it runs on one loop.
+ * sends to another's is passed on from its own, or lost, doubled or held back as {@link
+ * PeerLinkFaults} says. All of it runs on one loop.
  */
 final class PacketRelay {
 
@@ -27,35 +27,41 @@
 
     private final EventLoop loop;
     private final RunClock clock;
-    private final PeerLinks links;
-    private final List<InetSocketAddress> proxies;
-    private final List<InetSocketAddress> members;
+    private final PeerLinkFaults linkFaults;
+    private final List<InetSocketAddress> proxyAddresses;
+    private final List<InetSocketAddress> memberAddresses;
     private final List<Channel> sockets = new ArrayList<>();
 
-    PacketRelay(EventLoop loop, RunClock clock, PeerLinks links, List<InetSocketAddress> proxies) {
+    PacketRelay(
+            EventLoop loop,
+            RunClock clock,
+            PeerLinkFaults linkFaults,
+            List<InetSocketAddress> proxyAddresses) {
         this.loop = loop;
         this.clock = clock;
-        this.links = links;
-        this.proxies = proxies;
-        this.members = new ArrayList<>(proxies);
+        this.linkFaults = linkFaults;
+        this.proxyAddresses = proxyAddresses;
+        this.memberAddresses = new ArrayList<>(proxyAddresses);
     }
 
     /** Opens a socket for each proxy, and one for a liar, which has no address yet. */
     void open() throws IOException, InterruptedException {
-        InetAddress last = proxies.get(proxies.size() - 1).getAddress();
-        for (int i = 0; i <= proxies.size(); i++) {
-            InetAddress at = i < proxies.size() ? proxies.get(i).getAddress() : last;
-            var bound =
+        InetAddress lastAddress = proxyAddresses.get(proxyAddresses.size() - 1).getAddress();
+        for (int i = 0; i <= proxyAddresses.size(); i++) {
+            InetAddress bindAddress =
+                    i < proxyAddresses.size() ? proxyAddresses.get(i).getAddress() : lastAddress;
+            var bindFuture =
                     new Bootstrap()
                             .group(loop)
                             .channel(NioDatagramChannel.class)
-                            .handler(new Inbox(i))
-                            .bind(at, 0)
+                            .handler(new DatagramRelayHandler(i))
+                            .bind(bindAddress, 0)
                             .await();
-            if (!bound.isSuccess()) {
-                throw new IOException("no socket to relay gossip: " + bound.cause().getMessage());
+            if (!bindFuture.isSuccess()) {
+                throw new IOException(
+                        "no socket to relay gossip: " + bindFuture.cause().getMessage());
             }
-            sockets.add(bound.channel());
+            sockets.add(bindFuture.channel());
         }
     }
 
@@ -65,30 +71,32 @@
     }
 
     /** The liar has come up at an address; it is the member after the last proxy. */
-    void liar(InetSocketAddress at) {
-        loop.execute(() -> members.add(at));
+    void addFalseReporter(InetSocketAddress address) {
+        loop.execute(() -> memberAddresses.add(address));
     }
 
-    private final class Inbox extends SimpleChannelInboundHandler<DatagramPacket> {
-        private final int to;
+    private final class DatagramRelayHandler extends SimpleChannelInboundHandler<DatagramPacket> {
+        private final int recipient;
 
-        Inbox(int to) {
-            this.to = to;
+        DatagramRelayHandler(int recipient) {
+            this.recipient = recipient;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            int from = members.indexOf(packet.sender());
-            if (from < 0 || to >= members.size()) {
+            int sender = memberAddresses.indexOf(packet.sender());
+            if (sender < 0 || recipient >= memberAddresses.size()) {
                 return;
             }
-            for (double late : links.copies(from, to, clock.now())) {
+            for (double delayMs : linkFaults.copyDelaysMs(sender, recipient, clock.now())) {
                 ByteBuf copy = packet.content().copy();
                 loop.schedule(
                         () ->
-                                sockets.get(from)
-                                        .writeAndFlush(new DatagramPacket(copy, members.get(to))),
-                        (long) (late * US_PER_MS),
+                                sockets.get(sender)
+                                        .writeAndFlush(
+                                                new DatagramPacket(
+                                                        copy, memberAddresses.get(recipient))),
+                        (long) (delayMs * US_PER_MS),
                         TimeUnit.MICROSECONDS);
             }
         }
--- a/src/main/java/cacheproxy/lab/sockets/ProxyProcess.java
+++ b/src/main/java/cacheproxy/lab/sockets/ProxyProcess.java
@@ -28,23 +28,23 @@
 final class ProxyProcess {
 
     /** Starts the program, tells its process id, and kills it when standard input ends. */
-    private static final String KEEPER =
+    private static final String WRAPPER_SCRIPT =
             "exec 3<&0; /bin/sh -c \"$1\" </dev/null 3<&- & p=$!; echo \"pid $p\"; "
                     + "(while read -r _; do :; done <&3; kill -KILL $p) 2>/dev/null & w=$!; exec 3<&-; wait $p; c=$?; kill $w 2>/dev/null; echo \"exit $c\"";
 
-    private static final Pattern LEVEL = Pattern.compile("\\bcontrol level=(\\d+)");
-    private static final Pattern EVENT =
+    private static final Pattern CONTROL_LEVEL_PATTERN = Pattern.compile("\\bcontrol level=(\\d+)");
+    private static final Pattern EVENT_PATTERN =
             Pattern.compile("\\b([a-z]+_[a-z_]+) subject=(\\S+) evidence=(?:\"([^\"]*)\"|(\\S*))");
-    private static final Pattern GOSSIP =
+    private static final Pattern GOSSIP_TALLY_PATTERN =
             Pattern.compile("\\bgossip_tally sent=(\\d+) bytes=(\\d+)");
-    private static final String TEMPORARY = ".tmp";
-    private static final long READY_POLL_MS = 20;
-    private static final double TICKS_PER_S = 100;
+    private static final String TEMPORARY_SUFFIX = ".tmp";
+    private static final long READY_POLL_INTERVAL_MS = 20;
+    private static final double CLOCK_TICKS_PER_S = 100;
     private static final double KB_PER_MB = 1024;
 
     /** Takes the events of a proxy's log that name a subject and evidence, as they are read. */
-    interface Events {
-        void saw(String event, String subject, String evidence);
+    interface LogEventListener {
+        void onEvent(String event, String subject, String evidence);
     }
 
     /**
@@ -57,41 +57,42 @@
     final InetSocketAddress address;
     private final Path directory;
     private final Path root;
-    private final String run;
+    private final String runCommand;
     private final Path config;
     private final PrintWriter log;
-    private Events events = (event, subject, evidence) -> {};
-    private Process keeper;
+    private LogEventListener eventListener = (event, subject, evidence) -> {};
+    private Process wrapper;
     private volatile long pid = -1;
-    private volatile int level;
+    private volatile int controlLevel;
     private volatile double gossipBytesPerS;
-    private volatile long startedNs;
-    private volatile Integer exit;
-    private volatile boolean expected;
-    private int lives;
+    private volatile long startNanos;
+    private volatile Integer exitCode;
+    private volatile boolean exitExpected;
+    private int startCount;
 
-    ProxyProcess(String name, InetAddress at, Path directory, Path root, String run)
+    ProxyProcess(
+            String name, InetAddress listenAddress, Path directory, Path root, String runCommand)
             throws IOException {
         this.name = name;
         this.directory = directory;
         this.root = root;
-        this.run = run;
+        this.runCommand = runCommand;
         this.config = directory.resolve(name + ".json");
-        forget(directory.resolve(name + TEMPORARY));
+        deleteDirectory(directory.resolve(name + TEMPORARY_SUFFIX));
         this.log = new PrintWriter(Files.newBufferedWriter(directory.resolve(name + ".log")));
         // The address is this run's own, so nobody else takes the port between this and the proxy's
         // own bind.
-        try (ServerSocket free = new ServerSocket()) {
-            free.bind(new InetSocketAddress(at, 0));
-            address = new InetSocketAddress(at, free.getLocalPort());
+        try (ServerSocket probe = new ServerSocket()) {
+            probe.bind(new InetSocketAddress(listenAddress, 0));
+            address = new InetSocketAddress(listenAddress, probe.getLocalPort());
         }
     }
 
     /** What an earlier run's proxy of this name kept is none of this one's. */
-    private static void forget(Path folder) throws IOException {
-        if (Files.isDirectory(folder)) {
-            try (Stream<Path> all = Files.walk(folder)) {
-                for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+    private static void deleteDirectory(Path directory) throws IOException {
+        if (Files.isDirectory(directory)) {
+            try (Stream<Path> paths = Files.walk(directory)) {
+                for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(path);
                 }
             }
@@ -102,25 +103,25 @@
      * Names who is told of its events; before the first start. Called by the thread that reads its
      * log.
      */
-    void onEvents(Events taker) {
-        events = taker;
+    void setEventListener(LogEventListener listener) {
+        eventListener = listener;
     }
 
     /** Writes the configuration that the next start, or SIGHUP, reads. */
-    void configure(JsonObject json) throws IOException {
-        Path beside = directory.resolve(name + ".json.new");
-        Files.writeString(beside, json.toString());
+    void writeConfig(JsonObject json) throws IOException {
+        Path temporaryFile = directory.resolve(name + ".json.new");
+        Files.writeString(temporaryFile, json.toString());
         Files.move(
-                beside,
+                temporaryFile,
                 config,
                 java.nio.file.StandardCopyOption.ATOMIC_MOVE,
                 java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 
     void start(String discovery) throws IOException {
-        Path temporary = Files.createDirectories(directory.resolve(name + TEMPORARY));
+        Path temporary = Files.createDirectories(directory.resolve(name + TEMPORARY_SUFFIX));
         ProcessBuilder builder =
-                new ProcessBuilder("/bin/sh", "-c", KEEPER, "keeper", run)
+                new ProcessBuilder("/bin/sh", "-c", WRAPPER_SCRIPT, "keeper", runCommand)
                         .directory(root.toFile())
                         .redirectErrorStream(true);
         Map<String, String> environment = builder.environment();
@@ -131,34 +132,34 @@
         environment.put("BALANCER_CONFIG", config.toString());
         environment.put("TMPDIR", temporary.toString());
         pid = -1;
-        exit = null;
-        expected = false;
-        lives++;
-        startedNs = System.nanoTime();
-        keeper = builder.start();
-        Process mine = keeper;
-        Thread reading = new Thread(() -> read(mine), name + "-log");
-        reading.setDaemon(true);
-        reading.start();
+        exitCode = null;
+        exitExpected = false;
+        startCount++;
+        startNanos = System.nanoTime();
+        wrapper = builder.start();
+        Process process = wrapper;
+        Thread logReader = new Thread(() -> readLog(process), name + "-log");
+        logReader.setDaemon(true);
+        logReader.start();
     }
 
-    private void read(Process mine) {
+    private void readLog(Process process) {
         try (BufferedReader lines =
                 new BufferedReader(
-                        new InputStreamReader(mine.getInputStream(), StandardCharsets.UTF_8))) {
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                Matcher control = LEVEL.matcher(line);
-                Matcher gossip = GOSSIP.matcher(line);
-                if (line.startsWith("pid ") && pid < 0 && mine == keeper) {
+                Matcher control = CONTROL_LEVEL_PATTERN.matcher(line);
+                Matcher gossip = GOSSIP_TALLY_PATTERN.matcher(line);
+                if (line.startsWith("pid ") && pid < 0 && process == wrapper) {
                     pid = Long.parseLong(line.substring(4).trim());
-                } else if (line.startsWith("exit ") && mine == keeper) {
-                    exit = Integer.parseInt(line.substring(5).trim());
+                } else if (line.startsWith("exit ") && process == wrapper) {
+                    exitCode = Integer.parseInt(line.substring(5).trim());
                 } else if (control.find()) {
-                    level = Integer.parseInt(control.group(1));
+                    controlLevel = Integer.parseInt(control.group(1));
                 }
-                Matcher event = EVENT.matcher(line);
+                Matcher event = EVENT_PATTERN.matcher(line);
                 if (event.find()) {
-                    events.saw(
+                    eventListener.onEvent(
                             event.group(1),
                             event.group(2),
                             event.group(3) == null ? event.group(4) : event.group(3));
@@ -166,8 +167,8 @@
                 if (gossip.find()) {
                     double bytes =
                             Double.parseDouble(gossip.group(2))
-                                    + Gossip.HEADERS * Double.parseDouble(gossip.group(1));
-                    gossipBytesPerS = bytes / ((System.nanoTime() - startedNs) / 1e9);
+                                    + Gossip.HEADER_BYTES * Double.parseDouble(gossip.group(1));
+                    gossipBytesPerS = bytes / ((System.nanoTime() - startNanos) / 1e9);
                 }
                 synchronized (log) {
                     log.println(line);
@@ -184,18 +185,18 @@
     }
 
     /** Waits until it answers {@code GET /up} with 200; returns whether it did in time. */
-    boolean awaitReady(long patienceMs) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
-        while (System.nanoTime() < end && exit == null) {
-            if (up()) {
+    boolean awaitReady(long timeoutMs) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (System.nanoTime() < deadlineNanos && exitCode == null) {
+            if (isUp()) {
                 return true;
             }
-            Thread.sleep(READY_POLL_MS);
+            Thread.sleep(READY_POLL_INTERVAL_MS);
         }
         return false;
     }
 
-    private boolean up() {
+    private boolean isUp() {
         try (Socket socket = new Socket()) {
             socket.connect(address, 200);
             socket.setSoTimeout(1000);
@@ -203,16 +204,16 @@
                     .write(
                             "GET /up HTTP/1.1\r\nHost: up\r\nConnection: close\r\n\r\n"
                                     .getBytes(StandardCharsets.US_ASCII));
-            byte[] answer = socket.getInputStream().readNBytes(12);
-            return new String(answer, StandardCharsets.US_ASCII).endsWith("200");
+            byte[] statusLine = socket.getInputStream().readNBytes(12);
+            return new String(statusLine, StandardCharsets.US_ASCII).endsWith("200");
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Sends a signal by name; one that ends the process makes its end an expected one. */
-    void signal(String signal) throws IOException, InterruptedException {
-        expected |= signal.equals("TERM") || signal.equals("KILL");
+    void sendSignal(String signal) throws IOException, InterruptedException {
+        exitExpected |= signal.equals("TERM") || signal.equals("KILL");
         if (pid > 0) {
             new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + pid)
                     .redirectErrorStream(true)
@@ -221,17 +222,17 @@
         }
     }
 
-    boolean awaitExit(long patienceMs) throws InterruptedException {
-        return keeper == null || keeper.waitFor(patienceMs, TimeUnit.MILLISECONDS);
+    boolean awaitExit(long timeoutMs) throws InterruptedException {
+        return wrapper == null || wrapper.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /** Its exit code if it has ended though nobody told it to, else null. */
-    Integer crashed() {
-        return expected ? null : exit;
+    Integer unexpectedExitCode() {
+        return exitExpected ? null : exitCode;
     }
 
-    int level() {
-        return level;
+    int controlLevel() {
+        return controlLevel;
     }
 
     /** What its gossip has put on the wire since its start, by its own count; 0 without gossip. */
@@ -239,17 +240,17 @@
         return gossipBytesPerS;
     }
 
-    int lives() {
-        return lives;
+    int startCount() {
+        return startCount;
     }
 
     /** What it uses now; null when it cannot be seen. */
-    Usage usage() {
+    Usage readUsage() {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            double system = Long.parseLong(fields[12]) / TICKS_PER_S;
-            double cpu = Long.parseLong(fields[11]) / TICKS_PER_S + system;
+            double system = Long.parseLong(fields[12]) / CLOCK_TICKS_PER_S;
+            double cpu = Long.parseLong(fields[11]) / CLOCK_TICKS_PER_S + system;
             double resident =
                     Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                             .filter(l -> l.startsWith("VmRSS:"))
@@ -266,16 +267,16 @@
     }
 
     /** Ends it at once if it still runs: the keeper kills it when its pipe from us closes. */
-    void end() {
-        expected = true;
-        if (keeper != null) {
+    void destroy() {
+        exitExpected = true;
+        if (wrapper != null) {
             try {
-                keeper.getOutputStream().close();
-                if (!keeper.waitFor(5, TimeUnit.SECONDS)) {
-                    keeper.destroyForcibly();
+                wrapper.getOutputStream().close();
+                if (!wrapper.waitFor(5, TimeUnit.SECONDS)) {
+                    wrapper.destroyForcibly();
                 }
             } catch (IOException e) {
-                keeper.destroyForcibly();
+                wrapper.destroyForcibly();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/cacheproxy/lab/sockets/RunClock.java
+++ b/src/main/java/cacheproxy/lab/sockets/RunClock.java
@@ -8,23 +8,23 @@
     private static final double NANOS_PER_MS = 1e6;
 
     /** Until it begins, the run is far ahead. */
-    private static final double NOT_BEGUN_MS = 3_600_000;
+    private static final double NOT_STARTED_MS = 3_600_000;
 
-    private volatile long originNanos;
-    private volatile double originUnixMs;
+    private volatile long startNanos;
+    private volatile double startUnixMs;
 
     RunClock() {
-        beginIn(NOT_BEGUN_MS);
+        startIn(NOT_STARTED_MS);
     }
 
     /** Begins the run so many milliseconds from now. */
-    final void beginIn(double ms) {
-        originUnixMs = System.currentTimeMillis() + ms;
-        originNanos = System.nanoTime() + (long) (ms * NANOS_PER_MS);
+    final void startIn(double delayMs) {
+        startUnixMs = System.currentTimeMillis() + delayMs;
+        startNanos = System.nanoTime() + (long) (delayMs * NANOS_PER_MS);
     }
 
     double now() {
-        return (System.nanoTime() - originNanos) / NANOS_PER_MS;
+        return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 
     long nanosUntil(double atMs) {
@@ -32,7 +32,7 @@
     }
 
     /** A time of the run as discovery tells it. */
-    long unixMs(double at) {
-        return at < 0 ? 0 : Math.round(originUnixMs + at);
+    long unixMs(double runMs) {
+        return runMs < 0 ? 0 : Math.round(startUnixMs + runMs);
     }
 }
--- a/src/main/java/cacheproxy/lab/sockets/SocketPeers.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketGossip.java
@@ -8,7 +8,7 @@
 import cacheproxy.gossip.NumericAddress;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.faults.Fault;
-import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PeerLinkFaults;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -26,36 +26,39 @@
  * liar on sockets is one more member of the fleet, with a key of its own, that runs no proxy and
  * tells what it never saw.
  */
-final class SocketPeers {
+final class SocketGossip {
 
     private static final double NS_PER_MS = 1e6;
-    private static final String LIAR = "liar";
+    private static final String FALSE_REPORTER_NAME = "liar";
     private static final int VERIFICATIONS_PER_S = 200;
-    private static final String PROGRAM = "-jar target/cache-proxy.jar serve";
+    private static final String JAR_ARGUMENTS = "-jar target/cache-proxy.jar serve";
 
     /** The same where the tools' libraries are on the class path already. */
-    private static final String SERVE = " cacheproxy.Main serve";
+    private static final String CLASS_PATH_ARGUMENTS = " cacheproxy.Main serve";
 
-    private SocketPeers() {}
+    private SocketGossip() {}
 
     /** The run line with the options, which need the tools' libraries beside the program. */
-    static String command(String run, Path directory, int proxy) throws IOException {
-        String with = " --options " + options(directory, proxy);
-        if (run.endsWith(SERVE)) {
-            return run + with;
+    static String commandWithOptions(String runCommand, Path directory, int proxy)
+            throws IOException {
+        String optionsArgument = " --options " + optionsFile(directory, proxy);
+        if (runCommand.endsWith(CLASS_PATH_ARGUMENTS)) {
+            return runCommand + optionsArgument;
         }
-        if (!run.contains(PROGRAM)) {
+        if (!runCommand.contains(JAR_ARGUMENTS)) {
             throw new IOException(
                     "gossip on sockets needs a run line that holds "
-                            + PROGRAM
+                            + JAR_ARGUMENTS
                             + " or ends with"
-                            + SERVE);
+                            + CLASS_PATH_ARGUMENTS);
         }
-        return run.replace(
-                PROGRAM, "-cp 'target/cache-proxy.jar:target/lib/*' cacheproxy.Main serve" + with);
+        return runCommand.replace(
+                JAR_ARGUMENTS,
+                "-cp 'target/cache-proxy.jar:target/lib/*' cacheproxy.Main serve"
+                        + optionsArgument);
     }
 
-    private static Path options(Path directory, int proxy) {
+    private static Path optionsFile(Path directory, int proxy) {
         return directory.resolve("proxy-" + proxy + ".toml");
     }
 
@@ -64,7 +67,7 @@
      *
      * @param accuses whether it accuses at this moment, by the time since it began in ms
      */
-    static Runnable liar(
+    static Runnable startFalseReporter(
             EventLoop loop,
             Path directory,
             Experiment experiment,
@@ -72,16 +75,16 @@
             List<Router.Node> nodes,
             DoublePredicate accuses)
             throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        DoubleSupplier clock = () -> (System.nanoTime() - from) / NS_PER_MS;
-        InetSocketAddress known = relay.address(experiment.proxies().count());
+        long startNanos = System.nanoTime();
+        DoubleSupplier clock = () -> (System.nanoTime() - startNanos) / NS_PER_MS;
+        InetSocketAddress advertisedAddress = relay.address(experiment.proxies().count());
         Options.Gossip options =
                 new Options.Gossip(
                         true,
-                        known.getAddress().getHostAddress() + ":0",
-                        NumericAddress.text(known),
-                        seeds(experiment, relay),
-                        directory.resolve(LIAR + ".key").toString(),
+                        advertisedAddress.getAddress().getHostAddress() + ":0",
+                        NumericAddress.format(advertisedAddress),
+                        seedAddresses(experiment, relay),
+                        directory.resolve(FALSE_REPORTER_NAME + ".key").toString(),
                         directory.resolve("gossip.ring").toString(),
                         experiment.gossip().bytesPerS(),
                         VERIFICATIONS_PER_S,
@@ -97,7 +100,7 @@
                             options,
                             new GossipSocket.Hooks() {
                                 @Override
-                                public void standing(String node, boolean doubted) {}
+                                public void nodeSuspicionChanged(String node, boolean suspected) {}
 
                                 @Override
                                 public void event(String name, Object... fields) {}
@@ -105,31 +108,31 @@
         } catch (KeyException e) {
             throw new IOException(e.getMessage());
         }
-        relay.liar(socket.bound());
-        loop.execute(() -> socket.listed(Router.ListKind.FULL, nodes));
-        var lying =
+        relay.addFalseReporter(socket.localAddress());
+        loop.execute(() -> socket.updateNodes(Router.EndpointListKind.SNAPSHOT, nodes));
+        var reportTask =
                 loop.scheduleAtFixedRate(
                         () ->
                                 nodes.forEach(
-                                        n ->
-                                                socket.ended(
-                                                        n.id(),
+                                        node ->
+                                                socket.attemptEnded(
+                                                        node.id(),
                                                         accuses.test(clock.getAsDouble())
                                                                 ? Router.Outcome.TIMEOUT
                                                                 : Router.Outcome.OK,
                                                         1)),
                         0,
-                        (long) Fault.LIE_EVERY_MS,
+                        (long) Fault.FALSE_CLAIM_INTERVAL_MS,
                         TimeUnit.MILLISECONDS);
         return () -> {
-            lying.cancel(false);
+            reportTask.cancel(false);
             socket.close();
         };
     }
 
-    private static List<String> seeds(Experiment experiment, PacketRelay relay) {
-        return IntStream.range(0, Math.min(PeerLinks.SEEDS, experiment.proxies().count()))
-                .mapToObj(i -> NumericAddress.text(relay.address(i)))
+    private static List<String> seedAddresses(Experiment experiment, PacketRelay relay) {
+        return IntStream.range(0, Math.min(PeerLinkFaults.SEED_COUNT, experiment.proxies().count()))
+                .mapToObj(i -> NumericAddress.format(relay.address(i)))
                 .toList();
     }
 
@@ -137,7 +140,7 @@
      * Each proxy gossips at the address of its clients, by UDP, and is known to the others by the
      * relay's.
      */
-    static void write(
+    static void writeFiles(
             Path directory,
             Experiment experiment,
             List<InetSocketAddress> addresses,
@@ -147,14 +150,14 @@
         Path ring = directory.resolve("gossip.ring");
         Files.deleteIfExists(ring);
         String seeds =
-                seeds(experiment, relay).stream()
+                seedAddresses(experiment, relay).stream()
                         .map(t -> '"' + t + '"')
                         .collect(Collectors.joining(", "));
-        key(LIAR, directory, ring);
+        generateKey(FALSE_REPORTER_NAME, directory, ring);
         for (int i = 0; i < addresses.size(); i++) {
-            Path key = key("proxy-" + i, directory, ring);
+            Path key = generateKey("proxy-" + i, directory, ring);
             Files.writeString(
-                    options(directory, i),
+                    optionsFile(directory, i),
                     """
                     [gossip]
                     enabled = true
@@ -167,8 +170,8 @@
                     health_most = %d
                     """
                                     .formatted(
-                                            NumericAddress.text(addresses.get(i)),
-                                            NumericAddress.text(relay.address(i)),
+                                            NumericAddress.format(addresses.get(i)),
+                                            NumericAddress.format(relay.address(i)),
                                             seeds,
                                             key,
                                             ring,
@@ -176,11 +179,11 @@
                                             experiment.gossip().health()
                                                     ? Options.DEFAULTS.gossip().healthMost()
                                                     : 0)
-                            + policy.options(i));
+                            + policy.optionsText(i));
         }
     }
 
-    private static Path key(String name, Path directory, Path ring) throws IOException {
+    private static Path generateKey(String name, Path directory, Path ring) throws IOException {
         Path key = directory.resolve(name + ".key");
         Files.deleteIfExists(key);
         try {
--- a/src/main/java/cacheproxy/lab/sockets/SocketPolicy.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketPolicy.java
@@ -1,10 +1,10 @@
 package cacheproxy.lab.sockets;
 
-import cacheproxy.epoch.Message.Ending;
+import cacheproxy.epoch.Message.ProposalStatus;
 import cacheproxy.gossip.NumericAddress;
 import cacheproxy.lab.Experiment;
-import cacheproxy.lab.faults.PeerLinks;
-import cacheproxy.lab.faults.PolicyText;
+import cacheproxy.lab.faults.PeerLinkFaults;
+import cacheproxy.lab.faults.ProposedPolicies;
 import cacheproxy.lab.ledger.PolicyLedger;
 import cacheproxy.raft.PolicySocket;
 import io.netty.channel.EventLoop;
@@ -24,82 +24,83 @@
 final class SocketPolicy {
 
     private static final double NS_PER_MS = 1e6;
-    private static final String EVENTS = "policy_";
+    private static final String EVENT_PREFIX = "policy_";
 
     private final Experiment experiment;
     private final RunClock clock;
     private final Path directory;
     private final StreamRelay relay;
     private final PolicyLedger ledger;
-    private final List<InetSocketAddress> voters = new ArrayList<>();
-    private final AtomicInteger proposals = new AtomicInteger();
+    private final List<InetSocketAddress> voterAddresses = new ArrayList<>();
+    private final AtomicInteger proposalCount = new AtomicInteger();
     private volatile int leader = -1;
 
     SocketPolicy(
             Experiment experiment,
             RunClock clock,
-            PeerLinks links,
+            PeerLinkFaults linkFaults,
             Path directory,
             EventLoop loop) {
         this.experiment = experiment;
         this.clock = clock;
         this.directory = directory;
-        this.relay = new StreamRelay(loop, clock, links);
-        this.ledger = new PolicyLedger(experiment, links);
+        this.relay = new StreamRelay(loop, clock, linkFaults);
+        this.ledger = new PolicyLedger(experiment, linkFaults);
     }
 
-    boolean on() {
+    boolean isEnabled() {
         return experiment.policy().voters() > 0;
     }
 
     /** Finds each voter an address, and a way from each proxy to it. */
     void open(List<InetSocketAddress> proxies) throws IOException, InterruptedException {
         for (int to = 0; to < experiment.policy().voters(); to++) {
-            try (ServerSocket free = new ServerSocket()) {
-                free.bind(new InetSocketAddress(proxies.get(to).getAddress(), 0));
-                voters.add(
-                        new InetSocketAddress(proxies.get(to).getAddress(), free.getLocalPort()));
+            try (ServerSocket probe = new ServerSocket()) {
+                probe.bind(new InetSocketAddress(proxies.get(to).getAddress(), 0));
+                voterAddresses.add(
+                        new InetSocketAddress(proxies.get(to).getAddress(), probe.getLocalPort()));
             }
             for (int from = 0; from < proxies.size(); from++) {
                 if (from != to) {
-                    relay.open(from, to, proxies.get(to).getAddress(), voters.get(to));
+                    relay.open(from, to, proxies.get(to).getAddress(), voterAddresses.get(to));
                 }
             }
         }
     }
 
-    private Path socket(int proxy) {
+    private Path operatorSocket(int proxy) {
         return directory.resolve("p" + proxy + ".sock");
     }
 
     /**
      * What stands in a proxy's options; a voter's own place among the voters is its true address.
      */
-    String options(int proxy) {
-        if (!on()) {
+    String optionsText(int proxy) {
+        if (!isEnabled()) {
             return "";
         }
-        List<String> named = new ArrayList<>();
-        for (int v = 0; v < voters.size(); v++) {
-            InetSocketAddress at = v == proxy ? voters.get(v) : relay.address(proxy, v);
-            named.add("\"proxy-" + v + "=" + NumericAddress.text(at) + "\"");
+        List<String> voters = new ArrayList<>();
+        for (int voter = 0; voter < voterAddresses.size(); voter++) {
+            InetSocketAddress address =
+                    voter == proxy ? voterAddresses.get(voter) : relay.address(proxy, voter);
+            voters.add("\"proxy-" + voter + "=" + NumericAddress.format(address) + "\"");
         }
         String listen =
-                proxy < voters.size()
-                        ? "listen = \"" + NumericAddress.text(voters.get(proxy)) + "\"\n"
+                proxy < voterAddresses.size()
+                        ? "listen = \"" + NumericAddress.format(voterAddresses.get(proxy)) + "\"\n"
                         : "";
         return "\n[policy]\nvoters = ["
-                + String.join(", ", named)
+                + String.join(", ", voters)
                 + "]\n"
                 + listen
                 + "socket = \""
-                + socket(proxy)
+                + operatorSocket(proxy)
                 + "\"\n";
     }
 
     /** An event of a proxy's log; its own time is that of the machine's monotonic clock. */
-    void saw(int proxy, String event, String subject, String evidence) {
-        if (!on() || !event.startsWith(EVENTS) || !evidence.startsWith("at:")) {
+    void recordLogEvent(int proxy, String event, String subject, String evidence) {
+        if (!isEnabled() || !event.startsWith(EVENT_PREFIX) || !evidence.startsWith("at:")) {
             return;
         }
         double at =
@@ -107,68 +108,71 @@
                         - (System.nanoTime() / NS_PER_MS
                                 - Double.parseDouble(evidence.substring("at:".length())));
         long epoch = Long.parseLong(subject);
-        switch (event.substring(EVENTS.length()).toUpperCase(Locale.ROOT)) {
-            case "APPLIED" -> ledger.applied(proxy, epoch, content(proxy, epoch), at);
-            case "CURRENT" -> ledger.current(proxy, epoch, at);
-            case "NOT_CURRENT" -> ledger.notCurrent(proxy, at);
-            case "FENCED" -> ledger.fenced();
+        switch (event.substring(EVENT_PREFIX.length()).toUpperCase(Locale.ROOT)) {
+            case "APPLIED" -> ledger.epochApplied(proxy, epoch, readEpochContent(proxy, epoch), at);
+            case "CURRENT" -> ledger.becameCurrent(proxy, epoch, at);
+            case "NOT_CURRENT" -> ledger.ceasedCurrent(proxy, at);
+            case "FENCED" -> ledger.countFence();
             case "LEADS" -> leader = proxy;
             default -> {}
         }
     }
 
     /** What the proxy itself says that an epoch holds. */
-    private String content(int proxy, long epoch) {
+    private String readEpochContent(int proxy, long epoch) {
         try {
-            String all = PolicySocket.ask(socket(proxy), "history", "", 0).text();
-            String mine =
-                    List.of(all.split("(?m)^# epoch ")).stream()
-                            .filter(e -> e.startsWith(epoch + ","))
+            String history = PolicySocket.ask(operatorSocket(proxy), "history", "", 0).text();
+            String epochText =
+                    List.of(history.split("(?m)^# epoch ")).stream()
+                            .filter(entry -> entry.startsWith(epoch + ","))
                             .findFirst()
                             .orElse(null);
-            return mine == null ? null : mine.substring(mine.indexOf('\n') + 1).strip() + "\n";
-        } catch (IOException e) {
+            return epochText == null
+                    ? null
+                    : epochText.substring(epochText.indexOf('\n') + 1).strip() + "\n";
+        } catch (IOException entry) {
             return null;
         }
     }
 
-    void ended(int proxy) {
-        if (on()) {
-            ledger.ended(proxy, clock.now());
+    void processEnded(int proxy) {
+        if (isEnabled()) {
+            ledger.processEnded(proxy, clock.now());
         }
     }
 
-    void started(int proxy) {
-        if (on()) {
-            ledger.started(proxy);
+    void processStarted(int proxy) {
+        if (isEnabled()) {
+            ledger.processStarted(proxy);
         }
     }
 
-    void stopped(int proxy, double until) {
-        ledger.stopped(proxy, until);
+    void processPaused(int proxy, double until) {
+        ledger.processPaused(proxy, until);
     }
 
-    void back(int proxy) {
-        ledger.back(proxy, clock.now());
+    void faultEnded(int proxy) {
+        ledger.faultEnded(proxy, clock.now());
     }
 
     /** A cut is over. */
-    void healed() {
+    void linksRestored() {
         for (int i = 0; i < experiment.proxies().count(); i++) {
-            back(i);
+            faultEnded(i);
         }
     }
 
     /** An operator at this proxy; returns once it has an answer. */
     String propose(int proxy) {
-        String content = PolicyText.number(proposals.incrementAndGet());
-        ledger.proposed(content, clock.now());
+        String content = ProposedPolicies.content(proposalCount.incrementAndGet());
+        ledger.proposalSent(content, clock.now());
         try {
-            PolicySocket.Told told = PolicySocket.ask(socket(proxy), "propose", content, 0);
-            ledger.answered(content, told.ending(), clock.now());
-            return told.text();
+            PolicySocket.Answer reply =
+                    PolicySocket.ask(operatorSocket(proxy), "propose", content, 0);
+            ledger.proposalAnswered(content, reply.ending(), clock.now());
+            return reply.text();
         } catch (IOException e) {
-            ledger.answered(content, Ending.UNKNOWN, clock.now());
+            ledger.proposalAnswered(content, ProposalStatus.UNKNOWN, clock.now());
             return "no answer: " + e.getMessage();
         }
     }
