--- a/src/main/java/cacheproxy/lab/sockets/SocketRun.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketRun.java
@@ -1,23 +1,23 @@
 package cacheproxy.lab.sockets;
 
 import cacheproxy.Router;
-import cacheproxy.lab.Draw;
+import cacheproxy.lab.CachePrefiller;
 import cacheproxy.lab.Experiment;
-import cacheproxy.lab.Oracle;
 import cacheproxy.lab.ProxySettings;
+import cacheproxy.lab.ScenarioGenerator;
 import cacheproxy.lab.faults.Fault;
-import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PeerLinkFaults;
 import cacheproxy.lab.ledger.Ledger;
-import cacheproxy.lab.ledger.Membership;
+import cacheproxy.lab.ledger.MembershipLedger;
 import cacheproxy.lab.ledger.Rules.Rule;
 import cacheproxy.lab.ledger.Rules.Violation;
 import cacheproxy.lab.load.LoadPlan;
-import cacheproxy.lab.load.Story;
-import cacheproxy.lab.report.Played;
+import cacheproxy.lab.load.RequestRecord;
+import cacheproxy.lab.report.CompletedRun;
 import cacheproxy.lab.report.Results;
 import cacheproxy.lab.report.Results.Mark;
+import cacheproxy.lab.world.FaultInjector;
 import cacheproxy.lab.world.Installation;
-import cacheproxy.lab.world.Strikes;
 import cacheproxy.lab.world.World;
 import cacheproxy.lab.world.World.Answer;
 import cacheproxy.lab.world.World.Entry;
@@ -53,122 +53,124 @@
 
     /** How a run is going; told a few times a second. */
     public record Progress(
-            double atS,
-            double ofS,
-            int asked,
+            double elapsedS,
+            double durationS,
+            int ended,
             int served,
             int refused,
             int failed,
-            double worthShare,
-            int level) {}
+            double servedWeightShare,
+            int controlLevel) {}
 
     private static final AtomicInteger RUNS = new AtomicInteger();
-    private static final double IDLE_MS = 10_000;
-    private static final double CONNECT_MS = 100;
-    private static final double BEGIN_MS = 300;
-    private static final long READY_MS = 30_000;
-    private static final long LOOK_MS = 100;
-    private static final int TICK_MS = 1;
+    private static final double IDLE_TIMEOUT_MS = 10_000;
+    private static final double CONNECT_TIMEOUT_MS = 100;
+    private static final double START_DELAY_MS = 300;
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final int WORLD_TICK_MS = 1;
     private static final double MS_PER_S = 1000;
 
     /** Room after the last deadline in which late answers still show. */
-    private static final double SETTLE_MS = 500;
+    private static final double SETTLING_TIME_MS = 500;
 
     /** What SIGTERM leaves before SIGKILL, beyond the longest deadline. */
-    private static final double KILL_MS = 700;
+    private static final double TERM_GRACE_MS = 700;
 
-    private static final double LONGEST_MS = 3000;
+    private static final double MAX_TERM_DEADLINE_MS = 3000;
 
     /** Clients that are on their way still come for so long after SIGTERM. */
-    private static final double FRONT_MS = 300;
+    private static final double LOAD_BALANCER_DELAY_MS = 300;
 
-    private static final double HOSTILE_MS = 3000;
+    private static final double HOSTILE_TIMEOUT_MS = 3000;
 
     /** What the names of gossip's events in a log begin with. */
-    private static final String GOSSIP = "gossip_";
+    private static final String GOSSIP_EVENT_PREFIX = "gossip_";
 
     private final Experiment experiment;
     private final Path directory;
     private final Path root;
-    private final String run;
+    private final String runCommand;
     private final RunClock clock = new RunClock();
     private final Ledger ledger = new Ledger();
-    private final Membership membership;
-    private final Installation plan;
-    private final LoadPlan load;
+    private final MembershipLedger membership;
+    private final Installation installation;
+    private final LoadPlan loadPlan;
     private final World world;
     private final MultiThreadIoEventLoopGroup worldGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final MultiThreadIoEventLoopGroup clientGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final ScheduledExecutorService hands = Executors.newScheduledThreadPool(8);
-    private final EventLoop loop = worldGroup.next();
+    private final ScheduledExecutorService faultExecutor = Executors.newScheduledThreadPool(8);
+    private final EventLoop worldLoop = worldGroup.next();
     private final List<ProxyProcess> proxies = new ArrayList<>();
-    private final List<DiscoveryServer> discoveries = new ArrayList<>();
+    private final List<DiscoveryServer> discoveryServers = new ArrayList<>();
     private final List<Mark> marks = Collections.synchronizedList(new ArrayList<>());
-    private final List<Violation> seen = Collections.synchronizedList(new ArrayList<>());
-    private final Map<String, Double> outside = new HashMap<>();
-    private final int[] levels;
-    private final Set<Integer> down = ConcurrentHashMap.newKeySet();
-    private Machines machines;
+    private final List<Violation> violations = Collections.synchronizedList(new ArrayList<>());
+    private final Map<String, Double> extraFigures = new HashMap<>();
+    private final int[] maxControlLevels;
+    private final Set<Integer> restartingProxies = ConcurrentHashMap.newKeySet();
+    private UpstreamServers upstreamServers;
     private Clients clients;
-    private HostilePeers hostile;
-    private final PeerLinks peerLinks;
+    private HostileClients hostileClients;
+    private final PeerLinkFaults linkFaults;
 
     /** Null without gossip. */
-    private PacketRelay relay;
+    private PacketRelay packetRelay;
 
     private final SocketPolicy policy;
-    private final World.Effects effects = new Acts();
-    private final Strikes strikes;
+    private final World.Effects worldEffects = new SocketWorldEffects();
+    private final FaultInjector faultInjector;
 
     /**
      * {@code directory} takes the proxies' logs and configurations; {@code run} starts one from
      * {@code root}.
      */
-    public SocketRun(Experiment experiment, Path directory, Path root, String run) {
+    public SocketRun(Experiment experiment, Path directory, Path root, String runCommand) {
         this.experiment = experiment;
         this.directory = directory.toAbsolutePath();
         this.root = root;
-        this.run = run;
-        this.membership = new Membership(experiment);
-        this.plan = Draw.installation(experiment);
-        this.load = LoadPlan.of(experiment);
-        this.levels = new int[(int) Math.ceil(experiment.durationS())];
+        this.runCommand = runCommand;
+        this.membership = new MembershipLedger(experiment);
+        this.installation = ScenarioGenerator.installation(experiment);
+        this.loadPlan = LoadPlan.of(experiment);
+        this.maxControlLevels = new int[(int) Math.ceil(experiment.durationS())];
         this.world =
                 new World(
-                        plan,
-                        Draw.limits(experiment, load.meanReadMs()),
-                        Draw.generator(experiment.seed(), Draw.Stream.WORLD));
-        this.strikes = new Strikes(world, effects, plan, ledger);
-        this.peerLinks =
-                new PeerLinks(
+                        installation,
+                        ScenarioGenerator.limits(experiment, loadPlan.meanReadMs()),
+                        ScenarioGenerator.randomGenerator(
+                                experiment.seed(), ScenarioGenerator.RandomStream.WORLD));
+        this.faultInjector = new FaultInjector(world, worldEffects, installation, ledger);
+        this.linkFaults =
+                new PeerLinkFaults(
                         experiment.proxies().count(),
-                        Draw.generator(experiment.seed(), Draw.Stream.GOSSIP));
+                        ScenarioGenerator.randomGenerator(
+                                experiment.seed(), ScenarioGenerator.RandomStream.GOSSIP));
         this.policy =
-                new SocketPolicy(experiment, clock, peerLinks, this.directory, clientGroup.next());
+                new SocketPolicy(experiment, clock, linkFaults, this.directory, clientGroup.next());
     }
 
-    private final class Acts implements World.Effects {
+    private final class SocketWorldEffects implements World.Effects {
         @Override
         public void answer(long attempt, Answer answer) {
-            machines.answer(attempt, answer);
+            upstreamServers.sendAnswer(attempt, answer);
         }
 
         @Override
-        public void list(int proxy, long version, List<Entry> entries) {
-            discoveries.get(proxy).news(version, entries);
+        public void deliverEndpointList(int proxy, long version, List<Entry> entries) {
+            discoveryServers.get(proxy).publish(version, entries);
         }
 
         @Override
-        public void died(String machine) {
-            machines.died(machine);
+        public void machineDied(String machine) {
+            upstreamServers.closeListeners(machine);
             ledger.changed(machine, World.Health.REMOVED, -1, clock.now());
         }
 
         @Override
-        public void up(String machine) {
-            machines.up(machine);
+        public void machineStarted(String machine) {
+            upstreamServers.reopenListeners(machine);
             ledger.changed(machine, World.Health.UP, clock.now(), clock.now());
         }
 
@@ -178,30 +180,30 @@
         }
 
         @Override
-        public void note(String text) {
+        public void reportEvent(String text) {
             mark(text);
         }
     }
 
-    private void mark(String what) {
-        marks.add(new Mark(Math.round(clock.now()) / MS_PER_S, what));
+    private void mark(String text) {
+        marks.add(new Mark(Math.round(clock.now()) / MS_PER_S, text));
     }
 
     /** Plays it and returns what came of it; nothing that it started is left, however it ends. */
-    public Results play(Consumer<Progress> progress) throws IOException, InterruptedException {
+    public Results run(Consumer<Progress> progress) throws IOException, InterruptedException {
         Files.createDirectories(directory);
-        Thread undo = new Thread(this::endAll, "lab-end");
-        Runtime.getRuntime().addShutdownHook(undo);
+        Thread shutdownHook = new Thread(this::shutDown, "lab-end");
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            open();
-            startAll();
-            begin();
-            watch(progress);
-            return results();
+            openServers();
+            startProxies();
+            startLoad();
+            monitor(progress);
+            return buildResults();
         } finally {
-            endAll();
+            shutDown();
             try {
-                Runtime.getRuntime().removeShutdownHook(undo);
+                Runtime.getRuntime().removeShutdownHook(shutdownHook);
             } catch (IllegalStateException e) {
                 // The Java machine is ending: the hook has done this already.
                 Thread.currentThread().interrupt();
@@ -209,9 +211,9 @@
         }
     }
 
-    private void endAll() {
-        hands.shutdownNow();
-        proxies.forEach(ProxyProcess::end);
+    private void shutDown() {
+        faultExecutor.shutdownNow();
+        proxies.forEach(ProxyProcess::destroy);
         worldGroup
                 .shutdownGracefully(0, 1, TimeUnit.SECONDS)
                 .awaitUninterruptibly(2, TimeUnit.SECONDS);
@@ -220,16 +222,16 @@
                 .awaitUninterruptibly(2, TimeUnit.SECONDS);
     }
 
-    private void open() throws IOException, InterruptedException {
-        boolean[] writes = new boolean[experiment.load().classes().size()];
-        for (int i = 0; i < writes.length; i++) {
-            writes[i] = experiment.load().classes().get(i).write();
+    private void openServers() throws IOException, InterruptedException {
+        boolean[] isWriteClass = new boolean[experiment.load().classes().size()];
+        for (int i = 0; i < isWriteClass.length; i++) {
+            isWriteClass[i] = experiment.load().classes().get(i).write();
         }
         // Addresses that are this process's own, so that no other run's port can be ours.
         long pid = ProcessHandle.current().pid();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < experiment.proxies().count(); i++) {
-            InetAddress at =
+            InetAddress listenAddress =
                     InetAddress.getByAddress(
                             new byte[] {
                                 127,
@@ -240,22 +242,22 @@
             proxies.add(
                     new ProxyProcess(
                             "proxy-" + i,
-                            at,
+                            listenAddress,
                             directory,
                             root,
                             experiment.gossip().enabled()
-                                    ? SocketPeers.command(run, directory, i)
-                                    : run));
+                                    ? SocketGossip.commandWithOptions(runCommand, directory, i)
+                                    : runCommand));
             addresses.add(proxies.get(i).address);
             int proxy = i;
             proxies.get(i)
-                    .onEvents(
+                    .setEventListener(
                             (event, subject, evidence) -> {
-                                policy.saw(proxy, event, subject, evidence);
-                                if (event.startsWith(GOSSIP)) {
-                                    membership.saw(
+                                policy.recordLogEvent(proxy, event, subject, evidence);
+                                if (event.startsWith(GOSSIP_EVENT_PREFIX)) {
+                                    membership.recordEvent(
                                             proxy,
-                                            event.substring(GOSSIP.length()),
+                                            event.substring(GOSSIP_EVENT_PREFIX.length()),
                                             subject,
                                             evidence,
                                             clock.now());
@@ -263,120 +265,128 @@
                             });
         }
         if (experiment.gossip().enabled()) {
-            relay = new PacketRelay(clientGroup.next(), clock, peerLinks, addresses);
-            relay.open();
+            packetRelay = new PacketRelay(clientGroup.next(), clock, linkFaults, addresses);
+            packetRelay.open();
             policy.open(addresses);
-            SocketPeers.write(directory, experiment, addresses, relay, policy);
+            SocketGossip.writeFiles(directory, experiment, addresses, packetRelay, policy);
         }
         clients =
                 new Clients(
                         clientGroup.next(),
                         clock,
                         experiment,
-                        load,
+                        loadPlan,
                         ledger,
                         addresses,
-                        plan.proxyZones());
-        machines =
-                new Machines(
-                        loop,
+                        installation.proxyZones());
+        upstreamServers =
+                new UpstreamServers(
+                        worldLoop,
                         clock,
-                        plan,
+                        installation,
                         world,
-                        effects,
+                        worldEffects,
                         ledger,
                         clients,
-                        writes,
-                        IDLE_MS,
-                        Draw.generator(experiment.seed(), Draw.Stream.CLIENTS));
-        machines.open();
+                        isWriteClass,
+                        IDLE_TIMEOUT_MS,
+                        ScenarioGenerator.randomGenerator(
+                                experiment.seed(), ScenarioGenerator.RandomStream.CLIENTS));
+        upstreamServers.open();
         for (int i = 0; i < proxies.size(); i++) {
-            discoveries.add(new DiscoveryServer(loop, clock, plan, i, machines, ledger, world));
-            discoveries.get(i).open();
+            discoveryServers.add(
+                    new DiscoveryServer(
+                            worldLoop, clock, installation, i, upstreamServers, ledger, world));
+            discoveryServers.get(i).open();
         }
-        hostile =
-                new HostilePeers(
+        hostileClients =
+                new HostileClients(
                         clientGroup.next(),
                         clock,
                         addresses,
-                        Draw.generator(experiment.seed(), Draw.Stream.HOSTILE));
-        Oracle.fill(
+                        ScenarioGenerator.randomGenerator(
+                                experiment.seed(), ScenarioGenerator.RandomStream.HOSTILE));
+        CachePrefiller.prefill(
                 world,
                 experiment,
-                plan,
-                ProxySettings.read(experiment, plan, 0, IDLE_MS, CONNECT_MS));
+                installation,
+                ProxySettings.read(
+                        experiment, installation, 0, IDLE_TIMEOUT_MS, CONNECT_TIMEOUT_MS));
     }
 
-    private void startAll() throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+    private void startProxies() throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
         for (int i = 0; i < proxies.size(); i++) {
-            proxies.get(i).configure(config(i));
-            proxies.get(i).start(discoveries.get(i).dial());
+            proxies.get(i).writeConfig(proxyConfig(i));
+            proxies.get(i).start(discoveryServers.get(i).address());
         }
-        double slowest = 0;
+        double slowestReadyMs = 0;
         for (int i = 0; i < proxies.size(); i++) {
-            if (!proxies.get(i).awaitReady(READY_MS)) {
+            if (!proxies.get(i).awaitReady(READY_TIMEOUT_MS)) {
                 throw new IOException(
                         "proxy-"
                                 + i
                                 + " is not ready after "
-                                + READY_MS / MS_PER_S
+                                + READY_TIMEOUT_MS / MS_PER_S
                                 + " s; see "
                                 + directory.resolve(proxies.get(i).name + ".log"));
             }
-            slowest = Math.max(slowest, (System.nanoTime() - begun) / 1e6);
-            clients.inService(i, true);
+            slowestReadyMs = Math.max(slowestReadyMs, (System.nanoTime() - startNanos) / 1e6);
+            clients.setInService(i, true);
         }
-        double startCpu = 0;
+        double startCpuS = 0;
         for (ProxyProcess proxy : proxies) {
-            ProxyProcess.Usage usage = proxy.usage();
-            startCpu += usage == null ? 0 : usage.cpuS();
+            ProxyProcess.Usage usage = proxy.readUsage();
+            startCpuS += usage == null ? 0 : usage.cpuS();
         }
-        outside.put("proxy.start_cpu_s", startCpu);
-        outside.put("proxy.ready_ms_max", slowest);
-        outside.put(
+        extraFigures.put("proxy.start_cpu_s", startCpuS);
+        extraFigures.put("proxy.ready_ms_max", slowestReadyMs);
+        extraFigures.put(
                 "discovery.list_bytes",
-                loop.submit(
+                worldLoop
+                        .submit(
                                 (Callable<Double>)
                                         () ->
                                                 (double)
-                                                        discoveries
+                                                        discoveryServers
                                                                 .get(0)
-                                                                .whole()
+                                                                .snapshot()
                                                                 .toString()
                                                                 .length())
                         .sync()
                         .getNow());
-        clients.rehearse();
+        clients.warmUp();
     }
 
-    private void begin() {
-        clock.beginIn(BEGIN_MS);
-        loop.scheduleAtFixedRate(
+    private void startLoad() {
+        clock.startIn(START_DELAY_MS);
+        worldLoop.scheduleAtFixedRate(
                 () -> {
                     if (clock.now() >= 0) {
-                        world.advance(clock.now(), effects);
+                        world.advance(clock.now(), worldEffects);
                     }
                 },
-                TICK_MS,
-                TICK_MS,
+                WORLD_TICK_MS,
+                WORLD_TICK_MS,
                 TimeUnit.MILLISECONDS);
         for (Fault fault : experiment.faults()) {
-            if (!fault.what().ofLoad()) {
-                hands.schedule(
-                        () -> guarded(fault), clock.nanosUntil(fault.atMs()), TimeUnit.NANOSECONDS);
+            if (!fault.kind().changesLoad()) {
+                faultExecutor.schedule(
+                        () -> runFault(fault),
+                        clock.nanosUntil(fault.atMs()),
+                        TimeUnit.NANOSECONDS);
             }
         }
         clients.start();
     }
 
-    private void guarded(Fault fault) {
+    private void runFault(Fault fault) {
         try {
             mark(fault.label());
-            new FaultHand(fault).play();
+            new FaultExecution(fault).inject();
         } catch (IOException | ExecutionException e) {
             mark("fault failed: " + e);
-            seen.add(
+            violations.add(
                     new Violation(
                             Rule.CRASH,
                             fault.label(),
@@ -388,291 +398,313 @@
     }
 
     /** Carries one fault out, begin and end. */
-    private final class FaultHand {
+    private final class FaultExecution {
         private final Fault fault;
 
-        FaultHand(Fault fault) {
+        FaultExecution(Fault fault) {
             this.fault = fault;
         }
 
-        void play() throws IOException, InterruptedException, ExecutionException {
-            switch (fault.what()) {
+        void inject() throws IOException, InterruptedException, ExecutionException {
+            switch (fault.kind()) {
                 case NODE_SILENT ->
-                        between(
+                        applyToTargetNodes(
                                 id -> {
-                                    world.stall(clock.now(), id, fault.endMs(), effects);
-                                    machines.silence(id, true);
+                                    world.stall(clock.now(), id, fault.endMs(), worldEffects);
+                                    upstreamServers.setSilent(id, true);
                                 },
-                                id -> machines.silence(id, false));
+                                id -> upstreamServers.setSilent(id, false));
                 case RESET_BEFORE ->
-                        between(
-                                id -> machines.resets(id, fault.share()),
-                                id -> machines.resets(id, 0));
+                        applyToTargetNodes(
+                                id -> upstreamServers.setResetShare(id, fault.share()),
+                                id -> upstreamServers.setResetShare(id, 0));
                 case ZONE_CUT -> {
-                    int zone = plan.zones().indexOf(fault.target());
-                    onLoop(() -> machines.cut(zone, true));
-                    atEnd(() -> machines.cut(zone, false));
+                    int zone = installation.zones().indexOf(fault.target());
+                    onWorldLoop(() -> upstreamServers.setZoneCut(zone, true));
+                    scheduleEnd(() -> upstreamServers.setZoneCut(zone, false));
                 }
                 case DISCOVERY_SILENT -> {
-                    onLoop(
+                    onWorldLoop(
                             () ->
-                                    agents(
+                                    forEachTargetProxy(
                                             i -> {
-                                                world.holdNews(i, fault.endMs());
-                                                discoveries.get(i).silent(true);
+                                                world.blockListUpdates(i, fault.endMs());
+                                                discoveryServers.get(i).setSilent(true);
                                             }));
-                    atEnd(() -> agents(i -> discoveries.get(i).silent(false)));
+                    scheduleEnd(
+                            () ->
+                                    forEachTargetProxy(
+                                            i -> discoveryServers.get(i).setSilent(false)));
                 }
-                case HOSTILE -> hostile.come(fault.factor(), fault.endMs());
-                case PROXY_TERM -> eachProxy(this::term);
-                case PROXY_KILL -> eachProxy(this::kill);
-                case PROXY_HUP -> eachProxy(this::hup);
-                case PROXY_STOP -> eachProxy(this::stop);
-                case PROXY_STARVED -> eachProxy(this::starve);
-                case MACHINE_BUSY -> busy();
-                case LIAR_ACCUSES, LIAR_PRAISES, LIAR_FLIPS -> lie();
+                case HOSTILE -> hostileClients.start(fault.factor(), fault.endMs());
+                case PROXY_TERM -> runForEachTargetProxy(this::terminateProxy);
+                case PROXY_KILL -> runForEachTargetProxy(this::killProxy);
+                case PROXY_HUP -> runForEachTargetProxy(this::reloadProxy);
+                case PROXY_STOP -> runForEachTargetProxy(this::pauseProxy);
+                case PROXY_STARVED -> runForEachTargetProxy(this::starveProxy);
+                case MACHINE_BUSY -> loadCpu();
+                case LIAR_ACCUSES, LIAR_PRAISES, LIAR_FLIPS -> startFalseReports();
                 case GOSSIP_CUT,
                         GOSSIP_SPLIT,
                         GOSSIP_LOSS,
                         GOSSIP_DEAF,
                         GOSSIP_MUTE,
                         GOSSIP_ONEWAY -> {
-                    clientGroup.next().execute(() -> peerLinks.begin(fault));
-                    hands.schedule(
-                            policy::healed,
-                            clock.nanosUntil(fault.endMs() + LOOK_MS),
+                    clientGroup.next().execute(() -> linkFaults.begin(fault));
+                    faultExecutor.schedule(
+                            policy::linksRestored,
+                            clock.nanosUntil(fault.endMs() + POLL_INTERVAL_MS),
                             TimeUnit.NANOSECONDS);
                 }
                 case POLICY_PROPOSE ->
-                        eachProxy(i -> mark("proxy-" + i + " proposed: " + policy.propose(i)));
+                        runForEachTargetProxy(
+                                i -> mark("proxy-" + i + " proposed: " + policy.propose(i)));
                 case LEADER_KILL -> {
                     int leader = policy.leader();
                     mark("the leader is " + (leader < 0 ? "nobody" : "proxy-" + leader));
                     if (leader >= 0) {
-                        hands.execute(() -> kill(leader));
+                        faultExecutor.execute(() -> killProxy(leader));
                     }
                 }
                 case PROXY_BLIND -> {
-                    onLoop(() -> agents(i -> machines.blind(i, true)));
-                    atEnd(() -> agents(i -> machines.blind(i, false)));
+                    onWorldLoop(
+                            () -> forEachTargetProxy(i -> upstreamServers.setProxyCut(i, true)));
+                    scheduleEnd(
+                            () -> forEachTargetProxy(i -> upstreamServers.setProxyCut(i, false)));
                 }
                 case PROXY_CLOCK, NODE_MAINTENANCE ->
-                        mark(fault.what().word() + " is not played on sockets");
+                        mark(fault.kind().configName() + " is not played on sockets");
                 default -> {
-                    onLoop(() -> strikes.begin(fault, clock.now()));
+                    onWorldLoop(() -> faultInjector.begin(fault, clock.now()));
                     if (fault.forS() > 0) {
-                        atEnd(() -> strikes.end(fault, clock.now()));
+                        scheduleEnd(() -> faultInjector.end(fault, clock.now()));
                     }
                 }
             }
         }
 
-        private void lie() throws IOException, InterruptedException, ExecutionException {
+        private void startFalseReports()
+                throws IOException, InterruptedException, ExecutionException {
             if (!experiment.gossip().enabled()) {
                 return;
             }
             List<Router.Node> nodes =
-                    loop.submit((Callable<List<Entry>>) world::truth).get().stream()
-                            .filter(e -> !e.id().equals(plan.origin().id()))
-                            .map(e -> ProxySettings.node(plan, e))
+                    worldLoop.submit((Callable<List<Entry>>) world::currentEndpoints).get().stream()
+                            .filter(e -> !e.id().equals(installation.origin().id()))
+                            .map(e -> ProxySettings.node(installation, e))
                             .toList();
-            Runnable end =
-                    SocketPeers.liar(
+            Runnable stopReports =
+                    SocketGossip.startFalseReporter(
                             clientGroup.next(),
                             directory,
                             experiment,
-                            relay,
+                            packetRelay,
                             nodes,
-                            fault::accuses);
-            atEnd(end);
+                            fault::accusesAt);
+            scheduleEnd(stopReports);
         }
 
-        private void onLoop(Runnable act) {
-            loop.execute(act);
+        private void onWorldLoop(Runnable action) {
+            worldLoop.execute(action);
         }
 
-        private void atEnd(Runnable act) {
-            loop.schedule(
+        private void scheduleEnd(Runnable action) {
+            worldLoop.schedule(
                     () -> {
                         mark("end of " + fault.label());
-                        act.run();
+                        action.run();
                     },
                     clock.nanosUntil(fault.endMs()),
                     TimeUnit.NANOSECONDS);
         }
 
-        private void nodes(Consumer<String> act) {
-            onLoop(() -> strikes.targets(fault).forEach(act));
+        private void forEachTargetNode(Consumer<String> action) {
+            onWorldLoop(() -> faultInjector.affectedNodes(fault).forEach(action));
         }
 
-        private void between(Consumer<String> begin, Consumer<String> end) {
-            nodes(begin);
-            atEnd(() -> strikes.targets(fault).forEach(end));
+        private void applyToTargetNodes(Consumer<String> begin, Consumer<String> end) {
+            forEachTargetNode(begin);
+            scheduleEnd(() -> faultInjector.affectedNodes(fault).forEach(end));
         }
 
-        private void agents(Consumer<Integer> act) {
-            for (int i = 0; i < discoveries.size(); i++) {
-                if (fault.strikes("proxy-", i, discoveries.size())) {
-                    act.accept(i);
+        private void forEachTargetProxy(Consumer<Integer> action) {
+            for (int i = 0; i < discoveryServers.size(); i++) {
+                if (fault.affects("proxy-", i, discoveryServers.size())) {
+                    action.accept(i);
                 }
             }
         }
 
-        private void eachProxy(Consumer<Integer> act) {
-            agents(i -> hands.execute(() -> act.accept(i)));
+        private void runForEachTargetProxy(Consumer<Integer> action) {
+            forEachTargetProxy(i -> faultExecutor.execute(() -> action.accept(i)));
         }
 
-        private void ended(int i) {
-            membership.ended(i, clock.now());
-            policy.ended(i);
+        private void proxyEnded(int proxy) {
+            membership.processEnded(proxy, clock.now());
+            policy.processEnded(proxy);
         }
 
-        private void term(int i) {
-            attempt(
+        private void terminateProxy(int proxy) {
+            runReportingFailure(
                     () -> {
-                        proxies.get(i).signal("TERM");
-                        hands.schedule(
-                                () -> clients.inService(i, false),
-                                (long) FRONT_MS,
+                        proxies.get(proxy).sendSignal("TERM");
+                        faultExecutor.schedule(
+                                () -> clients.setInService(proxy, false),
+                                (long) LOAD_BALANCER_DELAY_MS,
                                 TimeUnit.MILLISECONDS);
-                        double longest = experiment.load().longestMs();
-                        if (!proxies.get(i)
+                        double longestMs = experiment.load().longestDeadlineMs();
+                        if (!proxies.get(proxy)
                                 .awaitExit(
                                         (long)
-                                                (KILL_MS
-                                                        + Math.min(LONGEST_MS, longest)
-                                                        + SETTLE_MS))) {
-                            seen.add(
+                                                (TERM_GRACE_MS
+                                                        + Math.min(MAX_TERM_DEADLINE_MS, longestMs)
+                                                        + SETTLING_TIME_MS))) {
+                            violations.add(
                                     new Violation(
                                             Rule.CRASH,
-                                            "proxy-" + i,
+                                            "proxy-" + proxy,
                                             clock.now(),
                                             "it had not ended when SIGKILL was due"));
-                            proxies.get(i).signal("KILL");
+                            proxies.get(proxy).sendSignal("KILL");
                             ledger.excuse(
-                                    new Ledger.Excuse(i, clock.now(), clock.now(), "SIGKILL"));
+                                    new Ledger.ExcusedInterval(
+                                            proxy, clock.now(), clock.now(), "SIGKILL"));
                         }
-                        proxies.get(i).end();
-                        ended(i);
-                        clients.inService(i, false);
-                        startAgain(i);
+                        proxies.get(proxy).destroy();
+                        proxyEnded(proxy);
+                        clients.setInService(proxy, false);
+                        restartProxy(proxy);
                         return null;
                     });
         }
 
-        private void kill(int i) {
-            if (!down.add(i)) {
+        private void killProxy(int proxy) {
+            if (!restartingProxies.add(proxy)) {
                 // It is on its way back already; a second start would take the first one's address.
                 return;
             }
-            attempt(
+            runReportingFailure(
                     () -> {
                         ledger.excuse(
-                                new Ledger.Excuse(
-                                        i,
+                                new Ledger.ExcusedInterval(
+                                        proxy,
                                         clock.now(),
                                         clock.now() + experiment.proxies().noticeS() * MS_PER_S,
                                         "SIGKILL"));
-                        proxies.get(i).signal("KILL");
-                        ended(i);
-                        hands.schedule(
-                                () -> clients.inService(i, false),
+                        proxies.get(proxy).sendSignal("KILL");
+                        proxyEnded(proxy);
+                        faultExecutor.schedule(
+                                () -> clients.setInService(proxy, false),
                                 (long) (experiment.proxies().noticeS() * MS_PER_S),
                                 TimeUnit.MILLISECONDS);
-                        proxies.get(i).awaitExit(READY_MS);
-                        startAgain(i);
+                        proxies.get(proxy).awaitExit(READY_TIMEOUT_MS);
+                        restartProxy(proxy);
                         return null;
                     });
         }
 
-        private void startAgain(int i)
+        private void restartProxy(int proxy)
                 throws IOException, InterruptedException, ExecutionException {
             Thread.sleep(
                     TimeUnit.NANOSECONDS.toMillis(
                             clock.nanosUntil(clock.now() + fault.forS() * MS_PER_S)));
-            proxies.get(i).configure(loop.submit((Callable<JsonObject>) () -> config(i)).get());
-            membership.started(i, clock.now());
-            policy.started(i);
-            down.remove(i);
-            proxies.get(i).start(discoveries.get(i).dial());
-            double begun = clock.now();
-            if (proxies.get(i).awaitReady(READY_MS)) {
-                clients.inService(i, true);
-                policy.back(i);
+            proxies.get(proxy)
+                    .writeConfig(
+                            worldLoop
+                                    .submit((Callable<JsonObject>) () -> proxyConfig(proxy))
+                                    .get());
+            membership.processStarted(proxy, clock.now());
+            policy.processStarted(proxy);
+            restartingProxies.remove(proxy);
+            proxies.get(proxy).start(discoveryServers.get(proxy).address());
+            double startedAt = clock.now();
+            if (proxies.get(proxy).awaitReady(READY_TIMEOUT_MS)) {
+                clients.setInService(proxy, true);
+                policy.faultEnded(proxy);
                 mark(
                         "proxy-"
-                                + i
+                                + proxy
                                 + " is ready again after "
-                                + Math.round(clock.now() - begun)
+                                + Math.round(clock.now() - startedAt)
                                 + " ms");
-                synchronized (outside) {
-                    outside.merge("proxy.ready_again_ms_max", clock.now() - begun, Math::max);
+                synchronized (extraFigures) {
+                    extraFigures.merge(
+                            "proxy.ready_again_ms_max", clock.now() - startedAt, Math::max);
                 }
             } else {
-                seen.add(
+                violations.add(
                         new Violation(
-                                Rule.CRASH, "proxy-" + i, clock.now(), "it did not come back"));
+                                Rule.CRASH, "proxy-" + proxy, clock.now(), "it did not come back"));
             }
         }
 
-        private void hup(int i) {
-            attempt(
+        private void reloadProxy(int proxy) {
+            runReportingFailure(
                     () -> {
-                        String dial = discoveries.get(i).move();
+                        String address = discoveryServers.get(proxy).changeAddress();
                         JsonObject config =
-                                loop.submit((Callable<JsonObject>) () -> config(i)).get();
-                        config.addProperty("discovery", dial);
-                        proxies.get(i).configure(config);
-                        proxies.get(i).signal("HUP");
+                                worldLoop
+                                        .submit((Callable<JsonObject>) () -> proxyConfig(proxy))
+                                        .get();
+                        config.addProperty("discovery", address);
+                        proxies.get(proxy).writeConfig(config);
+                        proxies.get(proxy).sendSignal("HUP");
                         return null;
                     });
         }
 
-        private void stop(int i) {
-            attempt(
+        private void pauseProxy(int proxy) {
+            runReportingFailure(
                     () -> {
                         double until = clock.now() + fault.forS() * MS_PER_S;
                         ledger.excuse(
-                                new Ledger.Excuse(i, clock.now(), until + SETTLE_MS, "SIGSTOP"));
-                        policy.stopped(i, until);
-                        proxies.get(i).signal("STOP");
+                                new Ledger.ExcusedInterval(
+                                        proxy, clock.now(), until + SETTLING_TIME_MS, "SIGSTOP"));
+                        policy.processPaused(proxy, until);
+                        proxies.get(proxy).sendSignal("STOP");
                         Thread.sleep(TimeUnit.NANOSECONDS.toMillis(clock.nanosUntil(until)));
-                        proxies.get(i).signal("CONT");
-                        policy.back(i);
+                        proxies.get(proxy).sendSignal("CONT");
+                        policy.faultEnded(proxy);
                         return null;
                     });
         }
 
-        private void starve(int i) {
-            attempt(
+        private void starveProxy(int proxy) {
+            runReportingFailure(
                     () -> {
                         ledger.excuse(
-                                new Ledger.Excuse(
-                                        i, clock.now(), fault.endMs() + SETTLE_MS, "starved"));
-                        long stopped = (long) (fault.share() * Fault.STARVE_EVERY_MS);
-                        for (double begun = clock.now();
-                                begun < fault.endMs();
-                                begun += Fault.STARVE_EVERY_MS) {
-                            proxies.get(i).signal("STOP");
-                            Thread.sleep(stopped);
-                            proxies.get(i).signal("CONT");
+                                new Ledger.ExcusedInterval(
+                                        proxy,
+                                        clock.now(),
+                                        fault.endMs() + SETTLING_TIME_MS,
+                                        "starved"));
+                        long pauseMs = (long) (fault.share() * Fault.STARVATION_PERIOD_MS);
+                        for (double periodStart = clock.now();
+                                periodStart < fault.endMs();
+                                periodStart += Fault.STARVATION_PERIOD_MS) {
+                            proxies.get(proxy).sendSignal("STOP");
+                            Thread.sleep(pauseMs);
+                            proxies.get(proxy).sendSignal("CONT");
                             Thread.sleep(
                                     Math.max(
                                             0,
                                             TimeUnit.NANOSECONDS.toMillis(
                                                     clock.nanosUntil(
-                                                            begun + Fault.STARVE_EVERY_MS))));
+                                                            periodStart
+                                                                    + Fault
+                                                                            .STARVATION_PERIOD_MS))));
                         }
                         return null;
                     });
         }
 
-        private void busy() {
+        private void loadCpu() {
             for (int i = 0; i < fault.factor(); i++) {
                 Thread burner =
                         new Thread(
                                 () -> {
-                                    while (clock.now() < fault.endMs() && !hands.isShutdown()) {
+                                    while (clock.now() < fault.endMs()
+                                            && !faultExecutor.isShutdown()) {
                                         Thread.onSpinWait();
                                     }
                                 },
@@ -682,13 +714,13 @@
             }
         }
 
-        private void attempt(Callable<Void> act) {
+        private void runReportingFailure(Callable<Void> action) {
             try {
-                act.call();
+                action.call();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (Exception e) {
-                seen.add(
+                violations.add(
                         new Violation(
                                 Rule.CRASH,
                                 fault.label(),
@@ -699,173 +731,193 @@
     }
 
     /** Looks on until everything asked has ended, or should have long ago. */
-    private void watch(Consumer<Progress> progress) throws InterruptedException {
-        double longest = experiment.load().longestMs();
-        double faultsEnd = experiment.faults().stream().mapToDouble(Fault::endMs).max().orElse(0);
-        double last =
+    private void monitor(Consumer<Progress> progress) throws InterruptedException {
+        double longestMs = experiment.load().longestDeadlineMs();
+        double faultsEndAt = experiment.faults().stream().mapToDouble(Fault::endMs).max().orElse(0);
+        double endAt =
                 Math.max(
                         experiment.durationS() * MS_PER_S
-                                + longest
-                                + SETTLE_MS
+                                + longestMs
+                                + SETTLING_TIME_MS
                                 + 2 * experiment.rules().slackMs(),
-                        experiment.faults().stream().anyMatch(f -> f.what() == Fault.Kind.HOSTILE)
-                                ? faultsEnd + HOSTILE_MS + SETTLE_MS
+                        experiment.faults().stream().anyMatch(f -> f.kind() == Fault.Kind.HOSTILE)
+                                ? faultsEndAt + HOSTILE_TIMEOUT_MS + SETTLING_TIME_MS
                                 : 0);
-        double[] cpu = new double[proxies.size()];
-        double[] cpuBefore = new double[proxies.size()];
-        double[] system = new double[proxies.size()];
-        double[] systemBefore = new double[proxies.size()];
-        double resident = 0;
-        int descriptors = 0;
-        while (clock.now() < last) {
+        double[] cpuS = new double[proxies.size()];
+        double[] previousCpuS = new double[proxies.size()];
+        double[] systemS = new double[proxies.size()];
+        double[] previousSystemS = new double[proxies.size()];
+        double maxResidentMb = 0;
+        int maxDescriptors = 0;
+        while (clock.now() < endAt) {
             int level = 0;
             for (int i = 0; i < proxies.size(); i++) {
                 ProxyProcess proxy = proxies.get(i);
-                level = Math.max(level, proxy.level());
-                ProxyProcess.Usage usage = proxy.usage();
+                level = Math.max(level, proxy.controlLevel());
+                ProxyProcess.Usage usage = proxy.readUsage();
                 if (usage != null) {
                     // What a start costs is none of the requests'; a new life counts from nothing.
-                    cpu[i] +=
+                    cpuS[i] +=
                             clock.now() < 0
                                     ? 0
                                     : Math.max(
                                             0,
                                             usage.cpuS()
-                                                    - (usage.cpuS() >= cpuBefore[i]
-                                                            ? cpuBefore[i]
+                                                    - (usage.cpuS() >= previousCpuS[i]
+                                                            ? previousCpuS[i]
                                                             : 0));
-                    system[i] +=
+                    systemS[i] +=
                             clock.now() < 0
                                     ? 0
                                     : Math.max(
                                             0,
                                             usage.systemS()
-                                                    - (usage.cpuS() >= cpuBefore[i]
-                                                            ? systemBefore[i]
+                                                    - (usage.cpuS() >= previousCpuS[i]
+                                                            ? previousSystemS[i]
                                                             : 0));
-                    cpuBefore[i] = usage.cpuS();
-                    systemBefore[i] = usage.systemS();
-                    resident = Math.max(resident, usage.residentMb());
-                    descriptors = Math.max(descriptors, usage.descriptors());
+                    previousCpuS[i] = usage.cpuS();
+                    previousSystemS[i] = usage.systemS();
+                    maxResidentMb = Math.max(maxResidentMb, usage.residentMb());
+                    maxDescriptors = Math.max(maxDescriptors, usage.descriptors());
                 }
-                if (proxy.crashed() != null) {
-                    seen.add(
+                if (proxy.unexpectedExitCode() != null) {
+                    violations.add(
                             new Violation(
                                     Rule.CRASH,
                                     proxy.name,
                                     clock.now(),
                                     "exit code "
-                                            + proxy.crashed()
+                                            + proxy.unexpectedExitCode()
                                             + " though nobody had told it to end"));
                     return;
                 }
             }
             int second = (int) (clock.now() / MS_PER_S);
-            if (second >= 0 && second < levels.length && clock.now() >= 0) {
-                levels[second] = Math.max(levels[second], level);
+            if (second >= 0 && second < maxControlLevels.length && clock.now() >= 0) {
+                maxControlLevels[second] = Math.max(maxControlLevels[second], level);
             }
-            progress.accept(now(level));
-            Thread.sleep(LOOK_MS);
+            progress.accept(currentProgress(level));
+            Thread.sleep(POLL_INTERVAL_MS);
         }
         if (experiment.gossip().enabled()) {
-            outside.putAll(membership.figures());
-            if (policy.on()) {
-                outside.putAll(policy.ledger().figures());
-                seen.addAll(policy.ledger().violations());
+            extraFigures.putAll(membership.figures());
+            if (policy.isEnabled()) {
+                extraFigures.putAll(policy.ledger().figures());
+                violations.addAll(policy.ledger().violations());
             }
-            outside.put(
+            extraFigures.put(
                     "gossip.bytes_per_s",
                     proxies.stream().mapToDouble(ProxyProcess::gossipBytesPerS).max().orElse(0));
         }
-        outside.put("proxy.cpu_s", java.util.Arrays.stream(cpu).sum());
-        outside.put("proxy.cpu_system_s", java.util.Arrays.stream(system).sum());
-        outside.put("proxy.resident_mb_max", resident);
-        outside.put("proxy.descriptors_max", (double) descriptors);
+        extraFigures.put("proxy.cpu_s", java.util.Arrays.stream(cpuS).sum());
+        extraFigures.put("proxy.cpu_system_s", java.util.Arrays.stream(systemS).sum());
+        extraFigures.put("proxy.resident_mb_max", maxResidentMb);
+        extraFigures.put("proxy.descriptors_max", (double) maxDescriptors);
     }
 
-    private Progress now(int level) {
-        Clients.Counts c = clients.counts();
+    private Progress currentProgress(int level) {
+        Clients.OutcomeCounts counts = clients.counts();
         return new Progress(
                 clock.now() / MS_PER_S,
                 experiment.durationS(),
-                c.ended(),
-                c.served(),
-                c.refused(),
-                c.ended() - c.served() - c.refused(),
-                c.worth() == 0 ? 1 : c.worthServed() / c.worth(),
+                counts.ended(),
+                counts.served(),
+                counts.refused(),
+                counts.ended() - counts.served() - counts.refused(),
+                counts.weightedWork() == 0
+                        ? 1
+                        : counts.weightedWorkServed() / counts.weightedWork(),
                 level);
     }
 
-    private Results results() {
-        endAll();
-        List<Story> stories = clients.told();
-        hostileVerdict();
-        outside.put(
+    private Results buildResults() {
+        shutDown();
+        List<RequestRecord> records = clients.records();
+        checkHostileClients();
+        extraFigures.put(
                 "proxy.cpu_ms_per_request",
-                1000 * outside.getOrDefault("proxy.cpu_s", 0.0) / Math.max(1, stories.size()));
-        double listBytes = discoveries.stream().mapToDouble(DiscoveryServer::sentBytes).sum();
-        outside.put("discovery.sent_bytes", listBytes / discoveries.size());
-        outside.put("machines.connections_opened", (double) machines.connections());
-        outside.put("machines.connections_turned_away", (double) machines.turnedAway());
-        return new Played(experiment, "sockets", plan, load, ledger, stories, levels, marks, seen)
-                .judged(outside);
+                1000 * extraFigures.getOrDefault("proxy.cpu_s", 0.0) / Math.max(1, records.size()));
+        double listBytes = discoveryServers.stream().mapToDouble(DiscoveryServer::sentBytes).sum();
+        extraFigures.put("discovery.sent_bytes", listBytes / discoveryServers.size());
+        extraFigures.put(
+                "machines.connections_opened", (double) upstreamServers.openedConnections());
+        extraFigures.put(
+                "machines.connections_turned_away", (double) upstreamServers.rejectedConnections());
+        return new CompletedRun(
+                        experiment,
+                        "sockets",
+                        installation,
+                        loadPlan,
+                        ledger,
+                        records,
+                        maxControlLevels,
+                        marks,
+                        violations)
+                .evaluate(extraFigures);
     }
 
-    private void hostileVerdict() {
-        List<HostilePeers.Peer> peers = hostile.peers();
-        int dealt = 0;
-        for (HostilePeers.Peer p : peers) {
-            boolean inTime = p.endedAt - p.at <= HOSTILE_MS + experiment.rules().slackMs();
-            dealt += inTime && p.status != 200 ? 1 : 0;
-            if (p.status >= 200 && p.status < 400) {
-                seen.add(
+    private void checkHostileClients() {
+        List<HostileClients.HostileClient> observed = hostileClients.clients();
+        int handled = 0;
+        for (HostileClients.HostileClient client : observed) {
+            boolean inTime =
+                    client.endedAt - client.openedAt
+                            <= HOSTILE_TIMEOUT_MS + experiment.rules().slackMs();
+            handled += inTime && client.status != 200 ? 1 : 0;
+            if (client.status >= 200 && client.status < 400) {
+                violations.add(
                         new Violation(
                                 Rule.BAD_INPUT,
-                                p.kind.name().toLowerCase(Locale.ROOT),
-                                p.at,
-                                "served with " + p.status));
+                                client.kind.name().toLowerCase(Locale.ROOT),
+                                client.openedAt,
+                                "served with " + client.status));
             } else if (!inTime) {
-                seen.add(
+                violations.add(
                         new Violation(
                                 Rule.BAD_INPUT,
-                                p.kind.name().toLowerCase(Locale.ROOT),
-                                p.at,
+                                client.kind.name().toLowerCase(Locale.ROOT),
+                                client.openedAt,
                                 "proxy-"
-                                        + p.proxy
+                                        + client.proxy
                                         + " gave it neither an error nor a close in 3 s"));
             }
         }
-        outside.put("hostile.peers", (double) peers.size());
-        outside.put("hostile.dealt_share", peers.isEmpty() ? 1.0 : (double) dealt / peers.size());
+        extraFigures.put("hostile.peers", (double) observed.size());
+        extraFigures.put(
+                "hostile.dealt_share",
+                observed.isEmpty() ? 1.0 : (double) handled / observed.size());
     }
 
     // What a proxy is told.
 
-    private JsonObject config(int proxy) {
-        JsonObject o = new JsonObject();
-        o.addProperty("name", "proxy-" + proxy);
-        o.addProperty(
+    private JsonObject proxyConfig(int proxy) {
+        JsonObject config = new JsonObject();
+        config.addProperty("name", "proxy-" + proxy);
+        config.addProperty(
                 "listen",
                 proxies.get(proxy).address.getAddress().getHostAddress()
                         + ":"
                         + proxies.get(proxy).address.getPort());
-        o.addProperty("discovery", discoveries.get(proxy).dial());
-        o.addProperty(
+        config.addProperty("discovery", discoveryServers.get(proxy).address());
+        config.addProperty(
                 "seed",
                 Long.toHexString(
-                        experiment.seed() * 31 + proxy * 7919L + proxies.get(proxy).lives()));
+                        experiment.seed() * 31 + proxy * 7919L + proxies.get(proxy).startCount()));
         JsonObject limits = new JsonObject();
         limits.addProperty("cores", 1.0);
         limits.addProperty("memory_mb", experiment.proxies().memoryMb());
         limits.addProperty("sockets", experiment.proxies().sockets());
-        o.add("limits", limits);
-        JsonObject known = discoveries.get(proxy).whole();
-        if (proxies.get(proxy).lives() == 0) {
+        config.add("limits", limits);
+        JsonObject known = discoveryServers.get(proxy).snapshot();
+        if (proxies.get(proxy).startCount() == 0) {
             // A first life: the list is there, but discovery has numbered none for it.
             known.addProperty("seq", 0);
         }
-        o.add("known", known);
-        o.add("settings", ProxySettings.json(experiment, plan, proxy, IDLE_MS, CONNECT_MS));
-        return o;
+        config.add("known", known);
+        config.add(
+                "settings",
+                ProxySettings.json(
+                        experiment, installation, proxy, IDLE_TIMEOUT_MS, CONNECT_TIMEOUT_MS));
+        return config;
     }
 }
--- a/src/main/java/cacheproxy/lab/sockets/StreamRelay.java
+++ b/src/main/java/cacheproxy/lab/sockets/StreamRelay.java
@@ -1,6 +1,6 @@
 package cacheproxy.lab.sockets;
 
-import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.faults.PeerLinkFaults;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -28,23 +28,23 @@
  */
 final class StreamRelay {
 
-    private static final long LOOK_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final EventLoop loop;
     private final RunClock clock;
-    private final PeerLinks links;
+    private final PeerLinkFaults linkFaults;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
 
-    StreamRelay(EventLoop loop, RunClock clock, PeerLinks links) {
+    StreamRelay(EventLoop loop, RunClock clock, PeerLinkFaults linkFaults) {
         this.loop = loop;
         this.clock = clock;
-        this.links = links;
+        this.linkFaults = linkFaults;
     }
 
     /** Opens the way from one proxy to another, whose own address is given. */
-    void open(int from, int to, InetAddress at, InetSocketAddress own)
+    void open(int from, int to, InetAddress bindAddress, InetSocketAddress target)
             throws IOException, InterruptedException {
-        ChannelFuture bound =
+        ChannelFuture bindFuture =
                 new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerSocketChannel.class)
@@ -53,15 +53,17 @@
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        new Way(from, to, channel).reach(own);
+                                        new RelayedConnection(from, to, channel).connect(target);
                                     }
                                 })
-                        .bind(new InetSocketAddress(at, 0))
+                        .bind(new InetSocketAddress(bindAddress, 0))
                         .await();
-        if (!bound.isSuccess()) {
-            throw new IOException("no socket to relay connections: " + bound.cause().getMessage());
+        if (!bindFuture.isSuccess()) {
+            throw new IOException(
+                    "no socket to relay connections: " + bindFuture.cause().getMessage());
         }
-        addresses.put((long) from << 32 | to, (InetSocketAddress) bound.channel().localAddress());
+        addresses.put(
+                (long) from << 32 | to, (InetSocketAddress) bindFuture.channel().localAddress());
     }
 
     /** Where the first one connects to reach the other. */
@@ -70,27 +72,28 @@
     }
 
     /** One connection: two channels, each of which is read only while the link is whole. */
-    private final class Way {
+    private final class RelayedConnection {
         private final int from;
         private final int to;
-        private final Channel near;
-        private Channel far;
+        private final Channel inbound;
+        private Channel outbound;
 
-        Way(int from, int to, Channel near) {
+        RelayedConnection(int from, int to, Channel inbound) {
             this.from = from;
             this.to = to;
-            this.near = near;
+            this.inbound = inbound;
         }
 
-        private boolean cut() {
-            return links.cut(from, to, clock.now()) || links.cut(to, from, clock.now());
+        private boolean isCut() {
+            return linkFaults.isCut(from, to, clock.now())
+                    || linkFaults.isCut(to, from, clock.now());
         }
 
         /** One that is made while the link is cut comes up once it is whole again. */
-        void reach(InetSocketAddress own) {
-            if (cut()) {
-                if (near.isOpen()) {
-                    loop.schedule(() -> reach(own), LOOK_MS, TimeUnit.MILLISECONDS);
+        void connect(InetSocketAddress target) {
+            if (isCut()) {
+                if (inbound.isOpen()) {
+                    loop.schedule(() -> connect(target), POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
                 }
                 return;
             }
@@ -99,44 +102,46 @@
                             .group(loop)
                             .channel(NioSocketChannel.class)
                             .option(ChannelOption.AUTO_READ, false)
-                            .handler(new Pump(near))
-                            .connect(own);
-            far = connecting.channel();
+                            .handler(new ForwardingHandler(inbound))
+                            .connect(target);
+            outbound = connecting.channel();
             connecting.addListener(
-                    f -> {
-                        if (f.isSuccess()) {
-                            near.pipeline().addLast(new Pump(far));
-                            look();
+                    future -> {
+                        if (future.isSuccess()) {
+                            inbound.pipeline().addLast(new ForwardingHandler(outbound));
+                            updateAutoRead();
                         } else {
-                            near.close();
+                            inbound.close();
                         }
                     });
         }
 
-        private void look() {
-            if (near.isOpen() && far.isOpen()) {
-                boolean reads = !cut();
-                near.config().setAutoRead(reads);
-                far.config().setAutoRead(reads);
-                loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+        private void updateAutoRead() {
+            if (inbound.isOpen() && outbound.isOpen()) {
+                boolean reading = !isCut();
+                inbound.config().setAutoRead(reading);
+                outbound.config().setAutoRead(reading);
+                loop.schedule(this::updateAutoRead, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
             } else {
-                near.close();
-                far.close();
+                inbound.close();
+                outbound.close();
             }
         }
     }
 
-    private static final class Pump extends ChannelInboundHandlerAdapter {
-        private final Channel to;
+    private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
+        private final Channel destination;
 
-        Pump(Channel to) {
-            this.to = to;
+        ForwardingHandler(Channel destination) {
+            this.destination = destination;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (to.isActive()) {
-                to.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+            if (destination.isActive()) {
+                destination
+                        .writeAndFlush(bytes)
+                        .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
             } else {
                 ReferenceCountUtil.release(bytes);
             }
@@ -144,7 +149,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            to.close();
+            destination.close();
         }
 
         @Override
--- a/src/main/java/cacheproxy/lab/stream/HollowControl.java
+++ b/src/main/java/cacheproxy/lab/stream/ControlMachineProcess.java
@@ -4,9 +4,9 @@
 import cacheproxy.lab.ProcessUse;
 import cacheproxy.raft.StreamLog;
 import cacheproxy.raft.StreamService;
+import cacheproxy.stream.Acknowledgements.FullyAcknowledged;
 import cacheproxy.stream.Change;
-import cacheproxy.stream.Deliveries.Everywhere;
-import cacheproxy.stream.Window;
+import cacheproxy.stream.RetainedLog;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -24,45 +24,46 @@
  * port first; then a line {@code stat}, {@code heap}, {@code everywhere}, {@code purge KEY} or
  * {@code epoch NUMBER BYTES} on the standard input is answered on the output.
  */
-final class HollowControl {
+final class ControlMachineProcess {
 
-    private static final Window.Bounds BOUNDS = new Window.Bounds(32_768, 8 << 20);
+    private static final RetainedLog.Bounds RETAINED_LOG_BOUNDS =
+            new RetainedLog.Bounds(32_768, 8 << 20);
 
-    private final Histogram everywhere = new Histogram(3);
+    private final Histogram acknowledgementLatencyMs = new Histogram(3);
     private StreamService service;
 
-    private HollowControl() {}
+    private ControlMachineProcess() {}
 
-    private void everywhere(Everywhere e) {
-        everywhere.recordValue(Math.max(0, Math.round(e.tookMs())));
+    private void recordAcknowledged(FullyAcknowledged acknowledged) {
+        acknowledgementLatencyMs.recordValue(Math.max(0, Math.round(acknowledged.latencyMs())));
     }
 
-    private CompletableFuture<String> answer(String asked) {
-        String[] words = asked.split(" ");
+    private CompletableFuture<String> answer(String command) {
+        String[] words = command.split(" ");
         return switch (words[0]) {
             case "stat" ->
                     CompletableFuture.completedFuture(
                             "stat "
                                     + ProcessUse.cpuMs()
                                     + " "
-                                    + service.machine().publisher().readers()
+                                    + service.machine().publisher().subscriberCount()
                                     + " "
                                     + service.machine().head()
                                     + " "
-                                    + (service.machine().leads() ? 1 : 0));
+                                    + (service.machine().isLeader() ? 1 : 0));
             case "heap" -> CompletableFuture.completedFuture("heap " + ProcessUse.retainedBytes());
             case "everywhere" ->
                     CompletableFuture.completedFuture(
                             "everywhere "
-                                    + everywhere.getTotalCount()
+                                    + acknowledgementLatencyMs.getTotalCount()
                                     + " "
-                                    + everywhere.getValueAtPercentile(50)
+                                    + acknowledgementLatencyMs.getValueAtPercentile(50)
                                     + " "
-                                    + everywhere.getValueAtPercentile(99)
+                                    + acknowledgementLatencyMs.getValueAtPercentile(99)
                                     + " "
-                                    + everywhere.getValueAtPercentile(99.9)
+                                    + acknowledgementLatencyMs.getValueAtPercentile(99.9)
                                     + " "
-                                    + everywhere.getMaxValue());
+                                    + acknowledgementLatencyMs.getMaxValue());
             case "purge" -> publish(new Change.Purge(words[1], false));
             case "epoch" ->
                     publish(
@@ -80,16 +81,17 @@
     }
 
     public static void main(String[] args) throws Exception {
-        HollowControl self = new HollowControl();
+        ControlMachineProcess process = new ControlMachineProcess();
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        InetAddress here = InetAddress.getLoopbackAddress();
+        InetAddress loopback = InetAddress.getLoopbackAddress();
         Map<String, InetSocketAddress> controls = new LinkedHashMap<>();
         for (int i = 3; i < args.length; i++) {
             controls.put(
-                    "control-" + (i - 3), new InetSocketAddress(here, Integer.parseInt(args[i])));
+                    "control-" + (i - 3),
+                    new InetSocketAddress(loopback, Integer.parseInt(args[i])));
         }
         Path folder = Path.of(args[1]);
-        self.service =
+        process.service =
                 new StreamService(
                         new StreamService.Parts(
                                 new KeyRing(
@@ -97,16 +99,16 @@
                                 controls,
                                 controls.get(args[0]),
                                 folder.resolve(args[0]),
-                                BOUNDS,
+                                RETAINED_LOG_BOUNDS,
                                 loop,
                                 System.nanoTime(),
-                                StreamLog.SNAPSHOT_EVERY),
-                        self::everywhere);
+                                StreamLog.SNAPSHOT_INTERVAL_ENTRIES),
+                        process::recordAcknowledged);
         System.out.println(
                 "port "
-                        + self.service
-                                .listen(new InetSocketAddress(here, Integer.parseInt(args[2])))
+                        + process.service
+                                .listen(new InetSocketAddress(loopback, Integer.parseInt(args[2])))
                                 .getPort());
-        HollowProxies.serve(loop, self::answer);
+        SubscriberProcess.serve(loop, process::answer);
     }
 }
--- a/src/main/java/cacheproxy/lab/stream/StreamLoad.java
+++ b/src/main/java/cacheproxy/lab/stream/StreamLoad.java
@@ -29,12 +29,12 @@
  */
 public final class StreamLoad implements AutoCloseable {
 
-    private static final long START_S = 60;
-    private static final long SETTLE_MS = 6000;
-    private static final int HEADER_BYTES = 52;
-    private static final long POLL_MS = 200;
-    private static final long AGAIN_MS = 20;
-    private static final double MS = 1000;
+    private static final long START_TIMEOUT_S = 60;
+    private static final long DELIVERY_WAIT_MS = 6000;
+    private static final int TCP_HEADER_BYTES = 52;
+    private static final long POLL_INTERVAL_MS = 200;
+    private static final long RETRY_DELAY_MS = 20;
+    private static final double MS_PER_S = 1000;
 
     private static final List<String> JVM_FLAGS =
             List.of(
@@ -44,44 +44,46 @@
                     "-Dio.netty.jfr.enabled=false",
                     "-Dorg.slf4j.simpleLogger.defaultLogLevel=error");
 
-    private final StreamPlan plan;
+    private final StreamLoadPlan plan;
     private final Path folder;
     private final Random random;
     private final List<WorkerProcess> controls = new ArrayList<>();
-    private final List<Integer> links = new ArrayList<>();
-    private final List<Integer> ports = new ArrayList<>();
-    private final List<WorkerProcess> hollow = new ArrayList<>();
-    private final Map<Long, Long> dueAt = new HashMap<>();
-    private final Histogram kept = new Histogram(3);
-    private int leader;
-    private int lost = -1;
-    private double latestMs;
+    private final List<Integer> peerPorts = new ArrayList<>();
+    private final List<Integer> subscriberPorts = new ArrayList<>();
+    private final List<WorkerProcess> subscriberProcesses = new ArrayList<>();
+    private final Map<Long, Long> dueAtMs = new HashMap<>();
+    private final Histogram commitLatencyMs = new Histogram(3);
+    private int assumedLeader;
+    private int killedControl = -1;
+    private double maxDriverDelayMs;
 
-    private StreamLoad(StreamPlan plan, Path folder) {
+    private StreamLoad(StreamLoadPlan plan, Path folder) {
         this.plan = plan;
         this.folder = folder;
         this.random = new Random(plan.seed());
     }
 
     /** Plays a file into a folder; whether all bounds hold. */
-    public static boolean play(Path file, Map<String, String> set, Path out)
+    public static boolean run(Path file, Map<String, String> overrides, Path outputDirectory)
             throws BadFileException, IOException, InterruptedException {
-        StreamPlan plan = StreamPlan.read(file, set);
+        StreamLoadPlan plan = StreamLoadPlan.read(file, overrides);
         Path folder =
                 Files.createTempDirectory(
                         Files.createDirectories(
-                                out == null ? Path.of("target", "lab", plan.name()) : out),
+                                outputDirectory == null
+                                        ? Path.of("target", "lab", plan.name())
+                                        : outputDirectory),
                         "run-");
         try (StreamLoad load = new StreamLoad(plan, folder)) {
             load.start();
-            return load.run();
+            return load.runLoad();
         }
     }
 
     private void start() throws IOException, InterruptedException {
         for (int i = 0; i < plan.controls(); i++) {
             try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                links.add(free.getLocalPort());
+                peerPorts.add(free.getLocalPort());
             }
             try {
                 KeyFiles.generate(
@@ -93,43 +95,45 @@
             }
         }
         for (int i = 0; i < plan.controls(); i++) {
-            controls.add(control(i, 0));
-            ports.add(Integer.parseInt(controls.get(i).readWordsAfter("port")[0]));
+            controls.add(startControl(i, 0));
+            subscriberPorts.add(Integer.parseInt(controls.get(i).readWordsAfter("port")[0]));
         }
         int first = 0;
         for (int i = 0; i < plan.processes(); i++) {
             int count = plan.proxies() * (i + 1) / plan.processes() - first;
             List<String> arguments =
                     new ArrayList<>(List.of(String.valueOf(first), String.valueOf(count)));
-            ports.forEach(p -> arguments.add(String.valueOf(p)));
-            hollow.add(worker(HollowProxies.class, arguments));
+            subscriberPorts.forEach(p -> arguments.add(String.valueOf(p)));
+            subscriberProcesses.add(startWorker(SubscriberProcess.class, arguments));
             first += count;
         }
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
-        for (long served = 0; served < plan.proxies(); served = sum(hollow, "count", 0)) {
-            if (System.nanoTime() > end) {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
+        for (long served = 0;
+                served < plan.proxies();
+                served = sum(subscriberProcesses, "count", 0)) {
+            if (System.nanoTime() > deadlineNs) {
                 throw new IOException(
                         "only "
                                 + served
                                 + " of "
                                 + plan.proxies()
                                 + " hollow proxies were served within "
-                                + START_S
+                                + START_TIMEOUT_S
                                 + " s");
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    private WorkerProcess control(int index, int port) throws IOException {
+    private WorkerProcess startControl(int index, int port) throws IOException {
         List<String> arguments =
                 new ArrayList<>(
                         List.of("control-" + index, folder.toString(), String.valueOf(port)));
-        links.forEach(l -> arguments.add(String.valueOf(l)));
-        return worker(HollowControl.class, arguments);
+        peerPorts.forEach(l -> arguments.add(String.valueOf(l)));
+        return startWorker(ControlMachineProcess.class, arguments);
     }
 
-    private static WorkerProcess worker(Class<?> mainClass, List<String> arguments)
+    private static WorkerProcess startWorker(Class<?> mainClass, List<String> arguments)
             throws IOException {
         return WorkerProcess.start(
                 mainClass, JVM_FLAGS, arguments, ProcessBuilder.Redirect.INHERIT);
@@ -144,148 +148,167 @@
         return worker.readWordsAfter(command);
     }
 
-    private static long[] column(List<WorkerProcess> children, String what, int column)
+    private static long[] column(List<WorkerProcess> workers, String command, int column)
             throws IOException {
-        long[] all = new long[children.size()];
-        for (int i = 0; i < all.length; i++) {
-            all[i] =
-                    children.get(i).isAlive()
-                            ? Long.parseLong(ask(children.get(i), what)[column])
+        long[] values = new long[workers.size()];
+        for (int i = 0; i < values.length; i++) {
+            values[i] =
+                    workers.get(i).isAlive()
+                            ? Long.parseLong(ask(workers.get(i), command)[column])
                             : 0;
         }
-        return all;
+        return values;
     }
 
-    private static long sum(List<WorkerProcess> children, String what, int column)
+    private static long sum(List<WorkerProcess> workers, String command, int column)
             throws IOException {
-        return Arrays.stream(column(children, what, column)).sum();
+        return Arrays.stream(column(workers, command, column)).sum();
     }
 
     /** Asks whoever leads until it says that the change is kept. */
-    private void publish(String change, long due) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
-        for (int tries = 1; ; tries++) {
-            WorkerProcess asked = controls.get(leader);
+    private void publish(String change, long dueMs) throws IOException, InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
+        for (int attempts = 1; ; attempts++) {
+            WorkerProcess control = controls.get(assumedLeader);
             long seq = -1;
             try {
-                if (asked.isAlive()) {
-                    asked.send(change);
-                    seq = Long.parseLong(asked.readWordsAfter("kept")[0]);
+                if (control.isAlive()) {
+                    control.send(change);
+                    seq = Long.parseLong(control.readWordsAfter("kept")[0]);
                 }
             } catch (IOException e) {
                 // It was killed meanwhile: another will lead.
                 seq = -1;
             }
             if (seq >= 0) {
-                dueAt.put(seq, due);
-                kept.recordValue(Math.max(0, System.currentTimeMillis() - due));
+                dueAtMs.put(seq, dueMs);
+                commitLatencyMs.recordValue(Math.max(0, System.currentTimeMillis() - dueMs));
                 return;
             }
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadlineNs) {
                 throw new IOException(
                         "nobody keeps "
                                 + change
                                 + " within "
-                                + START_S
+                                + START_TIMEOUT_S
                                 + " s; last entries "
                                 + Arrays.toString(column(controls, "stat", 2))
                                 + ", who leads "
                                 + Arrays.toString(column(controls, "stat", 3))
                                 + ", killed "
-                                + lost);
+                                + killedControl);
             }
-            leader = (leader + 1) % controls.size();
-            if (tries % controls.size() == 0) {
-                Thread.sleep(AGAIN_MS);
+            assumedLeader = (assumedLeader + 1) % controls.size();
+            if (attempts % controls.size() == 0) {
+                Thread.sleep(RETRY_DELAY_MS);
             }
         }
     }
 
-    private boolean run() throws IOException, InterruptedException {
+    private boolean runLoad() throws IOException, InterruptedException {
         long[] cpuBefore = column(controls, "stat", 0);
-        long hollowCpu = sum(hollow, "stat", 0);
-        long inBefore = sum(hollow, "stat", 1);
-        long outBefore = sum(hollow, "stat", 2);
-        long movesBefore = sum(hollow, "stat", 4);
-        long began = System.nanoTime();
-        long beganAt = System.currentTimeMillis();
-        double rate = plan.purgesPerS() + plan.epochsPerS();
-        boolean back = plan.backS() == 0;
+        long subscriberCpuBefore = sum(subscriberProcesses, "stat", 0);
+        long inBefore = sum(subscriberProcesses, "stat", 1);
+        long outBefore = sum(subscriberProcesses, "stat", 2);
+        long connectionChangesBefore = sum(subscriberProcesses, "stat", 4);
+        long beganNs = System.nanoTime();
+        long beganAtMs = System.currentTimeMillis();
+        double ratePerS = plan.purgesPerS() + plan.epochsPerS();
+        boolean restarted = plan.restartAtS() == 0;
         double dueS = 0;
         long epochs = 0;
         while (dueS < plan.durationS()) {
-            dueS += -Math.log(1 - random.nextDouble()) / rate;
-            for (long due = began + (long) (dueS * 1e9); System.nanoTime() < due; ) {
-                LockSupport.parkNanos(due - System.nanoTime());
+            dueS += -Math.log(1 - random.nextDouble()) / ratePerS;
+            for (long dueNs = beganNs + (long) (dueS * 1e9); System.nanoTime() < dueNs; ) {
+                LockSupport.parkNanos(dueNs - System.nanoTime());
             }
-            latestMs = Math.max(latestMs, (System.nanoTime() - began) / 1e6 - dueS * MS);
-            boolean epoch = random.nextDouble() * rate < plan.epochsPerS();
+            maxDriverDelayMs =
+                    Math.max(
+                            maxDriverDelayMs,
+                            (System.nanoTime() - beganNs) / 1e6 - dueS * MS_PER_S);
+            boolean epoch = random.nextDouble() * ratePerS < plan.epochsPerS();
             String change =
                     epoch
                             ? "epoch " + ++epochs + " " + plan.epochBytes()
                             : String.format(
                                     "purge /objects/%016x/%06x",
                                     random.nextLong(), random.nextInt(1 << 24));
-            if (plan.killS() > 0 && lost < 0 && dueS >= plan.killS()) {
+            if (plan.killAtS() > 0 && killedControl < 0 && dueS >= plan.killAtS()) {
                 // In the change: it has been asked, and may or may not have asked the others.
-                lost = leader;
-                controls.get(lost).send(change);
-                controls.get(lost).kill();
+                killedControl = assumedLeader;
+                controls.get(killedControl).send(change);
+                controls.get(killedControl).kill();
             }
-            publish(change, beganAt + Math.round(dueS * MS));
-            if (!back && lost >= 0 && dueS >= plan.backS()) {
-                back = true;
-                controls.set(lost, control(lost, ports.get(lost)));
-                controls.get(lost).readWordsAfter("port");
+            publish(change, beganAtMs + Math.round(dueS * MS_PER_S));
+            if (!restarted && killedControl >= 0 && dueS >= plan.restartAtS()) {
+                restarted = true;
+                controls.set(
+                        killedControl,
+                        startControl(killedControl, subscriberPorts.get(killedControl)));
+                controls.get(killedControl).readWordsAfter("port");
             }
         }
-        Thread.sleep(SETTLE_MS);
-        double seconds = (System.nanoTime() - began) / 1e9;
-        double in = (sum(hollow, "stat", 1) - inBefore) / seconds / plan.proxies();
-        double out = (sum(hollow, "stat", 2) - outBefore) / seconds / plan.proxies();
-        double proxyCores = (sum(hollow, "stat", 0) - hollowCpu) / MS / seconds / plan.proxies();
+        Thread.sleep(DELIVERY_WAIT_MS);
+        double seconds = (System.nanoTime() - beganNs) / 1e9;
+        double inBytesPerS =
+                (sum(subscriberProcesses, "stat", 1) - inBefore) / seconds / plan.proxies();
+        double outBytesPerS =
+                (sum(subscriberProcesses, "stat", 2) - outBefore) / seconds / plan.proxies();
+        double proxyCores =
+                (sum(subscriberProcesses, "stat", 0) - subscriberCpuBefore)
+                        / MS_PER_S
+                        / seconds
+                        / plan.proxies();
         long[] cpu = column(controls, "stat", 0);
         double controlCores = 0;
         for (int i = 0; i < cpu.length; i++) {
             // What the lost one had used before is not known any more.
             controlCores =
-                    i == lost
+                    i == killedControl
                             ? controlCores
-                            : Math.max(controlCores, (cpu[i] - cpuBefore[i]) / MS / seconds);
+                            : Math.max(controlCores, (cpu[i] - cpuBefore[i]) / MS_PER_S / seconds);
         }
         return report(
-                seconds, in, out, proxyCores, controlCores, sum(hollow, "stat", 4) - movesBefore);
+                seconds,
+                inBytesPerS,
+                outBytesPerS,
+                proxyCores,
+                controlCores,
+                sum(subscriberProcesses, "stat", 4) - connectionChangesBefore);
     }
 
     private boolean report(
             double seconds,
-            double in,
-            double out,
+            double inBytesPerS,
+            double outBytesPerS,
             double proxyCores,
             double controlCores,
-            long moves)
+            long connectionChanges)
             throws IOException {
-        Map<Long, Long> last = new HashMap<>();
-        Map<Long, Integer> count = new HashMap<>();
-        for (WorkerProcess worker : hollow) {
-            for (String mark : ask(worker, "marks")) {
-                if (!mark.isEmpty()) {
-                    String[] parts = mark.split(":");
-                    count.merge(Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer::sum);
-                    last.merge(Long.parseLong(parts[0]), Long.parseLong(parts[2]), Math::max);
+        Map<Long, Long> lastReceivedAtMs = new HashMap<>();
+        Map<Long, Integer> receivedCount = new HashMap<>();
+        for (WorkerProcess worker : subscriberProcesses) {
+            for (String receipts : ask(worker, "marks")) {
+                if (!receipts.isEmpty()) {
+                    String[] parts = receipts.split(":");
+                    receivedCount.merge(
+                            Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer::sum);
+                    lastReceivedAtMs.merge(
+                            Long.parseLong(parts[0]), Long.parseLong(parts[2]), Math::max);
                 }
             }
         }
-        Histogram times = new Histogram(3);
+        Histogram deliveryMs = new Histogram(3);
         long missing = 0;
-        for (Map.Entry<Long, Long> e : dueAt.entrySet()) {
-            if (count.getOrDefault(e.getKey(), 0) == plan.proxies()) {
-                times.recordValue(Math.max(0, last.get(e.getKey()) - e.getValue()));
+        for (Map.Entry<Long, Long> entry : dueAtMs.entrySet()) {
+            if (receivedCount.getOrDefault(entry.getKey(), 0) == plan.proxies()) {
+                deliveryMs.recordValue(
+                        Math.max(0, lastReceivedAtMs.get(entry.getKey()) - entry.getValue()));
             } else {
                 missing++;
             }
         }
-        long resets = sum(hollow, "stat", 3);
+        long resets = sum(subscriberProcesses, "stat", 3);
         System.out.printf(
                 Locale.ROOT,
                 "%s: %d proxies in %d processes, %d control machines, %d entries in %.0f s, asked at most %.0f ms late%s%n",
@@ -293,12 +316,12 @@
                 plan.proxies(),
                 plan.processes(),
                 plan.controls(),
-                dueAt.size(),
+                dueAtMs.size(),
                 seconds,
-                latestMs,
-                lost < 0 ? "" : ", the leader killed at " + plan.killS() + " s");
-        tell("everywhere_ms", times, "not everywhere " + missing);
-        tell("kept_ms", kept, "when their authors were told");
+                maxDriverDelayMs,
+                killedControl < 0 ? "" : ", the leader killed at " + plan.killAtS() + " s");
+        printHistogram("everywhere_ms", deliveryMs, "not everywhere " + missing);
+        printHistogram("kept_ms", commitLatencyMs, "when their authors were told");
         for (int i = 0; i < controls.size(); i++) {
             System.out.printf(
                     Locale.ROOT,
@@ -309,59 +332,62 @@
         System.out.printf(
                 Locale.ROOT,
                 "a proxy: %.0f bytes/s down, %.0f up (frames; TCP and IP add %d a packet), %.5f of a core, resets %d, moves %d%n",
-                in,
-                out,
-                HEADER_BYTES,
+                inBytesPerS,
+                outBytesPerS,
+                TCP_HEADER_BYTES,
                 proxyCores,
                 resets,
-                moves);
+                connectionChanges);
         System.out.printf(
                 Locale.ROOT,
                 "a control machine: %.4f of a core at most, readers %s, heap %s kB%n",
                 controlCores,
                 Arrays.toString(column(controls, "stat", 1)),
-                kb(column(controls, "heap", 0)));
+                toKilobytes(column(controls, "heap", 0)));
         System.out.printf(
                 Locale.ROOT,
                 "a process of hollow proxies: heap %s kB%n",
-                kb(column(hollow, "heap", 0)));
-        return holds(
+                toKilobytes(column(subscriberProcesses, "heap", 0)));
+        return checkBound(
                         "everywhere_ms",
-                        times.getValueAtPercentile(99.9),
+                        deliveryMs.getValueAtPercentile(99.9),
                         plan.bounds().everywhereMs())
-                & holds("proxy_bytes_per_s", in + out, plan.bounds().proxyBytesPerS())
-                & holds("control_cores", controlCores, plan.bounds().controlCores())
-                & holds("not everywhere", missing, 0)
-                & holds("resets", resets, 0);
+                & checkBound(
+                        "proxy_bytes_per_s",
+                        inBytesPerS + outBytesPerS,
+                        plan.bounds().proxyBytesPerS())
+                & checkBound("control_cores", controlCores, plan.bounds().controlCores())
+                & checkBound("not everywhere", missing, 0)
+                & checkBound("resets", resets, 0);
     }
 
-    private static String kb(long[] bytes) {
+    private static String toKilobytes(long[] bytes) {
         return Arrays.toString(Arrays.stream(bytes).map(b -> b / 1000).toArray());
     }
 
-    private static void tell(String what, Histogram h, String more) {
+    private static void printHistogram(String name, Histogram histogram, String remark) {
         System.out.printf(
                 Locale.ROOT,
                 "%s p50 %d p99 %d p99.9 %d max %d; %s%n",
-                what,
-                h.getValueAtPercentile(50),
-                h.getValueAtPercentile(99),
-                h.getValueAtPercentile(99.9),
-                h.getMaxValue(),
-                more);
+                name,
+                histogram.getValueAtPercentile(50),
+                histogram.getValueAtPercentile(99),
+                histogram.getValueAtPercentile(99.9),
+                histogram.getMaxValue(),
+                remark);
     }
 
-    private static boolean holds(String what, double found, double most) {
-        if (found > most) {
+    private static boolean checkBound(String name, double found, double max) {
+        if (found > max) {
             System.out.printf(
-                    Locale.ROOT, "falls short: %s is %.4f, allowed is %.4f%n", what, found, most);
+                    Locale.ROOT, "falls short: %s is %.4f, allowed is %.4f%n", name, found, max);
         }
-        return found <= most;
+        return found <= max;
     }
 
     @Override
     public void close() {
-        hollow.forEach(WorkerProcess::close);
+        subscriberProcesses.forEach(WorkerProcess::close);
         controls.forEach(WorkerProcess::close);
     }
 }
--- a/src/main/java/cacheproxy/lab/stream/StreamPlan.java
+++ b/src/main/java/cacheproxy/lab/stream/StreamLoadPlan.java
@@ -10,7 +10,7 @@
  * What a run of the stream on sockets plays, and the bounds that it is held to. {@code killS} and
  * {@code backS} say when a control machine ends and is started again; 0 for never.
  */
-record StreamPlan(
+record StreamLoadPlan(
         String name,
         long seed,
         int proxies,
@@ -20,8 +20,8 @@
         double purgesPerS,
         double epochsPerS,
         int epochBytes,
-        double killS,
-        double backS,
+        double killAtS,
+        double restartAtS,
         Bounds bounds) {
 
     /**
@@ -30,28 +30,28 @@
      */
     record Bounds(double everywhereMs, double proxyBytesPerS, double controlCores) {}
 
-    static StreamPlan read(Path file, Map<String, String> set) throws BadFileException {
+    static StreamLoadPlan read(Path file, Map<String, String> overrides) throws BadFileException {
         Toml toml = Toml.read(file);
-        for (Map.Entry<String, String> e : set.entrySet()) {
-            toml.set(e.getKey(), e.getValue());
+        for (Map.Entry<String, String> override : overrides.entrySet()) {
+            toml.set(override.getKey(), override.getValue());
         }
         Toml.Table root = toml.root();
         Toml.Table fleet = root.table("fleet");
         Toml.Table load = root.table("load");
         Toml.Table fault = root.table("fault");
         Toml.Table bounds = root.table("bounds");
-        root.text("about", "");
-        StreamPlan plan =
-                new StreamPlan(
-                        root.text("name", "stream"),
-                        root.whole("seed", 1, 0, Integer.MAX_VALUE),
-                        fleet.whole("proxies", 780, 1, 2000),
-                        fleet.whole("processes", 8, 1, 32),
-                        fleet.whole("controls", 4, 1, 8),
+        root.string("about", "");
+        StreamLoadPlan plan =
+                new StreamLoadPlan(
+                        root.string("name", "stream"),
+                        root.integer("seed", 1, 0, Integer.MAX_VALUE),
+                        fleet.integer("proxies", 780, 1, 2000),
+                        fleet.integer("processes", 8, 1, 32),
+                        fleet.integer("controls", 4, 1, 8),
                         root.number("duration_s", 60, 1, 3600),
                         load.number("purges_per_s", 3.9, 0, 1000),
                         load.number("epochs_per_s", 0.0255, 0, 100),
-                        load.whole("epoch_bytes", 2000, 0, 16_384),
+                        load.integer("epoch_bytes", 2000, 0, 16_384),
                         fault.number("kill_s", 0, 0, 3600),
                         fault.number("back_s", 0, 0, 3600),
                         new Bounds(
@@ -59,7 +59,7 @@
                                 bounds.number("proxy_bytes_per_s", 5000, 1, 1e9),
                                 bounds.number("control_cores", 1, 0.001, 64)));
         for (Toml.Table table : List.of(root, fleet, load, fault, bounds)) {
-            table.done();
+            table.rejectUnknownKeys();
         }
         return plan;
     }
--- a/src/main/java/cacheproxy/lab/stream/HollowProxies.java
+++ b/src/main/java/cacheproxy/lab/stream/SubscriberProcess.java
@@ -28,76 +28,79 @@
  * count}, {@code stat}, {@code heap} or {@code marks} on its standard input is answered on the
  * output; its end ends the process.
  */
-final class HollowProxies {
+final class SubscriberProcess {
 
-    private static final class Proxy implements StreamClient.Sink {
-        private final HollowProxies all;
+    private static final class SubscribedProxy implements StreamClient.Sink {
+        private final SubscriberProcess process;
         private final Subscriber subscriber;
         private final StreamClient client;
-        private boolean began;
+        private boolean hasSnapshot;
 
-        Proxy(HollowProxies all, int index, Map<String, InetSocketAddress> servers) {
-            this.all = all;
+        SubscribedProxy(
+                SubscriberProcess process, int index, Map<String, InetSocketAddress> servers) {
+            this.process = process;
             subscriber =
                     new Subscriber(
                             new Subscriber.Parts(
                                     "proxy-" + index,
                                     List.copyOf(servers.keySet()),
-                                    Subscriber.PACE_BYTES_PER_S,
+                                    Subscriber.RATE_BYTES_PER_S,
                                     Subscriber.BURST_BYTES,
                                     new Random(index)),
                             0,
                             0,
                             nowMs());
-            client = new StreamClient(all.loop, servers, subscriber, HollowProxies::nowMs, this);
+            client =
+                    new StreamClient(
+                            process.loop, servers, subscriber, SubscriberProcess::nowMs, this);
         }
 
         @Override
         public boolean apply(List<Entry> entries) {
-            long at = System.currentTimeMillis();
-            entries.forEach(e -> all.applied(e.seq(), at));
+            long atMs = System.currentTimeMillis();
+            entries.forEach(e -> process.recordReceipt(e.seq(), atMs));
             return true;
         }
 
         @Override
         public boolean reset(Snapshot snapshot) {
-            all.resets += began ? 1 : 0;
-            began = true;
+            process.resets += hasSnapshot ? 1 : 0;
+            hasSnapshot = true;
             return true;
         }
 
         @Override
-        public void event(Subscriber.What what, String server) {
-            if (what != Subscriber.What.CONNECTED) {
-                all.moves++;
+        public void event(Subscriber.SubscriberEvent event, String server) {
+            if (event != Subscriber.SubscriberEvent.CONNECTED) {
+                process.connectionChanges++;
             }
         }
     }
 
-    private record Mark(int count, long last) {}
+    private record Receipts(int count, long lastAtMs) {}
 
     private final EventLoop loop =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private final List<Proxy> proxies = new ArrayList<>();
-    private final Map<Long, Mark> marks = new LinkedHashMap<>();
+    private final List<SubscribedProxy> proxies = new ArrayList<>();
+    private final Map<Long, Receipts> receiptsBySeq = new LinkedHashMap<>();
     private int resets;
-    private int moves;
+    private int connectionChanges;
 
     private static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
-    private void applied(long seq, long at) {
-        Mark before = marks.getOrDefault(seq, new Mark(0, 0));
-        marks.put(seq, new Mark(before.count() + 1, Math.max(before.last(), at)));
+    private void recordReceipt(long seq, long atMs) {
+        Receipts before = receiptsBySeq.getOrDefault(seq, new Receipts(0, 0));
+        receiptsBySeq.put(seq, new Receipts(before.count() + 1, Math.max(before.lastAtMs(), atMs)));
     }
 
-    private String answer(String asked) {
-        return switch (asked) {
+    private String answer(String command) {
+        return switch (command) {
             case "count" ->
                     "count "
                             + proxies.stream()
-                                    .filter(p -> p.began && p.subscriber.server() != null)
+                                    .filter(p -> p.hasSnapshot && p.subscriber.server() != null)
                                     .count();
             case "stat" ->
                     "stat "
@@ -109,19 +112,19 @@
                             + " "
                             + resets
                             + " "
-                            + moves;
+                            + connectionChanges;
             case "heap" -> "heap " + ProcessUse.retainedBytes();
             case "marks" -> {
-                StringBuilder all = new StringBuilder("marks");
-                marks.forEach(
-                        (seq, m) ->
-                                all.append(' ')
+                StringBuilder text = new StringBuilder("marks");
+                receiptsBySeq.forEach(
+                        (seq, receipts) ->
+                                text.append(' ')
                                         .append(seq)
                                         .append(':')
-                                        .append(m.count())
+                                        .append(receipts.count())
                                         .append(':')
-                                        .append(m.last()));
-                yield all.toString();
+                                        .append(receipts.lastAtMs()));
+                yield text.toString();
             }
             default -> "?";
         };
@@ -132,17 +135,17 @@
      */
     static void serve(EventLoop loop, Function<String, CompletableFuture<String>> answer)
             throws IOException {
-        BufferedReader in =
+        BufferedReader input =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String asked = line;
-            loop.execute(() -> answer.apply(asked).thenAccept(System.out::println));
+        for (String line = input.readLine(); line != null; line = input.readLine()) {
+            String command = line;
+            loop.execute(() -> answer.apply(command).thenAccept(System.out::println));
         }
         System.exit(0);
     }
 
     public static void main(String[] args) throws Exception {
-        HollowProxies all = new HollowProxies();
+        SubscriberProcess process = new SubscriberProcess();
         Map<String, InetSocketAddress> servers = new LinkedHashMap<>();
         for (int i = 2; i < args.length; i++) {
             servers.put(
@@ -151,16 +154,17 @@
                             InetAddress.getLoopbackAddress(), Integer.parseInt(args[i])));
         }
         int first = Integer.parseInt(args[0]);
-        all.loop
+        process.loop
                 .submit(
                         () -> {
                             for (int i = 0; i < Integer.parseInt(args[1]); i++) {
-                                Proxy made = new Proxy(all, first + i, servers);
-                                all.proxies.add(made);
-                                made.client.start();
+                                SubscribedProxy proxy =
+                                        new SubscribedProxy(process, first + i, servers);
+                                process.proxies.add(proxy);
+                                proxy.client.start();
                             }
                         })
                 .sync();
-        serve(all.loop, asked -> CompletableFuture.completedFuture(all.answer(asked)));
+        serve(process.loop, command -> CompletableFuture.completedFuture(process.answer(command)));
     }
 }
--- a/src/main/java/cacheproxy/lab/virtual/HashIdentity.java
+++ b/src/main/java/cacheproxy/lab/virtual/HashIdentity.java
@@ -10,7 +10,7 @@
  *
  * @param strangers names without a key in the ring
  */
-public record HashIdentity(String name, Set<String> strangers) implements Identity {
+public record HashIdentity(String name, Set<String> namesWithoutKey) implements Identity {
 
     private static final int KEY_ID = 7;
 
@@ -19,9 +19,9 @@
         return KEY_ID;
     }
 
-    private static byte[] signature(String by, byte[] data, int length) {
+    private static byte[] signature(String signer, byte[] data, int length) {
         byte[] signature = new byte[SIGNATURE_BYTES];
-        long hash = by.hashCode();
+        long hash = signer.hashCode();
         for (int i = 0; i < length; i++) {
             hash = (hash ^ data[i]) * 0x100000001b3L;
             signature[i % SIGNATURE_BYTES] ^= (byte) (hash >>> 32);
@@ -35,17 +35,17 @@
     }
 
     @Override
-    public boolean knows(String other, int keyId) {
-        return !strangers.contains(other);
+    public boolean hasKey(String other, int keyId) {
+        return !namesWithoutKey.contains(other);
     }
 
     @Override
-    public boolean verify(String by, int keyId, byte[] data, int length, byte[] signature) {
-        return Arrays.equals(signature, signature(by, data, length));
+    public boolean verify(String signer, int keyId, byte[] data, int length, byte[] signature) {
+        return Arrays.equals(signature, signature(signer, data, length));
     }
 
     @Override
-    public boolean verify(String by, byte[] data, byte[] signature) {
-        return verify(by, KEY_ID, data, data.length, signature);
+    public boolean verify(String signer, byte[] data, byte[] signature) {
+        return verify(signer, KEY_ID, data, data.length, signature);
     }
 }
--- a/src/main/java/cacheproxy/lab/virtual/MemoryDisk.java
+++ b/src/main/java/cacheproxy/lab/virtual/InMemoryRaftStore.java
@@ -15,13 +15,13 @@
 /**
  * A voter's disk in virtual time: what was flushed outlasts a crash, what was not is lost with it.
  */
-final class MemoryDisk implements RaftStore {
+final class InMemoryRaftStore implements RaftStore {
 
     private RaftEndpointPersistentState self;
     private RaftGroupMembersView members;
     private RaftTermPersistentState term;
     private TreeMap<Long, LogEntry> entries = new TreeMap<>();
-    private TreeMap<Long, LogEntry> flushed = new TreeMap<>();
+    private TreeMap<Long, LogEntry> flushedEntries = new TreeMap<>();
 
     /** Parts of snapshots by the index that they stand for. */
     private TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
@@ -30,38 +30,38 @@
 
     /** The process has ended without a word. */
     void crash() {
-        entries = new TreeMap<>(flushed);
+        entries = new TreeMap<>(flushedEntries);
         snapshots = copy(flushedSnapshots);
     }
 
     private static TreeMap<Long, TreeMap<Integer, SnapshotChunk>> copy(
-            TreeMap<Long, TreeMap<Integer, SnapshotChunk>> all) {
+            TreeMap<Long, TreeMap<Integer, SnapshotChunk>> source) {
         TreeMap<Long, TreeMap<Integer, SnapshotChunk>> copied = new TreeMap<>();
-        all.forEach((index, chunks) -> copied.put(index, new TreeMap<>(chunks)));
+        source.forEach((index, chunks) -> copied.put(index, new TreeMap<>(chunks)));
         return copied;
     }
 
     /** Null before anything was kept. */
-    RestoredRaftState restored() {
+    RestoredRaftState restoredState() {
         if (self == null || members == null || term == null) {
             return null;
         }
-        TreeMap<Integer, SnapshotChunk> last =
+        TreeMap<Integer, SnapshotChunk> lastComplete =
                 snapshots.descendingMap().values().stream()
                         .filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount())
                         .findFirst()
                         .orElse(null);
-        if (last == null) {
+        if (lastComplete == null) {
             return new RestoredRaftState(
                     self, members, term, null, new ArrayList<>(entries.values()));
         }
-        SnapshotChunk first = last.firstEntry().getValue();
+        SnapshotChunk first = lastComplete.firstEntry().getValue();
         var snapshot =
                 new DefaultRaftModelFactory()
                         .createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
-                        .setSnapshotChunks(List.copyOf(last.values()))
+                        .setSnapshotChunks(List.copyOf(lastComplete.values()))
                         .setGroupMembersView(first.getGroupMembersView())
                         .build();
         return new RestoredRaftState(
@@ -99,7 +99,7 @@
 
     @Override
     public void flush() {
-        flushed = new TreeMap<>(entries);
+        flushedEntries = new TreeMap<>(entries);
         flushedSnapshots = copy(snapshots);
     }
 
--- a/src/main/java/cacheproxy/lab/virtual/ModuleCost.java
+++ b/src/main/java/cacheproxy/lab/virtual/ModuleCost.java
@@ -1,18 +1,18 @@
 package cacheproxy.lab.virtual;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import cacheproxy.Router.AttemptEnd;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.Request;
 import cacheproxy.Router.Settings;
-import cacheproxy.lab.Draw;
 import cacheproxy.lab.Experiment;
+import cacheproxy.lab.NoopActions;
 import cacheproxy.lab.ProcessUse;
 import cacheproxy.lab.ProxySettings;
-import cacheproxy.lab.QuietActions;
+import cacheproxy.lab.ScenarioGenerator;
 import cacheproxy.lab.world.Installation;
 import java.lang.management.ManagementFactory;
 import java.lang.ref.Reference;
@@ -31,14 +31,15 @@
  * end well some time later, and nothing else runs. Time is the thread's CPU time; it differs from
  * machine to machine, and between two columns of one run it can be compared.
  */
-public final class ModuleCost extends QuietActions {
+public final class ModuleCost extends NoopActions {
 
     /**
      * CPU time of a request in microseconds, with its standard deviation over blocks, bytes
      * allocated for it, and the heap in bytes that the router still holds when all are over: by
      * difference of two collected heaps, so true to some tens of KB.
      */
-    public record Cost(double cpuUs, double spreadUs, double allocatedBytes, double retainedBytes) {
+    public record Cost(
+            double cpuUs, double cpuStdDevUs, double allocatedBytes, double retainedBytes) {
 
         /** Its figures by dotted names, as a run has them. */
         public Map<String, Double> figures() {
@@ -52,57 +53,59 @@
         }
     }
 
-    private static final int BLOCK = 20_000;
-    private static final int WARM_BLOCKS = 3;
-    private static final int BLOCKS = 7;
+    private static final int REQUESTS_PER_BLOCK = 20_000;
+    private static final int WARM_UP_BLOCKS = 3;
+    private static final int MEASURED_BLOCKS = 7;
 
     /** One proxy's part of the load: what a proxy on one small core is given. */
-    private static final double PER_S = 480;
+    private static final double REQUESTS_PER_S = 480;
 
-    private static final double ANSWER_MS = 30;
-    private static final double MISSES = 0.15;
+    private static final double RESPONSE_TIME_MS = 30;
+    private static final double MISS_RATE = 0.15;
 
-    private record Sent(String request, int attempt, String node, double at) {}
+    private record OutstandingAttempt(String request, int attempt, String node, double sentAt) {}
 
-    private record Due(double at, String token) implements Comparable<Due> {
+    private record PendingTimer(double dueAt, String token) implements Comparable<PendingTimer> {
         @Override
-        public int compareTo(Due other) {
-            return Double.compare(at, other.at);
+        public int compareTo(PendingTimer other) {
+            return Double.compare(dueAt, other.dueAt);
         }
     }
 
     private final Router router;
     private final String origin;
-    private final Deque<Sent> out = new ArrayDeque<>();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final Deque<OutstandingAttempt> outstanding = new ArrayDeque<>();
+    private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>();
     private final RandomGenerator random;
     private final ZipfDistribution keys;
     private final String service;
-    private double now = 1;
-    private long asked;
+    private double nowMs = 1;
+    private long requestCount;
 
     private ModuleCost(Experiment experiment) {
-        Installation plan = Draw.installation(experiment);
+        Installation plan = ScenarioGenerator.installation(experiment);
         Settings settings = ProxySettings.read(experiment, plan, 0, 10_000, 100);
-        this.router = new Decide(settings, experiment.seed());
+        this.router = new DecisionModule(settings, experiment.seed());
         this.origin = plan.origin().id();
-        this.random = Draw.generator(experiment.seed(), Draw.Stream.KEYS);
+        this.random =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.KEYS);
         this.keys =
                 new ZipfDistribution(
                         random, (int) experiment.fleet().keys(), experiment.load().zipf());
         this.service = experiment.load().classes().get(0).name();
-        router.started(now, this);
+        router.started(nowMs, this);
         List<Node> nodes = new ArrayList<>();
         plan.nodes()
                 .forEach(
-                        n ->
+                        node ->
                                 nodes.add(
                                         new Node(
-                                                n.id(),
-                                                n.kind(),
-                                                plan.zones().get(n.zone()),
+                                                node.id(),
+                                                node.kind(),
+                                                plan.zones().get(node.zone()),
                                                 0,
-                                                n.machine().cores(),
+                                                node.machine().cores(),
                                                 0,
                                                 Router.Availability.UP)));
         nodes.add(
@@ -114,7 +117,7 @@
                         plan.origin().machine().cores(),
                         0,
                         Router.Availability.UP));
-        router.nodes(now, ListKind.FULL, 1, nodes, this);
+        router.endpointListReceived(nowMs, EndpointListKind.SNAPSHOT, 1, nodes, this);
     }
 
     /**
@@ -124,68 +127,74 @@
     public static Cost measure(Experiment experiment) {
         ModuleCost cost = new ModuleCost(experiment);
         var threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        SummaryStatistics cpu = new SummaryStatistics();
-        SummaryStatistics bytes = new SummaryStatistics();
-        for (int block = 0; block < WARM_BLOCKS + BLOCKS; block++) {
+        SummaryStatistics cpuUs = new SummaryStatistics();
+        SummaryStatistics allocatedBytes = new SummaryStatistics();
+        for (int block = 0; block < WARM_UP_BLOCKS + MEASURED_BLOCKS; block++) {
             // Drawn outside of what is timed: the draw of a key costs more than a decision.
-            long[] drawn = new long[BLOCK];
-            for (int i = 0; i < BLOCK; i++) {
-                drawn[i] = (long) cost.keys.sample() * 0x9E3779B97F4A7C15L >>> 1;
+            long[] drawnKeys = new long[REQUESTS_PER_BLOCK];
+            for (int i = 0; i < REQUESTS_PER_BLOCK; i++) {
+                drawnKeys[i] = (long) cost.keys.sample() * 0x9E3779B97F4A7C15L >>> 1;
             }
-            long allocated = threads.getCurrentThreadAllocatedBytes();
-            long begun = threads.getCurrentThreadCpuTime();
-            for (long key : drawn) {
-                cost.one(key);
+            long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
+            long startedNs = threads.getCurrentThreadCpuTime();
+            for (long key : drawnKeys) {
+                cost.processRequest(key);
             }
-            if (block >= WARM_BLOCKS) {
-                cpu.addValue((threads.getCurrentThreadCpuTime() - begun) / 1000.0 / BLOCK);
-                bytes.addValue(
-                        (threads.getCurrentThreadAllocatedBytes() - allocated) / (double) BLOCK);
+            if (block >= WARM_UP_BLOCKS) {
+                cpuUs.addValue(
+                        (threads.getCurrentThreadCpuTime() - startedNs)
+                                / 1000.0
+                                / REQUESTS_PER_BLOCK);
+                allocatedBytes.addValue(
+                        (threads.getCurrentThreadAllocatedBytes() - allocatedBefore)
+                                / (double) REQUESTS_PER_BLOCK);
             }
         }
-        double held = ProcessUse.retainedBytes();
+        double heapWithRouter = ProcessUse.retainedBytes();
         // Without this the router may be collected as soon as its last request is over.
         Reference.reachabilityFence(cost);
         cost = null;
         return new Cost(
-                cpu.getMean(),
-                cpu.getStandardDeviation(),
-                bytes.getMean(),
-                held - ProcessUse.retainedBytes());
+                cpuUs.getMean(),
+                cpuUs.getStandardDeviation(),
+                allocatedBytes.getMean(),
+                heapWithRouter - ProcessUse.retainedBytes());
     }
 
-    private void one(long key) {
-        now += 1000 / PER_S;
-        while (!timers.isEmpty() && timers.peek().at() <= now) {
-            router.timer(now, timers.remove().token(), this);
+    private void processRequest(long key) {
+        nowMs += 1000 / REQUESTS_PER_S;
+        while (!timers.isEmpty() && timers.peek().dueAt() <= nowMs) {
+            router.timerFired(nowMs, timers.remove().token(), this);
         }
-        while (!out.isEmpty() && out.peek().at() <= now - ANSWER_MS) {
-            Sent done = out.remove();
-            boolean missed = !done.node().equals(origin) && random.nextDouble() < MISSES;
+        while (!outstanding.isEmpty() && outstanding.peek().sentAt() <= nowMs - RESPONSE_TIME_MS) {
+            OutstandingAttempt done = outstanding.remove();
+            boolean missed = !done.node().equals(origin) && random.nextDouble() < MISS_RATE;
             router.attemptEnded(
-                    now,
+                    nowMs,
                     new AttemptEnd(
                             done.request(),
                             done.attempt(),
                             done.node(),
                             missed ? Outcome.MISS : Outcome.OK,
-                            ANSWER_MS,
+                            RESPONSE_TIME_MS,
                             !missed,
                             missed ? 2 : 1,
                             Map.of()),
                     this);
         }
-        router.request(
-                now, new Request("c" + asked++, service, null, key, 35, 1000, false, false), this);
+        router.requestReceived(
+                nowMs,
+                new Request("c" + requestCount++, service, null, key, 35, 1000, false, false),
+                this);
     }
 
     @Override
     public void send(String request, String node, double timeoutMs) {
-        out.add(new Sent(request, 0, node, now));
+        outstanding.add(new OutstandingAttempt(request, 0, node, nowMs));
     }
 
     @Override
-    public void timer(double atMs, String token) {
-        timers.add(new Due(atMs, token));
+    public void scheduleTimer(double atMs, String token) {
+        timers.add(new PendingTimer(atMs, token));
     }
 }
--- a/src/main/java/cacheproxy/lab/virtual/VirtualPolicy.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualPolicy.java
@@ -4,11 +4,11 @@
 import cacheproxy.epoch.Epochs.Epoch;
 import cacheproxy.epoch.Message;
 import cacheproxy.epoch.PolicyMember;
-import cacheproxy.lab.Draw;
 import cacheproxy.lab.Experiment;
+import cacheproxy.lab.ScenarioGenerator;
 import cacheproxy.lab.faults.Fault;
-import cacheproxy.lab.faults.PeerLinks;
-import cacheproxy.lab.faults.PolicyText;
+import cacheproxy.lab.faults.PeerLinkFaults;
+import cacheproxy.lab.faults.ProposedPolicies;
 import cacheproxy.lab.ledger.PolicyLedger;
 import cacheproxy.lab.ledger.Rules.Violation;
 import cacheproxy.lab.world.Installation;
@@ -29,42 +29,55 @@
  */
 final class VirtualPolicy {
 
-    private static final double TICK_MS = 20;
-    private static final double SLOW_MS = 400;
+    private static final double TICK_INTERVAL_MS = 20;
+    private static final double MAX_LOSSY_DELAY_MS = 400;
 
     /** One proxy's part in one life. */
-    private final class Life implements PolicyMember.Out, RaftNodeExecutor {
+    private final class PolicyInstance implements PolicyMember.Out, RaftNodeExecutor {
         final int proxy;
         final Epochs epochs = new Epochs();
         final RaftLog log;
         final PolicyMember member;
-        boolean over;
+        boolean ended;
 
-        Life(int proxy, int life) {
+        PolicyInstance(int proxy, int incarnation) {
             this.proxy = proxy;
-            boolean votes = proxy < voters.size();
+            boolean isVoter = proxy < voters.size();
             log =
-                    votes
+                    isVoter
                             ? new RaftLog(
                                     new RaftLog.Parts(
                                             name(proxy),
                                             voters,
                                             epochs,
                                             this,
-                                            agenda::now,
-                                            experiment.seed() * 31 + proxy * 7919L + life,
-                                            disks[proxy],
-                                            disks[proxy].restored()),
+                                            eventQueue::now,
+                                            experiment.seed() * 31 + proxy * 7919L + incarnation,
+                                            stores[proxy],
+                                            stores[proxy].restoredState()),
                                     (to, json) ->
-                                            carry(
+                                            transmit(
                                                     proxy,
                                                     index(to),
-                                                    l -> l.log.received(name(proxy), json)),
-                                    this::committed)
+                                                    instance ->
+                                                            instance.log.received(
+                                                                    name(proxy), json)),
+                                    this::entriesCommitted)
                             : null;
-            member = new PolicyMember(name(proxy), voters, log, epochs, kept[proxy], agenda.now());
-            if (kept[proxy] != null) {
-                ledger.applied(proxy, kept[proxy].number(), kept[proxy].content(), agenda.now());
+            member =
+                    new PolicyMember(
+                            name(proxy),
+                            voters,
+                            log,
+                            epochs,
+                            storedEpochs[proxy],
+                            eventQueue.now());
+            if (storedEpochs[proxy] != null) {
+                ledger.epochApplied(
+                        proxy,
+                        storedEpochs[proxy].number(),
+                        storedEpochs[proxy].content(),
+                        eventQueue.now());
             }
         }
 
@@ -76,55 +89,60 @@
         }
 
         private void tick() {
-            when(
+            whenRunning(
                     () -> {
                         if (log != null) {
-                            log.tick(agenda.now());
+                            log.tick(eventQueue.now());
                         }
-                        member.tick(agenda.now(), this);
-                        agenda.in(TICK_MS, this::tick);
+                        member.tick(eventQueue.now(), this);
+                        eventQueue.scheduleIn(TICK_INTERVAL_MS, this::tick);
                     });
         }
 
         /** Now, or when the process goes on; never once it has ended. */
-        void when(Runnable act) {
-            if (agenda.now() < stoppedUntil[proxy]) {
-                agenda.at(stoppedUntil[proxy], () -> when(act));
-            } else if (!over) {
-                act.run();
+        void whenRunning(Runnable action) {
+            if (eventQueue.now() < pausedUntil[proxy]) {
+                eventQueue.scheduleAt(pausedUntil[proxy], () -> whenRunning(action));
+            } else if (!ended) {
+                action.run();
             }
         }
 
-        private void committed() {
+        private void entriesCommitted() {
             if (member != null) {
-                member.committed(agenda.now(), this);
+                member.entriesCommitted(eventQueue.now(), this);
             }
         }
 
         @Override
         public void send(String to, Message message) {
-            carry(proxy, index(to), l -> l.member.received(agenda.now(), name(proxy), message, l));
+            transmit(
+                    proxy,
+                    index(to),
+                    instance ->
+                            instance.member.received(
+                                    eventQueue.now(), name(proxy), message, instance));
         }
 
         @Override
         public void apply(Epoch epoch) {
-            kept[proxy] = epoch;
-            ledger.applied(proxy, epoch.number(), epoch.content(), agenda.now());
+            storedEpochs[proxy] = epoch;
+            ledger.epochApplied(proxy, epoch.number(), epoch.content(), eventQueue.now());
         }
 
         @Override
-        public void event(PolicyMember.What what, long epoch, double atMs) {
-            switch (what) {
-                case CURRENT -> ledger.current(proxy, epoch, atMs);
-                case NOT_CURRENT -> ledger.notCurrent(proxy, atMs);
-                case FENCED -> ledger.fenced();
+        public void event(PolicyMember.PolicyEvent event, long epoch, double atMs) {
+            switch (event) {
+                case CURRENT -> ledger.becameCurrent(proxy, epoch, atMs);
+                case NOT_CURRENT -> ledger.ceasedCurrent(proxy, atMs);
+                case FENCED -> ledger.countFence();
                 default -> {}
             }
         }
 
         @Override
         public void execute(Runnable task) {
-            agenda.in(0, () -> when(task));
+            eventQueue.scheduleIn(0, () -> whenRunning(task));
         }
 
         @Override
@@ -134,37 +152,37 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            agenda.in(unit.toMicros(delay) / 1000.0, () -> when(task));
+            eventQueue.scheduleIn(unit.toMicros(delay) / 1000.0, () -> whenRunning(task));
         }
     }
 
-    private interface Arrival {
-        void at(Life life);
+    private interface Delivery {
+        void deliverTo(PolicyInstance instance);
     }
 
     private final Experiment experiment;
     private final Installation plan;
-    private final Agenda agenda;
-    private final PeerLinks links;
+    private final EventQueue eventQueue;
+    private final PeerLinkFaults links;
     private final Consumer<String> mark;
     private final List<String> voters;
-    private final Life[] lives;
-    private final MemoryDisk[] disks;
-    private final Epoch[] kept;
-    private final double[] stoppedUntil;
+    private final PolicyInstance[] instances;
+    private final InMemoryRaftStore[] stores;
+    private final Epoch[] storedEpochs;
+    private final double[] pausedUntil;
     private final PolicyLedger ledger;
     private final RandomGenerator random;
-    private int proposals;
+    private int proposalCount;
 
     VirtualPolicy(
             Experiment experiment,
             Installation plan,
-            Agenda agenda,
-            PeerLinks links,
+            EventQueue eventQueue,
+            PeerLinkFaults links,
             Consumer<String> mark) {
         this.experiment = experiment;
         this.plan = plan;
-        this.agenda = agenda;
+        this.eventQueue = eventQueue;
         this.links = links;
         this.mark = mark;
         int count = experiment.proxies().count();
@@ -172,13 +190,15 @@
                 IntStream.range(0, experiment.policy().voters())
                         .mapToObj(VirtualPolicy::name)
                         .toList();
-        lives = new Life[count];
-        disks = new MemoryDisk[count];
-        kept = new Epoch[count];
-        stoppedUntil = new double[count];
+        instances = new PolicyInstance[count];
+        stores = new InMemoryRaftStore[count];
+        storedEpochs = new Epoch[count];
+        pausedUntil = new double[count];
         ledger = new PolicyLedger(experiment, links);
-        random = Draw.generator(experiment.seed(), Draw.Stream.POLICY);
-        Arrays.setAll(disks, i -> new MemoryDisk());
+        random =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.POLICY);
+        Arrays.setAll(stores, i -> new InMemoryRaftStore());
     }
 
     private static String name(int proxy) {
@@ -189,104 +209,109 @@
         return Integer.parseInt(name.substring("proxy-".length()));
     }
 
-    private boolean on() {
+    private boolean isEnabled() {
         return experiment.policy().voters() > 0;
     }
 
-    void born(int proxy, int life) {
-        if (on()) {
-            ledger.started(proxy);
-            lives[proxy] = new Life(proxy, life);
-            lives[proxy].start();
-            if (agenda.now() > 0) {
-                backSoon(proxy, agenda.now());
+    void proxyStarted(int proxy, int incarnation) {
+        if (isEnabled()) {
+            ledger.processStarted(proxy);
+            instances[proxy] = new PolicyInstance(proxy, incarnation);
+            instances[proxy].start();
+            if (eventQueue.now() > 0) {
+                scheduleFaultEnded(proxy, eventQueue.now());
             }
         }
     }
 
-    void died(int proxy) {
-        if (lives[proxy] != null) {
-            lives[proxy].over = true;
-            disks[proxy].crash();
-            ledger.ended(proxy, agenda.now());
+    void proxyEnded(int proxy) {
+        if (instances[proxy] != null) {
+            instances[proxy].ended = true;
+            stores[proxy].crash();
+            ledger.processEnded(proxy, eventQueue.now());
         }
     }
 
-    void stop(int proxy, double until) {
-        stoppedUntil[proxy] = until;
-        ledger.stopped(proxy, until);
-        backSoon(proxy, until);
+    void pause(int proxy, double until) {
+        pausedUntil[proxy] = until;
+        ledger.processPaused(proxy, until);
+        scheduleFaultEnded(proxy, until);
     }
 
-    private void backSoon(int proxy, double at) {
-        agenda.at(at, () -> ledger.back(proxy, agenda.now()));
+    private void scheduleFaultEnded(int proxy, double at) {
+        eventQueue.scheduleAt(at, () -> ledger.faultEnded(proxy, eventQueue.now()));
     }
 
     /**
      * A stream between two proxies: what is cut off is lost with its connection, and a lossy link
      * is slow.
      */
-    private void carry(int from, int to, Arrival arrival) {
-        double now = agenda.now();
-        if (links.cut(from, to, now) || links.cut(to, from, now)) {
+    private void transmit(int from, int to, Delivery delivery) {
+        double now = eventQueue.now();
+        if (links.isCut(from, to, now) || links.isCut(to, from, now)) {
             return;
         }
-        double late = links.lossy(now) ? random.nextDouble() * SLOW_MS : 0;
-        agenda.in(
-                plan.delayMs(from, plan.proxyZones().get(to)) + late,
+        double extraDelayMs = links.isLossy(now) ? random.nextDouble() * MAX_LOSSY_DELAY_MS : 0;
+        eventQueue.scheduleIn(
+                plan.delayMs(from, plan.proxyZones().get(to)) + extraDelayMs,
                 () -> {
-                    Life life = lives[to];
-                    if (life != null) {
-                        life.when(() -> arrival.at(life));
+                    PolicyInstance instance = instances[to];
+                    if (instance != null) {
+                        instance.whenRunning(() -> delivery.deliverTo(instance));
                     }
                 });
     }
 
-    void begin(Fault fault) {
-        if (!on()) {
+    void startFault(Fault fault) {
+        if (!isEnabled()) {
             return;
         }
-        if (fault.what() == Fault.Kind.POLICY_PROPOSE) {
-            IntStream.range(0, lives.length)
-                    .filter(i -> fault.strikes("proxy-", i, lives.length))
+        if (fault.kind() == Fault.Kind.POLICY_PROPOSE) {
+            IntStream.range(0, instances.length)
+                    .filter(i -> fault.affects("proxy-", i, instances.length))
                     .forEach(this::propose);
         } else {
-            IntStream.range(0, lives.length).forEach(i -> backSoon(i, fault.endMs()));
+            IntStream.range(0, instances.length).forEach(i -> scheduleFaultEnded(i, fault.endMs()));
         }
     }
 
     private void propose(int proxy) {
-        Life life = lives[proxy];
-        if (life.over) {
+        PolicyInstance instance = instances[proxy];
+        if (instance.ended) {
             return;
         }
-        String content = PolicyText.number(++proposals);
-        ledger.proposed(content, agenda.now());
-        life.when(
+        String content = ProposedPolicies.content(++proposalCount);
+        ledger.proposalSent(content, eventQueue.now());
+        instance.whenRunning(
                 () ->
-                        life.member.propose(
-                                agenda.now(),
+                        instance.member.propose(
+                                eventQueue.now(),
                                 content,
-                                life,
-                                a -> {
-                                    mark.accept(name(proxy) + " proposed: " + a.text());
-                                    ledger.answered(content, a.ending(), agenda.now());
+                                instance,
+                                result -> {
+                                    mark.accept(name(proxy) + " proposed: " + result.text());
+                                    ledger.proposalAnswered(
+                                            content, result.status(), eventQueue.now());
                                 }));
     }
 
     /** The proxy that leads the log, or -1. */
     int leader() {
         return IntStream.range(0, voters.size())
-                .filter(i -> lives[i] != null && !lives[i].over && lives[i].log.led())
+                .filter(
+                        i ->
+                                instances[i] != null
+                                        && !instances[i].ended
+                                        && instances[i].log.isLeadershipConfirmed())
                 .findFirst()
                 .orElse(-1);
     }
 
     Map<String, Double> figures() {
-        return on() ? ledger.figures() : Map.of();
+        return isEnabled() ? ledger.figures() : Map.of();
     }
 
     List<Violation> violations() {
-        return on() ? ledger.violations() : List.of();
+        return isEnabled() ? ledger.violations() : List.of();
     }
 }
--- a/src/main/java/cacheproxy/lab/virtual/VirtualProxy.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualProxy.java
@@ -2,12 +2,12 @@
 
 import cacheproxy.Router;
 import cacheproxy.Router.AttemptEnd;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.Request;
 import cacheproxy.Router.Settings;
-import cacheproxy.lab.QuietActions;
+import cacheproxy.lab.NoopActions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -20,11 +20,11 @@
  * requests, the same limits on attempts, the same backstop, wishes done in order after each call.
  * It costs no time itself.
  */
-final class VirtualProxy extends QuietActions {
+final class VirtualProxy extends NoopActions {
 
     /** The client's side of a request. */
     interface Client {
-        void answered(int status, double retryAfterMs, long made);
+        void onResponse(int status, double retryAfterMs, long bodyAttempt);
     }
 
     /** The network's side: an attempt on its way. The end comes once, by {@link #ended}. */
@@ -38,345 +38,373 @@
         void probe(VirtualProxy from, String node);
 
         /** What the proxy's gossip is told of its attempts and probes. */
-        void seen(VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe);
+        void outcomeObserved(
+                VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe);
     }
 
     private static final int OK = 200;
-    private static final int REFUSED = 503;
-    private static final int FAILED = 502;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int BAD_GATEWAY = 502;
 
-    private static final class Call {
-        final Request in;
+    private static final class ActiveRequest {
+        final Request request;
         final Client client;
         final double deadline;
-        int attempts;
-        int out = -1;
-        String outAt;
+        int attemptCount;
+        int pendingAttempt = -1;
+        String pendingNode;
         double sentAt;
-        boolean over;
-        boolean proven = true;
+        boolean finished;
+        boolean provenNotRun = true;
 
-        Call(Request in, Client client, double deadline) {
-            this.in = in;
+        ActiveRequest(Request request, Client client, double deadline) {
+            this.request = request;
             this.client = client;
             this.deadline = deadline;
         }
     }
 
     final int index;
-    private final Agenda agenda;
+    private final EventQueue eventQueue;
     private final Settings settings;
     private final Router router;
     private final Network network;
-    private final Map<String, Call> calls = new HashMap<>();
+    private final Map<String, ActiveRequest> activeRequests = new HashMap<>();
     private final Deque<Runnable> events = new ArrayDeque<>();
-    private final List<Runnable> wishes = new ArrayList<>();
-    private boolean telling;
+    private final List<Runnable> pendingActions = new ArrayList<>();
+    private boolean dispatching;
     private boolean dead;
-    private double stoppedUntil;
-    private int timers;
-    private int backstops;
+    private double pausedUntil;
+    private int pendingTimerCount;
+    private int backstopCount;
 
-    VirtualProxy(int index, Agenda agenda, Settings settings, Router router, Network network) {
+    VirtualProxy(
+            int index, EventQueue eventQueue, Settings settings, Router router, Network network) {
         this.index = index;
-        this.agenda = agenda;
+        this.eventQueue = eventQueue;
         this.settings = settings;
         this.router = router;
         this.network = network;
     }
 
     void start(List<Node> known) {
-        tell(() -> router.started(agenda.now(), this));
-        tell(() -> router.nodes(agenda.now(), ListKind.REMEMBERED, 0, known, this));
+        dispatch(() -> router.started(eventQueue.now(), this));
+        dispatch(
+                () ->
+                        router.endpointListReceived(
+                                eventQueue.now(),
+                                EndpointListKind.STORED_SNAPSHOT,
+                                0,
+                                known,
+                                this));
     }
 
     /** It is gone: whoever waits for it hears nothing more of it. */
-    void die() {
+    void kill() {
         dead = true;
-        calls.clear();
+        activeRequests.clear();
     }
 
-    boolean dead() {
+    boolean isDead() {
         return dead;
     }
 
     /** Does nothing until then; what comes meanwhile is handled afterwards, in order. */
-    void stop(double until) {
-        stoppedUntil = until;
+    void pause(double until) {
+        pausedUntil = until;
     }
 
     /** Whether it does nothing now; then it does this when it goes on. */
-    private boolean stopped(Runnable act) {
-        boolean stopped = agenda.now() < stoppedUntil;
-        if (stopped) {
-            agenda.at(stoppedUntil, act);
+    private boolean deferIfPaused(Runnable action) {
+        boolean paused = eventQueue.now() < pausedUntil;
+        if (paused) {
+            eventQueue.scheduleAt(pausedUntil, action);
         }
-        return stopped;
+        return paused;
     }
 
-    int level() {
-        return router.level();
+    int controlLevel() {
+        return router.controlLevel();
     }
 
     /** Whether this attempt of a request is still out. */
-    boolean awaits(String id, int attempt) {
-        Call call = calls.get(id);
-        return call != null && call.out == attempt;
+    boolean isAttemptPending(String id, int attempt) {
+        ActiveRequest active = activeRequests.get(id);
+        return active != null && active.pendingAttempt == attempt;
     }
 
     /** Requests it owes an answer, for the invariants. */
-    long owed() {
-        return calls.values().stream().filter(c -> !c.over).count();
+    long unansweredCount() {
+        return activeRequests.values().stream().filter(c -> !c.finished).count();
     }
 
-    int table() {
-        return calls.size();
+    int activeRequestCount() {
+        return activeRequests.size();
     }
 
     /** What its router keeps for requests, and timers of the router's that are still to come. */
-    int entries() {
-        return router.entries();
+    int routerEntryCount() {
+        return router.entryCount();
     }
 
     /** Requests that the proxy had to answer in its router's place. */
-    int backstops() {
-        return backstops;
+    int backstopCount() {
+        return backstopCount;
     }
 
-    int timers() {
-        return timers;
+    int pendingTimerCount() {
+        return pendingTimerCount;
     }
 
-    void nodes(ListKind kind, long version, List<Node> entries) {
-        tell(() -> router.nodes(agenda.now(), kind, version, entries, this));
+    void endpointListReceived(EndpointListKind kind, long version, List<Node> entries) {
+        dispatch(() -> router.endpointListReceived(eventQueue.now(), kind, version, entries, this));
     }
 
     /** The operators take a node out, or put it back. */
-    void maintain(String node, boolean begins) {
+    void setMaintenance(String node, boolean inMaintenance) {
         if (!dead) {
-            tell(() -> router.maintain(agenda.now(), node, begins, this));
+            dispatch(() -> router.setMaintenance(eventQueue.now(), node, inMaintenance, this));
         }
     }
 
-    void request(Request in, Client client) {
+    void requestReceived(Request request, Client client) {
         // A proxy that stands still reads it when it goes on, and counts its time from there.
-        if (dead || stopped(() -> request(in, client))) {
+        if (dead || deferIfPaused(() -> requestReceived(request, client))) {
             return;
         }
-        Call call = new Call(in, client, agenda.now() + in.budgetMs());
-        calls.put(in.id(), call);
-        agenda.at(call.deadline + settings.rules().answerSlackMs(), () -> overdue(call));
-        tell(() -> router.request(agenda.now(), in, this));
+        ActiveRequest active =
+                new ActiveRequest(request, client, eventQueue.now() + request.budgetMs());
+        activeRequests.put(request.id(), active);
+        eventQueue.scheduleAt(
+                active.deadline + settings.rules().answerSlackMs(), () -> enforceDeadline(active));
+        dispatch(() -> router.requestReceived(eventQueue.now(), request, this));
     }
 
-    void clientGone(String id) {
-        if (stopped(() -> clientGone(id))) {
+    void clientDisconnected(String id) {
+        if (deferIfPaused(() -> clientDisconnected(id))) {
             return;
         }
-        Call call = calls.get(id);
-        if (call != null && !call.over) {
-            settle(call);
-            tell(() -> router.clientGone(agenda.now(), id, this));
+        ActiveRequest active = activeRequests.get(id);
+        if (active != null && !active.finished) {
+            finish(active);
+            dispatch(() -> router.clientDisconnected(eventQueue.now(), id, this));
         }
     }
 
     /** An attempt has ended; {@code made} is the attempt that a served body names. */
-    void ended(String id, int attempt, Outcome outcome, int note, long made) {
-        if (stopped(() -> ended(id, attempt, outcome, note, made))) {
+    void attemptEnded(String id, int attempt, Outcome outcome, int cacheStatus, long bodyAttempt) {
+        if (deferIfPaused(() -> attemptEnded(id, attempt, outcome, cacheStatus, bodyAttempt))) {
             return;
         }
-        Call call = calls.get(id);
-        if (call == null || call.out != attempt) {
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null || active.pendingAttempt != attempt) {
             return;
         }
-        call.out = -1;
-        call.proven &= outcome.provesNotRun();
-        if (outcome == Outcome.OK && !call.over) {
-            settle(call);
-            call.client.answered(OK, Double.NaN, made);
+        active.pendingAttempt = -1;
+        active.provenNotRun &= outcome.provesNotRun();
+        if (outcome == Outcome.OK && !active.finished) {
+            finish(active);
+            active.client.onResponse(OK, Double.NaN, bodyAttempt);
         }
-        report(id, call, attempt, call.outAt, outcome, agenda.now() - call.sentAt, note);
+        reportAttemptEnd(
+                id,
+                active,
+                attempt,
+                active.pendingNode,
+                outcome,
+                eventQueue.now() - active.sentAt,
+                cacheStatus);
     }
 
-    private void report(
+    private void reportAttemptEnd(
             String id,
-            Call call,
+            ActiveRequest active,
             int attempt,
             String node,
             Outcome outcome,
             double elapsedMs,
-            int note) {
-        boolean finished = call == null || call.over;
-        if (call != null && call.over && call.out < 0) {
-            calls.remove(id, call);
+            int cacheStatus) {
+        boolean finished = active == null || active.finished;
+        if (active != null && active.finished && active.pendingAttempt < 0) {
+            activeRequests.remove(id, active);
         }
-        network.seen(this, node, outcome, elapsedMs, false);
-        tell(
+        network.outcomeObserved(this, node, outcome, elapsedMs, false);
+        dispatch(
                 () ->
                         router.attemptEnded(
-                                agenda.now(),
+                                eventQueue.now(),
                                 new AttemptEnd(
-                                        id, attempt, node, outcome, elapsedMs, finished, note,
+                                        id,
+                                        attempt,
+                                        node,
+                                        outcome,
+                                        elapsedMs,
+                                        finished,
+                                        cacheStatus,
                                         Map.of()),
                                 this));
     }
 
-    void probed(String node, Outcome outcome, double elapsedMs) {
-        if (stopped(() -> probed(node, outcome, elapsedMs))) {
+    void probeCompleted(String node, Outcome outcome, double elapsedMs) {
+        if (deferIfPaused(() -> probeCompleted(node, outcome, elapsedMs))) {
             return;
         }
-        network.seen(this, node, outcome, elapsedMs, true);
-        tell(() -> router.probed(agenda.now(), node, outcome, elapsedMs, Map.of(), this));
+        network.outcomeObserved(this, node, outcome, elapsedMs, true);
+        dispatch(
+                () ->
+                        router.probeCompleted(
+                                eventQueue.now(), node, outcome, elapsedMs, Map.of(), this));
     }
 
-    void standing(String node, boolean doubted) {
-        tell(() -> router.standing(agenda.now(), node, doubted, this));
+    void suspicionChanged(String node, boolean suspected) {
+        dispatch(() -> router.suspicionChanged(eventQueue.now(), node, suspected, this));
     }
 
-    private void tell(Runnable event) {
+    private void dispatch(Runnable event) {
         if (dead) {
             return;
         }
-        if (stopped(() -> tell(event))) {
+        if (deferIfPaused(() -> dispatch(event))) {
             return;
         }
         events.add(event);
-        if (telling) {
+        if (dispatching) {
             return;
         }
-        telling = true;
+        dispatching = true;
         while (!events.isEmpty() && !dead) {
             events.remove().run();
-            List<Runnable> now = List.copyOf(wishes);
-            wishes.clear();
-            now.forEach(Runnable::run);
+            List<Runnable> actions = List.copyOf(pendingActions);
+            pendingActions.clear();
+            actions.forEach(Runnable::run);
         }
-        telling = false;
+        dispatching = false;
     }
 
-    private void overdue(Call call) {
-        if (stopped(() -> overdue(call))) {
+    private void enforceDeadline(ActiveRequest active) {
+        if (deferIfPaused(() -> enforceDeadline(active))) {
             return;
         }
-        if (!call.over && !dead) {
-            backstops++;
-            if (call.out >= 0) {
-                cancelNow(call);
+        if (!active.finished && !dead) {
+            backstopCount++;
+            if (active.pendingAttempt >= 0) {
+                cancelPendingAttempt(active);
             }
-            if (call.proven) {
-                answer(call, REFUSED, Double.NaN);
+            if (active.provenNotRun) {
+                respond(active, SERVICE_UNAVAILABLE, Double.NaN);
             } else {
-                answer(call, FAILED, Double.NaN);
+                respond(active, BAD_GATEWAY, Double.NaN);
             }
-            tell(() -> router.clientGone(agenda.now(), call.in.id(), this));
+            dispatch(() -> router.clientDisconnected(eventQueue.now(), active.request.id(), this));
         }
     }
 
-    private void answer(Call call, int status, double retryAfterMs) {
-        settle(call);
-        call.client.answered(status, retryAfterMs, 0);
+    private void respond(ActiveRequest active, int status, double retryAfterMs) {
+        finish(active);
+        active.client.onResponse(status, retryAfterMs, 0);
     }
 
-    private void settle(Call call) {
-        call.over = true;
-        if (call.out < 0) {
-            calls.remove(call.in.id(), call);
+    private void finish(ActiveRequest active) {
+        active.finished = true;
+        if (active.pendingAttempt < 0) {
+            activeRequests.remove(active.request.id(), active);
         }
     }
 
-    private void cancelNow(Call call) {
-        int attempt = call.out;
-        network.abandon(this, call.in.id(), attempt);
-        ended(call.in.id(), attempt, Outcome.CANCELLED, 0, 0);
+    private void cancelPendingAttempt(ActiveRequest active) {
+        int attempt = active.pendingAttempt;
+        network.abandon(this, active.request.id(), attempt);
+        attemptEnded(active.request.id(), attempt, Outcome.CANCELLED, 0, 0);
     }
 
     /** An attempt's time is up. */
-    void timedOut(String id, int attempt) {
-        if (stopped(() -> timedOut(id, attempt))) {
+    void attemptTimedOut(String id, int attempt) {
+        if (deferIfPaused(() -> attemptTimedOut(id, attempt))) {
             return;
         }
-        Call call = calls.get(id);
-        if (call != null && call.out == attempt) {
+        ActiveRequest active = activeRequests.get(id);
+        if (active != null && active.pendingAttempt == attempt) {
             network.abandon(this, id, attempt);
-            ended(id, attempt, Outcome.TIMEOUT, 0, 0);
+            attemptEnded(id, attempt, Outcome.TIMEOUT, 0, 0);
         }
     }
 
     @Override
     public void send(String request, String node, double timeoutMs) {
-        wishes.add(
+        pendingActions.add(
                 () -> {
-                    Call call = calls.get(request);
-                    int attempt = call == null ? 0 : call.attempts++;
-                    double left = call == null ? 0 : call.deadline - agenda.now();
-                    double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-                    if (call == null
-                            || call.over
-                            || call.out >= 0
-                            || wait <= 0
+                    ActiveRequest active = activeRequests.get(request);
+                    int attempt = active == null ? 0 : active.attemptCount++;
+                    double remainingMs = active == null ? 0 : active.deadline - eventQueue.now();
+                    double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+                    if (active == null
+                            || active.finished
+                            || active.pendingAttempt >= 0
+                            || waitMs <= 0
                             || attempt >= settings.limits().maxAttempts()) {
-                        report(request, call, attempt, node, Outcome.NEVER_SENT, 0, 0);
+                        reportAttemptEnd(request, active, attempt, node, Outcome.NEVER_SENT, 0, 0);
                         return;
                     }
-                    call.out = attempt;
-                    call.outAt = node;
-                    call.sentAt = agenda.now();
-                    agenda.in(wait, () -> timedOut(request, attempt));
-                    network.send(this, request, attempt, node, wait);
+                    active.pendingAttempt = attempt;
+                    active.pendingNode = node;
+                    active.sentAt = eventQueue.now();
+                    eventQueue.scheduleIn(waitMs, () -> attemptTimedOut(request, attempt));
+                    network.send(this, request, attempt, node, waitMs);
                 });
     }
 
     @Override
     public void probe(String node) {
-        wishes.add(() -> network.probe(this, node));
+        pendingActions.add(() -> network.probe(this, node));
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        wishes.add(
+        pendingActions.add(
                 () -> {
-                    Call call = calls.get(request);
-                    if (call != null && call.out == attempt) {
-                        cancelNow(call);
+                    ActiveRequest active = activeRequests.get(request);
+                    if (active != null && active.pendingAttempt == attempt) {
+                        cancelPendingAttempt(active);
                     }
                 });
     }
 
     @Override
-    public void refuse(String request, double retryAfterMs) {
-        wishes.add(
+    public void reject(String request, double retryAfterMs) {
+        pendingActions.add(
                 () ->
-                        ifOpen(
+                        ifUnfinished(
                                 request,
-                                call ->
-                                        answer(
-                                                call,
-                                                REFUSED,
+                                active ->
+                                        respond(
+                                                active,
+                                                SERVICE_UNAVAILABLE,
                                                 retryAfterMs > 0 ? retryAfterMs : Double.NaN)));
     }
 
     @Override
     public void fail(String request) {
-        wishes.add(() -> ifOpen(request, call -> answer(call, FAILED, Double.NaN)));
+        pendingActions.add(
+                () -> ifUnfinished(request, active -> respond(active, BAD_GATEWAY, Double.NaN)));
     }
 
-    private void ifOpen(String request, java.util.function.Consumer<Call> act) {
-        Call call = calls.get(request);
-        if (call != null && !call.over) {
-            act.accept(call);
+    private void ifUnfinished(String request, java.util.function.Consumer<ActiveRequest> action) {
+        ActiveRequest active = activeRequests.get(request);
+        if (active != null && !active.finished) {
+            action.accept(active);
         }
     }
 
     @Override
-    public void timer(double atMs, String token) {
-        wishes.add(
+    public void scheduleTimer(double atMs, String token) {
+        pendingActions.add(
                 () -> {
-                    timers++;
-                    agenda.at(
+                    pendingTimerCount++;
+                    eventQueue.scheduleAt(
                             atMs,
                             () -> {
-                                timers--;
-                                tell(() -> router.timer(agenda.now(), token, this));
+                                pendingTimerCount--;
+                                dispatch(() -> router.timerFired(eventQueue.now(), token, this));
                             });
                 });
     }
