--- a/src/main/java/cacheproxy/lab/virtual/VirtualRun.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualRun.java
@@ -1,35 +1,35 @@
 package cacheproxy.lab.virtual;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.Request;
 import cacheproxy.Router.Settings;
-import cacheproxy.lab.Draw;
+import cacheproxy.lab.CachePrefiller;
 import cacheproxy.lab.Experiment;
-import cacheproxy.lab.Oracle;
 import cacheproxy.lab.ProxySettings;
+import cacheproxy.lab.ScenarioGenerator;
 import cacheproxy.lab.faults.Fault;
 import cacheproxy.lab.ledger.Ledger;
 import cacheproxy.lab.ledger.Ledger.Attempt;
-import cacheproxy.lab.ledger.Ledger.Reply;
-import cacheproxy.lab.ledger.Ledger.Try;
+import cacheproxy.lab.ledger.Ledger.ClientTry;
+import cacheproxy.lab.ledger.Ledger.FinalAnswer;
 import cacheproxy.lab.ledger.Ledger.Verdict;
 import cacheproxy.lab.ledger.Rules.Rule;
 import cacheproxy.lab.ledger.Rules.Violation;
-import cacheproxy.lab.load.Front;
-import cacheproxy.lab.load.Habits;
-import cacheproxy.lab.load.Habits.Ending;
+import cacheproxy.lab.load.ClientBehavior;
+import cacheproxy.lab.load.ClientBehavior.TryOutcome;
+import cacheproxy.lab.load.LoadBalancer;
 import cacheproxy.lab.load.LoadPlan;
-import cacheproxy.lab.load.LoadPlan.First;
-import cacheproxy.lab.load.Story;
-import cacheproxy.lab.report.Played;
+import cacheproxy.lab.load.LoadPlan.PlannedRequest;
+import cacheproxy.lab.load.RequestRecord;
+import cacheproxy.lab.report.CompletedRun;
 import cacheproxy.lab.report.Results;
 import cacheproxy.lab.report.Results.Mark;
+import cacheproxy.lab.world.FaultInjector;
 import cacheproxy.lab.world.Installation;
-import cacheproxy.lab.world.Strikes;
 import cacheproxy.lab.world.World;
 import cacheproxy.lab.world.World.Answer;
 import cacheproxy.lab.world.World.Entry;
@@ -51,37 +51,37 @@
  */
 public final class VirtualRun {
 
-    private static final double IDLE_MS = 10_000;
-    private static final double CONNECT_MS = 100;
+    private static final double IDLE_TIMEOUT_MS = 10_000;
+    private static final double CONNECT_TIMEOUT_MS = 100;
     private static final double MS_PER_S = 1000;
-    private static final double FRONT_MS = 300;
+    private static final double LOAD_BALANCER_DELAY_MS = 300;
 
     /** How long a proxy waits for a probe's answer, as on sockets. */
-    private static final double PROBE_MS = 2 * CONNECT_MS;
+    private static final double PROBE_TIMEOUT_MS = 2 * CONNECT_TIMEOUT_MS;
 
     /** How long a proxy's start takes before it serves. */
-    private static final double START_MS = 1200;
+    private static final double STARTUP_MS = 1200;
 
-    private static final double SETTLE_MS = 500;
+    private static final double SETTLING_TIME_MS = 500;
     private static final int NOT_FOUND = 404;
     private static final int OK = 200;
 
     /** Makes the router of a proxy that starts. */
     @FunctionalInterface
-    public interface Maker {
-        Router make(Settings settings, long seed);
+    public interface RouterFactory {
+        Router create(Settings settings, long seed);
     }
 
     private final Experiment experiment;
-    private final Maker maker;
+    private final RouterFactory routerFactory;
     private final Installation plan;
-    private final Habits habits;
-    private final LoadPlan load;
+    private final ClientBehavior clientBehavior;
+    private final LoadPlan loadPlan;
     private final World world;
-    private final Agenda agenda = new Agenda();
+    private final EventQueue eventQueue = new EventQueue();
     private final Ledger ledger = new Ledger();
-    private final Acts acts = new Acts();
-    private final Strikes strikes;
+    private final WorldEffects worldEffects = new WorldEffects();
+    private final FaultInjector faultInjector;
     private final RandomGenerator random;
     private final List<VirtualProxy> proxies = new ArrayList<>();
 
@@ -89,575 +89,635 @@
      * What discovery has for each proxy, and what that has taken in, in this life or an earlier
      * one.
      */
-    private final List<Map<String, Entry>> lists = new ArrayList<>();
+    private final List<Map<String, Entry>> discoveryEntries = new ArrayList<>();
 
-    private final List<Map<String, Entry>> known = new ArrayList<>();
-    private final boolean[] hasList;
-    private final double[] noListBefore;
+    private final List<Map<String, Entry>> knownEntries = new ArrayList<>();
+    private final boolean[] hasEndpointList;
+    private final double[] listBlockedUntil;
     private double discoveryFreeAt;
-    private final Front front;
-    private final Map<Long, Out> out = new HashMap<>();
+    private final LoadBalancer loadBalancer;
+    private final Map<Long, InFlightAttempt> inFlightByNumber = new HashMap<>();
 
     /**
      * The attempt that is out for a try; a try goes to one proxy, and that has one attempt out at a
      * time.
      */
-    private final Map<String, Out> byTry = new HashMap<>();
+    private final Map<String, InFlightAttempt> inFlightByTry = new HashMap<>();
 
-    private final VirtualPool pool;
-    private final Map<String, Integer> zones;
-    private final Map<String, Double> resetShare = new HashMap<>();
+    private final VirtualConnectionPool pool;
+    private final Map<String, Integer> zoneByMachine;
+    private final Map<String, Double> resetShareByNode = new HashMap<>();
     private final Map<String, Double> silentUntil = new HashMap<>();
 
     /** Nodes that the operators have taken out. */
     private final Set<String> inMaintenance = new TreeSet<>();
 
-    private final Map<String, First> asked = new HashMap<>();
-    private final double[] cutUntil;
+    private final Map<String, PlannedRequest> requestsByTry = new HashMap<>();
+    private final double[] zoneCutUntil;
     private final double[] blindUntil;
-    private final int[] levels;
+    private final int[] maxControlLevels;
     private final List<Mark> marks = new ArrayList<>();
-    private final List<Violation> seen = new ArrayList<>();
-    private final Story[] stories;
-    private final VirtualPeers peers;
+    private final List<Violation> violations = new ArrayList<>();
+    private final RequestRecord[] records;
+    private final VirtualGossip gossip;
     private final VirtualPolicy policy;
-    private long attempts;
-    private int lives;
-    private long largestTable;
+    private long attemptCount;
+    private int proxyStarts;
+    private long maxActiveRequests;
 
     /** An attempt that has left its proxy. */
-    private static final class Out {
+    private static final class InFlightAttempt {
         final VirtualProxy proxy;
         final String request;
         final int number;
         final String node;
         final Attempt attempt;
         final double delayMs;
-        final VirtualPool.Link link;
-        boolean over;
+        final VirtualConnectionPool.PooledConnection connection;
+        boolean ended;
 
-        Out(
+        InFlightAttempt(
                 VirtualProxy proxy,
                 String request,
                 int number,
                 String node,
                 Attempt attempt,
                 double delayMs,
-                VirtualPool.Link link) {
+                VirtualConnectionPool.PooledConnection connection) {
             this.proxy = proxy;
             this.request = request;
             this.number = number;
             this.node = node;
             this.attempt = attempt;
             this.delayMs = delayMs;
-            this.link = link;
+            this.connection = connection;
         }
     }
 
     public VirtualRun(Experiment experiment) {
-        this(experiment, Decide::new);
+        this(experiment, DecisionModule::new);
     }
 
     /** With another router than the module, to compare them or to show what the ledger catches. */
-    public VirtualRun(Experiment experiment, Maker maker) {
+    public VirtualRun(Experiment experiment, RouterFactory routerFactory) {
         this.experiment = experiment;
-        this.maker = maker;
-        this.plan = Draw.installation(experiment);
-        this.habits = new Habits(experiment);
-        this.load = LoadPlan.of(experiment);
+        this.routerFactory = routerFactory;
+        this.plan = ScenarioGenerator.installation(experiment);
+        this.clientBehavior = new ClientBehavior(experiment);
+        this.loadPlan = LoadPlan.of(experiment);
         this.world =
                 new World(
                         plan,
-                        Draw.limits(experiment, load.meanReadMs()),
-                        Draw.generator(experiment.seed(), Draw.Stream.WORLD));
-        this.strikes = new Strikes(world, acts, plan, ledger);
-        this.random = Draw.generator(experiment.seed(), Draw.Stream.CLIENTS);
+                        ScenarioGenerator.limits(experiment, loadPlan.meanReadMs()),
+                        ScenarioGenerator.randomGenerator(
+                                experiment.seed(), ScenarioGenerator.RandomStream.WORLD));
+        this.faultInjector = new FaultInjector(world, worldEffects, plan, ledger);
+        this.random =
+                ScenarioGenerator.randomGenerator(
+                        experiment.seed(), ScenarioGenerator.RandomStream.CLIENTS);
         this.pool =
-                new VirtualPool(
-                        agenda,
+                new VirtualConnectionPool(
+                        eventQueue,
                         plan,
-                        IDLE_MS,
-                        CONNECT_MS,
-                        Draw.generator(experiment.seed(), Draw.Stream.POOLS));
-        this.front = Front.of(experiment, plan.proxyZones());
-        this.hasList = new boolean[experiment.proxies().count()];
-        this.noListBefore = new double[experiment.proxies().count()];
-        this.cutUntil = new double[plan.zones().size()];
+                        IDLE_TIMEOUT_MS,
+                        CONNECT_TIMEOUT_MS,
+                        ScenarioGenerator.randomGenerator(
+                                experiment.seed(), ScenarioGenerator.RandomStream.POOLS));
+        this.loadBalancer = LoadBalancer.of(experiment, plan.proxyZones());
+        this.hasEndpointList = new boolean[experiment.proxies().count()];
+        this.listBlockedUntil = new double[experiment.proxies().count()];
+        this.zoneCutUntil = new double[plan.zones().size()];
         this.blindUntil = new double[experiment.proxies().count()];
-        this.levels = new int[(int) Math.ceil(experiment.durationS())];
-        this.zones = plan.machineZones();
-        this.stories = new Story[load.firsts().size()];
-        this.peers =
-                new VirtualPeers(
+        this.maxControlLevels = new int[(int) Math.ceil(experiment.durationS())];
+        this.zoneByMachine = plan.zoneByMachine();
+        this.records = new RequestRecord[loadPlan.requests().size()];
+        this.gossip =
+                new VirtualGossip(
                         experiment,
                         plan,
-                        agenda,
+                        eventQueue,
                         this::mark,
                         node ->
-                                !world.alive(node)
-                                        || agenda.now() < silentUntil.getOrDefault(node, 0.0));
-        this.policy = new VirtualPolicy(experiment, plan, agenda, peers.links(), this::mark);
+                                !world.isAlive(node)
+                                        || eventQueue.now() < silentUntil.getOrDefault(node, 0.0));
+        this.policy = new VirtualPolicy(experiment, plan, eventQueue, gossip.links(), this::mark);
     }
 
-    private final class Acts implements World.Effects {
+    private final class WorldEffects implements World.Effects {
         @Override
         public void answer(long attempt, Answer answer) {
-            answered(attempt, answer);
+            handleAnswer(attempt, answer);
         }
 
         @Override
-        public void list(int proxy, long version, List<Entry> entries) {
-            entries.forEach(e -> lists.get(proxy).put(e.id(), e));
-            if (hasList[proxy]) {
-                entries.forEach(e -> told(proxy, e));
-                tell(proxy, version, entries);
+        public void deliverEndpointList(int proxy, long version, List<Entry> entries) {
+            entries.forEach(e -> discoveryEntries.get(proxy).put(e.id(), e));
+            if (hasEndpointList[proxy]) {
+                entries.forEach(e -> recordNotification(proxy, e));
+                sendDelta(proxy, version, entries);
             }
         }
 
-        private void tell(int proxy, long version, List<Entry> entries) {
-            peers.listed(proxy, () -> serving(proxy));
+        private void sendDelta(int proxy, long version, List<Entry> entries) {
+            gossip.updateNodes(proxy, () -> servingNodes(proxy));
             proxies.get(proxy)
-                    .nodes(
-                            ListKind.CHANGES,
+                    .endpointListReceived(
+                            EndpointListKind.DELTA,
                             version,
-                            entries.stream().map(VirtualRun.this::node).toList());
+                            entries.stream().map(VirtualRun.this::toNode).toList());
         }
 
         @Override
-        public void died(String machine) {
-            ledger.changed(machine, Health.REMOVED, -1, agenda.now());
+        public void machineDied(String machine) {
+            ledger.changed(machine, Health.REMOVED, -1, eventQueue.now());
             // Their connections are reset: what was out ends a link's delay later.
-            for (Out o : struck(o -> o.node.equals(machine))) {
-                drop(o);
-                agenda.in(o.delayMs, () -> end(o, Outcome.RESET, 0, 0));
+            for (InFlightAttempt pending :
+                    inFlightMatching(pending -> pending.node.equals(machine))) {
+                removeInFlight(pending);
+                eventQueue.scheduleIn(
+                        pending.delayMs, () -> endAttempt(pending, Outcome.RESET, 0, 0));
             }
-            pool.died(machine);
+            pool.machineDied(machine);
         }
 
         @Override
-        public void up(String machine) {
-            ledger.changed(machine, Health.UP, agenda.now(), agenda.now());
+        public void machineStarted(String machine) {
+            ledger.changed(machine, Health.UP, eventQueue.now(), eventQueue.now());
         }
 
         @Override
         public void originStopped() {
-            ledger.originStopped(agenda.now());
+            ledger.originStopped(eventQueue.now());
         }
 
         @Override
-        public void note(String text) {
+        public void reportEvent(String text) {
             mark(text);
         }
     }
 
-    private void told(int proxy, Entry e) {
-        Entry before = known.get(proxy).put(e.id(), e);
-        if (before == null
-                || before.health() != e.health()
-                || before.startedAt() != e.startedAt()) {
-            ledger.told(new Ledger.Told(proxy, e.id(), e.health(), e.startedAt(), agenda.now()));
+    private void recordNotification(int proxy, Entry entry) {
+        Entry previous = knownEntries.get(proxy).put(entry.id(), entry);
+        if (previous == null
+                || previous.health() != entry.health()
+                || previous.startedAt() != entry.startedAt()) {
+            ledger.notified(
+                    new Ledger.ListNotification(
+                            proxy,
+                            entry.id(),
+                            entry.health(),
+                            entry.startedAt(),
+                            eventQueue.now()));
         }
     }
 
     /** What a proxy takes for the fleet, without those that it was told are gone. */
-    private List<Node> remembered(int proxy) {
-        return known.get(proxy).values().stream()
+    private List<Node> rememberedNodes(int proxy) {
+        return knownEntries.get(proxy).values().stream()
                 .filter(e -> e.health() != Health.REMOVED)
-                .map(this::node)
+                .map(this::toNode)
                 .toList();
     }
 
     /**
      * A proxy that starts asks for the whole list; discovery hands those out one after the other.
      */
-    private void askForList(int index, VirtualProxy asking) {
-        discoveryFreeAt = Math.max(discoveryFreeAt, agenda.now()) + plan.roster().listMs();
-        agenda.at(
-                Math.max(discoveryFreeAt, noListBefore[index]),
+    private void requestEndpointList(int index, VirtualProxy proxy) {
+        discoveryFreeAt =
+                Math.max(discoveryFreeAt, eventQueue.now()) + plan.discovery().snapshotMs();
+        eventQueue.scheduleAt(
+                Math.max(discoveryFreeAt, listBlockedUntil[index]),
                 () -> {
-                    if (!asking.dead()) {
-                        hasList[index] = true;
-                        lists.get(index).values().forEach(e -> told(index, e));
-                        asking.nodes(ListKind.FULL, world.version(), remembered(index));
+                    if (!proxy.isDead()) {
+                        hasEndpointList[index] = true;
+                        discoveryEntries
+                                .get(index)
+                                .values()
+                                .forEach(e -> recordNotification(index, e));
+                        proxy.endpointListReceived(
+                                EndpointListKind.SNAPSHOT, world.version(), rememberedNodes(index));
                     }
                 });
     }
 
-    private List<Node> serving(int proxy) {
-        return known.get(proxy).values().stream()
+    private List<Node> servingNodes(int proxy) {
+        return knownEntries.get(proxy).values().stream()
                 .filter(e -> e.health() == Health.UP && !e.id().equals(plan.origin().id()))
-                .map(this::node)
+                .map(this::toNode)
                 .toList();
     }
 
-    private void mark(String what) {
-        marks.add(new Mark(Math.round(agenda.now()) / MS_PER_S, what));
+    private void mark(String text) {
+        marks.add(new Mark(Math.round(eventQueue.now()) / MS_PER_S, text));
     }
 
-    private Node node(Entry e) {
-        return ProxySettings.node(plan, e);
+    private Node toNode(Entry entry) {
+        return ProxySettings.node(plan, entry);
     }
 
-    public Results play() {
-        Oracle.fill(
+    public Results run() {
+        CachePrefiller.prefill(
                 world,
                 experiment,
                 plan,
-                ProxySettings.read(experiment, plan, 0, IDLE_MS, CONNECT_MS));
+                ProxySettings.read(experiment, plan, 0, IDLE_TIMEOUT_MS, CONNECT_TIMEOUT_MS));
         for (int i = 0; i < plan.proxyZones().size(); i++) {
-            lists.add(new TreeMap<>());
-            known.add(new TreeMap<>());
-            hasList[i] = true;
-            for (Entry e : world.truth()) {
-                lists.get(i).put(e.id(), e);
-                told(i, e);
+            discoveryEntries.add(new TreeMap<>());
+            knownEntries.add(new TreeMap<>());
+            hasEndpointList[i] = true;
+            for (Entry entry : world.currentEndpoints()) {
+                discoveryEntries.get(i).put(entry.id(), entry);
+                recordNotification(i, entry);
             }
-            proxies.add(born(i));
+            proxies.add(startProxy(i));
             proxies.get(i)
-                    .nodes(
-                            ListKind.FULL,
+                    .endpointListReceived(
+                            EndpointListKind.SNAPSHOT,
                             world.version(),
-                            world.truth().stream().map(this::node).toList());
-            front.inService(i, true);
+                            world.currentEndpoints().stream().map(this::toNode).toList());
+            loadBalancer.setInService(i, true);
         }
         experiment.faults().stream()
-                .filter(f -> !f.what().ofLoad())
-                .forEach(f -> agenda.at(f.atMs(), () -> begin(f)));
-        if (!load.firsts().isEmpty()) {
-            agenda.at(load.firsts().get(0).atMs(), () -> arrive(0));
+                .filter(fault -> !fault.kind().changesLoad())
+                .forEach(fault -> eventQueue.scheduleAt(fault.atMs(), () -> startFault(fault)));
+        if (!loadPlan.requests().isEmpty()) {
+            eventQueue.scheduleAt(loadPlan.requests().get(0).atMs(), () -> requestArrives(0));
         }
-        double longest = experiment.load().longestMs();
-        double last =
+        double longestMs = experiment.load().longestDeadlineMs();
+        double endAt =
                 experiment.durationS() * MS_PER_S
-                        + longest
-                        + SETTLE_MS
+                        + longestMs
+                        + SETTLING_TIME_MS
                         + experiment.rules().slackMs();
-        double nextLook = 0;
+        double nextSampleAt = 0;
         while (true) {
-            double next = Math.min(agenda.nextAt(), world.nextAt());
-            if (next > last) {
+            double next = Math.min(eventQueue.nextEventAt(), world.nextEventAt());
+            if (next > endAt) {
                 break;
             }
-            if (next >= nextLook) {
-                look(nextLook);
-                nextLook += 100;
+            if (next >= nextSampleAt) {
+                sample(nextSampleAt);
+                nextSampleAt += 100;
             }
-            agenda.moveTo(next);
-            if (world.nextAt() <= next) {
-                world.advance(next, acts);
+            eventQueue.advanceTo(next);
+            if (world.nextEventAt() <= next) {
+                world.advance(next, worldEffects);
             } else {
-                agenda.step();
+                eventQueue.runNext();
             }
         }
-        return results();
+        return buildResults();
     }
 
-    private void look(double at) {
+    private void sample(double at) {
         int second = (int) (at / MS_PER_S);
         if (at % MS_PER_S == 0) {
-            pool.look();
+            pool.sampleOpenCounts();
         }
-        for (VirtualProxy p : proxies) {
-            if (second < levels.length) {
-                levels[second] = Math.max(levels[second], p.level());
+        for (VirtualProxy proxy : proxies) {
+            if (second < maxControlLevels.length) {
+                maxControlLevels[second] = Math.max(maxControlLevels[second], proxy.controlLevel());
             }
-            largestTable = Math.max(largestTable, p.table());
+            maxActiveRequests = Math.max(maxActiveRequests, proxy.activeRequestCount());
         }
     }
 
-    private VirtualProxy born(int index) {
-        var settings = ProxySettings.read(experiment, plan, index, IDLE_MS, CONNECT_MS);
-        long seed = experiment.seed() * 31 + index * 7919L + lives++;
+    private VirtualProxy startProxy(int index) {
+        var settings =
+                ProxySettings.read(experiment, plan, index, IDLE_TIMEOUT_MS, CONNECT_TIMEOUT_MS);
+        long seed = experiment.seed() * 31 + index * 7919L + proxyStarts++;
         VirtualProxy proxy =
-                new VirtualProxy(index, agenda, settings, maker.make(settings, seed), new Wires());
-        peers.born(proxy, lives, () -> serving(index));
-        policy.born(index, lives);
-        proxy.start(remembered(index));
-        inMaintenance.forEach(node -> proxy.maintain(node, true));
+                new VirtualProxy(
+                        index,
+                        eventQueue,
+                        settings,
+                        routerFactory.create(settings, seed),
+                        new SimulatedNetwork());
+        gossip.proxyStarted(proxy, proxyStarts, () -> servingNodes(index));
+        policy.proxyStarted(index, proxyStarts);
+        proxy.start(rememberedNodes(index));
+        inMaintenance.forEach(node -> proxy.setMaintenance(node, true));
         return proxy;
     }
 
     // Clients.
 
-    private void arrive(int index) {
-        if (index + 1 < load.firsts().size()) {
-            agenda.at(load.firsts().get(index + 1).atMs(), () -> arrive(index + 1));
+    private void requestArrives(int index) {
+        if (index + 1 < loadPlan.requests().size()) {
+            eventQueue.scheduleAt(
+                    loadPlan.requests().get(index + 1).atMs(), () -> requestArrives(index + 1));
         }
-        attempt(load.firsts().get(index), 1);
+        sendTry(loadPlan.requests().get(index), 1);
     }
 
-    private void attempt(First first, int tries) {
-        int index = front.pick(first.zone());
-        if (index < 0 || proxies.get(index).dead()) {
-            over(first, tries, Ending.UNREACHED, -1, 0);
+    private void sendTry(PlannedRequest request, int tryNumber) {
+        int proxyIndex = loadBalancer.pick(request.zone());
+        if (proxyIndex < 0 || proxies.get(proxyIndex).isDead()) {
+            tryEnded(request, tryNumber, TryOutcome.UNREACHED, -1, 0);
             return;
         }
-        VirtualProxy proxy = proxies.get(index);
-        String id = habits.id(first, tries);
-        asked.put(id, first);
-        double budget = habits.budgetMs(first, agenda.now());
-        Experiment.Class type = habits.type(first);
-        Try entry =
+        VirtualProxy proxy = proxies.get(proxyIndex);
+        String id = clientBehavior.tryId(request, tryNumber);
+        requestsByTry.put(id, request);
+        double budget = clientBehavior.tryBudgetMs(request, eventQueue.now());
+        Experiment.Class requestClass = clientBehavior.classOf(request);
+        ClientTry clientTry =
                 ledger.sent(
-                        id, first.index(), first.type(), first.key(), index, agenda.now(), budget);
-        boolean[] done = new boolean[1];
-        agenda.in(
+                        id,
+                        request.index(),
+                        request.classIndex(),
+                        request.key(),
+                        proxyIndex,
+                        eventQueue.now(),
+                        budget);
+        boolean[] finished = new boolean[1];
+        eventQueue.scheduleIn(
                 budget,
                 () -> {
-                    if (!done[0]) {
-                        done[0] = true;
-                        over(first, tries, Ending.FAILED, 0, 0);
+                    if (!finished[0]) {
+                        finished[0] = true;
+                        tryEnded(request, tryNumber, TryOutcome.FAILED, 0, 0);
                     }
                 });
-        agenda.in(
+        eventQueue.scheduleIn(
                 budget + experiment.rules().slackMs(),
                 () -> {
-                    if (entry.replies.isEmpty()) {
-                        entry.gaveUpAt = agenda.now();
-                        proxy.clientGone(id);
+                    if (clientTry.replies.isEmpty()) {
+                        clientTry.gaveUpAt = eventQueue.now();
+                        proxy.clientDisconnected(id);
                     }
                 });
-        proxy.request(
+        proxy.requestReceived(
                 new Request(
                         id,
-                        type.name(),
+                        requestClass.name(),
                         null,
-                        PathKey.of(Habits.path(first.key())),
-                        first.hintMs(),
+                        PathKey.of(ClientBehavior.pathOf(request.key())),
+                        request.hintMs(),
                         budget,
-                        type.write(),
-                        tries > 1 && experiment.load().marksRetries()),
-                (status, retryAfterMs, made) -> {
-                    entry.replies.add(new Reply(agenda.now(), status, retryAfterMs, made));
-                    asked.remove(id);
+                        requestClass.write(),
+                        tryNumber > 1 && experiment.load().marksRetries()),
+                (status, retryAfterMs, bodyAttempt) -> {
+                    clientTry.replies.add(
+                            new FinalAnswer(eventQueue.now(), status, retryAfterMs, bodyAttempt));
+                    requestsByTry.remove(id);
                     if (status != OK) {
-                        world.abandoned(id);
+                        world.requestAbandoned(id);
                     }
-                    if (!done[0]) {
-                        done[0] = true;
-                        over(first, tries, Habits.ending(status), status, retryAfterMs);
+                    if (!finished[0]) {
+                        finished[0] = true;
+                        tryEnded(
+                                request,
+                                tryNumber,
+                                ClientBehavior.outcomeOf(status),
+                                status,
+                                retryAfterMs);
                     }
                 });
     }
 
-    private void over(First first, int tries, Ending ending, int status, double retryAfterMs) {
-        double again = habits.againAt(first, tries, ending, retryAfterMs, agenda.now());
-        if (Double.isNaN(again)) {
-            stories[first.index()] = new Story(first, 0, agenda.now(), status, tries);
+    private void tryEnded(
+            PlannedRequest request,
+            int tryNumber,
+            TryOutcome outcome,
+            int status,
+            double retryAfterMs) {
+        double retryAt =
+                clientBehavior.retryAt(request, tryNumber, outcome, retryAfterMs, eventQueue.now());
+        if (Double.isNaN(retryAt)) {
+            records[request.index()] =
+                    new RequestRecord(request, 0, eventQueue.now(), status, tryNumber);
         } else {
-            agenda.at(again, () -> attempt(first, tries + 1));
+            eventQueue.scheduleAt(retryAt, () -> sendTry(request, tryNumber + 1));
         }
     }
 
     // The network between proxies and machines.
 
-    private int zone(String machine) {
-        return zones.get(machine);
+    private int zoneOf(String machine) {
+        return zoneByMachine.get(machine);
     }
 
-    private boolean silent(int proxy, String machine) {
-        if (agenda.now() < blindUntil[proxy]) {
+    private boolean isSilent(int proxy, String machine) {
+        if (eventQueue.now() < blindUntil[proxy]) {
             return true;
         }
-        int here = plan.proxyZones().get(proxy);
-        int there = zone(machine);
-        return agenda.now() < silentUntil.getOrDefault(machine, 0.0)
-                || here != there
-                        && (agenda.now() < cutUntil[here] || agenda.now() < cutUntil[there]);
+        int proxyZone = plan.proxyZones().get(proxy);
+        int machineZone = zoneOf(machine);
+        return eventQueue.now() < silentUntil.getOrDefault(machine, 0.0)
+                || proxyZone != machineZone
+                        && (eventQueue.now() < zoneCutUntil[proxyZone]
+                                || eventQueue.now() < zoneCutUntil[machineZone]);
     }
 
-    private final class Wires implements VirtualProxy.Network {
+    private final class SimulatedNetwork implements VirtualProxy.Network {
         @Override
         public void send(
                 VirtualProxy from, String request, int number, String node, double waitMs) {
-            peers.sent(from, node);
-            pool.use(
+            gossip.attemptStarted(from, node);
+            pool.acquire(
                     from.index,
                     node,
-                    new VirtualPool.Exchange() {
+                    new VirtualConnectionPool.ConnectionRequest() {
                         @Override
-                        public boolean wanted() {
-                            return from.awaits(request, number);
+                        public boolean isStillWaiting() {
+                            return from.isAttemptPending(request, number);
                         }
 
                         @Override
-                        public void go(VirtualPool.Link link) {
-                            write(from, request, number, node, waitMs, link);
+                        public void connected(VirtualConnectionPool.PooledConnection connection) {
+                            transmit(from, request, number, node, waitMs, connection);
                         }
 
                         @Override
-                        public void unconnected() {
-                            from.ended(request, number, Outcome.CONNECT_FAILED, 0, 0);
+                        public void timedOut() {
+                            from.attemptEnded(request, number, Outcome.CONNECT_FAILED, 0, 0);
                         }
                     });
         }
 
-        private void write(
+        private void transmit(
                 VirtualProxy from,
                 String request,
                 int number,
                 String node,
                 double waitMs,
-                VirtualPool.Link link) {
-            double delay = plan.delayMs(from.index, zone(node));
-            boolean silent = silent(from.index, node);
-            if (link.fresh && silent) {
-                lost(
+                VirtualConnectionPool.PooledConnection connection) {
+            double delayMs = plan.delayMs(from.index, zoneOf(node));
+            boolean silent = isSilent(from.index, node);
+            if (connection.newlyOpened && silent) {
+                failLater(
                         from,
                         request,
                         number,
-                        link,
+                        connection,
                         Outcome.CONNECT_FAILED,
-                        Math.min(CONNECT_MS, waitMs));
+                        Math.min(CONNECT_TIMEOUT_MS, waitMs));
                 return;
             }
-            if (!world.alive(node) && !silent) {
-                lost(
+            if (!world.isAlive(node) && !silent) {
+                failLater(
                         from,
                         request,
                         number,
-                        link,
-                        link.fresh ? Outcome.CONNECT_FAILED : Outcome.RESET,
-                        2 * delay);
+                        connection,
+                        connection.newlyOpened ? Outcome.CONNECT_FAILED : Outcome.RESET,
+                        2 * delayMs);
                 return;
             }
-            if (link.fresh) {
-                if (random.nextDouble() < resetShare.getOrDefault(node, 0.0)) {
-                    lost(from, request, number, link, Outcome.CONNECT_FAILED, 2 * delay);
+            if (connection.newlyOpened) {
+                if (random.nextDouble() < resetShareByNode.getOrDefault(node, 0.0)) {
+                    failLater(
+                            from, request, number, connection, Outcome.CONNECT_FAILED, 2 * delayMs);
                     return;
                 }
-                world.handshake(agenda.now(), node, acts);
+                world.handshake(eventQueue.now(), node, worldEffects);
             }
-            First first = asked.get(request);
-            Experiment.Class type = habits.type(first);
-            World.Job job = new World.Job(request, first.key(), type.write(), first.workMs());
+            PlannedRequest plannedRequest = requestsByTry.get(request);
+            Experiment.Class requestClass = clientBehavior.classOf(plannedRequest);
+            World.Job job =
+                    new World.Job(
+                            request,
+                            plannedRequest.key(),
+                            requestClass.write(),
+                            plannedRequest.workMs());
             boolean origin = node.equals(plan.origin().id());
             // On sockets the request's bytes are there at once, and wait for the link's delay at
             // the machine.
             Attempt attempt =
                     new Attempt(
-                            ++attempts,
+                            ++attemptCount,
                             request,
                             node,
                             origin,
                             from.index,
-                            agenda.now(),
-                            agenda.now(),
-                            silent ? 0 : world.weight(agenda.now(), node, job),
+                            eventQueue.now(),
+                            eventQueue.now(),
+                            silent ? 0 : world.workMsOf(eventQueue.now(), node, job),
                             silent ? 0 : job.workMs());
-            attempt.atColdNode = !origin && world.cold(node, agenda.now());
+            attempt.atWarmingNode = !origin && world.isWarmingUp(node, eventQueue.now());
             ledger.attempt(attempt);
-            Out o = new Out(from, request, number, node, attempt, delay, link);
-            byTry.put(request, o);
+            InFlightAttempt pending =
+                    new InFlightAttempt(from, request, number, node, attempt, delayMs, connection);
+            inFlightByTry.put(request, pending);
             if (silent) {
                 // It never arrives, which its proxy cannot know.
                 return;
             }
-            out.put(attempt.number, o);
-            agenda.in(
-                    link.fresh ? 3 * delay : delay,
+            inFlightByNumber.put(attempt.number, pending);
+            eventQueue.scheduleIn(
+                    connection.newlyOpened ? 3 * delayMs : delayMs,
                     () -> {
-                        if (out.get(attempt.number) != o || silent(from.index, node)) {
+                        if (inFlightByNumber.get(attempt.number) != pending
+                                || isSilent(from.index, node)) {
                             return;
                         }
-                        if (link.beyond) {
-                            answered(attempt.number, World.rejected());
+                        if (connection.overLimit) {
+                            handleAnswer(attempt.number, World.rejected());
                         } else {
                             world.request(
-                                    agenda.now(), node, attempt.number, from.index, job, acts);
+                                    eventQueue.now(),
+                                    node,
+                                    attempt.number,
+                                    from.index,
+                                    job,
+                                    worldEffects);
                         }
                     });
         }
 
         /** The attempt never reaches its machine. */
-        private void lost(
+        private void failLater(
                 VirtualProxy from,
                 String request,
                 int number,
-                VirtualPool.Link link,
+                VirtualConnectionPool.PooledConnection connection,
                 Outcome outcome,
                 double afterMs) {
-            agenda.in(
+            eventQueue.scheduleIn(
                     afterMs,
                     () -> {
-                        pool.close(link);
-                        from.ended(request, number, outcome, 0, 0);
+                        pool.close(connection);
+                        from.attemptEnded(request, number, outcome, 0, 0);
                     });
         }
 
         @Override
         public void probe(VirtualProxy from, String node) {
-            boolean silent = silent(from.index, node);
-            boolean alive = world.alive(node);
-            double takes = silent ? PROBE_MS : 2 * plan.delayMs(from.index, zone(node));
-            agenda.in(
-                    takes,
+            boolean silent = isSilent(from.index, node);
+            boolean alive = world.isAlive(node);
+            double elapsedMs =
+                    silent ? PROBE_TIMEOUT_MS : 2 * plan.delayMs(from.index, zoneOf(node));
+            eventQueue.scheduleIn(
+                    elapsedMs,
                     () ->
-                            from.probed(
+                            from.probeCompleted(
                                     node,
                                     silent
                                             ? Outcome.TIMEOUT
                                             : alive ? Outcome.OK : Outcome.CONNECT_FAILED,
-                                    takes));
+                                    elapsedMs));
         }
 
         @Override
-        public void seen(
+        public void outcomeObserved(
                 VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe) {
-            peers.seen(from, node, outcome, elapsedMs, probe);
+            gossip.outcomeObserved(from, node, outcome, elapsedMs, probe);
         }
 
         @Override
         public void abandon(VirtualProxy from, String request, int number) {
-            Out o = byTry.get(request);
-            if (o != null && o.number == number) {
-                o.attempt.closedAt = agenda.now();
-                o.over = true;
-                pool.close(o.link);
-                byTry.remove(request);
-                world.abandoned(request);
+            InFlightAttempt pending = inFlightByTry.get(request);
+            if (pending != null && pending.number == number) {
+                pending.attempt.closedAt = eventQueue.now();
+                pending.ended = true;
+                pool.close(pending.connection);
+                inFlightByTry.remove(request);
+                world.requestAbandoned(request);
             }
         }
     }
 
-    private void drop(Out o) {
-        out.remove(o.attempt.number);
+    private void removeInFlight(InFlightAttempt pending) {
+        inFlightByNumber.remove(pending.attempt.number);
     }
 
-    private void end(Out o, Outcome outcome, int note, long made) {
-        if (!o.over) {
-            o.over = true;
+    private void endAttempt(
+            InFlightAttempt pending, Outcome outcome, int cacheStatus, long bodyAttempt) {
+        if (!pending.ended) {
+            pending.ended = true;
             // Nothing but a whole answer leaves it of use, and that has freed it.
-            pool.close(o.link);
-            byTry.remove(o.request, o);
-            o.attempt.closedAt =
+            pool.close(pending.connection);
+            inFlightByTry.remove(pending.request, pending);
+            pending.attempt.closedAt =
                     Math.min(
-                            o.attempt.closedAt,
+                            pending.attempt.closedAt,
                             outcome == Outcome.RESET || outcome == Outcome.ERROR
-                                    ? agenda.now()
+                                    ? eventQueue.now()
                                     : Double.POSITIVE_INFINITY);
-            o.proxy.ended(o.request, o.number, outcome, note, made);
+            pending.proxy.attemptEnded(
+                    pending.request, pending.number, outcome, cacheStatus, bodyAttempt);
         }
     }
 
-    private void answered(long number, Answer answer) {
-        Out o = out.get(number);
-        if (o == null) {
+    private void handleAnswer(long number, Answer answer) {
+        InFlightAttempt pending = inFlightByNumber.get(number);
+        if (pending == null) {
             return;
         }
-        drop(o);
-        o.attempt.ran = answer.ran();
-        o.attempt.verdict = Verdict.of(answer);
-        agenda.in(
-                o.delayMs,
+        removeInFlight(pending);
+        pending.attempt.executed = answer.executed();
+        pending.attempt.verdict = Verdict.of(answer);
+        eventQueue.scheduleIn(
+                pending.delayMs,
                 () -> {
-                    if (silent(o.proxy.index, o.node) || o.proxy.dead()) {
+                    if (isSilent(pending.proxy.index, pending.node) || pending.proxy.isDead()) {
                         return;
                     }
                     Outcome outcome =
-                            switch (answer.manner()) {
-                                case WHOLE ->
-                                        o.link.beyond
+                            switch (answer.completion()) {
+                                case COMPLETE ->
+                                        pending.connection.overLimit
                                                 ? Outcome.CONNECT_FAILED
                                                 : answer.rejected()
                                                         ? Outcome.REJECTED
@@ -666,130 +726,145 @@
                                                                 : answer.status() == OK
                                                                         ? Outcome.OK
                                                                         : Outcome.ERROR;
-                                case HALF, RESET_AFTER -> Outcome.RESET;
-                                case SPOILT -> Outcome.ERROR;
+                                case TRUNCATED, RESET -> Outcome.RESET;
+                                case MALFORMED -> Outcome.ERROR;
                                 case NEVER -> null;
                             };
-                    if (outcome == null || o.over) {
+                    if (outcome == null || pending.ended) {
                         return;
                     }
-                    if (answer.manner() == World.Manner.WHOLE) {
-                        o.attempt.answeredAt = agenda.now();
-                        if (o.link.beyond) {
-                            pool.turnedAway(o.link);
+                    if (answer.completion() == World.AnswerCompletion.COMPLETE) {
+                        pending.attempt.answeredAt = eventQueue.now();
+                        if (pending.connection.overLimit) {
+                            pool.rejected(pending.connection);
                         } else {
-                            pool.free(o.link);
+                            pool.release(pending.connection);
                         }
                     } else {
-                        o.attempt.closedAt = agenda.now();
+                        pending.attempt.closedAt = eventQueue.now();
                     }
-                    end(
-                            o,
+                    endAttempt(
+                            pending,
                             outcome,
-                            answer.hit().equals("hit") ? 1 : answer.hit().equals("miss") ? 2 : 0,
+                            answer.cacheStatus().equals("hit")
+                                    ? 1
+                                    : answer.cacheStatus().equals("miss") ? 2 : 0,
                             number);
                 });
     }
 
     // Faults.
 
-    private void begin(Fault fault) {
+    private void startFault(Fault fault) {
         mark(fault.label());
-        if (strikes.begin(fault, agenda.now())) {
+        if (faultInjector.begin(fault, eventQueue.now())) {
             if (fault.forS() > 0) {
-                agenda.at(fault.endMs(), () -> strikes.end(fault, agenda.now()));
+                eventQueue.scheduleAt(
+                        fault.endMs(), () -> faultInjector.end(fault, eventQueue.now()));
             }
             return;
         }
-        switch (fault.what()) {
+        switch (fault.kind()) {
             case NODE_SILENT ->
-                    strikes.targets(fault)
+                    faultInjector
+                            .affectedNodes(fault)
                             .forEach(
                                     id -> {
-                                        world.stall(agenda.now(), id, fault.endMs(), acts);
+                                        world.stall(
+                                                eventQueue.now(), id, fault.endMs(), worldEffects);
                                         silentUntil.put(id, fault.endMs());
-                                        agenda.at(
+                                        eventQueue.scheduleAt(
                                                 fault.endMs(),
-                                                () -> healed(o -> o.node.equals(id)));
+                                                () ->
+                                                        resetMatching(
+                                                                pending ->
+                                                                        pending.node.equals(id)));
                                     });
-            case NODE_MAINTENANCE -> strikes.targets(fault).forEach(id -> maintain(id, fault));
+            case NODE_MAINTENANCE ->
+                    faultInjector.affectedNodes(fault).forEach(id -> startMaintenance(id, fault));
             case ZONE_CUT -> {
                 int zone = plan.zones().indexOf(fault.target());
-                cutUntil[zone] = Math.max(cutUntil[zone], fault.endMs());
-                agenda.at(
+                zoneCutUntil[zone] = Math.max(zoneCutUntil[zone], fault.endMs());
+                eventQueue.scheduleAt(
                         fault.endMs(),
                         () ->
-                                healed(
-                                        o ->
-                                                plan.proxyZones().get(o.proxy.index)
+                                resetMatching(
+                                        pending ->
+                                                plan.proxyZones().get(pending.proxy.index)
                                                         == zone
-                                                        != (zone(o.node) == zone)));
+                                                        != (zoneOf(pending.node) == zone)));
             }
             case RESET_BEFORE ->
-                    strikes.targets(fault)
+                    faultInjector
+                            .affectedNodes(fault)
                             .forEach(
                                     id -> {
-                                        resetShare.put(id, fault.share());
-                                        agenda.at(fault.endMs(), () -> resetShare.remove(id));
+                                        resetShareByNode.put(id, fault.share());
+                                        eventQueue.scheduleAt(
+                                                fault.endMs(), () -> resetShareByNode.remove(id));
                                     });
             case DISCOVERY_SILENT ->
-                    each(
+                    forEachTarget(
                             fault,
                             i -> {
-                                world.holdNews(i, fault.endMs());
-                                noListBefore[i] = Math.max(noListBefore[i], fault.endMs());
+                                world.blockListUpdates(i, fault.endMs());
+                                listBlockedUntil[i] = Math.max(listBlockedUntil[i], fault.endMs());
                             });
-            case PROXY_KILL -> each(fault, i -> kill(i, fault));
+            case PROXY_KILL -> forEachTarget(fault, i -> killProxy(i, fault));
             case PROXY_TERM ->
-                    each(
+                    forEachTarget(
                             fault,
                             i -> {
-                                agenda.in(FRONT_MS, () -> front.inService(i, false));
-                                double longest = experiment.load().longestMs();
-                                agenda.in(FRONT_MS + longest + SETTLE_MS, () -> kill(i, fault));
+                                eventQueue.scheduleIn(
+                                        LOAD_BALANCER_DELAY_MS,
+                                        () -> loadBalancer.setInService(i, false));
+                                double longest = experiment.load().longestDeadlineMs();
+                                eventQueue.scheduleIn(
+                                        LOAD_BALANCER_DELAY_MS + longest + SETTLING_TIME_MS,
+                                        () -> killProxy(i, fault));
                             });
             case PROXY_STOP ->
-                    each(
+                    forEachTarget(
                             fault,
                             i -> {
                                 ledger.excuse(
-                                        new Ledger.Excuse(
+                                        new Ledger.ExcusedInterval(
                                                 i,
-                                                agenda.now(),
-                                                fault.endMs() + SETTLE_MS,
+                                                eventQueue.now(),
+                                                fault.endMs() + SETTLING_TIME_MS,
                                                 "SIGSTOP"));
-                                stop(i, fault.endMs());
+                                pauseProxy(i, fault.endMs());
                             });
             case PROXY_STARVED ->
-                    each(
+                    forEachTarget(
                             fault,
                             i -> {
                                 ledger.excuse(
-                                        new Ledger.Excuse(
+                                        new Ledger.ExcusedInterval(
                                                 i,
-                                                agenda.now(),
-                                                fault.endMs() + SETTLE_MS,
+                                                eventQueue.now(),
+                                                fault.endMs() + SETTLING_TIME_MS,
                                                 "starved"));
-                                starve(i, fault);
+                                starveProxy(i, fault);
                             });
             case MACHINE_BUSY -> mark("a busy machine is not played in virtual time");
-            case PROXY_BLIND -> each(fault, i -> blindUntil[i] = fault.endMs());
+            case PROXY_BLIND -> forEachTarget(fault, i -> blindUntil[i] = fault.endMs());
             case GOSSIP_CUT, GOSSIP_SPLIT, GOSSIP_LOSS, GOSSIP_DEAF, GOSSIP_MUTE, GOSSIP_ONEWAY -> {
-                peers.begin(fault);
-                policy.begin(fault);
+                gossip.startFault(fault);
+                policy.startFault(fault);
             }
-            case POLICY_PROPOSE -> policy.begin(fault);
+            case POLICY_PROPOSE -> policy.startFault(fault);
             case LEADER_KILL -> {
                 int leader = policy.leader();
                 mark("the leader is " + (leader < 0 ? "nobody" : "proxy-" + leader));
                 if (leader >= 0) {
-                    kill(leader, fault);
+                    killProxy(leader, fault);
                 }
             }
-            case LIAR_ACCUSES, LIAR_PRAISES, LIAR_FLIPS, PROXY_CLOCK -> peers.begin(fault);
+            case LIAR_ACCUSES, LIAR_PRAISES, LIAR_FLIPS, PROXY_CLOCK -> gossip.startFault(fault);
             case PROXY_HUP -> mark("proxy-hup changes nothing in virtual time");
             case HOSTILE -> mark("hostile peers are not played in virtual time");
-            default -> throw new IllegalStateException("no such fault: " + fault.what());
+            default -> throw new IllegalStateException("no such fault: " + fault.kind());
         }
     }
 
@@ -797,25 +872,26 @@
      * In the order in which they were sent: a hash table's own would not be the same from run to
      * run.
      */
-    private List<Out> struck(java.util.function.Predicate<Out> struck) {
-        return out.values().stream()
-                .filter(struck)
+    private List<InFlightAttempt> inFlightMatching(
+            java.util.function.Predicate<InFlightAttempt> filter) {
+        return inFlightByNumber.values().stream()
+                .filter(filter)
                 .sorted(Comparator.comparingLong(o -> o.attempt.number))
                 .toList();
     }
 
     /** Connections from before a cut are reset when the link is back. */
-    private void healed(java.util.function.Predicate<Out> struck) {
-        for (Out o : struck(struck)) {
-            drop(o);
-            end(o, Outcome.RESET, 0, 0);
+    private void resetMatching(java.util.function.Predicate<InFlightAttempt> filter) {
+        for (InFlightAttempt pending : inFlightMatching(filter)) {
+            removeInFlight(pending);
+            endAttempt(pending, Outcome.RESET, 0, 0);
         }
     }
 
-    private void each(Fault fault, java.util.function.IntConsumer act) {
+    private void forEachTarget(Fault fault, java.util.function.IntConsumer action) {
         for (int i = 0; i < proxies.size(); i++) {
-            if (fault.strikes("proxy-", i, proxies.size())) {
-                act.accept(i);
+            if (fault.affects("proxy-", i, proxies.size())) {
+                action.accept(i);
             }
         }
     }
@@ -824,7 +900,7 @@
      * A node in maintenance is down for the middle half of it, so it is back cold when it may serve
      * again.
      */
-    private void maintain(String node, Fault fault) {
+    private void startMaintenance(String node, Fault fault) {
         Fault restart =
                 new Fault(
                         Fault.Kind.NODE_RESTART,
@@ -835,109 +911,127 @@
                         0,
                         0);
         inMaintenance.add(node);
-        proxies.forEach(p -> p.maintain(node, true));
-        agenda.at(restart.atMs(), () -> strikes.begin(restart, agenda.now()));
-        agenda.at(restart.endMs(), () -> strikes.end(restart, agenda.now()));
-        agenda.at(
+        proxies.forEach(p -> p.setMaintenance(node, true));
+        eventQueue.scheduleAt(restart.atMs(), () -> faultInjector.begin(restart, eventQueue.now()));
+        eventQueue.scheduleAt(restart.endMs(), () -> faultInjector.end(restart, eventQueue.now()));
+        eventQueue.scheduleAt(
                 fault.endMs(),
                 () -> {
                     inMaintenance.remove(node);
-                    proxies.forEach(p -> p.maintain(node, false));
+                    proxies.forEach(p -> p.setMaintenance(node, false));
                 });
     }
 
-    private void stop(int index, double until) {
-        proxies.get(index).stop(until);
-        peers.stop(index, until);
-        policy.stop(index, until);
+    private void pauseProxy(int index, double until) {
+        proxies.get(index).pause(until);
+        gossip.pause(index, until);
+        policy.pause(index, until);
     }
 
-    private void starve(int index, Fault fault) {
-        if (fault.at(agenda.now())) {
-            stop(index, agenda.now() + fault.share() * Fault.STARVE_EVERY_MS);
-            agenda.in(Fault.STARVE_EVERY_MS, () -> starve(index, fault));
+    private void starveProxy(int index, Fault fault) {
+        if (fault.isActiveAt(eventQueue.now())) {
+            pauseProxy(index, eventQueue.now() + fault.share() * Fault.STARVATION_PERIOD_MS);
+            eventQueue.scheduleIn(Fault.STARVATION_PERIOD_MS, () -> starveProxy(index, fault));
         }
     }
 
-    private void kill(int index, Fault fault) {
+    private void killProxy(int index, Fault fault) {
         VirtualProxy old = proxies.get(index);
-        if (old.dead()) {
+        if (old.isDead()) {
             // It is on its way back already; a second start would take the place of the first.
             return;
         }
-        if (old.owed() > 0) {
-            ledger.excuse(new Ledger.Excuse(index, agenda.now(), agenda.now(), "it ended"));
+        if (old.unansweredCount() > 0) {
+            ledger.excuse(
+                    new Ledger.ExcusedInterval(
+                            index, eventQueue.now(), eventQueue.now(), "it ended"));
         }
-        old.die();
-        hasList[index] = false;
-        pool.ended(index);
-        peers.died(index);
-        policy.died(index);
-        agenda.in(
+        old.kill();
+        hasEndpointList[index] = false;
+        pool.proxyEnded(index);
+        gossip.proxyEnded(index);
+        policy.proxyEnded(index);
+        eventQueue.scheduleIn(
                 experiment.proxies().noticeS() * MS_PER_S,
                 () -> {
-                    if (proxies.get(index).dead()) {
-                        front.inService(index, false);
+                    if (proxies.get(index).isDead()) {
+                        loadBalancer.setInService(index, false);
                     }
                 });
-        agenda.in(
-                fault.forS() * MS_PER_S + START_MS,
+        eventQueue.scheduleIn(
+                fault.forS() * MS_PER_S + STARTUP_MS,
                 () -> {
-                    proxies.set(index, born(index));
-                    askForList(index, proxies.get(index));
-                    front.inService(index, true);
+                    proxies.set(index, startProxy(index));
+                    requestEndpointList(index, proxies.get(index));
+                    loadBalancer.setInService(index, true);
                     mark("proxy-" + index + " is ready again");
                 });
     }
 
-    private Results results() {
-        List<Story> told =
-                java.util.Arrays.stream(stories).filter(java.util.Objects::nonNull).toList();
-        if (told.size() < stories.length) {
-            seen.add(
+    private Results buildResults() {
+        List<RequestRecord> completed =
+                java.util.Arrays.stream(records).filter(java.util.Objects::nonNull).toList();
+        if (completed.size() < records.length) {
+            violations.add(
                     new Violation(
                             Rule.GENERATOR,
                             "load",
-                            agenda.now(),
-                            stories.length - told.size() + " first tries have no end"));
+                            eventQueue.now(),
+                            records.length - completed.size() + " first tries have no end"));
         }
-        List<VirtualProxy> alive = proxies.stream().filter(p -> !p.dead()).toList();
+        List<VirtualProxy> alive = proxies.stream().filter(p -> !p.isDead()).toList();
         alive.stream()
-                .filter(p -> p.owed() > 0)
+                .filter(p -> p.unansweredCount() > 0)
                 .forEach(
                         p ->
-                                seen.add(
+                                violations.add(
                                         new Violation(
                                                 Rule.ONE_ANSWER,
                                                 "proxy-" + p.index,
-                                                agenda.now(),
-                                                p.owed() + " requests are still owed an answer")));
-        Map<String, Double> own =
+                                                eventQueue.now(),
+                                                p.unansweredCount()
+                                                        + " requests are still owed an answer")));
+        Map<String, Double> proxyFigures =
                 new TreeMap<>(
                         Map.of(
                                 "proxy.table_max",
-                                (double) largestTable,
+                                (double) maxActiveRequests,
                                 "proxy.entries_left",
-                                alive.stream().mapToDouble(VirtualProxy::entries).max().orElse(0),
+                                alive.stream()
+                                        .mapToDouble(VirtualProxy::routerEntryCount)
+                                        .max()
+                                        .orElse(0),
                                 "proxy.backstops",
-                                proxies.stream().mapToDouble(VirtualProxy::backstops).sum(),
+                                proxies.stream().mapToDouble(VirtualProxy::backstopCount).sum(),
                                 "proxy.timers_left",
-                                alive.stream().mapToDouble(VirtualProxy::timers).max().orElse(0),
+                                alive.stream()
+                                        .mapToDouble(VirtualProxy::pendingTimerCount)
+                                        .max()
+                                        .orElse(0),
                                 "machines.connections_opened",
-                                (double) pool.opened(),
+                                (double) pool.openedCount(),
                                 "machines.connections_open_max",
                                 plan.nodes().stream()
-                                        .mapToDouble(n -> pool.mostOpen(n.id()))
+                                        .mapToDouble(n -> pool.maxOpenCount(n.id()))
                                         .max()
                                         .orElse(0),
                                 "origin.connections_open_max",
-                                (double) pool.mostOpen(plan.origin().id()),
+                                (double) pool.maxOpenCount(plan.origin().id()),
                                 "machines.connections_turned_away",
-                                (double) pool.turnedAway()));
-        own.putAll(peers.figures(alive, ledger));
-        own.putAll(policy.figures());
-        seen.addAll(policy.violations());
-        return new Played(experiment, "virtual", plan, load, ledger, told, levels, marks, seen)
-                .judged(own);
+                                (double) pool.rejected()));
+        proxyFigures.putAll(gossip.figures(alive, ledger));
+        proxyFigures.putAll(policy.figures());
+        violations.addAll(policy.violations());
+        return new CompletedRun(
+                        experiment,
+                        "virtual",
+                        plan,
+                        loadPlan,
+                        ledger,
+                        completed,
+                        maxControlLevels,
+                        marks,
+                        violations)
+                .evaluate(proxyFigures);
     }
 }
--- a/src/main/java/cacheproxy/lab/virtual/VirtualStream.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualStream.java
@@ -1,15 +1,15 @@
 package cacheproxy.lab.virtual;
 
-import cacheproxy.lab.Draw;
+import cacheproxy.lab.ScenarioGenerator;
 import cacheproxy.raft.ControlMachine;
+import cacheproxy.stream.Acknowledgements.FullyAcknowledged;
 import cacheproxy.stream.Change;
-import cacheproxy.stream.Deliveries.Everywhere;
 import cacheproxy.stream.Entry;
-import cacheproxy.stream.Frames;
+import cacheproxy.stream.FrameCodec;
 import cacheproxy.stream.Message;
 import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.RetainedLog;
 import cacheproxy.stream.Subscriber;
-import cacheproxy.stream.Window;
 import com.google.gson.JsonObject;
 import io.microraft.executor.RaftNodeExecutor;
 import java.nio.ByteBuffer;
@@ -28,212 +28,224 @@
  * The change stream in virtual time: each proxy's {@link Subscriber}, four {@link ControlMachine}s
  * with disks that lose what was not flushed, and connections as TCP makes them: in order, a lost
  * segment late by its retransmissions, a reset or a silence at the end. The same code as in
- * processes but for sockets and files; every message to a proxy passes through {@link Frames}. What
- * proxies are given is held against one another at every entry, and against what its author was
- * told.
+ * processes but for sockets and files; every message to a proxy passes through {@link FrameCodec}.
+ * What proxies are given is held against one another at every entry, and against what its author
+ * was told.
  */
 final class VirtualStream {
 
-    static final double STEP_MS = 20;
-    private static final double SERVER_STEP_MS = 50;
-    private static final double AGAIN_MS = 50;
-    private static final double RTO_MS = 200;
+    static final double TICK_INTERVAL_MS = 20;
+    private static final double SERVER_TICK_INTERVAL_MS = 50;
+    private static final double REPUBLISH_DELAY_MS = 50;
+    private static final double INITIAL_RTO_MS = 200;
 
     /**
      * The length before a frame, TCP and IP's headers, and an acknowledgement of its own for each.
      */
-    private static final int PACKET_BYTES = 4 + 52 + 52;
+    private static final int PACKET_OVERHEAD_BYTES = 4 + 52 + 52;
 
-    private static final int SNAPSHOT_EVERY = 1000;
+    private static final int ENTRIES_PER_SNAPSHOT = 1000;
 
     /**
      * What is played; links take {@code delayMs} to three times that, a share of the segments is
      * lost, and a share of the messages resets.
      */
-    record Plan(
+    record StreamScenario(
             int subscribers,
             int servers,
             long seed,
-            double delayMs,
+            double minDelayMs,
             double lossShare,
             double resetShare,
-            Window.Bounds bounds,
-            double paceBytesPerS) {}
+            RetainedLog.Bounds bounds,
+            double rateBytesPerS) {}
 
     /** A connection, seen by both ends. */
-    private final class Link {
-        final long id = ++links;
-        final Proxy proxy;
+    private final class StreamLink {
+        final long id = ++lastLinkId;
+        final SubscribingProxy proxy;
         final int attempt;
-        final Server server;
-        final int life;
-        final double delayMs = plan.delayMs() * (1 + 2 * random.nextDouble());
-        final double[] last = new double[2];
-        boolean over;
+        final ControlServer server;
+        final int serverIncarnation;
+        final double delayMs = scenario.minDelayMs() * (1 + 2 * random.nextDouble());
+        final double[] lastArrivalAt = new double[2];
+        boolean closed;
 
-        Link(Proxy proxy, int attempt, Server server) {
+        StreamLink(SubscribingProxy proxy, int attempt, ControlServer server) {
             this.proxy = proxy;
             this.attempt = attempt;
             this.server = server;
-            this.life = server.life;
+            this.serverIncarnation = server.incarnation;
         }
 
         /**
          * Carries something; what meets a cut is gone, and the connection with it, though nobody
          * hears of that.
          */
-        void carry(boolean down, int bytes, Runnable arrives) {
-            if (over || proxy.cut) {
-                over = true;
+        void transmit(boolean toProxy, int bytes, Runnable onArrival) {
+            if (closed || proxy.isolated) {
+                closed = true;
                 return;
             }
-            proxy.count(bytes + PACKET_BYTES);
-            if (random.nextDouble() < plan.resetShare()) {
+            proxy.countBytes(bytes + PACKET_OVERHEAD_BYTES);
+            if (random.nextDouble() < scenario.resetShare()) {
                 reset();
                 return;
             }
-            int way = down ? 0 : 1;
-            last[way] = Math.max(last[way], agenda.now() + delayMs + lateMs());
-            agenda.at(
-                    last[way],
+            int direction = toProxy ? 0 : 1;
+            lastArrivalAt[direction] =
+                    Math.max(
+                            lastArrivalAt[direction],
+                            eventQueue.now() + delayMs + retransmissionDelayMs());
+            eventQueue.scheduleAt(
+                    lastArrivalAt[direction],
                     () -> {
-                        if (!over && !proxy.cut && server.life == life && server.up) {
-                            arrives.run();
+                        if (!closed
+                                && !proxy.isolated
+                                && server.incarnation == serverIncarnation
+                                && server.up) {
+                            onArrival.run();
                         }
                     });
         }
 
         /** Both ends hear of the end. */
         void reset() {
-            over = true;
-            agenda.in(
+            closed = true;
+            eventQueue.scheduleIn(
                     delayMs,
                     () -> {
-                        server.closed(id, life);
-                        if (!proxy.cut) {
-                            proxy.when(() -> proxy.subscriber.closed(agenda.now(), attempt, proxy));
+                        server.connectionClosed(id, serverIncarnation);
+                        if (!proxy.isolated) {
+                            proxy.whenRunning(
+                                    () ->
+                                            proxy.subscriber.closed(
+                                                    eventQueue.now(), attempt, proxy));
                         }
                     });
         }
     }
 
     /** What a lost segment's retransmissions cost. */
-    private double lateMs() {
-        double late = 0;
-        for (double rto = RTO_MS; random.nextDouble() < plan.lossShare(); rto *= 2) {
-            late += rto;
+    private double retransmissionDelayMs() {
+        double delayMs = 0;
+        for (double rto = INITIAL_RTO_MS; random.nextDouble() < scenario.lossShare(); rto *= 2) {
+            delayMs += rto;
         }
-        return late;
+        return delayMs;
     }
 
     /** A control machine, life after life. */
-    private final class Server implements ControlMachine.Out, RaftNodeExecutor {
+    private final class ControlServer implements ControlMachine.Out, RaftNodeExecutor {
         final int index;
         final String name;
-        final MemoryDisk disk = new MemoryDisk();
-        final Map<Long, Link> connections = new HashMap<>();
+        final InMemoryRaftStore store = new InMemoryRaftStore();
+        final Map<Long, StreamLink> connections = new HashMap<>();
 
         /** When what was sent last to another one comes there: its connections keep their order. */
-        final Map<String, Double> arrival = new HashMap<>();
+        final Map<String, Double> lastArrivalAt = new HashMap<>();
 
         ControlMachine machine;
         boolean up;
-        boolean apart;
-        int life;
+        boolean partitioned;
+        int incarnation;
 
-        Server(int index) {
+        ControlServer(int index) {
             this.index = index;
             this.name = "control-" + index;
         }
 
         void start() {
             up = true;
-            life++;
+            incarnation++;
             machine =
                     new ControlMachine(
                             new ControlMachine.Parts(
                                     name,
                                     servers.stream().map(s -> s.name).toList(),
-                                    plan.bounds(),
+                                    scenario.bounds(),
                                     this,
-                                    agenda::now,
-                                    plan.seed() * 31 + index * 7919L + life,
-                                    disk,
-                                    disk.restored(),
-                                    SNAPSHOT_EVERY),
+                                    eventQueue::now,
+                                    scenario.seed() * 31 + index * 7919L + incarnation,
+                                    store,
+                                    store.restoredState(),
+                                    ENTRIES_PER_SNAPSHOT),
                             this);
             machine.start();
-            step(life);
+            tick(incarnation);
         }
 
-        void end(boolean silently) {
+        void kill(boolean withoutReset) {
             up = false;
-            disk.crash();
+            store.crash();
             connections
                     .values()
                     .forEach(
-                            l -> {
-                                l.over = true;
-                                if (!silently) {
-                                    agenda.in(
-                                            l.delayMs,
+                            link -> {
+                                link.closed = true;
+                                if (!withoutReset) {
+                                    eventQueue.scheduleIn(
+                                            link.delayMs,
                                             () ->
-                                                    l.proxy.when(
+                                                    link.proxy.whenRunning(
                                                             () ->
-                                                                    l.proxy.subscriber.closed(
-                                                                            agenda.now(),
-                                                                            l.attempt,
-                                                                            l.proxy)));
+                                                                    link.proxy.subscriber.closed(
+                                                                            eventQueue.now(),
+                                                                            link.attempt,
+                                                                            link.proxy)));
                                 }
                             });
             connections.clear();
         }
 
-        private void step(int of) {
-            when(
-                    of,
+        private void tick(int expected) {
+            ifRunning(
+                    expected,
                     () -> {
-                        machine.tick(agenda.now());
-                        agenda.in(SERVER_STEP_MS, () -> step(of));
+                        machine.tick(eventQueue.now());
+                        eventQueue.scheduleIn(SERVER_TICK_INTERVAL_MS, () -> tick(expected));
                     });
         }
 
-        private void when(int of, Runnable act) {
-            if (up && life == of) {
-                act.run();
+        private void ifRunning(int expected, Runnable action) {
+            if (up && incarnation == expected) {
+                action.run();
             }
         }
 
-        void closed(long connection, int of) {
+        void connectionClosed(long connection, int expected) {
             connections.remove(connection);
-            when(of, () -> machine.publisher().closed(connection));
+            ifRunning(expected, () -> machine.publisher().closed(connection));
         }
 
         @Override
-        public void tell(String control, JsonObject message) {
-            Server to = servers.get(Integer.parseInt(control.substring("control-".length())));
-            if (!apart && !to.apart) {
-                int of = to.life;
-                double at =
+        public void sendToControl(String control, JsonObject message) {
+            ControlServer to =
+                    servers.get(Integer.parseInt(control.substring("control-".length())));
+            if (!partitioned && !to.partitioned) {
+                int expected = to.incarnation;
+                double arrivesAt =
                         Math.max(
-                                arrival.getOrDefault(control, 0.0),
-                                agenda.now()
-                                        + plan.delayMs() * (1 + random.nextDouble())
-                                        + lateMs());
-                arrival.put(control, at);
-                agenda.at(at, () -> to.when(of, () -> to.machine.received(name, message)));
+                                lastArrivalAt.getOrDefault(control, 0.0),
+                                eventQueue.now()
+                                        + scenario.minDelayMs() * (1 + random.nextDouble())
+                                        + retransmissionDelayMs());
+                lastArrivalAt.put(control, arrivesAt);
+                eventQueue.scheduleAt(
+                        arrivesAt,
+                        () -> to.ifRunning(expected, () -> to.machine.received(name, message)));
             }
         }
 
         @Override
-        public void everywhere(Everywhere entry) {
-            summed.add(entry);
+        public void fullyAcknowledged(FullyAcknowledged entry) {
+            fullyAcknowledgedEntries.add(entry);
         }
 
         @Override
         public void execute(Runnable task) {
-            int of = life;
-            agenda.in(0, () -> when(of, task));
+            int expected = incarnation;
+            eventQueue.scheduleIn(0, () -> ifRunning(expected, task));
         }
 
         @Override
@@ -243,33 +255,33 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            int of = life;
-            agenda.in(unit.toMicros(delay) / 1000.0, () -> when(of, task));
+            int expected = incarnation;
+            eventQueue.scheduleIn(unit.toMicros(delay) / 1000.0, () -> ifRunning(expected, task));
         }
 
         @Override
         public void send(long connection, Message message) {
-            Link link = connections.get(connection);
-            byte[] frame = Frames.encode(message);
-            link.proxy.onTheWay += frame.length;
-            link.carry(
+            StreamLink link = connections.get(connection);
+            byte[] frame = FrameCodec.encode(message);
+            link.proxy.bytesInFlight += frame.length;
+            link.transmit(
                     true,
                     frame.length,
                     () ->
-                            link.proxy.when(
+                            link.proxy.whenRunning(
                                     () -> {
-                                        link.proxy.onTheWay -= frame.length;
+                                        link.proxy.bytesInFlight -= frame.length;
                                         link.proxy.subscriber.received(
-                                                agenda.now(),
+                                                eventQueue.now(),
                                                 link.attempt,
-                                                Frames.decode(ByteBuffer.wrap(frame)),
+                                                FrameCodec.decode(ByteBuffer.wrap(frame)),
                                                 link.proxy);
                                     }));
         }
 
         @Override
         public void close(long connection, String why) {
-            Link link = connections.remove(connection);
+            StreamLink link = connections.remove(connection);
             if (link != null) {
                 link.reset();
             }
@@ -277,134 +289,142 @@
     }
 
     /** A proxy, and what it has been told. */
-    final class Proxy implements Subscriber.Out {
+    final class SubscribingProxy implements Subscriber.SubscriberActions {
         final int index;
         final Subscriber subscriber;
         private float[] appliedAt = new float[0];
-        final List<Snapshot> resets = new ArrayList<>();
+        final List<Snapshot> appliedSnapshots = new ArrayList<>();
         final Map<Integer, Integer> bytesBySecond = new HashMap<>();
-        private Link link;
-        private long last;
+        private StreamLink link;
+        private long lastSeq;
         private double pausedUntil;
-        private boolean cut;
-        long onTheWay;
+        private boolean isolated;
+        long bytesInFlight;
         Change.Epoch epoch = Change.Epoch.NONE;
 
-        Proxy(int index) {
+        SubscribingProxy(int index) {
             this.index = index;
             subscriber =
                     new Subscriber(
                             new Subscriber.Parts(
                                     "proxy-" + index,
                                     servers.stream().map(s -> s.name).toList(),
-                                    plan.paceBytesPerS(),
+                                    scenario.rateBytesPerS(),
                                     Subscriber.BURST_BYTES,
-                                    new Random(plan.seed() * 1_000_003 + index)),
+                                    new Random(scenario.seed() * 1_000_003 + index)),
                             0,
                             0,
-                            agenda.now());
-            last = -1;
+                            eventQueue.now());
+            lastSeq = -1;
         }
 
-        void count(int bytes) {
-            bytesBySecond.merge((int) (agenda.now() / 1000), bytes, Integer::sum);
+        void countBytes(int bytes) {
+            bytesBySecond.merge((int) (eventQueue.now() / 1000), bytes, Integer::sum);
         }
 
-        void when(Runnable act) {
-            if (agenda.now() < pausedUntil) {
-                agenda.at(pausedUntil, () -> when(act));
+        void whenRunning(Runnable action) {
+            if (eventQueue.now() < pausedUntil) {
+                eventQueue.scheduleAt(pausedUntil, () -> whenRunning(action));
             } else {
-                act.run();
+                action.run();
             }
         }
 
-        void step() {
-            when(
+        void tick() {
+            whenRunning(
                     () -> {
-                        subscriber.tick(agenda.now(), this);
-                        agenda.in(STEP_MS, this::step);
+                        subscriber.tick(eventQueue.now(), this);
+                        eventQueue.scheduleIn(TICK_INTERVAL_MS, this::tick);
                     });
         }
 
         @Override
         public void connect(String to, int attempt) {
-            Server server =
+            ControlServer server =
                     servers.stream().filter(s -> s.name.equals(to)).findFirst().orElseThrow();
-            Link made = new Link(this, attempt, server);
-            link = made;
+            StreamLink newLink = new StreamLink(this, attempt, server);
+            link = newLink;
             if (!server.up) {
-                if (!silent) {
-                    agenda.in(
-                            2 * made.delayMs,
-                            () -> when(() -> subscriber.closed(agenda.now(), attempt, this)));
+                if (!downWithoutReset) {
+                    eventQueue.scheduleIn(
+                            2 * newLink.delayMs,
+                            () ->
+                                    whenRunning(
+                                            () ->
+                                                    subscriber.closed(
+                                                            eventQueue.now(), attempt, this)));
                 }
                 return;
             }
-            made.carry(
+            newLink.transmit(
                     false,
                     0,
                     () ->
-                            made.carry(
+                            newLink.transmit(
                                     true,
                                     0,
                                     () ->
-                                            when(
+                                            whenRunning(
                                                     () -> {
-                                                        server.connections.put(made.id, made);
+                                                        server.connections.put(newLink.id, newLink);
                                                         subscriber.connected(
-                                                                agenda.now(), attempt, this);
+                                                                eventQueue.now(), attempt, this);
                                                     })));
         }
 
         @Override
         public void disconnect(int attempt) {
-            Link old = link;
-            old.over = true;
-            if (!cut) {
-                agenda.in(
-                        old.delayMs,
+            StreamLink previous = link;
+            previous.closed = true;
+            if (!isolated) {
+                eventQueue.scheduleIn(
+                        previous.delayMs,
                         () -> {
-                            old.server.closed(old.id, old.life);
+                            previous.server.connectionClosed(
+                                    previous.id, previous.serverIncarnation);
                         });
             }
         }
 
         @Override
         public void send(Message message) {
-            Link used = link;
-            byte[] frame = Frames.encode(message);
-            used.carry(
+            StreamLink current = link;
+            byte[] frame = FrameCodec.encode(message);
+            current.transmit(
                     false,
                     frame.length,
                     () ->
-                            used.server.machine.received(
-                                    used.id, Frames.decode(ByteBuffer.wrap(frame))));
+                            current.server.machine.received(
+                                    current.id, FrameCodec.decode(ByteBuffer.wrap(frame))));
         }
 
         @Override
         public boolean apply(List<Entry> entries) {
-            for (Entry e : entries) {
-                if (e.seq() != ++last
-                        || !e.change().equals(given.computeIfAbsent(e.seq(), n -> e.change()))) {
+            for (Entry entry : entries) {
+                if (entry.seq() != ++lastSeq
+                        || !entry.change()
+                                .equals(
+                                        deliveredChanges.computeIfAbsent(
+                                                entry.seq(), n -> entry.change()))) {
                     throw new IllegalStateException(
-                            "proxy-" + index + " at " + (last - 1) + " was given " + e);
+                            "proxy-" + index + " at " + (lastSeq - 1) + " was given " + entry);
                 }
-                applied(e.seq());
-                head = Math.max(head, e.seq());
-                if (e.change() instanceof Change.Epoch next) {
+                recordApplied(entry.seq());
+                head = Math.max(head, entry.seq());
+                if (entry.change() instanceof Change.Epoch next) {
                     epoch = next;
                 }
             }
             return true;
         }
 
-        private void applied(long seq) {
+        private void recordApplied(long seq) {
             if (seq >= appliedAt.length) {
-                int had = appliedAt.length;
+                int oldLength = appliedAt.length;
                 appliedAt = Arrays.copyOf(appliedAt, (int) Math.max(256, seq * 2));
-                Arrays.fill(appliedAt, had, appliedAt.length, Float.NaN);
+                Arrays.fill(appliedAt, oldLength, appliedAt.length, Float.NaN);
             }
-            appliedAt[(int) seq] = (float) agenda.now();
+            appliedAt[(int) seq] = (float) eventQueue.now();
         }
 
         /** When it had this entry; not a number where it has not. */
@@ -414,72 +434,76 @@
 
         @Override
         public boolean reset(Snapshot snapshot) {
-            resets.add(snapshot);
-            for (long i = Math.max(1, last + 1); i <= snapshot.seq(); i++) {
-                applied(i);
+            appliedSnapshots.add(snapshot);
+            for (long i = Math.max(1, lastSeq + 1); i <= snapshot.seq(); i++) {
+                recordApplied(i);
             }
-            last = snapshot.seq();
-            head = Math.max(head, last);
+            lastSeq = snapshot.seq();
+            head = Math.max(head, lastSeq);
             epoch = snapshot.epoch();
             return true;
         }
 
         @Override
-        public void event(Subscriber.What what, String server) {
-            events.merge(what, 1, Integer::sum);
+        public void event(Subscriber.SubscriberEvent event, String server) {
+            events.merge(event, 1, Integer::sum);
         }
 
         /** The most bytes that went both ways within any minute, a second. */
-        double bytesPerSInTheWorstMinute() {
-            int most = 0;
+        double maxBytesPerSOverOneMinute() {
+            int maxBytes = 0;
             for (int from : bytesBySecond.keySet()) {
                 int sum = 0;
-                for (int s = from; s < from + 60; s++) {
-                    sum += bytesBySecond.getOrDefault(s, 0);
+                for (int second = from; second < from + 60; second++) {
+                    sum += bytesBySecond.getOrDefault(second, 0);
                 }
-                most = Math.max(most, sum);
+                maxBytes = Math.max(maxBytes, sum);
             }
-            return most / 60.0;
+            return maxBytes / 60.0;
         }
     }
 
-    private final Plan plan;
-    final Agenda agenda = new Agenda();
+    private final StreamScenario scenario;
+    final EventQueue eventQueue = new EventQueue();
     private final Random random;
-    private final List<Server> servers = new ArrayList<>();
-    final List<Proxy> proxies = new ArrayList<>();
+    private final List<ControlServer> servers = new ArrayList<>();
+    final List<SubscribingProxy> proxies = new ArrayList<>();
 
     /** What was given at each place, as the first proxy heard it. */
-    private final Map<Long, Change> given = new HashMap<>();
+    private final Map<Long, Change> deliveredChanges = new HashMap<>();
 
     /** What authors were told is kept. */
-    private final Map<Long, Change> confirmed = new TreeMap<>();
+    private final Map<Long, Change> confirmedChanges = new TreeMap<>();
 
-    private final Map<Change, Double> askedAt = new HashMap<>();
-    final List<Everywhere> summed = new ArrayList<>();
-    final Map<Subscriber.What, Integer> events = new TreeMap<>();
-    private long links;
-    private long epochs;
+    private final Map<Change, Double> publishedAt = new HashMap<>();
+    final List<FullyAcknowledged> fullyAcknowledgedEntries = new ArrayList<>();
+    final Map<Subscriber.SubscriberEvent, Integer> events = new TreeMap<>();
+    private long lastLinkId;
+    private long lastEpochNumber;
     private long head;
-    private boolean silent;
-
-    VirtualStream(Plan plan) {
-        this.plan = plan;
-        random = new Random(Draw.generator(plan.seed(), Draw.Stream.POLICY).nextLong());
-        for (int i = 0; i < plan.servers(); i++) {
-            servers.add(new Server(i));
-        }
-        servers.forEach(Server::start);
-        for (int i = 0; i < plan.subscribers(); i++) {
-            Proxy p = new Proxy(i);
-            proxies.add(p);
-            agenda.in(random.nextDouble() * STEP_MS, p::step);
+    private boolean downWithoutReset;
+
+    VirtualStream(StreamScenario scenario) {
+        this.scenario = scenario;
+        random =
+                new Random(
+                        ScenarioGenerator.randomGenerator(
+                                        scenario.seed(), ScenarioGenerator.RandomStream.POLICY)
+                                .nextLong());
+        for (int i = 0; i < scenario.servers(); i++) {
+            servers.add(new ControlServer(i));
+        }
+        servers.forEach(ControlServer::start);
+        for (int i = 0; i < scenario.subscribers(); i++) {
+            SubscribingProxy proxy = new SubscribingProxy(i);
+            proxies.add(proxy);
+            eventQueue.scheduleIn(random.nextDouble() * TICK_INTERVAL_MS, proxy::tick);
         }
     }
 
     /** How many entries their authors were told are kept. */
-    int confirmed() {
-        return confirmed.size();
+    int confirmedCount() {
+        return confirmedChanges.size();
     }
 
     /** The last entry that anybody was given. */
@@ -489,11 +513,11 @@
 
     /** An entry is asked for, of whoever leads, until it is confirmed. */
     void publish(Change change) {
-        askedAt.putIfAbsent(change, agenda.now());
-        Server leader =
-                servers.stream().filter(s -> s.up && s.machine.leads()).findFirst().orElse(null);
+        publishedAt.putIfAbsent(change, eventQueue.now());
+        ControlServer leader =
+                servers.stream().filter(s -> s.up && s.machine.isLeader()).findFirst().orElse(null);
         if (leader == null) {
-            agenda.in(AGAIN_MS, () -> publish(change));
+            eventQueue.scheduleIn(REPUBLISH_DELAY_MS, () -> publish(change));
             return;
         }
         boolean[] answered = new boolean[1];
@@ -502,17 +526,17 @@
                 seq -> {
                     answered[0] = true;
                     if (seq != null && seq > 0) {
-                        confirmed.put(seq, change);
+                        confirmedChanges.put(seq, change);
                     } else if (seq == null || seq < 0) {
-                        agenda.in(AGAIN_MS, () -> publish(change));
+                        eventQueue.scheduleIn(REPUBLISH_DELAY_MS, () -> publish(change));
                     }
                 });
         // One that dies answers nobody: its author asks again.
-        int of = leader.life;
-        agenda.in(
+        int expected = leader.incarnation;
+        eventQueue.scheduleIn(
                 1000,
                 () -> {
-                    if (!answered[0] && !(leader.up && leader.life == of)) {
+                    if (!answered[0] && !(leader.up && leader.incarnation == expected)) {
                         publish(change);
                     }
                 });
@@ -522,32 +546,35 @@
      * Purges at a rate, each as likely at one time as at another, and a configuration now and then,
      * until a time.
      */
-    void load(double purgesPerS, double epochsPerS, double untilMs) {
-        double all = purgesPerS + epochsPerS;
-        agenda.in(
-                -Math.log(1 - random.nextDouble()) / all * 1000,
+    void scheduleLoad(double purgesPerS, double epochsPerS, double untilMs) {
+        double totalPerS = purgesPerS + epochsPerS;
+        eventQueue.scheduleIn(
+                -Math.log(1 - random.nextDouble()) / totalPerS * 1000,
                 () -> {
-                    if (agenda.now() < untilMs) {
+                    if (eventQueue.now() < untilMs) {
                         publish(
-                                random.nextDouble() * all < epochsPerS
+                                random.nextDouble() * totalPerS < epochsPerS
                                         ? new Change.Epoch(
-                                                ++epochs, "[log]\n# " + "x".repeat(1990) + epochs)
+                                                ++lastEpochNumber,
+                                                "[log]\n# " + "x".repeat(1990) + lastEpochNumber)
                                         : new Change.Purge(
                                                 String.format(
                                                         "/objects/%016x/%06x",
                                                         random.nextLong(), random.nextInt(1 << 24)),
                                                 random.nextInt(50) == 0));
-                        load(purgesPerS, epochsPerS, untilMs);
+                        scheduleLoad(purgesPerS, epochsPerS, untilMs);
                     }
                 });
     }
 
     /** So many purges at once, as a backlog. */
-    void backlog(int purges, int changes) {
-        for (int i = 0; i < purges + changes; i++) {
+    void publishBacklog(int purges, int epochCount) {
+        for (int i = 0; i < purges + epochCount; i++) {
             publish(
-                    i % (1 + purges / Math.max(1, changes)) == 0
-                            ? new Change.Epoch(++epochs, "[log]\n# " + "x".repeat(1990) + epochs)
+                    i % (1 + purges / Math.max(1, epochCount)) == 0
+                            ? new Change.Epoch(
+                                    ++lastEpochNumber,
+                                    "[log]\n# " + "x".repeat(1990) + lastEpochNumber)
                             : new Change.Purge(
                                     String.format("/objects/%016x/%06x", random.nextLong(), i),
                                     false));
@@ -555,11 +582,11 @@
     }
 
     /** Plays until a time. */
-    VirtualStream play(double untilMs) {
-        while (agenda.nextAt() <= untilMs) {
-            agenda.step();
+    VirtualStream runUntil(double untilMs) {
+        while (eventQueue.nextEventAt() <= untilMs) {
+            eventQueue.runNext();
         }
-        agenda.moveTo(untilMs);
+        eventQueue.advanceTo(untilMs);
         return this;
     }
 
@@ -567,35 +594,35 @@
      * A control machine ends, its connections with a reset, or as a machine that loses its power:
      * without a word.
      */
-    void kill(int server, boolean silently) {
-        silent = silently;
-        servers.get(server).end(silently);
+    void kill(int server, boolean withoutReset) {
+        downWithoutReset = withoutReset;
+        servers.get(server).kill(withoutReset);
     }
 
     /** All of them end at once. */
     void killAll() {
-        silent = false;
-        servers.forEach(s -> s.end(false));
+        downWithoutReset = false;
+        servers.forEach(s -> s.kill(false));
     }
 
     /** Cuts a control machine off from the others, but not from proxies, or heals that. */
-    void apart(int server, boolean apart) {
-        servers.get(server).apart = apart;
+    void setPartitioned(int server, boolean partitioned) {
+        servers.get(server).partitioned = partitioned;
     }
 
     /** Who leads; -1 for nobody. */
     int leader() {
         return servers.stream()
-                .filter(s -> s.up && s.machine.leads())
+                .filter(s -> s.up && s.machine.isLeader())
                 .mapToInt(s -> s.index)
                 .findFirst()
                 .orElse(-1);
     }
 
     /** Those whom the leader misses, or who lack its last entry, by name. */
-    List<String> stragglers() {
-        ControlMachine m = servers.get(leader()).machine;
-        return m.stragglers(m.head());
+    List<String> laggingSubscribers() {
+        ControlMachine machine = servers.get(leader()).machine;
+        return machine.laggingSubscribers(machine.head());
     }
 
     /** A control machine begins again with what is on its disk. */
@@ -604,8 +631,8 @@
     }
 
     /** Cuts proxies off from all control machines, or heals that. */
-    void cut(IntPredicate which, boolean cut) {
-        proxies.stream().filter(p -> which.test(p.index)).forEach(p -> p.cut = cut);
+    void setIsolated(IntPredicate which, boolean isolated) {
+        proxies.stream().filter(p -> which.test(p.index)).forEach(p -> p.isolated = isolated);
     }
 
     /** A proxy stands still. */
@@ -618,18 +645,22 @@
         return servers.get(server).machine.base();
     }
 
-    int[] readers() {
-        return servers.stream().mapToInt(s -> s.up ? s.machine.publisher().readers() : 0).toArray();
+    int[] subscriberCounts() {
+        return servers.stream()
+                .mapToInt(s -> s.up ? s.machine.publisher().subscriberCount() : 0)
+                .toArray();
     }
 
     /**
      * From when each entry was asked for until the last of these had applied it, in ms; one that
      * somebody lacks, or that was confirmed as another, throws.
      */
-    Histogram everywhere(IntPredicate which) {
-        confirmed.forEach(
+    Histogram deliveryTimes(IntPredicate which) {
+        confirmedChanges.forEach(
                 (seq, change) -> {
-                    if (given.containsKey(seq) && !change.equals(given.get(seq)) || seq > head) {
+                    if (deliveredChanges.containsKey(seq)
+                                    && !change.equals(deliveredChanges.get(seq))
+                            || seq > head) {
                         throw new IllegalStateException(
                                 "confirmed at "
                                         + seq
@@ -638,24 +669,27 @@
                                         + ": "
                                         + change
                                         + ", given: "
-                                        + given.get(seq));
+                                        + deliveredChanges.get(seq));
                     }
                 });
         Histogram times = new Histogram(3);
         for (long seq = 1; seq <= head; seq++) {
-            double last = 0;
-            for (Proxy p : proxies) {
-                if (which.test(p.index)) {
-                    float at = p.appliedAt((int) seq);
-                    if (Float.isNaN(at)) {
+            double lastAt = 0;
+            for (SubscribingProxy proxy : proxies) {
+                if (which.test(proxy.index)) {
+                    float appliedAt = proxy.appliedAt((int) seq);
+                    if (Float.isNaN(appliedAt)) {
                         throw new IllegalStateException(
-                                "proxy-" + p.index + " lacks " + seq + " of " + head);
+                                "proxy-" + proxy.index + " lacks " + seq + " of " + head);
                     }
-                    last = Math.max(last, at);
+                    lastAt = Math.max(lastAt, appliedAt);
                 }
             }
-            if (given.containsKey(seq)) {
-                times.recordValue(Math.max(0, Math.round(last - askedAt.get(given.get(seq)))));
+            if (deliveredChanges.containsKey(seq)) {
+                times.recordValue(
+                        Math.max(
+                                0,
+                                Math.round(lastAt - publishedAt.get(deliveredChanges.get(seq)))));
             }
         }
         return times;
--- a/src/main/java/cacheproxy/lab/world/Installation.java
+++ b/src/main/java/cacheproxy/lab/world/Installation.java
@@ -21,22 +21,22 @@
 public record Installation(
         List<String> zones,
         double[][] linkMs,
-        List<NodeMake> nodes,
-        List<NodeMake> spares,
-        OriginMake origin,
+        List<NodeSpec> nodes,
+        List<NodeSpec> spares,
+        OriginSpec origin,
         List<Integer> proxyZones,
-        Roster roster,
-        Storing storing) {
+        DiscoverySpec discovery,
+        DataSpec data) {
 
     /**
      * A cache node. {@code missWorkMs} is what finding nothing costs; {@code handshakeMs} is work
      * for a new connection and {@code connections} how many it can hold.
      */
-    public record NodeMake(
+    public record NodeSpec(
             String id,
             String kind,
             int zone,
-            Machine.Make machine,
+            Machine.MachineSpec machine,
             long memoryBytes,
             double missWorkMs,
             double handshakeMs,
@@ -48,15 +48,15 @@
      * stops for a time drawn from {@code downMs}; a multiple of 0 means that it never does. A fetch
      * costs {@code fetchShare} of the request's work and a write {@code writeTimes} as much.
      */
-    public record OriginMake(
+    public record OriginSpec(
             String id,
             int zone,
-            Machine.Make machine,
-            double fetchShare,
-            double writeTimes,
-            double fallMultiple,
-            double fallMs,
-            double[] downMs,
+            Machine.MachineSpec machine,
+            double fetchWorkFactor,
+            double writeWorkFactor,
+            double overloadMultiple,
+            double overloadWindowMs,
+            double[] stopMs,
             double handshakeMs,
             int connections) {}
 
@@ -65,23 +65,23 @@
      * spans from {@code weightMs}. A whole list, for a proxy that starts, takes discovery {@code
      * listMs}, one after the other.
      */
-    public record Roster(double[] delayMs, double[] weightMs, double listMs) {}
+    public record DiscoverySpec(double[] delayMs, double[] weightIntervalMs, double snapshotMs) {}
 
     /**
      * Objects: how many keys there are, the bytes of one (least and most), and for how long a copy
      * is kept.
      */
-    public record Storing(long keys, double[] bytes, double ttlMs) {}
+    public record DataSpec(long keys, double[] bytes, double ttlMs) {}
 
     /** Every cache node that may ever run. */
-    public List<NodeMake> machines() {
+    public List<NodeSpec> allNodes() {
         return Stream.concat(nodes.stream(), spares.stream()).toList();
     }
 
     /** The zone of each node and of the origin, by its name. */
-    public Map<String, Integer> machineZones() {
+    public Map<String, Integer> zoneByMachine() {
         Map<String, Integer> zoneOf = new HashMap<>();
-        machines().forEach(n -> zoneOf.put(n.id(), n.zone()));
+        allNodes().forEach(n -> zoneOf.put(n.id(), n.zone()));
         zoneOf.put(origin.id(), origin.zone());
         return zoneOf;
     }
--- a/src/main/java/cacheproxy/lab/world/Store.java
+++ b/src/main/java/cacheproxy/lab/world/LruStore.java
@@ -6,59 +6,59 @@
 import java.util.function.LongPredicate;
 
 /** What a cache node keeps: copies up to its memory; those used longest ago go first. */
-final class Store {
+final class LruStore {
 
     /**
      * A kept copy: its size, the version it was made of, and when it goes void (Unix-free run time,
      * ms).
      */
-    record Copy(int bytes, long version, double voidAt) {}
+    record Copy(int bytes, long version, double expiresAt) {}
 
     private final long memoryBytes;
     private final Map<Long, Copy> copies = new LinkedHashMap<>(16, 0.75f, true);
-    private long used;
+    private long usedBytes;
 
-    Store(long memoryBytes) {
+    LruStore(long memoryBytes) {
         this.memoryBytes = memoryBytes;
     }
 
     Copy get(long key, double now) {
         Copy copy = copies.get(key);
-        if (copy != null && copy.voidAt() <= now) {
-            drop(key);
+        if (copy != null && copy.expiresAt() <= now) {
+            remove(key);
             return null;
         }
         return copy;
     }
 
     void put(long key, Copy copy) {
-        drop(key);
+        remove(key);
         copies.put(key, copy);
-        used += copy.bytes();
+        usedBytes += copy.bytes();
         Iterator<Map.Entry<Long, Copy>> oldest = copies.entrySet().iterator();
-        while (used > memoryBytes && oldest.hasNext()) {
-            used -= oldest.next().getValue().bytes();
+        while (usedBytes > memoryBytes && oldest.hasNext()) {
+            usedBytes -= oldest.next().getValue().bytes();
             oldest.remove();
         }
     }
 
-    void drop(long key) {
-        Copy old = copies.remove(key);
-        used -= old == null ? 0 : old.bytes();
+    void remove(long key) {
+        Copy removed = copies.remove(key);
+        usedBytes -= removed == null ? 0 : removed.bytes();
     }
 
-    void dropAll() {
+    void clear() {
         copies.clear();
-        used = 0;
+        usedBytes = 0;
     }
 
-    void dropIf(LongPredicate goes) {
+    void removeIf(LongPredicate predicate) {
         copies.entrySet()
                 .removeIf(
                         e -> {
-                            boolean gone = goes.test(e.getKey());
-                            used -= gone ? e.getValue().bytes() : 0;
-                            return gone;
+                            boolean removed = predicate.test(e.getKey());
+                            usedBytes -= removed ? e.getValue().bytes() : 0;
+                            return removed;
                         });
     }
 }
--- a/src/main/java/cacheproxy/lab/world/Machine.java
+++ b/src/main/java/cacheproxy/lab/world/Machine.java
@@ -18,57 +18,60 @@
 public final class Machine {
 
     /** While capacity grows it is taken as constant over steps of this length. */
-    private static final double STEP_MS = 20;
+    private static final double SLOW_START_STEP_MS = 20;
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     /** Below this a rest of work is rounding. */
-    private static final double ROUNDING = 1e-9;
+    private static final double WORK_EPSILON = 1e-9;
 
     /**
      * What the machine is made of. {@code crowding} is the part of its capacity that each request
      * in a slot beyond its cores takes.
      */
-    public record Make(
+    public record MachineSpec(
             int cores,
             double speed,
             int slots,
-            int room,
-            double coldFrom,
-            double coldMs,
-            double crowding) {}
+            int queueCapacity,
+            double initialFraction,
+            double slowStartMs,
+            double contention) {}
 
     /** A piece of work that is done. */
-    record Done(long job, double atMs) {}
+    record CompletedJob(long job, double atMs) {}
 
-    private record Running(long job, double until) implements Comparable<Running> {
+    private record RunningJob(long job, double finishesAtService)
+            implements Comparable<RunningJob> {
 
         @Override
-        public int compareTo(Running other) {
-            return until < other.until
+        public int compareTo(RunningJob other) {
+            return finishesAtService < other.finishesAtService
                     ? -1
-                    : until > other.until ? 1 : Long.compare(job, other.job);
+                    : finishesAtService > other.finishesAtService
+                            ? 1
+                            : Long.compare(job, other.job);
         }
     }
 
-    private record Waiting(long job, double workMs) {}
+    private record QueuedJob(long job, double workMs) {}
 
-    private final Make make;
-    private final PriorityQueue<Running> running = new PriorityQueue<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private double at;
+    private final MachineSpec spec;
+    private final PriorityQueue<RunningJob> running = new PriorityQueue<>();
+    private final Deque<QueuedJob> queue = new ArrayDeque<>();
+    private double advancedTo;
 
     /** Work that each request in a slot has had so far, were it there from the beginning. */
-    private double served;
+    private double servicePerSlot;
 
     private double startedAt;
-    private boolean cold;
-    private double slowness = 1;
+    private boolean slowStarts;
+    private double slowdown = 1;
     private double stalledUntil = -1;
 
-    Machine(Make make, double now) {
-        this.make = make;
-        this.at = now;
+    Machine(MachineSpec spec, double now) {
+        this.spec = spec;
+        this.advancedTo = now;
         this.startedAt = now;
     }
 
@@ -76,46 +79,46 @@
      * Capacity in core-milliseconds a millisecond at a time, without crowding, stalls and slowness.
      */
     double capacity(double now) {
-        double warmth =
-                !cold
+        double capacityFraction =
+                !slowStarts
                         ? 1
                         : Math.min(
                                 1,
-                                make.coldFrom()
-                                        + (1 - make.coldFrom())
+                                spec.initialFraction()
+                                        + (1 - spec.initialFraction())
                                                 * (now - startedAt)
-                                                / make.coldMs());
-        return make.cores() * make.speed() * warmth;
+                                                / spec.slowStartMs());
+        return spec.cores() * spec.speed() * capacityFraction;
     }
 
     double fullCapacity() {
-        return make.cores() * make.speed();
+        return spec.cores() * spec.speed();
     }
 
-    boolean cold(double now) {
-        return cold && now - startedAt < make.coldMs();
+    boolean isWarmingUp(double now) {
+        return slowStarts && now - startedAt < spec.slowStartMs();
     }
 
-    int held() {
-        return running.size() + waiting.size();
+    int pendingJobs() {
+        return running.size() + queue.size();
     }
 
     int cores() {
-        return make.cores();
+        return spec.cores();
     }
 
     /** Loses all it holds; what it does from now on it does cold. */
-    void restartCold(double now) {
+    void restart(double now) {
         running.clear();
-        waiting.clear();
-        served = 0;
-        at = now;
+        queue.clear();
+        servicePerSlot = 0;
+        advancedTo = now;
         startedAt = now;
-        cold = make.coldMs() > 0;
+        slowStarts = spec.slowStartMs() > 0;
     }
 
-    void slow(double factor) {
-        slowness = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
     /** Works on nothing until then, and goes on with all it holds afterwards. */
@@ -123,71 +126,78 @@
         stalledUntil = Math.max(stalledUntil, until);
     }
 
-    boolean stalled(double now) {
+    boolean isStalled(double now) {
         return now < stalledUntil;
     }
 
     /** Takes a job, or says that it is full. The machine must have been advanced to now. */
     boolean offer(long job, double workMs) {
-        if (running.size() < make.slots()) {
-            running.add(new Running(job, served + workMs));
+        if (running.size() < spec.slots()) {
+            running.add(new RunningJob(job, servicePerSlot + workMs));
             return true;
         }
-        if (waiting.size() < make.room()) {
-            waiting.add(new Waiting(job, workMs));
+        if (queue.size() < spec.queueCapacity()) {
+            queue.add(new QueuedJob(job, workMs));
             return true;
         }
         return false;
     }
 
-    private double rate() {
-        int n = running.size();
-        if (n == 0 || at < stalledUntil) {
+    private double serviceRate() {
+        int runningCount = running.size();
+        if (runningCount == 0 || advancedTo < stalledUntil) {
             return 0;
         }
-        double crowd = 1 / (1 + make.crowding() * Math.max(0, n - make.cores()));
-        return capacity(at)
-                / make.cores()
-                / slowness
-                * crowd
-                * Math.min(1, (double) make.cores() / n);
+        double contentionFactor =
+                1 / (1 + spec.contention() * Math.max(0, runningCount - spec.cores()));
+        return capacity(advancedTo)
+                / spec.cores()
+                / slowdown
+                * contentionFactor
+                * Math.min(1, (double) spec.cores() / runningCount);
     }
 
     /** When it next has something to say; infinite if it is idle. */
-    double nextAt() {
+    double nextEventAt() {
         if (running.isEmpty()) {
             return NEVER;
         }
-        if (at < stalledUntil) {
+        if (advancedTo < stalledUntil) {
             return stalledUntil;
         }
-        double due = at + Math.max(0, running.peek().until() - served) / rate();
-        return cold(at) ? Math.min(due, at + STEP_MS) : due;
+        double finishesAt =
+                advancedTo
+                        + Math.max(0, running.peek().finishesAtService() - servicePerSlot)
+                                / serviceRate();
+        return isWarmingUp(advancedTo)
+                ? Math.min(finishesAt, advancedTo + SLOW_START_STEP_MS)
+                : finishesAt;
     }
 
     /** Works on until now and returns what was finished, in order. */
-    List<Done> advance(double now) {
-        List<Done> done = new ArrayList<>();
-        while (at < now) {
-            double next = Math.min(now, nextAt());
-            double rate = rate();
-            served += rate * Math.max(0, next - at);
-            at = Math.max(at, next);
-            finish(done);
+    List<CompletedJob> advance(double now) {
+        List<CompletedJob> done = new ArrayList<>();
+        while (advancedTo < now) {
+            double next = Math.min(now, nextEventAt());
+            double rate = serviceRate();
+            servicePerSlot += rate * Math.max(0, next - advancedTo);
+            advancedTo = Math.max(advancedTo, next);
+            completeJobs(done);
             if (next >= now) {
                 break;
             }
         }
-        at = Math.max(at, now);
+        advancedTo = Math.max(advancedTo, now);
         return done;
     }
 
-    private void finish(List<Done> done) {
-        while (!running.isEmpty() && running.peek().until() <= served + ROUNDING) {
-            done.add(new Done(running.remove().job(), at));
-            if (!waiting.isEmpty()) {
-                Waiting next = waiting.remove();
-                running.add(new Running(next.job(), served + next.workMs()));
+    private void completeJobs(List<CompletedJob> done) {
+        while (!running.isEmpty()
+                && running.peek().finishesAtService() <= servicePerSlot + WORK_EPSILON) {
+            done.add(new CompletedJob(running.remove().job(), advancedTo));
+            if (!queue.isEmpty()) {
+                QueuedJob next = queue.remove();
+                running.add(new RunningJob(next.job(), servicePerSlot + next.workMs()));
             }
         }
     }
--- a/src/main/java/cacheproxy/lab/world/ColdWindow.java
+++ b/src/main/java/cacheproxy/lab/world/SlowStartWindow.java
@@ -6,31 +6,32 @@
  * What a node was sent since it started, over the latest window. Times are milliseconds of the run
  * and never run back.
  */
-public final class ColdWindow {
+public final class SlowStartWindow {
 
-    private final ColdAllowance allowance;
+    private final SlowStartAllowance allowance;
     private final double startedAt;
     private final double capacity;
-    private final SlidingSum calls = new SlidingSum();
+    private final SlidingSum reads = new SlidingSum();
 
     /** {@code capacity} is the node's when it is warm. */
-    public ColdWindow(ColdAllowance allowance, double startedAt, double capacity) {
+    public SlowStartWindow(SlowStartAllowance allowance, double startedAt, double capacity) {
         this.allowance = allowance;
         this.startedAt = startedAt;
         this.capacity = capacity;
     }
 
     /** Whether the settings call it cold at a time. */
-    public boolean cold(double at) {
-        return at >= startedAt && at - startedAt < allowance.coldMs();
+    public boolean isWarmingUp(double at) {
+        return at >= startedAt && at - startedAt < allowance.slowStartMs();
     }
 
     /**
      * Adds a call that weighs {@code size} of a call of mean work, and returns all in the window
      * over what is allowed.
      */
-    public double add(double at, double size) {
-        calls.add(at, size);
-        return calls.from(at - allowance.windowMs()) / allowance.most(capacity, at - startedAt);
+    public double add(double at, double relativeWork) {
+        reads.add(at, relativeWork);
+        return reads.sumSince(at - allowance.windowMs())
+                / allowance.maxReads(capacity, at - startedAt);
     }
 }
--- a/src/main/java/cacheproxy/lab/world/World.java
+++ b/src/main/java/cacheproxy/lab/world/World.java
@@ -1,7 +1,7 @@
 package cacheproxy.lab.world;
 
-import cacheproxy.lab.world.Installation.NodeMake;
-import cacheproxy.lab.world.Installation.OriginMake;
+import cacheproxy.lab.world.Installation.NodeSpec;
+import cacheproxy.lab.world.Installation.OriginSpec;
 import cacheproxy.measure.SlidingSum;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -23,14 +23,14 @@
 public final class World {
 
     /** What a request is, whichever attempt of it comes. {@code workMs} is core time at speed 1. */
-    public record Job(String call, long key, boolean write, double workMs) {}
+    public record Job(String callId, long key, boolean write, double workMs) {}
 
     /** How an answer ends. */
-    public enum Manner {
-        WHOLE,
-        HALF,
-        SPOILT,
-        RESET_AFTER,
+    public enum AnswerCompletion {
+        COMPLETE,
+        TRUNCATED,
+        MALFORMED,
+        RESET,
         NEVER
     }
 
@@ -40,12 +40,12 @@
      */
     public record Answer(
             int status,
-            String hit,
+            String cacheStatus,
             boolean rejected,
-            Manner manner,
+            AnswerCompletion completion,
             int bytes,
             long version,
-            boolean ran) {}
+            boolean executed) {}
 
     /** What the list says of a machine. */
     public enum Health {
@@ -65,13 +65,13 @@
         void answer(long attempt, Answer answer);
 
         /** Discovery has this for a proxy now: the entries that changed up to a version. */
-        void list(int proxy, long version, List<Entry> entries);
+        void deliverEndpointList(int proxy, long version, List<Entry> entries);
 
         /** The machine's process died: its connections are reset and new ones refused. */
-        void died(String machine);
+        void machineDied(String machine);
 
         /** The machine's process is up, and takes connections. */
-        void up(String machine);
+        void machineStarted(String machine);
 
         /** The origin was pushed over, and stops for a while. */
         void originStopped();
@@ -79,95 +79,102 @@
         /**
          * Something that belongs into the results: an origin that stops, a node that falls over.
          */
-        void note(String text);
+        void reportEvent(String text);
     }
 
-    private record Open(long attempt, Job job, int proxy, String machine) {}
+    private record AcceptedAttempt(long attempt, Job job, int proxy, String machine) {}
 
-    private record News(double at, long version, List<Entry> entries) {}
+    private record ListUpdate(double at, long version, List<Entry> entries) {}
 
     /**
      * A machine has something to say at a time, unless it has been stamped anew; {@code order}
      * settles ties.
      */
-    private record Wake(double at, long order, Unit unit, long stamp) implements Comparable<Wake> {
+    private record MachineEvent(double at, long order, MachineState state, long generation)
+            implements Comparable<MachineEvent> {
 
         @Override
-        public int compareTo(Wake other) {
+        public int compareTo(MachineEvent other) {
             return at < other.at ? -1 : at > other.at ? 1 : Long.compare(order, other.order);
         }
     }
 
-    private record Due(int proxy, News news) {}
+    private record ScheduledUpdate(int proxy, ListUpdate update) {}
 
     private static final double LONG_AGO = -1;
     private static final String ORIGIN_KIND = "origin";
 
     /** Stops of the origin that a load can cause in one run; later ones would say nothing new. */
-    private static final int MOST_STOPS = 2;
+    private static final int MAX_ORIGIN_STOPS = 2;
 
-    private final Installation plan;
+    private final Installation installation;
     private final RandomGenerator random;
-    private final Map<String, Unit> units = new LinkedHashMap<>();
-    private final Map<Long, Open> open = new HashMap<>();
-    private final Map<String, List<String>> missedAt = new HashMap<>();
+    private final Map<String, MachineState> machines = new LinkedHashMap<>();
+    private final Map<Long, AcceptedAttempt> pendingAttempts = new HashMap<>();
+    private final Map<String, List<String>> missedNodesByCall = new HashMap<>();
     private final Map<Long, Long> versions = new HashMap<>();
 
     /** Nodes that may hold a key, so that a write need not ask every node. */
-    private final Map<Long, List<Unit>> holdersOf = new HashMap<>();
+    private final Map<Long, List<MachineState>> holdersByKey = new HashMap<>();
 
-    private final List<Deque<News>> news = new ArrayList<>();
-    private final PriorityQueue<Wake> due = new PriorityQueue<>();
-    private final PriorityQueue<Due> told =
+    private final List<Deque<ListUpdate>> pendingUpdates = new ArrayList<>();
+    private final PriorityQueue<MachineEvent> machineEvents = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledUpdate> scheduledUpdates =
             new PriorityQueue<>(
-                    Comparator.comparingDouble((Due d) -> d.news().at())
-                            .thenComparingLong(d -> d.news().version())
-                            .thenComparingInt(Due::proxy));
-    private long wakes;
-    private final double[] lastNews;
-    private final double[] rosterDelay;
+                    Comparator.comparingDouble((ScheduledUpdate d) -> d.update().at())
+                            .thenComparingLong(d -> d.update().version())
+                            .thenComparingInt(ScheduledUpdate::proxy));
+    private long eventCount;
+    private final double[] lastUpdateAt;
+    private final double[] updatesBlockedUntil;
 
     /** Work that was sent to the origin, in core-milliseconds. */
     private final SlidingSum originWork = new SlidingSum();
 
     private double originOverSince = -1;
     private int originStops;
-    private double nextWeights;
+    private double nextWeightsAt;
     private long version = 1;
     private double extraDelayMs;
 
     /** A machine's processor and what it keeps. */
-    private final class Unit {
+    private final class MachineState {
         final String id;
         final String kind;
         final int zone;
         final Machine machine;
-        final Store store;
-        final NodeMake node;
+        final LruStore store;
+        final NodeSpec nodeSpec;
         boolean alive = true;
         Health health = Health.UP;
         double startedAt = LONG_AGO;
         double weight = 1;
-        ColdWindow cold;
-        double half;
-        double spoilt;
-        double resets;
-        double errors;
-        long stamp;
-
-        Unit(String id, String kind, int zone, Machine.Make make, NodeMake node, double now) {
+        SlowStartWindow slowStartWindow;
+        double truncatedShare;
+        double malformedShare;
+        double resetShare;
+        double errorShare;
+        long generation;
+
+        MachineState(
+                String id,
+                String kind,
+                int zone,
+                Machine.MachineSpec machineSpec,
+                NodeSpec nodeSpec,
+                double now) {
             this.id = id;
             this.kind = kind;
             this.zone = zone;
-            this.machine = new Machine(make, now);
-            this.node = node;
-            this.store = node == null ? null : new Store(node.memoryBytes());
-            this.errors = node == null ? 0 : node.errorShare();
-            this.weight = make.cores();
+            this.machine = new Machine(machineSpec, now);
+            this.nodeSpec = nodeSpec;
+            this.store = nodeSpec == null ? null : new LruStore(nodeSpec.memoryBytes());
+            this.errorShare = nodeSpec == null ? 0 : nodeSpec.errorShare();
+            this.weight = machineSpec.cores();
         }
 
-        boolean origin() {
-            return node == null;
+        boolean isOrigin() {
+            return nodeSpec == null;
         }
 
         Entry entry() {
@@ -176,29 +183,37 @@
     }
 
     /** What a cold node may be sent, and whether it falls over when it gets more. */
-    public record Limits(ColdAllowance cold, boolean coldFalls) {}
+    public record Limits(SlowStartAllowance allowance, boolean overloadedNodeFails) {}
 
     private final Limits limits;
 
-    public World(Installation plan, Limits limits, RandomGenerator random) {
-        this.plan = plan;
+    public World(Installation installation, Limits limits, RandomGenerator random) {
+        this.installation = installation;
         this.limits = limits;
         this.random = random;
-        for (NodeMake node : plan.machines()) {
-            units.put(
+        for (NodeSpec node : installation.allNodes()) {
+            machines.put(
                     node.id(),
-                    new Unit(node.id(), node.kind(), node.zone(), node.machine(), node, 0));
+                    new MachineState(node.id(), node.kind(), node.zone(), node.machine(), node, 0));
         }
-        for (NodeMake spare : plan.spares()) {
-            units.get(spare.id()).alive = false;
-            units.get(spare.id()).health = Health.REMOVED;
+        for (NodeSpec spare : installation.spares()) {
+            machines.get(spare.id()).alive = false;
+            machines.get(spare.id()).health = Health.REMOVED;
         }
-        OriginMake o = plan.origin();
-        units.put(o.id(), new Unit(o.id(), ORIGIN_KIND, o.zone(), o.machine(), null, 0));
-        plan.proxyZones().forEach(z -> news.add(new ArrayDeque<>()));
-        lastNews = new double[plan.proxyZones().size()];
-        rosterDelay = new double[plan.proxyZones().size()];
-        nextWeights = draw(plan.roster().weightMs());
+        OriginSpec originSpec = installation.origin();
+        machines.put(
+                originSpec.id(),
+                new MachineState(
+                        originSpec.id(),
+                        ORIGIN_KIND,
+                        originSpec.zone(),
+                        originSpec.machine(),
+                        null,
+                        0));
+        installation.proxyZones().forEach(z -> pendingUpdates.add(new ArrayDeque<>()));
+        lastUpdateAt = new double[installation.proxyZones().size()];
+        updatesBlockedUntil = new double[installation.proxyZones().size()];
+        nextWeightsAt = draw(installation.discovery().weightIntervalMs());
     }
 
     private double draw(double[] range) {
@@ -208,10 +223,10 @@
     // What a driver asks.
 
     /** The whole list as it is now, in truth. */
-    public List<Entry> truth() {
-        return units.values().stream()
+    public List<Entry> currentEndpoints() {
+        return machines.values().stream()
                 .filter(u -> u.health != Health.REMOVED)
-                .map(Unit::entry)
+                .map(MachineState::entry)
                 .toList();
     }
 
@@ -220,40 +235,43 @@
     }
 
     /** Bytes of a key's value: the same at each machine. */
-    public int bytes(long key) {
-        double[] range = plan.storing().bytes();
+    public int valueBytes(long key) {
+        double[] range = installation.data().bytes();
         long mixed = key * 0x9E3779B97F4A7C15L;
         double part = (mixed >>> 11) * 0x1.0p-53;
         return (int) (range[0] * Math.pow(range[1] / range[0], part));
     }
 
-    public boolean cold(String machine, double now) {
-        Unit unit = units.get(machine);
-        return unit != null && unit.machine.cold(now);
+    public boolean isWarmingUp(String machine, double now) {
+        MachineState state = machines.get(machine);
+        return state != null && state.machine.isWarmingUp(now);
     }
 
     /** What a node that has just started may be sent. */
-    public ColdAllowance coldAllowance() {
-        return limits.cold();
+    public SlowStartAllowance slowStartAllowance() {
+        return limits.allowance();
     }
 
-    public boolean alive(String machine) {
-        return units.get(machine).alive;
+    public boolean isAlive(String machine) {
+        return machines.get(machine).alive;
     }
 
     /**
      * Fills each node with what it would have been asked for lately: the keys of these ranks at
      * these nodes.
      */
-    public void keep(String node, long key, double voidAt) {
-        store(units.get(node), key, new Store.Copy(bytes(key), versionOf(key), voidAt));
-    }
-
-    private void store(Unit unit, long key, Store.Copy copy) {
-        unit.store.put(key, copy);
-        List<Unit> holders = holdersOf.computeIfAbsent(key, k -> new ArrayList<>(2));
-        if (!holders.contains(unit)) {
-            holders.add(unit);
+    public void putCopy(String node, long key, double expiresAt) {
+        storeCopy(
+                machines.get(node),
+                key,
+                new LruStore.Copy(valueBytes(key), versionOf(key), expiresAt));
+    }
+
+    private void storeCopy(MachineState state, long key, LruStore.Copy copy) {
+        state.store.put(key, copy);
+        List<MachineState> holders = holdersByKey.computeIfAbsent(key, k -> new ArrayList<>(2));
+        if (!holders.contains(state)) {
+            holders.add(state);
         }
     }
 
@@ -262,72 +280,82 @@
     }
 
     /** When the world next has something to do by itself. */
-    public double nextAt() {
-        dropStale();
-        double next = due.isEmpty() ? nextWeights : Math.min(nextWeights, due.peek().at());
-        return told.isEmpty() ? next : Math.min(next, told.peek().news().at());
+    public double nextEventAt() {
+        dropStaleEvents();
+        double next =
+                machineEvents.isEmpty()
+                        ? nextWeightsAt
+                        : Math.min(nextWeightsAt, machineEvents.peek().at());
+        return scheduledUpdates.isEmpty()
+                ? next
+                : Math.min(next, scheduledUpdates.peek().update().at());
     }
 
     // Events.
 
     /** Goes on to a time: work that is done by then is answered, news that is due is told. */
-    public void advance(double now, Effects out) {
-        dropStale();
-        while (!due.isEmpty() && due.peek().at() <= now) {
-            work(due.remove().unit(), now, out);
-            dropStale();
+    public void advance(double now, Effects effects) {
+        dropStaleEvents();
+        while (!machineEvents.isEmpty() && machineEvents.peek().at() <= now) {
+            runMachine(machineEvents.remove().state(), now, effects);
+            dropStaleEvents();
         }
-        if (now >= nextWeights) {
-            renewWeights();
-            change(
+        if (now >= nextWeightsAt) {
+            updateWeights();
+            publishChange(
                     now,
-                    units.values().stream()
+                    machines.values().stream()
                             .filter(u -> u.health != Health.REMOVED)
-                            .map(Unit::entry)
+                            .map(MachineState::entry)
                             .toList());
-            nextWeights = now + draw(plan.roster().weightMs());
+            nextWeightsAt = now + draw(installation.discovery().weightIntervalMs());
         }
-        while (!told.isEmpty() && told.peek().news().at() <= now) {
-            Due next = told.remove();
-            if (news.get(next.proxy()).peek() == next.news()) {
-                news.get(next.proxy()).remove();
-                out.list(next.proxy(), next.news().version(), next.news().entries());
+        while (!scheduledUpdates.isEmpty() && scheduledUpdates.peek().update().at() <= now) {
+            ScheduledUpdate next = scheduledUpdates.remove();
+            if (pendingUpdates.get(next.proxy()).peek() == next.update()) {
+                pendingUpdates.get(next.proxy()).remove();
+                effects.deliverEndpointList(
+                        next.proxy(), next.update().version(), next.update().entries());
             }
         }
     }
 
     /** Lets a machine work until now, and notes when it has something to say next. */
-    private void work(Unit unit, double now, Effects out) {
-        if (unit.alive) {
-            unit.machine.advance(now).forEach(d -> finished(d.atMs(), unit, d.job(), out));
-            rearm(unit);
+    private void runMachine(MachineState state, double now, Effects effects) {
+        if (state.alive) {
+            state.machine.advance(now).forEach(d -> jobFinished(d.atMs(), state, d.job(), effects));
+            scheduleNextEvent(state);
         }
     }
 
-    private void rearm(Unit unit) {
-        double at = unit.alive ? unit.machine.nextAt() : Double.POSITIVE_INFINITY;
-        unit.stamp++;
+    private void scheduleNextEvent(MachineState state) {
+        double at = state.alive ? state.machine.nextEventAt() : Double.POSITIVE_INFINITY;
+        state.generation++;
         if (at < Double.POSITIVE_INFINITY) {
-            due.add(new Wake(at, ++wakes, unit, unit.stamp));
+            machineEvents.add(new MachineEvent(at, ++eventCount, state, state.generation));
         }
     }
 
     /** Wakes that a later event of the same machine has put off. */
-    private void dropStale() {
-        while (!due.isEmpty() && due.peek().stamp() != due.peek().unit().stamp) {
-            due.remove();
+    private void dropStaleEvents() {
+        while (!machineEvents.isEmpty()
+                && machineEvents.peek().generation() != machineEvents.peek().state().generation) {
+            machineEvents.remove();
         }
     }
 
     /** A new connection to a machine was opened: that costs it work, which nobody waits for. */
-    public void handshake(double now, String machine, Effects out) {
-        advance(now, out);
-        Unit unit = units.get(machine);
-        double work = unit.origin() ? plan.origin().handshakeMs() : unit.node.handshakeMs();
-        if (work > 0 && unit.alive) {
-            work(unit, now, out);
-            unit.machine.offer(-1, work);
-            rearm(unit);
+    public void handshake(double now, String machine, Effects effects) {
+        advance(now, effects);
+        MachineState state = machines.get(machine);
+        double workMs =
+                state.isOrigin()
+                        ? installation.origin().handshakeMs()
+                        : state.nodeSpec.handshakeMs();
+        if (workMs > 0 && state.alive) {
+            runMachine(state, now, effects);
+            state.machine.offer(-1, workMs);
+            scheduleNextEvent(state);
         }
     }
 
@@ -335,28 +363,29 @@
      * The last byte of an attempt has come to a machine. {@code attempt} is above 0 and never used
      * again.
      */
-    public void request(double now, String machine, long attempt, int proxy, Job job, Effects out) {
-        advance(now, out);
-        Unit unit = units.get(machine);
-        if (!unit.alive) {
+    public void request(
+            double now, String machine, long attempt, int proxy, Job job, Effects effects) {
+        advance(now, effects);
+        MachineState state = machines.get(machine);
+        if (!state.alive) {
             return;
         }
-        weigh(now, unit, job, out);
-        if (!unit.alive) {
+        recordLoad(now, state, job, effects);
+        if (!state.alive) {
             return;
         }
-        if (unit.health != Health.UP && unit.health != Health.DRAINING) {
-            out.answer(attempt, rejected());
+        if (state.health != Health.UP && state.health != Health.DRAINING) {
+            effects.answer(attempt, rejected());
             return;
         }
-        work(unit, now, out);
-        Open o = new Open(attempt, job, proxy, machine);
-        double work = weight(now, machine, job);
-        if (unit.machine.offer(attempt, work)) {
-            open.put(attempt, o);
-            rearm(unit);
+        runMachine(state, now, effects);
+        AcceptedAttempt pending = new AcceptedAttempt(attempt, job, proxy, machine);
+        double workMs = workMsOf(now, machine, job);
+        if (state.machine.offer(attempt, workMs)) {
+            pendingAttempts.put(attempt, pending);
+            scheduleNextEvent(state);
         } else {
-            out.answer(attempt, rejected());
+            effects.answer(attempt, rejected());
         }
     }
 
@@ -364,88 +393,101 @@
      * What a request weighs at a machine now, in core-milliseconds, whether it is taken or turned
      * away.
      */
-    public double weight(double now, String machine, Job job) {
-        Unit unit = units.get(machine);
-        return unit.origin() ? originWork(job) : nodeWork(now, unit, job);
+    public double workMsOf(double now, String machine, Job job) {
+        MachineState state = machines.get(machine);
+        return state.isOrigin() ? originWorkMsOf(job) : nodeWorkMsOf(now, state, job);
     }
 
-    private double originWork(Job job) {
+    private double originWorkMsOf(Job job) {
         return job.workMs()
-                * plan.origin().fetchShare()
-                * (job.write() ? plan.origin().writeTimes() : 1);
+                * installation.origin().fetchWorkFactor()
+                * (job.write() ? installation.origin().writeWorkFactor() : 1);
     }
 
-    private double nodeWork(double now, Unit unit, Job job) {
-        return job.write() || unit.store.get(job.key(), now) == null
-                ? unit.node.missWorkMs()
+    private double nodeWorkMsOf(double now, MachineState state, Job job) {
+        return job.write() || state.store.get(job.key(), now) == null
+                ? state.nodeSpec.missWorkMs()
                 : job.workMs();
     }
 
     /** The answer of a machine that turns a request or its connection away. */
     public static Answer rejected() {
-        return new Answer(503, "", true, Manner.WHOLE, 0, 0, false);
+        return new Answer(503, "", true, AnswerCompletion.COMPLETE, 0, 0, false);
     }
 
     /** Nobody waits for these any more: a fetch of theirs stores nothing. Work goes on. */
-    public void abandoned(String call) {
-        missedAt.remove(call);
+    public void requestAbandoned(String callId) {
+        missedNodesByCall.remove(callId);
     }
 
-    private void finished(double now, Unit unit, long attempt, Effects out) {
-        Open o = open.remove(attempt);
-        if (o == null) {
+    private void jobFinished(double now, MachineState state, long attempt, Effects effects) {
+        AcceptedAttempt pending = pendingAttempts.remove(attempt);
+        if (pending == null) {
             return;
         }
-        Job job = o.job();
-        Manner manner = manner(unit);
-        if (random.nextDouble() < unit.errors) {
-            out.answer(attempt, new Answer(500, "", false, Manner.WHOLE, 0, 0, true));
-        } else if (unit.origin()) {
-            long made =
+        Job job = pending.job();
+        AnswerCompletion completion = drawCompletion(state);
+        if (random.nextDouble() < state.errorShare) {
+            effects.answer(
+                    attempt, new Answer(500, "", false, AnswerCompletion.COMPLETE, 0, 0, true));
+        } else if (state.isOrigin()) {
+            long valueVersion =
                     job.write() ? versions.merge(job.key(), 1L, Long::sum) : versionOf(job.key());
             if (job.write()) {
-                List<Unit> holders = holdersOf.remove(job.key());
-                (holders == null ? List.<Unit>of() : holders).forEach(u -> u.store.drop(job.key()));
+                List<MachineState> holders = holdersByKey.remove(job.key());
+                (holders == null ? List.<MachineState>of() : holders)
+                        .forEach(u -> u.store.remove(job.key()));
             } else {
-                keepWhereMissed(now, job, made);
+                storeWhereMissed(now, job, valueVersion);
             }
-            missedAt.remove(job.call());
-            out.answer(attempt, new Answer(200, "", false, manner, bytes(job.key()), made, true));
+            missedNodesByCall.remove(job.callId());
+            effects.answer(
+                    attempt,
+                    new Answer(
+                            200, "", false, completion, valueBytes(job.key()), valueVersion, true));
         } else {
-            Store.Copy copy = job.write() ? null : unit.store.get(job.key(), now);
+            LruStore.Copy copy = job.write() ? null : state.store.get(job.key(), now);
             if (copy == null) {
-                missedAt.computeIfAbsent(job.call(), c -> new ArrayList<>()).add(unit.id);
-                out.answer(attempt, new Answer(404, "miss", false, manner, 0, 0, false));
+                missedNodesByCall
+                        .computeIfAbsent(job.callId(), c -> new ArrayList<>())
+                        .add(state.id);
+                effects.answer(attempt, new Answer(404, "miss", false, completion, 0, 0, false));
             } else {
-                missedAt.remove(job.call());
-                out.answer(
+                missedNodesByCall.remove(job.callId());
+                effects.answer(
                         attempt,
-                        new Answer(200, "hit", false, manner, copy.bytes(), copy.version(), true));
+                        new Answer(
+                                200, "hit", false, completion, copy.bytes(), copy.version(), true));
             }
         }
     }
 
-    private Manner manner(Unit unit) {
-        double u = random.nextDouble();
-        if (u < unit.half) {
-            return Manner.HALF;
+    private AnswerCompletion drawCompletion(MachineState state) {
+        double uniform = random.nextDouble();
+        if (uniform < state.truncatedShare) {
+            return AnswerCompletion.TRUNCATED;
         }
-        if (u < unit.half + unit.spoilt) {
-            return Manner.SPOILT;
+        if (uniform < state.truncatedShare + state.malformedShare) {
+            return AnswerCompletion.MALFORMED;
         }
-        return u < unit.half + unit.spoilt + unit.resets ? Manner.RESET_AFTER : Manner.WHOLE;
+        return uniform < state.truncatedShare + state.malformedShare + state.resetShare
+                ? AnswerCompletion.RESET
+                : AnswerCompletion.COMPLETE;
     }
 
     /** A fetched value is stored at the first two nodes that missed for its request. */
-    private void keepWhereMissed(double now, Job job, long made) {
-        List<String> missed = missedAt.getOrDefault(job.call(), List.of());
+    private void storeWhereMissed(double now, Job job, long valueVersion) {
+        List<String> missed = missedNodesByCall.getOrDefault(job.callId(), List.of());
         for (String node : missed.subList(0, Math.min(2, missed.size()))) {
-            Unit unit = units.get(node);
-            if (unit.alive) {
-                store(
-                        unit,
+            MachineState state = machines.get(node);
+            if (state.alive) {
+                storeCopy(
+                        state,
                         job.key(),
-                        new Store.Copy(bytes(job.key()), made, now + plan.storing().ttlMs()));
+                        new LruStore.Copy(
+                                valueBytes(job.key()),
+                                valueVersion,
+                                now + installation.data().ttlMs()));
             }
         }
     }
@@ -454,171 +496,182 @@
      * Adds what a machine was sent to its budget: a cold node falls over for good, the origin stops
      * for a while.
      */
-    private void weigh(double now, Unit unit, Job job, Effects out) {
-        if (unit.origin()) {
-            weighOrigin(now, unit, originWork(job), out);
-        } else if (unit.cold != null
-                && unit.cold.cold(now)
-                && unit.cold.add(now, job.workMs() / limits.cold().meanWorkMs()) > 1
-                && limits.coldFalls()) {
-            out.note(unit.id + " was pushed over while cold");
-            kill(now, unit.id, out);
+    private void recordLoad(double now, MachineState state, Job job, Effects effects) {
+        if (state.isOrigin()) {
+            recordOriginLoad(now, state, originWorkMsOf(job), effects);
+        } else if (state.slowStartWindow != null
+                && state.slowStartWindow.isWarmingUp(now)
+                && state.slowStartWindow.add(now, job.workMs() / limits.allowance().meanWorkMs())
+                        > 1
+                && limits.overloadedNodeFails()) {
+            effects.reportEvent(state.id + " was pushed over while cold");
+            kill(now, state.id, effects);
         }
     }
 
-    private void weighOrigin(double now, Unit unit, double work, Effects out) {
-        OriginMake o = plan.origin();
-        originWork.add(now, work);
-        double latest = originWork.from(now - o.fallMs());
-        boolean over =
-                o.fallMultiple() > 0
-                        && latest > o.fallMultiple() * unit.machine.fullCapacity() * o.fallMs();
-        if (over && originStops < MOST_STOPS && !unit.machine.stalled(now)) {
+    private void recordOriginLoad(double now, MachineState state, double workMs, Effects effects) {
+        OriginSpec originSpec = installation.origin();
+        originWork.add(now, workMs);
+        double recentWorkMs = originWork.sumSince(now - originSpec.overloadWindowMs());
+        boolean overloaded =
+                originSpec.overloadMultiple() > 0
+                        && recentWorkMs
+                                > originSpec.overloadMultiple()
+                                        * state.machine.fullCapacity()
+                                        * originSpec.overloadWindowMs();
+        if (overloaded && originStops < MAX_ORIGIN_STOPS && !state.machine.isStalled(now)) {
             originStops++;
-            double down = draw(o.downMs());
-            out.note(
+            double stopMs = draw(originSpec.stopMs());
+            effects.reportEvent(
                     "the origin was sent "
-                            + o.fallMultiple()
+                            + originSpec.overloadMultiple()
                             + " times its capacity and stops for "
-                            + Math.round(down)
+                            + Math.round(stopMs)
                             + " ms");
-            out.originStopped();
-            work(unit, now, out);
-            unit.machine.stall(now + down);
-            rearm(unit);
+            effects.originStopped();
+            runMachine(state, now, effects);
+            state.machine.stall(now + stopMs);
+            scheduleNextEvent(state);
             originWork.clear();
         }
     }
 
     // The list.
 
-    private void renewWeights() {
-        for (Unit unit : units.values()) {
-            unit.weight =
-                    unit.machine.cores()
-                            / (1 + (double) unit.machine.held() / unit.machine.cores());
+    private void updateWeights() {
+        for (MachineState state : machines.values()) {
+            state.weight =
+                    state.machine.cores()
+                            / (1 + (double) state.machine.pendingJobs() / state.machine.cores());
         }
     }
 
-    private void change(double now, List<Entry> entries) {
+    private void publishChange(double now, List<Entry> entries) {
         version++;
-        for (int proxy = 0; proxy < news.size(); proxy++) {
-            double delay = draw(plan.roster().delayMs()) + extraDelayMs;
+        for (int proxy = 0; proxy < pendingUpdates.size(); proxy++) {
+            double delay = draw(installation.discovery().delayMs()) + extraDelayMs;
             // In order of version: news never overtakes older news.
-            lastNews[proxy] = Math.max(lastNews[proxy], Math.max(now + delay, rosterDelay[proxy]));
-            tell(proxy, new News(lastNews[proxy], version, entries));
+            lastUpdateAt[proxy] =
+                    Math.max(
+                            lastUpdateAt[proxy], Math.max(now + delay, updatesBlockedUntil[proxy]));
+            scheduleUpdate(proxy, new ListUpdate(lastUpdateAt[proxy], version, entries));
         }
     }
 
-    private void tell(int proxy, News item) {
-        news.get(proxy).add(item);
-        told.add(new Due(proxy, item));
+    private void scheduleUpdate(int proxy, ListUpdate update) {
+        pendingUpdates.get(proxy).add(update);
+        scheduledUpdates.add(new ScheduledUpdate(proxy, update));
     }
 
-    private void change(double now, Unit unit) {
-        change(now, List.of(unit.entry()));
+    private void publishChange(double now, MachineState state) {
+        publishChange(now, List.of(state.entry()));
     }
 
     // Faults.
 
     /** The process dies; the list hears of it. */
-    public void kill(double now, String machine, Effects out) {
-        advance(now, out);
-        Unit unit = units.get(machine);
-        work(unit, now, out);
-        unit.alive = false;
-        rearm(unit);
-        open.values().removeIf(o -> o.machine().equals(machine));
-        unit.health = Health.REMOVED;
-        out.died(machine);
-        change(now, unit);
+    public void kill(double now, String machine, Effects effects) {
+        advance(now, effects);
+        MachineState state = machines.get(machine);
+        runMachine(state, now, effects);
+        state.alive = false;
+        scheduleNextEvent(state);
+        pendingAttempts.values().removeIf(o -> o.machine().equals(machine));
+        state.health = Health.REMOVED;
+        effects.machineDied(machine);
+        publishChange(now, state);
     }
 
     /** The process starts, empty and cold. */
-    public void start(double now, String machine, Effects out) {
-        advance(now, out);
-        Unit unit = units.get(machine);
-        unit.machine.restartCold(now);
-        if (unit.store != null) {
-            unit.store.dropAll();
+    public void start(double now, String machine, Effects effects) {
+        advance(now, effects);
+        MachineState state = machines.get(machine);
+        state.machine.restart(now);
+        if (state.store != null) {
+            state.store.clear();
         }
-        unit.cold = new ColdWindow(limits.cold(), now, unit.machine.fullCapacity());
-        unit.alive = true;
-        unit.health = Health.UP;
-        unit.startedAt = now;
-        out.up(machine);
-        change(now, unit);
+        state.slowStartWindow =
+                new SlowStartWindow(limits.allowance(), now, state.machine.fullCapacity());
+        state.alive = true;
+        state.health = Health.UP;
+        state.startedAt = now;
+        effects.machineStarted(machine);
+        publishChange(now, state);
     }
 
     /** The list says that the machine wants nothing new; it goes on with all it gets. */
-    public void drain(double now, String machine, Effects out) {
-        advance(now, out);
-        Unit unit = units.get(machine);
-        unit.health = Health.DRAINING;
-        change(now, unit);
+    public void drain(double now, String machine, Effects effects) {
+        advance(now, effects);
+        MachineState state = machines.get(machine);
+        state.health = Health.DRAINING;
+        publishChange(now, state);
     }
 
     /** The machine does nothing until then. */
-    public void stall(double now, String machine, double until, Effects out) {
-        altered(now, machine, m -> m.stall(until), out);
+    public void stall(double now, String machine, double until, Effects effects) {
+        changeMachine(now, machine, m -> m.stall(until), effects);
     }
 
     /** Each piece of work takes so many times as long from now on; 1 is the usual. */
-    public void slow(double now, String machine, double factor, Effects out) {
-        altered(now, machine, m -> m.slow(factor), out);
+    public void setSlowdown(double now, String machine, double factor, Effects effects) {
+        changeMachine(now, machine, m -> m.setSlowdown(factor), effects);
     }
 
     /** A machine that has worked until now goes on in another way. */
-    private void altered(double now, String machine, Consumer<Machine> change, Effects out) {
-        advance(now, out);
-        Unit unit = units.get(machine);
-        work(unit, now, out);
-        change.accept(unit.machine);
-        rearm(unit);
+    private void changeMachine(
+            double now, String machine, Consumer<Machine> change, Effects effects) {
+        advance(now, effects);
+        MachineState state = machines.get(machine);
+        runMachine(state, now, effects);
+        change.accept(state.machine);
+        scheduleNextEvent(state);
     }
 
     /**
      * Shares of answers that are cut in half, make no sense, or end in a reset instead, from now
      * on.
      */
-    public void spoil(String machine, double half, double spoilt, double resets) {
-        Unit unit = units.get(machine);
-        unit.half = half;
-        unit.spoilt = spoilt;
-        unit.resets = resets;
+    public void setAnswerFaults(String machine, double truncated, double malformed, double resets) {
+        MachineState state = machines.get(machine);
+        state.truncatedShare = truncated;
+        state.malformedShare = malformed;
+        state.resetShare = resets;
     }
 
     /** Share of requests that end in an error from now on, beside the node's usual ones. */
-    public void err(String machine, double share) {
-        Unit unit = units.get(machine);
-        unit.errors = share + (unit.node == null ? 0 : unit.node.errorShare());
+    public void setErrorShare(String machine, double share) {
+        MachineState state = machines.get(machine);
+        state.errorShare = share + (state.nodeSpec == null ? 0 : state.nodeSpec.errorShare());
     }
 
     /** This share of the keys goes void at every node at once. */
-    public void voidCopies(double share) {
+    public void expireCopies(double share) {
         // By key, not by draw: a key is void at all its nodes or at none.
-        units.values().stream()
-                .filter(u -> !u.origin())
+        machines.values().stream()
+                .filter(u -> !u.isOrigin())
                 .forEach(
                         u ->
-                                u.store.dropIf(
+                                u.store.removeIf(
                                         key ->
                                                 ((key * 0xD1B54A32D192ED03L) >>> 11) * 0x1.0p-53
                                                         < share));
     }
 
     /** News waits until then for a proxy, what is on its way already too. */
-    public void holdNews(int proxy, double until) {
-        rosterDelay[proxy] = until;
-        List<News> waiting = new ArrayList<>(news.get(proxy));
-        news.get(proxy).clear();
-        waiting.forEach(
-                n -> tell(proxy, new News(Math.max(n.at(), until), n.version(), n.entries())));
-        lastNews[proxy] = Math.max(lastNews[proxy], until);
+    public void blockListUpdates(int proxy, double until) {
+        updatesBlockedUntil[proxy] = until;
+        List<ListUpdate> queued = new ArrayList<>(pendingUpdates.get(proxy));
+        pendingUpdates.get(proxy).clear();
+        queued.forEach(
+                n ->
+                        scheduleUpdate(
+                                proxy,
+                                new ListUpdate(Math.max(n.at(), until), n.version(), n.entries())));
+        lastUpdateAt[proxy] = Math.max(lastUpdateAt[proxy], until);
     }
 
     /** Every later news comes so much later than usual; 0 is the usual. */
-    public void delayNews(double moreMs) {
+    public void setExtraListDelay(double moreMs) {
         extraDelayMs = moreMs;
     }
 }
--- a/src/main/java/cacheproxy/maintenance/Outages.java
+++ b/src/main/java/cacheproxy/maintenance/MaintenanceRegistry.java
@@ -10,42 +10,42 @@
  * outlasts whatever discovery says of its node, and ends by the operators' word alone. Calls cost a
  * look into a hash table.
  */
-public final class Outages {
+public final class MaintenanceRegistry {
 
     /** Ids that are remembered; of more, the oldest go that are not out. */
-    static final int KNOWN = 4096;
+    static final int MAX_KNOWN_NODES = 4096;
 
     private final Set<String> known = new LinkedHashSet<>();
-    private final Map<String, Double> outSince = new HashMap<>();
+    private final Map<String, Double> maintenanceSince = new HashMap<>();
 
     /** A list has named this cache node. */
-    public void listed(String node) {
-        if (known.add(node) && known.size() > KNOWN) {
-            known.stream().filter(id -> !isOut(id)).findFirst().ifPresent(known::remove);
+    public void recordListed(String node) {
+        if (known.add(node) && known.size() > MAX_KNOWN_NODES) {
+            known.stream().filter(id -> !isInMaintenance(id)).findFirst().ifPresent(known::remove);
         }
     }
 
     /** Whether any list ever named it. */
-    public boolean knows(String node) {
+    public boolean isKnown(String node) {
         return known.contains(node);
     }
 
     /** Begins an outage; one that is on goes on. */
     public void begin(double now, String node) {
-        outSince.putIfAbsent(node, now);
+        maintenanceSince.putIfAbsent(node, now);
     }
 
     /** Ends an outage and tells when it began, or null where there was none. */
     public Double end(String node) {
-        return outSince.remove(node);
+        return maintenanceSince.remove(node);
     }
 
-    public boolean isOut(String node) {
-        return outSince.containsKey(node);
+    public boolean isInMaintenance(String node) {
+        return maintenanceSince.containsKey(node);
     }
 
     /** Whether any node is out. */
-    public boolean any() {
-        return !outSince.isEmpty();
+    public boolean anyInMaintenance() {
+        return !maintenanceSince.isEmpty();
     }
 }
--- a/src/main/java/cacheproxy/measure/Incarnation.java
+++ b/src/main/java/cacheproxy/measure/Incarnation.java
@@ -15,13 +15,13 @@
      * The latest that a start may be told, counted from when discovery had it and could be reached:
      * the standing test's term on silent watches and failed calls.
      */
-    public static final double LATEST_NOTICE_MS = 6000;
+    public static final double MAX_NOTIFICATION_DELAY_MS = 6000;
 
     /**
      * How far back an outage of discovery may explain a stated start. Further back the two clocks
      * are taken to disagree, and the stated time tells nothing of the age.
      */
-    static final double LONGEST_OUTAGE_MS = 60_000;
+    static final double MAX_DISCOVERY_OUTAGE_MS = 60_000;
 
     /** What the host list states for a process that started long ago. */
     private static final double LONG_AGO = 0;
@@ -29,7 +29,7 @@
     private double statedMs = LONG_AGO;
 
     /** The stated start of the incarnation before: an older list may still name it. */
-    private double statedBeforeMs = LONG_AGO;
+    private double previousStatedMs = LONG_AGO;
 
     private double startedAt = Double.NEGATIVE_INFINITY;
 
@@ -42,13 +42,13 @@
      * @param firstList whether the list may tell of what was so before our own process began: a
      *     node may then have run for any time, and one far back is taken to be warm
      */
-    public boolean notified(double now, double statedMs, boolean firstList) {
+    public boolean recordStatedStart(double now, double statedMs, boolean firstList) {
         if (statedMs == LONG_AGO
                 || isSame(statedMs, this.statedMs)
-                || isSame(statedMs, statedBeforeMs)) {
+                || isSame(statedMs, previousStatedMs)) {
             return false;
         }
-        statedBeforeMs = this.statedMs;
+        previousStatedMs = this.statedMs;
         this.statedMs = statedMs;
         // It cannot have begun before the one that it follows.
         startedAt = Math.max(startedAt, earliestStart(now, statedMs, firstList));
@@ -57,11 +57,11 @@
 
     private static double earliestStart(double now, double statedMs, boolean firstList) {
         double ageMs = now - statedMs;
-        boolean clocksAgree = ageMs >= 0 && (firstList || ageMs <= LONGEST_OUTAGE_MS);
+        boolean clocksAgree = ageMs >= 0 && (firstList || ageMs <= MAX_DISCOVERY_OUTAGE_MS);
         if (!clocksAgree) {
             return now;
         }
-        return firstList ? statedMs : Math.max(statedMs, now - LATEST_NOTICE_MS);
+        return firstList ? statedMs : Math.max(statedMs, now - MAX_NOTIFICATION_DELAY_MS);
     }
 
     private static boolean isSame(double stated, double known) {
@@ -72,7 +72,7 @@
      * The process has been replaced at some time since {@code since}: an incarnation that began
      * before is over, and the one that follows counts from now until a list states its start.
      */
-    public void replacedSince(double now, double since) {
+    public void markReplacedSince(double now, double since) {
         if (startedAt < since) {
             startedAt = now;
         }
--- a/src/main/java/cacheproxy/measure/Incarnations.java
+++ b/src/main/java/cacheproxy/measure/Incarnations.java
@@ -10,18 +10,18 @@
 public final class Incarnations {
 
     /** Nodes that are remembered: more than the largest fleet has, 3,200. The oldest go first. */
-    static final int REMEMBERED = 4096;
+    static final int MAX_NODES = 4096;
 
     private final Map<String, Incarnation> byNode =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Incarnation> eldest) {
-                    return size() > REMEMBERED;
+                    return size() > MAX_NODES;
                 }
             };
 
     private double startedAt = Double.NEGATIVE_INFINITY;
-    private boolean notified;
+    private boolean nodesReceived;
 
     /** Our own process has started. */
     public void started(double now) {
@@ -33,12 +33,13 @@
      * has told nothing, and while what it had before we started may still be on its way.
      */
     public boolean isFirstList(double now) {
-        return byNode.isEmpty() || !notified && now - startedAt <= Incarnation.LATEST_NOTICE_MS;
+        return byNode.isEmpty()
+                || !nodesReceived && now - startedAt <= Incarnation.MAX_NOTIFICATION_DELAY_MS;
     }
 
     /** Discovery has told of nodes, other than by a list saved before our process began. */
-    public void notified() {
-        notified = true;
+    public void markNodesReceived() {
+        nodesReceived = true;
     }
 
     /** The incarnation of a node; one that started long ago where no list has named the node. */
--- a/src/main/java/cacheproxy/measure/Spread.java
+++ b/src/main/java/cacheproxy/measure/MeanDeviationEstimator.java
@@ -1,14 +1,14 @@
 package cacheproxy.measure;
 
 /** A running mean of times and of how far they lie from it, as TCP keeps for its time-outs. */
-public final class Spread {
+public final class MeanDeviationEstimator {
 
     private final double weight;
     private double mean;
     private double deviation;
 
     /** {@code weight} is that of a new time. */
-    public Spread(double weight) {
+    public MeanDeviationEstimator(double weight) {
         this.weight = weight;
     }
 
@@ -21,7 +21,7 @@
     }
 
     /** The latest that is still usual: so many mean deviations past the mean. */
-    public double latest(double deviations) {
+    public double upperBound(double deviations) {
         return mean + deviations * deviation;
     }
 }
--- a/src/main/java/cacheproxy/measure/Quotas.java
+++ b/src/main/java/cacheproxy/measure/Quotas.java
@@ -7,7 +7,7 @@
 public final class Quotas {
 
     private final Map<String, Double> quotas = new HashMap<>();
-    private final Map<String, Meter> used = new HashMap<>();
+    private final Map<String, DecayingRate> used = new HashMap<>();
 
     /** Sets the requests a second that stay inside a tenant's share. */
     public void set(String tenant, double perS) {
@@ -18,12 +18,12 @@
      * Counts a request of a tenant's and tells whether it stays inside; those without a quota
      * always do.
      */
-    public boolean takes(double now, String tenant) {
+    public boolean recordRequest(double now, String tenant) {
         Double quota = quotas.get(tenant);
         if (quota == null) {
             return true;
         }
-        Meter meter = used.computeIfAbsent(tenant, t -> new Meter());
+        DecayingRate meter = used.computeIfAbsent(tenant, t -> new DecayingRate());
         meter.add(now, 1);
         return meter.perS(now) <= quota;
     }
--- a/src/main/java/cacheproxy/measure/RecentKeys.java
+++ b/src/main/java/cacheproxy/measure/RecentKeys.java
@@ -10,17 +10,17 @@
  */
 public final class RecentKeys {
 
-    private final Map<Integer, Integer> often = new HashMap<>();
-    private int[] latest;
+    private final Map<Integer, Integer> counts = new HashMap<>();
+    private int[] ring;
 
     /**
      * Keys taken in so far: a busy balancer hears more of them in its life than an int can count.
      */
-    private long seen;
+    private long added;
 
     /** Remembers so many. */
     public RecentKeys(int keys) {
-        latest = new int[keys];
+        ring = new int[keys];
     }
 
     /**
@@ -29,32 +29,32 @@
      */
     public void addAll(ByteBuffer keys) {
         for (keys.rewind(); keys.remaining() >= Integer.BYTES; ) {
-            int place = (int) (seen++ % latest.length);
-            if (seen > latest.length) {
-                often.computeIfPresent(latest[place], (k, n) -> n > 1 ? n - 1 : null);
+            int index = (int) (added++ % ring.length);
+            if (added > ring.length) {
+                counts.computeIfPresent(ring[index], (k, n) -> n > 1 ? n - 1 : null);
             }
-            latest[place] = keys.getInt();
-            often.merge(latest[place], 1, Integer::sum);
+            ring[index] = keys.getInt();
+            counts.merge(ring[index], 1, Integer::sum);
         }
         keys.rewind();
     }
 
     /** How many are remembered by now. */
     public int size() {
-        return (int) Math.min(seen, latest.length);
+        return (int) Math.min(added, ring.length);
     }
 
     /** How many of them are this one. */
     public int count(int key) {
-        return often.getOrDefault(key, 0);
+        return counts.getOrDefault(key, 0);
     }
 
     /** Remembers so many from now on if they were fewer, and forgets those that there were. */
-    public void holdAtLeast(int keys) {
-        if (keys > latest.length) {
-            latest = new int[keys];
-            often.clear();
-            seen = 0;
+    public void ensureCapacity(int keys) {
+        if (keys > ring.length) {
+            ring = new int[keys];
+            counts.clear();
+            added = 0;
         }
     }
 }
--- a/src/main/java/cacheproxy/measure/Samples.java
+++ b/src/main/java/cacheproxy/measure/Samples.java
@@ -20,15 +20,15 @@
      * How many of a count are left when so many were expected and chance may have added so many
      * deviations.
      */
-    public static int beyondChance(int seen, double expected, double deviations) {
-        return (int) Math.ceil(Math.max(0, seen - expected - deviations * Math.sqrt(expected)));
+    public static int excessOverChance(int count, double expected, double deviations) {
+        return (int) Math.ceil(Math.max(0, count - expected - deviations * Math.sqrt(expected)));
     }
 
     /**
      * Values as multiples of their median, none over {@code span} or under its inverse; 1 for what
      * is no size at all.
      */
-    public static double[] withinSpan(double[] values, double span) {
+    public static double[] clampedMedianRatios(double[] values, double span) {
         double[] sizes =
                 Arrays.stream(values)
                         .filter(v -> v > 0 && v < Double.POSITIVE_INFINITY)
--- a/src/main/java/cacheproxy/measure/SlidingSum.java
+++ b/src/main/java/cacheproxy/measure/SlidingSum.java
@@ -21,7 +21,7 @@
     }
 
     /** The sum of what was added at {@code start} or later. */
-    public double from(double start) {
+    public double sumSince(double start) {
         while (!amounts.isEmpty() && amounts.peek().at() < start) {
             sum -= amounts.remove().size();
         }
--- a/src/main/java/cacheproxy/membership/Claim.java
+++ b/src/main/java/cacheproxy/membership/Claim.java
@@ -10,7 +10,7 @@
  * @param attempts how many of them in a row, 1 to 255
  * @param sinceMs how long before the statement the first of them ended, by the observer's own clock
  */
-public record Claim(String node, long born, Kind kind, int attempts, int sinceMs) {
+public record Claim(String node, long startedAtMs, Kind kind, int attempts, int failingForMs) {
 
     /** What is wrong with the node. */
     public enum Kind {
