--- a/src/main/java/cacheproxy/membership/Gossip.java
+++ b/src/main/java/cacheproxy/membership/Gossip.java
@@ -3,8 +3,8 @@
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.membership.Member.Status;
-import cacheproxy.membership.Message.Heard;
 import cacheproxy.membership.Message.Kind;
+import cacheproxy.membership.Message.RelayedStatement;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -28,13 +28,13 @@
     public static final double TICK_MS = 50;
 
     /** What UDP and IPv4 add to each packet, in bytes; the budget is that of the wire. */
-    public static final int HEADERS = 28;
+    public static final int HEADER_BYTES = 28;
 
     /** The longest packet, in bytes of UDP payload. */
-    public static final int MOST_BYTES = Wire.MOST_BYTES;
+    public static final int MAX_PACKET_BYTES = PacketCodec.MAX_PACKET_BYTES;
 
     /** Waits between two rounds of news, and to how many each goes. */
-    private static final double NEWS_MS = 50;
+    private static final double UPDATE_INTERVAL_MS = 50;
 
     private static final int FANOUT = 2;
 
@@ -51,34 +51,34 @@
     private static final int RENEWAL_COPIES = 2;
 
     /** Part of the bytes that is kept for probes and their answers. */
-    private static final double KEPT_FOR_PROBES = 0.25;
+    private static final double PROBE_RESERVE_SHARE = 0.25;
 
     /**
      * A newcomer is given the whole table at once, no more often than this, and no sender is shown
      * its challenge more often.
      */
-    private static final double TABLE_EVERY_MS = 5000;
+    private static final double TABLE_INTERVAL_MS = 5000;
 
-    private static final double WELCOME_EVERY_MS = 100;
-    private static final int TABLE_PACKETS = 24;
+    private static final double WELCOME_INTERVAL_MS = 100;
+    private static final int MAX_TABLE_PACKETS = 24;
 
     /**
      * Part of the verifications that is for addresses that are no member's: more than some joins a
      * second are rubbish.
      */
-    private static final double STRANGERS = 0.25;
+    private static final double NON_MEMBER_SHARE = 0.25;
 
     /** The most that goes out at once, a few packets. */
-    private static final double MOST_BURST = 4096;
+    private static final double MAX_BURST_BYTES = 4096;
 
-    private static final int RETIRED = 8;
-    private static final int WINDOW = 64;
+    private static final int MAX_RETIRED_NONCES = 8;
+    private static final int REPLAY_WINDOW = 64;
 
     /**
      * How far beyond what is known an incarnation may be by hearsay: higher ones could not be
      * refuted for long.
      */
-    private static final int MOST_AHEAD = 64;
+    private static final int MAX_INCARNATION_LEAD = 64;
 
     /**
      * @param address where others reach this proxy, {@code host:port}
@@ -94,14 +94,14 @@
             List<String> seeds,
             int bytesPerS,
             int verificationsPerS,
-            int healthMost) {
+            int maxHealth) {
 
         /** Lifeguard's and memberlist's highest score. */
-        public static final int HEALTH_MOST = 8;
+        public static final int MAX_HEALTH = 8;
     }
 
     /** What an operator may want to know. */
-    public enum What {
+    public enum EventType {
         MEMBER,
         SUSPECTED,
         DIED,
@@ -126,16 +126,16 @@
      *     proxy itself
      * @param suspectedBy who holds the suspicion of it, as far as told here; empty unless suspected
      */
-    public record Seen(Member member, double heardAgoMs, List<String> suspectedBy) {}
+    public record MemberView(Member member, double lastPacketAgeMs, List<String> suspectedBy) {}
 
     /** Where the wishes go. */
     public interface Actions {
         void send(String address, byte[] packet);
 
         /** A quorum doubts a node, or no longer does. */
-        void standing(String node, boolean doubted);
+        void nodeSuspicionChanged(String node, boolean suspected);
 
-        void event(What what, String subject, String evidence);
+        void event(EventType type, String subject, String evidence);
     }
 
     /** Packets and bytes since the start. */
@@ -143,10 +143,10 @@
             long sent,
             long sentBytes,
             long received,
-            long rubbish,
+            long invalid,
             long replayed,
             long verified,
-            long heldBack) {}
+            long rateLimited) {}
 
     /** What shows that packets of a peer are of its present life. */
     private static final class Session {
@@ -156,52 +156,52 @@
         long pendingNonce;
         long pendingChallenge;
         long token;
-        int highest;
-        long window;
+        int highestCounter;
+        long replayWindow;
 
         /** Lives that were replaced, and the last counter that was seen of each. */
-        final Map<Long, Integer> retired = new LinkedHashMap<>();
+        final Map<Long, Integer> retiredNonces = new LinkedHashMap<>();
 
-        int highestUnproven;
+        int highestUnprovenCounter;
         double welcomedAt = Double.NEGATIVE_INFINITY;
-        double tableAt = Double.NEGATIVE_INFINITY;
-        boolean differs;
+        double tableSentAt = Double.NEGATIVE_INFINITY;
+        boolean digestDiffers;
 
         /** It has shown a new life and waits for our grant to that. */
-        boolean moved;
+        boolean awaitingGrant;
 
-        Message unproven;
+        Message deferredMessage;
 
         Session(String name) {
             this.name = name;
         }
 
-        private boolean pending(boolean welcome) {
-            return pendingNonce != 0 && (welcome || moved || nonce == 0);
+        private boolean usesPendingNonce(boolean welcome) {
+            return pendingNonce != 0 && (welcome || awaitingGrant || nonce == 0);
         }
 
         long grant(boolean welcome) {
-            return pending(welcome) ? pendingChallenge : challenge;
+            return usesPendingNonce(welcome) ? pendingChallenge : challenge;
         }
 
         long echo(boolean welcome) {
-            return pending(welcome) ? pendingNonce : nonce;
+            return usesPendingNonce(welcome) ? pendingNonce : nonce;
         }
 
         /**
          * As IPsec's window (RFC 4303, appendix A2): each counter once, and none that is too old.
          */
-        boolean fresh(int counter) {
-            int ahead = counter - highest;
+        boolean acceptCounter(int counter) {
+            int ahead = counter - highestCounter;
             if (ahead > 0) {
-                window = ahead >= WINDOW ? 1 : window << ahead | 1;
-                highest = counter;
+                replayWindow = ahead >= REPLAY_WINDOW ? 1 : replayWindow << ahead | 1;
+                highestCounter = counter;
                 return true;
             }
-            long bit = -ahead >= WINDOW ? 0 : 1L << -ahead;
-            boolean fresh = bit != 0 && (window & bit) == 0;
-            window |= bit;
-            return fresh;
+            long bit = -ahead >= REPLAY_WINDOW ? 0 : 1L << -ahead;
+            boolean accepted = bit != 0 && (replayWindow & bit) == 0;
+            replayWindow |= bit;
+            return accepted;
         }
     }
 
@@ -209,36 +209,36 @@
      * So much at once, and what a second allows beyond that spread over the second: no second at
      * all has more.
      */
-    private static final class Bucket {
+    private static final class TokenBucket {
         final double burst;
-        final double perS;
-        double left;
-        double at;
+        final double refillPerS;
+        double tokens;
+        double refilledAt;
 
-        Bucket(double most, double burst) {
+        TokenBucket(double maxPerS, double burst) {
             this.burst = burst;
-            this.perS = most - burst;
-            this.left = burst;
+            this.refillPerS = maxPerS - burst;
+            this.tokens = burst;
         }
 
-        boolean has(double now, double amount, double kept) {
-            left = Math.min(burst, left + Math.max(0, now - at) / 1000 * perS);
-            at = now;
-            return left - amount >= kept;
+        boolean hasTokens(double now, double amount, double reserve) {
+            tokens = Math.min(burst, tokens + Math.max(0, now - refilledAt) / 1000 * refillPerS);
+            refilledAt = now;
+            return tokens - amount >= reserve;
         }
 
-        boolean take(double now, double amount, double kept) {
-            boolean enough = has(now, amount, kept);
-            left -= enough ? amount : 0;
-            return enough;
+        boolean tryTake(double now, double amount, double reserve) {
+            boolean granted = hasTokens(now, amount, reserve);
+            tokens -= granted ? amount : 0;
+            return granted;
         }
     }
 
-    private static final class News {
-        int left;
+    private static final class PendingUpdate {
+        int copiesLeft;
 
-        News(int left) {
-            this.left = left;
+        PendingUpdate(int copiesLeft) {
+            this.copiesLeft = copiesLeft;
         }
     }
 
@@ -246,14 +246,14 @@
      * The newest statement of an observer, kept on when it has faded, so that it can't be heard a
      * second time.
      */
-    private record Held(Statement statement, double madeAt, double until) {
+    private record StoredStatement(Statement statement, double statedAt, double expiresAt) {
 
-        Heard told(double now) {
-            return new Heard(statement, (int) (now - madeAt));
+        RelayedStatement toRelayed(double now) {
+            return new RelayedStatement(statement, (int) (now - statedAt));
         }
     }
 
-    private record Relay(String asker, int number, double until, double nackAt) {}
+    private record RelayedProbe(String requester, int number, double expiresAt, double nackAt) {}
 
     private final Settings settings;
     private final Identity identity;
@@ -262,27 +262,27 @@
     private final Evidence evidence = new Evidence();
     private final long nonce;
     private final Map<String, Session> sessions = new TreeMap<>();
-    private final Map<String, Held> statements = new TreeMap<>();
-    private final Map<String, News> memberNews = new LinkedHashMap<>();
-    private final Map<String, News> statementNews = new LinkedHashMap<>();
-    private final Map<Integer, Relay> relays = new LinkedHashMap<>();
-    private final Bucket bytes;
-    private final Bucket members;
-    private final Bucket strangers;
+    private final Map<String, StoredStatement> statements = new TreeMap<>();
+    private final Map<String, PendingUpdate> memberUpdates = new LinkedHashMap<>();
+    private final Map<String, PendingUpdate> statementUpdates = new LinkedHashMap<>();
+    private final Map<Integer, RelayedProbe> relayedProbes = new LinkedHashMap<>();
+    private final TokenBucket byteBudget;
+    private final TokenBucket memberVerifications;
+    private final TokenBucket nonMemberVerifications;
     private int counter;
-    private int numbers;
-    private int relayed;
-    private int slice;
-    private double newsAt;
-    private boolean unsaid;
-    private boolean left;
+    private int statementNumber;
+    private int relayedProbeNumber;
+    private int nextTableIndex;
+    private double lastUpdateAt;
+    private boolean updatesPending;
+    private boolean hasLeft;
     private long sent;
     private long sentBytes;
     private long received;
-    private long rubbish;
+    private long invalid;
     private long replayed;
     private long verified;
-    private long heldBack;
+    private long rateLimited;
 
     public Gossip(Settings settings, Identity identity, long seed) {
         this.settings = settings;
@@ -294,17 +294,19 @@
                         new Member(identity.name(), settings.address(), 0, Status.ALIVE),
                         settings.seeds(),
                         random,
-                        settings.healthMost());
-        this.bytes =
-                new Bucket(settings.bytesPerS(), Math.min(MOST_BURST, settings.bytesPerS() / 2.0));
-        this.members =
-                new Bucket(
-                        (1 - STRANGERS) * settings.verificationsPerS(),
-                        (1 - STRANGERS) * settings.verificationsPerS() / 2);
-        this.strangers =
-                new Bucket(
-                        STRANGERS * settings.verificationsPerS(),
-                        STRANGERS * settings.verificationsPerS() / 2);
+                        settings.maxHealth());
+        this.byteBudget =
+                new TokenBucket(
+                        settings.bytesPerS(),
+                        Math.min(MAX_BURST_BYTES, settings.bytesPerS() / 2.0));
+        this.memberVerifications =
+                new TokenBucket(
+                        (1 - NON_MEMBER_SHARE) * settings.verificationsPerS(),
+                        (1 - NON_MEMBER_SHARE) * settings.verificationsPerS() / 2);
+        this.nonMemberVerifications =
+                new TokenBucket(
+                        NON_MEMBER_SHARE * settings.verificationsPerS(),
+                        NON_MEMBER_SHARE * settings.verificationsPerS() / 2);
     }
 
     /** Everyone that is known, this proxy first. */
@@ -313,17 +315,17 @@
     }
 
     /** Everyone that is known, this proxy first, with when each was heard and who suspects it. */
-    public List<Seen> seen(double now) {
+    public List<MemberView> memberViews(double now) {
         return swim.table().stream()
                 .map(
-                        m ->
-                                m.name().equals(identity.name())
-                                        ? new Seen(m, 0, List.of())
-                                        : new Seen(
-                                                m,
-                                                swim.heardAgoMs(now, m.name()),
-                                                m.status() == Status.SUSPECT
-                                                        ? swim.accusers(m.name())
+                        member ->
+                                member.name().equals(identity.name())
+                                        ? new MemberView(member, 0, List.of())
+                                        : new MemberView(
+                                                member,
+                                                swim.lastPacketAgeMs(now, member.name()),
+                                                member.status() == Status.SUSPECT
+                                                        ? swim.accusers(member.name())
                                                         : List.of()))
                 .toList();
     }
@@ -337,13 +339,13 @@
     }
 
     /** Whether nobody has answered it for long, so that it has stepped down. */
-    public boolean steppedDown() {
+    public boolean isSteppedDown() {
         return swim.isolated();
     }
 
     /** How often its process was seen to stand still. */
-    public long stalls() {
-        return swim.stalls();
+    public long stallCount() {
+        return swim.stallCount();
     }
 
     /** How far a member is believed, 0 to 1; 1 for this proxy itself. */
@@ -352,95 +354,110 @@
     }
 
     public Counts counts() {
-        return new Counts(sent, sentBytes, received, rubbish, replayed, verified, heldBack);
+        return new Counts(sent, sentBytes, received, invalid, replayed, verified, rateLimited);
     }
 
     // Events.
 
-    public void start(double now, Actions out) {
-        swim.start(now, wires(now, out));
+    public void start(double now, Actions actions) {
+        swim.start(now, swimActions(now, actions));
     }
 
     /**
      * The nodes of the server list as they are now. What others said of a node before it was listed
      * here counts from now on.
      */
-    public void nodes(double now, Collection<Node> list, Actions out) {
-        Set<String> fresh = evidence.listed(list);
-        for (Held h : statements.values()) {
-            boolean counts = now < h.until() && !h.statement().observer().equals(identity.name());
-            for (Claim c : counts && !fresh.isEmpty() ? h.statement().claims() : List.<Claim>of()) {
-                if (fresh.contains(c.node())) {
-                    evidence.hear(h.statement().observer(), c, h.madeAt());
+    public void updateNodes(double now, Collection<Node> endpoints, Actions actions) {
+        Set<String> added = evidence.updateNodes(endpoints);
+        for (StoredStatement stored : statements.values()) {
+            boolean usable =
+                    now < stored.expiresAt()
+                            && !stored.statement().observer().equals(identity.name());
+            for (Claim claim :
+                    usable && !added.isEmpty() ? stored.statement().claims() : List.<Claim>of()) {
+                if (added.contains(claim.node())) {
+                    evidence.addClaim(stored.statement().observer(), claim, stored.statedAt());
                 }
             }
         }
-        review(now, out);
+        evaluateEvidence(now, actions);
     }
 
     /** An own attempt goes to a node. */
-    public void sent(double now, String node) {
-        evidence.sent(now, node);
+    public void attemptStarted(double now, String node) {
+        evidence.attemptStarted(now, node);
     }
 
     /** An own attempt at a node has ended. */
-    public void ended(double now, String node, Outcome outcome, double elapsedMs) {
-        evidence.ended(now, node, outcome, elapsedMs);
+    public void attemptEnded(double now, String node, Outcome outcome, double elapsedMs) {
+        evidence.attemptEnded(now, node, outcome, elapsedMs);
     }
 
     /** An own probe of a node has ended. */
-    public void probed(double now, String node, Outcome outcome, Actions out) {
-        evidence.probed(now, node, outcome);
-        review(now, out);
+    public void probeEnded(double now, String node, Outcome outcome, Actions actions) {
+        evidence.probeEnded(now, node, outcome);
+        evaluateEvidence(now, actions);
     }
 
-    public void tick(double now, Actions out) {
-        swim.tick(now, wires(now, out));
-        int proxies = review(now, out);
-        relays.values().removeIf(r -> now >= r.until());
-        for (Map.Entry<Integer, Relay> e : List.copyOf(relays.entrySet())) {
-            Relay r = e.getValue();
-            Member asker = now >= r.nackAt() ? swim.find(r.asker()) : null;
-            if (asker != null) {
-                relays.put(
-                        e.getKey(),
-                        new Relay(r.asker(), r.number(), r.until(), Double.POSITIVE_INFINITY));
+    public void tick(double now, Actions actions) {
+        swim.tick(now, swimActions(now, actions));
+        int proxies = evaluateEvidence(now, actions);
+        relayedProbes.values().removeIf(relayedProbe -> now >= relayedProbe.expiresAt());
+        for (Map.Entry<Integer, RelayedProbe> entry : List.copyOf(relayedProbes.entrySet())) {
+            RelayedProbe relayedProbe = entry.getValue();
+            Member requester =
+                    now >= relayedProbe.nackAt() ? swim.find(relayedProbe.requester()) : null;
+            if (requester != null) {
+                relayedProbes.put(
+                        entry.getKey(),
+                        new RelayedProbe(
+                                relayedProbe.requester(),
+                                relayedProbe.number(),
+                                relayedProbe.expiresAt(),
+                                Double.POSITIVE_INFINITY));
                 transmit(
                         now,
-                        asker.address(),
-                        asker.name(),
-                        message(now, Kind.NACK, r.number(), null, asker.name()),
-                        out);
+                        requester.address(),
+                        requester.name(),
+                        newMessage(now, Kind.NACK, relayedProbe.number(), null, requester.name()),
+                        actions);
             }
         }
         // One that is cut off sees every node fail alike: what it would say is of its own link.
-        List<Claim> own = left || swim.isolated() ? null : evidence.toTell(now, proxies);
-        if (own != null) {
-            state(now, own);
+        List<Claim> ownClaims =
+                hasLeft || swim.isolated() ? null : evidence.claimsToPublish(now, proxies);
+        if (ownClaims != null) {
+            publishStatement(now, ownClaims);
         }
-        if (now - newsAt >= NEWS_MS && unsaid) {
-            newsAt = now;
-            boolean waits = false;
-            for (Member m : swim.some(FANOUT, "")) {
+        if (now - lastUpdateAt >= UPDATE_INTERVAL_MS && updatesPending) {
+            lastUpdateAt = now;
+            boolean budgetExhausted = false;
+            for (Member member : swim.randomMembers(FANOUT, "")) {
                 // Waiting loses nothing; a packet that is made and can't be sent has used up its
                 // copies.
-                waits |= !bytes.has(now, newsBytes(m.name()) + HEADERS, keptForProbes());
-                if (!waits) {
+                budgetExhausted |=
+                        !byteBudget.hasTokens(
+                                now,
+                                maxUpdateBytes(member.name()) + HEADER_BYTES,
+                                probeReserveBytes());
+                if (!budgetExhausted) {
                     transmit(
                             now,
-                            m.address(),
-                            m.name(),
+                            member.address(),
+                            member.name(),
                             new Message(
                                     Kind.NEWS,
                                     0,
                                     null,
                                     swim.digest(),
-                                    membersToTell(now, m.name()),
-                                    toTell(now)),
-                            out);
+                                    membersToSend(now, member.name()),
+                                    statementsToSend(now)),
+                            actions);
                 }
             }
-            unsaid = copiesLeft(statementNews) || waits && copiesLeft(memberNews);
+            updatesPending =
+                    hasCopiesLeft(statementUpdates)
+                            || budgetExhausted && hasCopiesLeft(memberUpdates);
         }
     }
 
@@ -448,272 +465,313 @@
      * What a packet of news to one would take at most; while it is of members alone, far less than
      * the longest.
      */
-    private int newsBytes(String to) {
-        if (copiesLeft(statementNews)) {
-            return Wire.MOST_BYTES;
+    private int maxUpdateBytes(String to) {
+        if (hasCopiesLeft(statementUpdates)) {
+            return PacketCodec.MAX_PACKET_BYTES;
         }
         Session session = sessions.get(to);
-        List<Member> tell =
+        List<Member> selected =
                 new ArrayList<>(
-                        session != null && session.differs ? swim.table() : List.of(swim.self()));
-        memberNews.keySet().stream().map(swim::find).filter(m -> m != null).forEach(tell::add);
+                        session != null && session.digestDiffers
+                                ? swim.table()
+                                : List.of(swim.self()));
+        memberUpdates.keySet().stream()
+                .map(swim::find)
+                .filter(member -> member != null)
+                .forEach(selected::add);
         return Math.min(
-                Wire.MOST_BYTES, Wire.MOST_ENVELOPE + tell.stream().mapToInt(Wire::bytes).sum());
+                PacketCodec.MAX_PACKET_BYTES,
+                PacketCodec.MAX_ENVELOPE_BYTES
+                        + selected.stream().mapToInt(PacketCodec::encodedBytes).sum());
     }
 
-    private static boolean copiesLeft(Map<String, News> news) {
-        return news.values().stream().anyMatch(n -> n.left > 0);
+    private static boolean hasCopiesLeft(Map<String, PendingUpdate> news) {
+        return news.values().stream().anyMatch(n -> n.copiesLeft > 0);
     }
 
     /** Looks at all that is held against nodes; returns how many proxies there are. */
-    private int review(double now, Actions out) {
+    private int evaluateEvidence(double now, Actions actions) {
         int proxies = swim.others().size() + 1;
-        for (Evidence.Change c : evidence.age(now, proxies)) {
-            out.event(c.doubted() ? What.DOUBTED : What.CLEARED, c.node(), c.by());
-            out.standing(c.node(), c.doubted());
+        for (Evidence.SuspicionChange change : evidence.evaluate(now, proxies)) {
+            actions.event(
+                    change.suspected() ? EventType.DOUBTED : EventType.CLEARED,
+                    change.node(),
+                    change.evidence());
+            actions.nodeSuspicionChanged(change.node(), change.suspected());
         }
         return proxies;
     }
 
     /** Tells a few that this proxy goes; they tell the others. */
-    public void leave(double now, Actions out) {
-        left = true;
+    public void leave(double now, Actions actions) {
+        hasLeft = true;
         swim.leave();
-        for (Member m : swim.some(2 * FANOUT, "")) {
+        for (Member member : swim.randomMembers(2 * FANOUT, "")) {
             transmit(
                     now,
-                    m.address(),
-                    m.name(),
+                    member.address(),
+                    member.name(),
                     new Message(Kind.NEWS, 0, null, swim.digest(), List.of(swim.self()), List.of()),
-                    out);
+                    actions);
         }
     }
 
-    private void state(double now, List<Claim> claims) {
-        Statement bare =
-                new Statement(identity.name(), swim.self().incarnation(), ++numbers, claims, null);
-        byte[] signed = Wire.signed(bare);
-        Statement whole =
+    private void publishStatement(double now, List<Claim> claims) {
+        Statement unsigned =
                 new Statement(
-                        bare.observer(),
-                        bare.incarnation(),
-                        bare.number(),
+                        identity.name(),
+                        swim.self().incarnation(),
+                        ++statementNumber,
+                        claims,
+                        null);
+        byte[] signedBytes = PacketCodec.bytesToSign(unsigned);
+        Statement statement =
+                new Statement(
+                        unsigned.observer(),
+                        unsigned.incarnation(),
+                        unsigned.number(),
                         claims,
-                        identity.sign(signed, signed.length));
-        keep(now, whole, 0);
+                        identity.sign(signedBytes, signedBytes.length));
+        storeStatement(now, statement, 0);
     }
 
-    private void keep(double now, Statement s, double ageMs) {
-        Held last =
+    private void storeStatement(double now, Statement statement, double ageMs) {
+        StoredStatement previous =
                 statements.put(
-                        s.observer(), new Held(s, now - ageMs, now - ageMs + Evidence.FADE_MS));
-        boolean same =
-                last != null
-                        && now < last.until()
-                        && last.statement().accuses().equals(s.accuses());
-        statementNews.put(s.observer(), new News(same ? RENEWAL_COPIES : STATEMENT_COPIES));
-        unsaid = true;
+                        statement.observer(),
+                        new StoredStatement(
+                                statement, now - ageMs, now - ageMs + Evidence.CLAIM_LIFETIME_MS));
+        boolean renewal =
+                previous != null
+                        && now < previous.expiresAt()
+                        && previous.statement().accusedNodes().equals(statement.accusedNodes());
+        statementUpdates.put(
+                statement.observer(),
+                new PendingUpdate(renewal ? RENEWAL_COPIES : STATEMENT_COPIES));
+        updatesPending = true;
     }
 
     // Packets that go out.
 
-    private Swim.Out wires(double now, Actions out) {
-        return new Swim.Out() {
+    private Swim.Actions swimActions(double now, Actions actions) {
+        return new Swim.Actions() {
             @Override
-            public void ping(Member to, int number) {
+            public void sendPing(Member to, int number) {
                 transmit(
                         now,
                         to.address(),
                         to.name(),
-                        message(now, Kind.PING, number, null, to.name()),
-                        out);
+                        newMessage(now, Kind.PING, number, null, to.name()),
+                        actions);
             }
 
             @Override
-            public void ask(Member via, Member about, int number) {
+            public void sendPingRequest(Member relay, Member target, int number) {
                 transmit(
                         now,
-                        via.address(),
-                        via.name(),
-                        message(now, Kind.ASK, number, about, via.name()),
-                        out);
+                        relay.address(),
+                        relay.name(),
+                        newMessage(now, Kind.ASK, number, target, relay.name()),
+                        actions);
             }
 
             @Override
-            public void call(String address) {
+            public void pingAddress(String address) {
                 transmit(
                         now,
                         address,
                         "",
                         new Message(
                                 Kind.PING, 0, null, swim.digest(), List.of(swim.self()), List.of()),
-                        out);
+                        actions);
             }
 
             @Override
-            public void changed(Member before, Member after) {
-                memberChanged(before, after, out);
+            public void memberChanged(Member before, Member after) {
+                handleMemberChange(before, after, actions);
             }
 
             @Override
-            public void refuted(Member news) {
-                out.event(
-                        What.REFUTED,
+            public void selfRefuted(Member update) {
+                actions.event(
+                        EventType.REFUTED,
                         identity.name(),
                         "said:"
-                                + news.status().name().toLowerCase(Locale.ROOT)
+                                + update.status().name().toLowerCase(Locale.ROOT)
                                 + " by:"
-                                + (news.by().isEmpty() ? "-" : news.by())
+                                + (update.suspectedBy().isEmpty() ? "-" : update.suspectedBy())
                                 + " incarnation:"
-                                + news.incarnation()
+                                + update.incarnation()
                                 + " now:"
                                 + swim.self().incarnation());
             }
 
             @Override
-            public void stepped(boolean down, String evidenceOf) {
-                out.event(down ? What.STEPPED_DOWN : What.STEPPED_UP, identity.name(), evidenceOf);
+            public void isolationChanged(boolean isolated, String details) {
+                actions.event(
+                        isolated ? EventType.STEPPED_DOWN : EventType.STEPPED_UP,
+                        identity.name(),
+                        details);
             }
         };
     }
 
-    private void memberChanged(Member before, Member after, Actions out) {
+    private void handleMemberChange(Member before, Member after, Actions actions) {
         boolean confirmation =
                 before != null
                         && before.status() == Status.SUSPECT
                         && after.status() == Status.SUSPECT
                         && before.incarnation() == after.incarnation();
-        memberNews.put(after.name(), new News(2 + copies()));
+        memberUpdates.put(after.name(), new PendingUpdate(2 + memberUpdateCopies()));
         // A confirmation rides on probes alone: a packet of news for each would multiply what a
         // flood of one costs.
-        unsaid |= !confirmation;
+        updatesPending |= !confirmation;
         if (after.name().equals(identity.name())) {
             return;
         }
-        String evidenceOf = "incarnation:" + after.incarnation() + " address:" + after.address();
-        evidence.suspected(after.name(), after.status() == Status.SUSPECT);
+        String details = "incarnation:" + after.incarnation() + " address:" + after.address();
+        evidence.setObserverSuspected(after.name(), after.status() == Status.SUSPECT);
         if (after.status() == Status.ALIVE && (before == null || before.status() != Status.ALIVE)) {
-            out.event(What.MEMBER, after.name(), evidenceOf);
+            actions.event(EventType.MEMBER, after.name(), details);
         } else if (after.status() == Status.SUSPECT
                 && (before == null || before.status() != Status.SUSPECT)) {
-            out.event(What.SUSPECTED, after.name(), evidenceOf + " by:" + after.by());
-        } else if (!after.present()) {
-            evidence.gone(after.name());
+            actions.event(
+                    EventType.SUSPECTED, after.name(), details + " by:" + after.suspectedBy());
+        } else if (!after.isPresent()) {
+            evidence.removeObserver(after.name());
             statements.computeIfPresent(
-                    after.name(), (n, h) -> new Held(h.statement(), h.madeAt(), h.madeAt()));
-            out.event(
-                    after.status() == Status.LEFT ? What.LEFT : What.DIED,
                     after.name(),
-                    evidenceOf);
+                    (n, stored) ->
+                            new StoredStatement(
+                                    stored.statement(), stored.statedAt(), stored.statedAt()));
+            actions.event(
+                    after.status() == Status.LEFT ? EventType.LEFT : EventType.DIED,
+                    after.name(),
+                    details);
         }
     }
 
-    private int copies() {
+    private int memberUpdateCopies() {
         return Integer.SIZE - Integer.numberOfLeadingZeros(swim.others().size() + 1);
     }
 
-    private Message message(double now, Kind kind, int number, Member about, String to) {
+    private Message newMessage(double now, Kind kind, int number, Member target, String to) {
         // Near the ceiling an answer without news beats none: one that wakes owes many at once, and
         // is accused for each that it can't send.
-        boolean tight = !bytes.has(now, Wire.MOST_BYTES / 2.0, 0);
-        return tight
-                ? new Message(kind, number, about, swim.digest(), itself(to), List.of())
+        boolean nearLimit = !byteBudget.hasTokens(now, PacketCodec.MAX_PACKET_BYTES / 2.0, 0);
+        return nearLimit
+                ? new Message(
+                        kind,
+                        number,
+                        target,
+                        swim.digest(),
+                        selfAndSuspectedReceiver(to),
+                        List.of())
                 : new Message(
-                        kind, number, about, swim.digest(), membersToTell(now, to), toTell(now));
+                        kind,
+                        number,
+                        target,
+                        swim.digest(),
+                        membersToSend(now, to),
+                        statementsToSend(now));
     }
 
     /**
      * This proxy, and the receiver where it is suspected or taken for dead: it hears so first, so
      * that it can refute (Lifeguard's buddy system).
      */
-    private List<Member> itself(String to) {
-        List<Member> tell = new ArrayList<>();
-        tell.add(swim.self());
+    private List<Member> selfAndSuspectedReceiver(String to) {
+        List<Member> selected = new ArrayList<>();
+        selected.add(swim.self());
         Member receiver = swim.find(to);
         if (receiver != null
                 && (receiver.status() == Status.SUSPECT || receiver.status() == Status.DEAD)) {
-            tell.add(receiver);
+            selected.add(receiver);
         }
-        return tell;
+        return selected;
     }
 
     /**
      * News of members, the least told first; to one that holds another table, a part of ours too.
      */
-    private List<Member> membersToTell(double now, String to) {
-        List<Member> tell = itself(to);
-        memberNews.values().removeIf(n -> n.left <= 0);
-        memberNews.entrySet().stream()
-                .sorted(Comparator.comparingInt(e -> -e.getValue().left))
+    private List<Member> membersToSend(double now, String to) {
+        List<Member> selected = selfAndSuspectedReceiver(to);
+        memberUpdates.values().removeIf(n -> n.copiesLeft <= 0);
+        memberUpdates.entrySet().stream()
+                .sorted(Comparator.comparingInt(entry -> -entry.getValue().copiesLeft))
                 .limit(16)
                 .forEach(
-                        e -> {
-                            Member m =
-                                    e.getKey().equals(identity.name())
+                        entry -> {
+                            Member member =
+                                    entry.getKey().equals(identity.name())
                                             ? null
-                                            : swim.find(e.getKey());
-                            e.getValue().left--;
-                            if (m != null) {
-                                tell.add(m);
+                                            : swim.find(entry.getKey());
+                            entry.getValue().copiesLeft--;
+                            if (member != null) {
+                                selected.add(member);
                             }
                         });
         Session session = sessions.get(to);
-        if (session != null && session.differs) {
-            session.differs = false;
+        if (session != null && session.digestDiffers) {
+            session.digestDiffers = false;
             List<Member> table = swim.table();
             for (int i = 0; i < Math.min(24, table.size()); i++) {
-                tell.add(table.get(slice++ % table.size()));
+                selected.add(table.get(nextTableIndex++ % table.size()));
             }
         }
-        return tell;
+        return selected;
     }
 
-    private List<Heard> toTell(double now) {
-        List<Heard> tell = new ArrayList<>();
-        statementNews.values().removeIf(n -> n.left <= 0);
-        int room = Wire.MOST_BYTES * 2 / 3;
-        for (Map.Entry<String, News> e :
-                statementNews.entrySet().stream()
-                        .sorted(Comparator.comparingInt(x -> -x.getValue().left))
+    private List<RelayedStatement> statementsToSend(double now) {
+        List<RelayedStatement> selected = new ArrayList<>();
+        statementUpdates.values().removeIf(n -> n.copiesLeft <= 0);
+        int freeBytes = PacketCodec.MAX_PACKET_BYTES * 2 / 3;
+        for (Map.Entry<String, PendingUpdate> entry :
+                statementUpdates.entrySet().stream()
+                        .sorted(Comparator.comparingInt(x -> -x.getValue().copiesLeft))
                         .toList()) {
-            Held h = statements.get(e.getKey());
-            boolean stands = h != null && now < h.until();
-            int size = stands ? Wire.bytes(h.statement()) : 0;
-            if (!stands) {
-                e.getValue().left = 0;
-            } else if (size <= room) {
-                room -= size;
-                e.getValue().left--;
-                tell.add(h.told(now));
+            StoredStatement stored = statements.get(entry.getKey());
+            boolean current = stored != null && now < stored.expiresAt();
+            int size = current ? PacketCodec.encodedBytes(stored.statement()) : 0;
+            if (!current) {
+                entry.getValue().copiesLeft = 0;
+            } else if (size <= freeBytes) {
+                freeBytes -= size;
+                entry.getValue().copiesLeft--;
+                selected.add(stored.toRelayed(now));
             }
         }
-        return tell;
+        return selected;
     }
 
-    private void transmit(double now, String address, String name, Message given, Actions out) {
-        Session s = name.isEmpty() ? null : session(name);
-        Message m = given;
-        boolean welcome = m.kind() == Kind.WELCOME;
-        if (s != null && s.token == 0 && !welcome) {
+    private void transmit(
+            double now, String address, String name, Message original, Actions actions) {
+        Session session = name.isEmpty() ? null : session(name);
+        Message message = original;
+        boolean welcome = message.kind() == Kind.WELCOME;
+        if (session != null && session.token == 0 && !welcome) {
             // It would not be believed yet: it is kept until it is, and a bare ping asks for what
             // it takes.
-            s.unproven = s.unproven == null || m.number() != 0 ? m : s.unproven;
-            m = new Message(Kind.PING, 0, null, m.digest(), List.of(), List.of());
+            session.deferredMessage =
+                    session.deferredMessage == null || message.number() != 0
+                            ? message
+                            : session.deferredMessage;
+            message = new Message(Kind.PING, 0, null, message.digest(), List.of(), List.of());
         }
-        boolean probe = m.kind() != Kind.NEWS;
+        boolean probe = message.kind() != Kind.NEWS;
         var envelope =
-                new Wire.Envelope(
+                new PacketCodec.Envelope(
                         identity.name(),
                         identity.keyId(),
                         nonce,
-                        s == null ? 0 : s.echo(welcome),
-                        s == null ? 0 : s.token,
-                        s == null ? 0 : s.grant(welcome),
+                        session == null ? 0 : session.echo(welcome),
+                        session == null ? 0 : session.token,
+                        session == null ? 0 : session.grant(welcome),
                         ++counter);
-        ByteBuffer body = Wire.encode(envelope, m);
+        ByteBuffer body = PacketCodec.encode(envelope, message);
         int size = body.position() + Identity.SIGNATURE_BYTES;
-        if (!bytes.take(now, size + HEADERS, probe ? 0 : keptForProbes())) {
-            heldBack++;
+        if (!byteBudget.tryTake(now, size + HEADER_BYTES, probe ? 0 : probeReserveBytes())) {
+            rateLimited++;
             return;
         }
         byte[] signature = identity.sign(body.array(), body.position());
@@ -722,11 +780,11 @@
         System.arraycopy(signature, 0, packet, body.position(), signature.length);
         sent++;
         sentBytes += size;
-        out.send(address, packet);
+        actions.send(address, packet);
     }
 
-    private double keptForProbes() {
-        return KEPT_FOR_PROBES * bytes.burst;
+    private double probeReserveBytes() {
+        return PROBE_RESERVE_SHARE * byteBudget.burst;
     }
 
     private Session session(String name) {
@@ -736,141 +794,161 @@
     // Packets that come in.
 
     /** A datagram, from whomever. */
-    public void received(double now, String address, byte[] packet, Actions out) {
+    public void received(double now, String address, byte[] packet, Actions actions) {
         received++;
-        Wire.Packet p = left ? null : Wire.decode(packet);
-        if (p == null
-                || p.envelope().from().equals(identity.name()) && p.envelope().nonce() == nonce
-                || !identity.knows(p.envelope().from(), p.envelope().keyId())) {
-            rubbish++;
+        PacketCodec.Packet decoded = hasLeft ? null : PacketCodec.decode(packet);
+        if (decoded == null
+                || decoded.envelope().from().equals(identity.name())
+                        && decoded.envelope().nonce() == nonce
+                || !identity.hasKey(decoded.envelope().from(), decoded.envelope().keyId())) {
+            invalid++;
             return;
         }
         // What costs a verification is paid from a purse: that of members, or of strangers, whoever
         // the sender says it is.
-        Member claimed = swim.find(p.envelope().from());
-        boolean known =
-                claimed != null && claimed.address().equals(address)
+        Member sender = swim.find(decoded.envelope().from());
+        boolean knownAddress =
+                sender != null && sender.address().equals(address)
                         || settings.seeds().contains(address);
-        if (!(known ? members : strangers).take(now, 1, 0)) {
-            rubbish++;
+        if (!(knownAddress ? memberVerifications : nonMemberVerifications).tryTake(now, 1, 0)) {
+            invalid++;
             return;
         }
         verified++;
         if (!identity.verify(
-                p.envelope().from(),
-                p.envelope().keyId(),
+                decoded.envelope().from(),
+                decoded.envelope().keyId(),
                 packet,
-                p.signedBytes(),
-                p.signature())) {
-            rubbish++;
+                decoded.signedBytes(),
+                decoded.signature())) {
+            invalid++;
             return;
         }
-        if (p.envelope().from().equals(identity.name())) {
-            out.event(What.NAME_TWICE, identity.name(), "address:" + address);
+        if (decoded.envelope().from().equals(identity.name())) {
+            actions.event(EventType.NAME_TWICE, identity.name(), "address:" + address);
             return;
         }
-        admit(now, address, p, out);
+        checkFreshness(now, address, decoded, actions);
     }
 
     /**
      * Whether a packet of a true sender is fresh; one that is not proven so is answered with what
      * proves the next.
      */
-    private void admit(double now, String address, Wire.Packet p, Actions out) {
-        Wire.Envelope e = p.envelope();
-        Session s = session(e.from());
-        boolean current = e.nonce() == s.nonce && s.nonce != 0;
-        boolean seen =
+    private void checkFreshness(
+            double now, String address, PacketCodec.Packet packet, Actions actions) {
+        PacketCodec.Envelope envelope = packet.envelope();
+        Session session = session(envelope.from());
+        boolean current = envelope.nonce() == session.nonce && session.nonce != 0;
+        boolean alreadySeen =
                 current
-                        ? e.counter() <= Math.max(s.highest, s.highestUnproven)
-                        : e.nonce() == s.pendingNonce
-                                ? e.counter() <= s.highestUnproven
-                                : e.counter() <= s.retired.getOrDefault(e.nonce(), -1);
-        if (!current && e.nonce() != s.pendingNonce) {
-            s.pendingNonce = e.nonce();
-            s.pendingChallenge = random.nextLong() | 1;
-            s.highestUnproven = 0;
+                        ? envelope.counter()
+                                <= Math.max(session.highestCounter, session.highestUnprovenCounter)
+                        : envelope.nonce() == session.pendingNonce
+                                ? envelope.counter() <= session.highestUnprovenCounter
+                                : envelope.counter()
+                                        <= session.retiredNonces.getOrDefault(envelope.nonce(), -1);
+        if (!current && envelope.nonce() != session.pendingNonce) {
+            session.pendingNonce = envelope.nonce();
+            session.pendingChallenge = random.nextLong() | 1;
+            session.highestUnprovenCounter = 0;
         }
-        boolean toUs = e.echo() == nonce;
-        boolean welcome = p.message().kind() == Kind.WELCOME;
-        if (welcome && !seen) {
-            s.highestUnproven = e.counter();
-            welcomed(now, address, s, e, out);
-        } else if (!welcome && current && toUs && e.token() == s.challenge) {
-            s.moved = false;
-            s.pendingNonce = 0;
-            if (s.fresh(e.counter())) {
-                s.token = e.grant() != 0 ? e.grant() : s.token;
-                s.unproven = null;
-                accept(now, address, s, p.message(), out);
+        boolean addressedToUs = envelope.echo() == nonce;
+        boolean welcome = packet.message().kind() == Kind.WELCOME;
+        if (welcome && !alreadySeen) {
+            session.highestUnprovenCounter = envelope.counter();
+            handleWelcome(now, address, session, envelope, actions);
+        } else if (!welcome && current && addressedToUs && envelope.token() == session.challenge) {
+            session.awaitingGrant = false;
+            session.pendingNonce = 0;
+            if (session.acceptCounter(envelope.counter())) {
+                session.token = envelope.grant() != 0 ? envelope.grant() : session.token;
+                session.deferredMessage = null;
+                processMessage(now, address, session, packet.message(), actions);
             } else {
                 replayed++;
             }
-        } else if (!welcome && !current && toUs && e.token() == s.pendingChallenge) {
-            promote(now, address, s, p, out);
-        } else if (seen) {
+        } else if (!welcome
+                && !current
+                && addressedToUs
+                && envelope.token() == session.pendingChallenge) {
+            acceptNewNonce(now, address, session, packet, actions);
+        } else if (alreadySeen) {
             // An answer to each would let anyone who recorded one packet have us send as many as he
             // likes.
             replayed++;
         } else {
-            s.highestUnproven = e.counter();
-            if (now - s.welcomedAt >= WELCOME_EVERY_MS) {
-                s.welcomedAt = now;
+            session.highestUnprovenCounter = envelope.counter();
+            if (now - session.welcomedAt >= WELCOME_INTERVAL_MS) {
+                session.welcomedAt = now;
                 transmit(
                         now,
                         address,
-                        e.from(),
+                        envelope.from(),
                         new Message(Kind.WELCOME, 0, null, swim.digest(), List.of(), List.of()),
-                        out);
+                        actions);
             }
         }
     }
 
-    private void welcomed(double now, String address, Session s, Wire.Envelope e, Actions out) {
-        if (e.echo() != nonce || e.grant() == 0) {
+    private void handleWelcome(
+            double now,
+            String address,
+            Session session,
+            PacketCodec.Envelope envelope,
+            Actions actions) {
+        if (envelope.echo() != nonce || envelope.grant() == 0) {
             return;
         }
-        s.moved = e.nonce() != s.nonce;
-        s.token = e.grant();
-        Message again = s.unproven == null ? message(now, Kind.PING, 0, null, s.name) : s.unproven;
-        s.unproven = null;
-        transmit(now, address, s.name, again, out);
+        session.awaitingGrant = envelope.nonce() != session.nonce;
+        session.token = envelope.grant();
+        Message deferred =
+                session.deferredMessage == null
+                        ? newMessage(now, Kind.PING, 0, null, session.name)
+                        : session.deferredMessage;
+        session.deferredMessage = null;
+        transmit(now, address, session.name, deferred, actions);
     }
 
-    private void promote(double now, String address, Session s, Wire.Packet p, Actions out) {
-        Wire.Envelope e = p.envelope();
-        if (s.retired.containsKey(e.nonce())) {
+    private void acceptNewNonce(
+            double now,
+            String address,
+            Session session,
+            PacketCodec.Packet packet,
+            Actions actions) {
+        PacketCodec.Envelope envelope = packet.envelope();
+        if (session.retiredNonces.containsKey(envelope.nonce())) {
             // A life that was replaced is alive: two processes have one name and one key.
-            out.event(What.NAME_TWICE, s.name, "address:" + address);
-            s.pendingNonce = 0;
+            actions.event(EventType.NAME_TWICE, session.name, "address:" + address);
+            session.pendingNonce = 0;
             return;
         }
-        Member before = swim.find(s.name);
+        Member before = swim.find(session.name);
         boolean newcomer =
-                (s.nonce != 0 || before == null || !before.present())
-                        && p.message().digest() != swim.digest();
-        if (s.nonce != 0) {
-            s.retired.put(s.nonce, s.highest);
-            if (s.retired.size() > RETIRED) {
-                s.retired.remove(s.retired.keySet().iterator().next());
+                (session.nonce != 0 || before == null || !before.isPresent())
+                        && packet.message().digest() != swim.digest();
+        if (session.nonce != 0) {
+            session.retiredNonces.put(session.nonce, session.highestCounter);
+            if (session.retiredNonces.size() > MAX_RETIRED_NONCES) {
+                session.retiredNonces.remove(session.retiredNonces.keySet().iterator().next());
             }
-            out.event(What.RESTARTED, s.name, "address:" + address);
+            actions.event(EventType.RESTARTED, session.name, "address:" + address);
         }
-        s.nonce = e.nonce();
-        s.challenge = s.pendingChallenge;
-        s.pendingNonce = 0;
-        s.moved = false;
-        s.unproven = null;
-        s.highest = e.counter();
-        s.highestUnproven = 0;
-        s.window = 1;
-        s.token = e.grant() != 0 ? e.grant() : s.token;
-        accept(now, address, s, p.message(), out);
+        session.nonce = envelope.nonce();
+        session.challenge = session.pendingChallenge;
+        session.pendingNonce = 0;
+        session.awaitingGrant = false;
+        session.deferredMessage = null;
+        session.highestCounter = envelope.counter();
+        session.highestUnprovenCounter = 0;
+        session.replayWindow = 1;
+        session.token = envelope.grant() != 0 ? envelope.grant() : session.token;
+        processMessage(now, address, session, packet.message(), actions);
         // Most first contacts are of two that know everyone already; and one that came back needs
         // the table of one, not of all.
-        if (newcomer && now - s.tableAt >= TABLE_EVERY_MS) {
-            s.tableAt = now;
-            wholeTable(now, address, s.name, out);
+        if (newcomer && now - session.tableSentAt >= TABLE_INTERVAL_MS) {
+            session.tableSentAt = now;
+            sendWholeTable(now, address, session.name, actions);
         }
     }
 
@@ -878,106 +956,122 @@
      * For a newcomer: everyone, and everything that is held against nodes, in as many packets as
      * that takes.
      */
-    private void wholeTable(double now, String address, String name, Actions out) {
-        List<Heard> heard =
+    private void sendWholeTable(double now, String address, String name, Actions actions) {
+        List<RelayedStatement> remainingStatements =
                 new ArrayList<>(
                         statements.values().stream()
-                                .filter(h -> now < h.until())
-                                .map(h -> h.told(now))
+                                .filter(stored -> now < stored.expiresAt())
+                                .map(stored -> stored.toRelayed(now))
                                 .toList());
-        List<Member> table = new ArrayList<>(swim.table());
-        Member itself = swim.find(name);
-        if (itself != null) {
-            table.remove(itself);
-            table.add(0, itself);
+        List<Member> remainingMembers = new ArrayList<>(swim.table());
+        Member newcomer = swim.find(name);
+        if (newcomer != null) {
+            remainingMembers.remove(newcomer);
+            remainingMembers.add(0, newcomer);
         }
-        for (int i = 0; i < TABLE_PACKETS && !(heard.isEmpty() && table.isEmpty()); i++) {
-            int room = Wire.MOST_BYTES - Wire.MOST_ENVELOPE;
-            List<Heard> some = new ArrayList<>();
-            while (!heard.isEmpty() && room >= Wire.bytes(heard.get(0).statement())) {
-                room -= Wire.bytes(heard.get(0).statement());
-                some.add(heard.remove(0));
+        for (int i = 0;
+                i < MAX_TABLE_PACKETS
+                        && !(remainingStatements.isEmpty() && remainingMembers.isEmpty());
+                i++) {
+            int freeBytes = PacketCodec.MAX_PACKET_BYTES - PacketCodec.MAX_ENVELOPE_BYTES;
+            List<RelayedStatement> packetStatements = new ArrayList<>();
+            while (!remainingStatements.isEmpty()
+                    && freeBytes
+                            >= PacketCodec.encodedBytes(remainingStatements.get(0).statement())) {
+                freeBytes -= PacketCodec.encodedBytes(remainingStatements.get(0).statement());
+                packetStatements.add(remainingStatements.remove(0));
             }
-            List<Member> few = new ArrayList<>();
-            while (!table.isEmpty() && room >= Wire.bytes(table.get(0))) {
-                room -= Wire.bytes(table.get(0));
-                few.add(table.remove(0));
+            List<Member> packetMembers = new ArrayList<>();
+            while (!remainingMembers.isEmpty()
+                    && freeBytes >= PacketCodec.encodedBytes(remainingMembers.get(0))) {
+                freeBytes -= PacketCodec.encodedBytes(remainingMembers.get(0));
+                packetMembers.add(remainingMembers.remove(0));
             }
             transmit(
                     now,
                     address,
                     name,
-                    new Message(Kind.NEWS, 0, null, swim.digest(), few, some),
-                    out);
+                    new Message(Kind.NEWS, 0, null, swim.digest(), packetMembers, packetStatements),
+                    actions);
         }
     }
 
-    private void accept(double now, String address, Session s, Message m, Actions out) {
-        Swim.Out wires = wires(now, out);
-        swim.heard(now, s.name);
-        for (Member member : m.members()) {
-            boolean itself = member.name().equals(s.name);
+    private void processMessage(
+            double now, String address, Session session, Message message, Actions actions) {
+        Swim.Actions swimActions = swimActions(now, actions);
+        swim.packetReceived(now, session.name);
+        for (Member member : message.members()) {
+            boolean isSender = member.name().equals(session.name);
             // A name that no key belongs to is nobody's; an address is believed from its own mouth
             // alone.
             Member known = swim.find(member.name());
-            boolean sane =
-                    itself
+            boolean plausible =
+                    isSender
                             || known == null
-                            || member.incarnation() - known.incarnation() <= MOST_AHEAD;
-            if (sane && identity.knows(member.name(), Identity.ANY_KEY)) {
-                String where =
-                        itself
+                            || member.incarnation() - known.incarnation() <= MAX_INCARNATION_LEAD;
+            if (plausible && identity.hasKey(member.name(), Identity.ANY_KEY)) {
+                String memberAddress =
+                        isSender
                                 ? address
-                                : known != null && known.present()
+                                : known != null && known.isPresent()
                                         ? known.address()
                                         : member.address();
                 // A suspicion counts for one that holds a key; one that names nobody is the
                 // sender's own.
-                String by =
+                String suspectedBy =
                         member.status() != Status.SUSPECT
                                 ? ""
-                                : identity.knows(member.by(), Identity.ANY_KEY)
-                                        ? member.by()
-                                        : s.name;
-                swim.take(
+                                : identity.hasKey(member.suspectedBy(), Identity.ANY_KEY)
+                                        ? member.suspectedBy()
+                                        : session.name;
+                swim.applyUpdate(
                         now,
-                        new Member(member.name(), where, member.incarnation(), member.status(), by),
-                        wires);
+                        new Member(
+                                member.name(),
+                                memberAddress,
+                                member.incarnation(),
+                                member.status(),
+                                suspectedBy),
+                        swimActions);
             }
         }
-        for (Heard h : m.heard()) {
-            stated(now, h, out);
+        for (RelayedStatement stored : message.statements()) {
+            handleStatement(now, stored, actions);
         }
-        s.differs = m.digest() != swim.digest();
-        switch (m.kind()) {
+        session.digestDiffers = message.digest() != swim.digest();
+        switch (message.kind()) {
             case PING ->
                     transmit(
                             now,
                             address,
-                            s.name,
-                            message(now, Kind.ACK, m.number(), null, s.name),
-                            out);
-            case ACK -> acknowledged(now, s.name, m, out);
-            case ASK -> relay(now, s.name, m, out);
-            case NACK -> swim.nacked(now, m.number(), wires);
+                            session.name,
+                            newMessage(now, Kind.ACK, message.number(), null, session.name),
+                            actions);
+            case ACK -> handleAck(now, session.name, message, actions);
+            case ASK -> relayProbe(now, session.name, message, actions);
+            case NACK -> swim.nackReceived(now, message.number(), swimActions);
             default -> {}
         }
     }
 
-    private void acknowledged(double now, String from, Message m, Actions out) {
-        Relay relay = m.number() < 0 ? relays.remove(m.number()) : null;
-        Member asker = relay == null ? null : swim.find(relay.asker());
-        if (asker != null) {
-            Member about = swim.find(from);
+    private void handleAck(double now, String from, Message message, Actions actions) {
+        RelayedProbe relayedProbe =
+                message.number() < 0 ? relayedProbes.remove(message.number()) : null;
+        Member requester = relayedProbe == null ? null : swim.find(relayedProbe.requester());
+        if (requester != null) {
+            Member target = swim.find(from);
             transmit(
                     now,
-                    asker.address(),
-                    asker.name(),
-                    message(now, Kind.ACK, relay.number(), about, asker.name()),
-                    out);
+                    requester.address(),
+                    requester.name(),
+                    newMessage(now, Kind.ACK, relayedProbe.number(), target, requester.name()),
+                    actions);
         } else {
-            swim.answered(
-                    now, m.number(), m.about() == null ? from : m.about().name(), wires(now, out));
+            swim.ackReceived(
+                    now,
+                    message.number(),
+                    message.target() == null ? from : message.target().name(),
+                    swimActions(now, actions));
         }
     }
 
@@ -985,54 +1079,56 @@
      * A ping on another's behalf; its number is negative, so that no answer to one of ours is taken
      * for it.
      */
-    private void relay(double now, String asker, Message m, Actions out) {
-        Member target = m.about() == null ? null : swim.find(m.about().name());
-        if (target != null && m.number() > 0) {
-            int own = -(++relayed & Integer.MAX_VALUE);
-            relays.put(
-                    own,
-                    new Relay(
-                            asker,
-                            m.number(),
+    private void relayProbe(double now, String requester, Message message, Actions actions) {
+        Member target = message.target() == null ? null : swim.find(message.target().name());
+        if (target != null && message.number() > 0) {
+            int ownNumber = -(++relayedProbeNumber & Integer.MAX_VALUE);
+            relayedProbes.put(
+                    ownNumber,
+                    new RelayedProbe(
+                            requester,
+                            message.number(),
                             now + Swim.PERIOD_MS * (1 + swim.health()),
-                            now + Swim.NACK_SHARE * swim.answerMs()));
+                            now + Swim.NACK_DELAY_SHARE * swim.ackTimeoutMs()));
             transmit(
                     now,
                     target.address(),
                     target.name(),
-                    message(now, Kind.PING, own, null, target.name()),
-                    out);
+                    newMessage(now, Kind.PING, ownNumber, null, target.name()),
+                    actions);
         }
     }
 
-    private void stated(double now, Heard h, Actions out) {
-        Statement s = h.statement();
-        Held held = statements.get(s.observer());
-        Member observer = swim.find(s.observer());
-        boolean late = h.ageMs() >= Evidence.FADE_MS;
-        if (late
+    private void handleStatement(double now, RelayedStatement relayed, Actions actions) {
+        Statement statement = relayed.statement();
+        StoredStatement stored = statements.get(statement.observer());
+        Member observer = swim.find(statement.observer());
+        boolean expired = relayed.ageMs() >= Evidence.CLAIM_LIFETIME_MS;
+        if (expired
                 || observer == null
-                || !observer.present()
-                || s.incarnation() < observer.incarnation() - 1
-                || !s.newerThan(held == null ? null : held.statement())
-                || !members.take(now, 1, 0)) {
+                || !observer.isPresent()
+                || statement.incarnation() < observer.incarnation() - 1
+                || !statement.newerThan(stored == null ? null : stored.statement())
+                || !memberVerifications.tryTake(now, 1, 0)) {
             return;
         }
         verified++;
-        if (!identity.verify(s.observer(), Wire.signed(s), s.signature())) {
-            rubbish++;
+        if (!identity.verify(
+                statement.observer(), PacketCodec.bytesToSign(statement), statement.signature())) {
+            invalid++;
             return;
         }
-        List<String> distrusted = new ArrayList<>();
-        evidence.stated(now, s.observer(), s.claims(), h.ageMs(), distrusted);
-        distrusted.forEach(
-                n ->
-                        out.event(
-                                What.DISTRUSTED,
-                                n,
+        List<String> newlyDistrusted = new ArrayList<>();
+        evidence.applyStatement(
+                now, statement.observer(), statement.claims(), relayed.ageMs(), newlyDistrusted);
+        newlyDistrusted.forEach(
+                name ->
+                        actions.event(
+                                EventType.DISTRUSTED,
+                                name,
                                 String.format(
-                                        Locale.ROOT, "weight:%.2f", evidence.weight(now, n))));
-        keep(now, s, h.ageMs());
-        review(now, out);
+                                        Locale.ROOT, "weight:%.2f", evidence.weight(now, name))));
+        storeStatement(now, statement, relayed.ageMs());
+        evaluateEvidence(now, actions);
     }
 }
--- a/src/main/java/cacheproxy/membership/Identity.java
+++ b/src/main/java/cacheproxy/membership/Identity.java
@@ -18,7 +18,7 @@
     int ANY_KEY = 0;
 
     /** Whether the key ring holds a key of this name and id; costs next to nothing. */
-    boolean knows(String name, int keyId);
+    boolean hasKey(String name, int keyId);
 
     /** Whether the bytes before {@code length} were signed by this name; costs a verification. */
     boolean verify(String name, int keyId, byte[] data, int length, byte[] signature);
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -10,7 +10,8 @@
  * @param by of a suspicion, the member that holds it, so that independent ones can be counted
  *     (Lifeguard); empty else
  */
-public record Member(String name, String address, int incarnation, Status status, String by) {
+public record Member(
+        String name, String address, int incarnation, Status status, String suspectedBy) {
 
     /** In the order in which one overrides another of the same incarnation. */
     public enum Status {
@@ -31,15 +32,15 @@
     }
 
     /** Whether it takes part: also while it is suspected. */
-    public boolean present() {
+    public boolean isPresent() {
         return status == Status.ALIVE || status == Status.SUSPECT;
     }
 
-    Member with(Status next) {
+    Member withStatus(Status next) {
         return new Member(name, address, incarnation, next, "");
     }
 
-    Member suspectedBy(String accuser) {
+    Member asSuspect(String accuser) {
         return new Member(name, address, incarnation, Status.SUSPECT, accuser);
     }
 }
--- a/src/main/java/cacheproxy/membership/Message.java
+++ b/src/main/java/cacheproxy/membership/Message.java
@@ -10,7 +10,12 @@
  * @param digest of the sender's table of members
  */
 record Message(
-        Kind kind, int number, Member about, long digest, List<Member> members, List<Heard> heard) {
+        Kind kind,
+        int number,
+        Member target,
+        long digest,
+        List<Member> members,
+        List<RelayedStatement> statements) {
 
     enum Kind {
         /** Shows the receiver what its packets must carry, to prove that they are no replay. */
@@ -28,5 +33,5 @@
      * A statement and its age so far, as summed up by those that passed it on, each by its own
      * clock.
      */
-    record Heard(Statement statement, int ageMs) {}
+    record RelayedStatement(Statement statement, int ageMs) {}
 }
--- a/src/main/java/cacheproxy/membership/Wire.java
+++ b/src/main/java/cacheproxy/membership/PacketCodec.java
@@ -1,6 +1,6 @@
 package cacheproxy.membership;
 
-import cacheproxy.membership.Message.Heard;
+import cacheproxy.membership.Message.RelayedStatement;
 import java.nio.BufferOverflowException;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -13,23 +13,23 @@
  * in all, which fits one UDP packet of any usual path. Numbers are big-endian; a text is its length
  * in one byte and its bytes.
  */
-final class Wire {
+final class PacketCodec {
 
-    static final int MOST_BYTES = 1200;
+    static final int MAX_PACKET_BYTES = 1200;
 
     /** What envelope, counts and signature of a packet take at most, rounded up. */
-    static final int MOST_ENVELOPE = 250;
+    static final int MAX_ENVELOPE_BYTES = 250;
 
-    static final int MOST_NAME = 32;
-    static final int MOST_ADDRESS = 64;
-    static final int MOST_NODE = 64;
+    static final int MAX_NAME_BYTES = 32;
+    static final int MAX_ADDRESS_BYTES = 64;
+    static final int MAX_NODE_ID_BYTES = 64;
     private static final int MAGIC = 0x464c;
 
     /** 2: members carry who suspects them, and relays answer no (Lifeguard). */
     private static final int VERSION = 2;
 
-    private static final int MOST_AGE_MS = 0xffff;
-    private static final int MOST_COUNT = 0xff;
+    private static final int MAX_AGE_MS = 0xffff;
+    private static final int MAX_LIST_ITEMS = 0xff;
 
     /**
      * Who sends, and what shows that the packet is fresh: {@code nonce} names the sender's life,
@@ -42,36 +42,39 @@
 
     record Packet(Envelope envelope, Message message, int signedBytes, byte[] signature) {}
 
-    private Wire() {}
+    private PacketCodec() {}
 
     /**
      * Fills one packet; of members and statements as many as fit, the first ones first. Returns the
      * bytes to sign and their count.
      */
-    static ByteBuffer encode(Envelope e, Message m) {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES - Identity.SIGNATURE_BYTES);
-        out.putShort((short) MAGIC).put((byte) VERSION).put((byte) m.kind().ordinal());
-        text(out, e.from());
-        out.putInt(e.keyId())
-                .putLong(e.nonce())
-                .putLong(e.echo())
-                .putLong(e.token())
-                .putLong(e.grant())
-                .putInt(e.counter());
-        out.putInt(m.number()).putLong(m.digest()).put((byte) (m.about() == null ? 0 : 1));
-        if (m.about() != null) {
-            member(out, m.about());
+    static ByteBuffer encode(Envelope envelope, Message message) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_PACKET_BYTES - Identity.SIGNATURE_BYTES);
+        out.putShort((short) MAGIC).put((byte) VERSION).put((byte) message.kind().ordinal());
+        text(out, envelope.from());
+        out.putInt(envelope.keyId())
+                .putLong(envelope.nonce())
+                .putLong(envelope.echo())
+                .putLong(envelope.token())
+                .putLong(envelope.grant())
+                .putInt(envelope.counter());
+        out.putInt(message.number())
+                .putLong(message.digest())
+                .put((byte) (message.target() == null ? 0 : 1));
+        if (message.target() != null) {
+            member(out, message.target());
         }
         // Evidence first: it saves requests, and the table is made good by the digest.
-        list(
+        writeList(
                 out,
-                m.heard(),
-                (o, h) -> {
-                    o.putShort((short) Math.min(MOST_AGE_MS, Math.max(0, h.ageMs())));
-                    o.put(signed(h.statement())).put(h.statement().signature());
+                message.statements(),
+                (buffer, relayed) -> {
+                    buffer.putShort((short) Math.min(MAX_AGE_MS, Math.max(0, relayed.ageMs())));
+                    buffer.put(bytesToSign(relayed.statement()))
+                            .put(relayed.statement().signature());
                 },
                 1);
-        list(out, m.members(), Wire::member, 0);
+        writeList(out, message.members(), PacketCodec::member, 0);
         return out;
     }
 
@@ -79,7 +82,8 @@
         void write(ByteBuffer out, T item);
     }
 
-    private static <T> void list(ByteBuffer out, List<T> items, Writer<T> writer, int keptFree) {
+    private static <T> void writeList(
+            ByteBuffer out, List<T> items, Writer<T> writer, int reservedBytes) {
         int countAt = out.position();
         out.put((byte) 0);
         int count = 0;
@@ -91,7 +95,7 @@
                 out.position(before);
                 break;
             }
-            if (out.remaining() < keptFree || count == MOST_COUNT) {
+            if (out.remaining() < reservedBytes || count == MAX_LIST_ITEMS) {
                 out.position(before);
                 break;
             }
@@ -101,16 +105,18 @@
     }
 
     /** The bytes that an observer signs. */
-    static byte[] signed(Statement s) {
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
-        text(out, s.observer());
-        out.putInt(s.incarnation()).putInt(s.number()).put((byte) s.claims().size());
-        for (Claim c : s.claims()) {
-            text(out, c.node());
-            out.putLong(c.born())
-                    .put((byte) c.kind().ordinal())
-                    .put((byte) c.attempts())
-                    .putInt(c.sinceMs());
+    static byte[] bytesToSign(Statement statement) {
+        ByteBuffer out = ByteBuffer.allocate(MAX_PACKET_BYTES);
+        text(out, statement.observer());
+        out.putInt(statement.incarnation())
+                .putInt(statement.number())
+                .put((byte) statement.claims().size());
+        for (Claim claim : statement.claims()) {
+            text(out, claim.node());
+            out.putLong(claim.startedAtMs())
+                    .put((byte) claim.kind().ordinal())
+                    .put((byte) claim.attempts())
+                    .putInt(claim.failingForMs());
         }
         byte[] bytes = new byte[out.position()];
         out.get(0, bytes);
@@ -118,20 +124,23 @@
     }
 
     /** How many bytes a statement takes in a packet. */
-    static int bytes(Statement s) {
-        return 2 + signed(s).length + Identity.SIGNATURE_BYTES;
+    static int encodedBytes(Statement statement) {
+        return 2 + bytesToSign(statement).length + Identity.SIGNATURE_BYTES;
     }
 
     /** How many bytes a member takes in a packet: three texts, an incarnation and a status. */
-    static int bytes(Member m) {
-        return m.name().length() + m.address().length() + m.by().length() + 8;
+    static int encodedBytes(Member member) {
+        return member.name().length()
+                + member.address().length()
+                + member.suspectedBy().length()
+                + 8;
     }
 
-    private static void member(ByteBuffer out, Member m) {
-        text(out, m.name());
-        text(out, m.address());
-        out.putInt(m.incarnation()).put((byte) m.status().ordinal());
-        text(out, m.by());
+    private static void member(ByteBuffer out, Member member) {
+        text(out, member.name());
+        text(out, member.address());
+        out.putInt(member.incarnation()).put((byte) member.status().ordinal());
+        text(out, member.suspectedBy());
     }
 
     private static void text(ByteBuffer out, String text) {
@@ -144,20 +153,20 @@
      */
     static Packet decode(byte[] bytes) {
         try {
-            return bytes.length > MOST_BYTES || bytes.length <= Identity.SIGNATURE_BYTES
+            return bytes.length > MAX_PACKET_BYTES || bytes.length <= Identity.SIGNATURE_BYTES
                     ? null
-                    : read(bytes);
+                    : readPacket(bytes);
         } catch (BufferUnderflowException | IllegalArgumentException malformed) {
             return null;
         }
     }
 
-    private static Packet read(byte[] bytes) {
+    private static Packet readPacket(byte[] bytes) {
         int end = bytes.length - Identity.SIGNATURE_BYTES;
         ByteBuffer in = ByteBuffer.wrap(bytes, 0, end);
         check((in.getShort() & 0xffff) == MAGIC && in.get() == VERSION);
-        Message.Kind kind = of(Message.Kind.values(), in.get());
-        String from = text(in, 1, MOST_NAME);
+        Message.Kind kind = enumConstant(Message.Kind.values(), in.get());
+        String from = text(in, 1, MAX_NAME_BYTES);
         Envelope envelope =
                 new Envelope(
                         from,
@@ -169,35 +178,38 @@
                         in.getInt());
         int number = in.getInt();
         long digest = in.getLong();
-        Member about = in.get() == 0 ? null : member(in);
-        List<Heard> heard = new ArrayList<>();
-        for (int left = in.get() & 0xff; left > 0; left--) {
+        Member target = in.get() == 0 ? null : member(in);
+        List<RelayedStatement> statements = new ArrayList<>();
+        for (int remaining = in.get() & 0xff; remaining > 0; remaining--) {
             int age = in.getShort() & 0xffff;
-            heard.add(new Heard(statement(in), age));
+            statements.add(new RelayedStatement(readStatement(in), age));
         }
         List<Member> members = new ArrayList<>();
-        for (int left = in.get() & 0xff; left > 0; left--) {
+        for (int remaining = in.get() & 0xff; remaining > 0; remaining--) {
             members.add(member(in));
         }
         check(!in.hasRemaining());
         byte[] signature = new byte[Identity.SIGNATURE_BYTES];
         System.arraycopy(bytes, end, signature, 0, signature.length);
         return new Packet(
-                envelope, new Message(kind, number, about, digest, members, heard), end, signature);
+                envelope,
+                new Message(kind, number, target, digest, members, statements),
+                end,
+                signature);
     }
 
-    private static Statement statement(ByteBuffer in) {
-        String observer = text(in, 1, MOST_NAME);
+    private static Statement readStatement(ByteBuffer in) {
+        String observer = text(in, 1, MAX_NAME_BYTES);
         int incarnation = in.getInt();
         int number = in.getInt();
         int count = in.get() & 0xff;
-        check(count <= Statement.MOST_CLAIMS && incarnation >= 0);
+        check(count <= Statement.MAX_CLAIMS && incarnation >= 0);
         List<Claim> claims = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            String node = text(in, 1, MOST_NODE);
-            long born = in.getLong();
-            Claim.Kind kind = of(Claim.Kind.values(), in.get());
-            claims.add(new Claim(node, born, kind, in.get() & 0xff, in.getInt()));
+            String node = text(in, 1, MAX_NODE_ID_BYTES);
+            long startedAtMs = in.getLong();
+            Claim.Kind kind = enumConstant(Claim.Kind.values(), in.get());
+            claims.add(new Claim(node, startedAtMs, kind, in.get() & 0xff, in.getInt()));
         }
         byte[] signature = new byte[Identity.SIGNATURE_BYTES];
         in.get(signature);
@@ -205,17 +217,17 @@
     }
 
     private static Member member(ByteBuffer in) {
-        String name = text(in, 1, MOST_NAME);
-        String address = text(in, 1, MOST_ADDRESS);
+        String name = text(in, 1, MAX_NAME_BYTES);
+        String address = text(in, 1, MAX_ADDRESS_BYTES);
         int incarnation = in.getInt();
         check(incarnation >= 0);
-        Member.Status status = of(Member.Status.values(), in.get());
-        return new Member(name, address, incarnation, status, text(in, 0, MOST_NAME));
+        Member.Status status = enumConstant(Member.Status.values(), in.get());
+        return new Member(name, address, incarnation, status, text(in, 0, MAX_NAME_BYTES));
     }
 
-    private static String text(ByteBuffer in, int least, int most) {
+    private static String text(ByteBuffer in, int minLength, int maxLength) {
         int length = in.get() & 0xff;
-        check(length >= least && length <= most);
+        check(length >= minLength && length <= maxLength);
         byte[] bytes = new byte[length];
         in.get(bytes);
         for (byte b : bytes) {
@@ -225,13 +237,13 @@
         return new String(bytes, StandardCharsets.US_ASCII);
     }
 
-    private static <E> E of(E[] values, byte ordinal) {
+    private static <E> E enumConstant(E[] values, byte ordinal) {
         check(ordinal >= 0 && ordinal < values.length);
         return values[ordinal];
     }
 
-    private static void check(boolean good) {
-        if (!good) {
+    private static void check(boolean valid) {
+        if (!valid) {
             throw new IllegalArgumentException("malformed");
         }
     }
--- a/src/main/java/cacheproxy/membership/Statement.java
+++ b/src/main/java/cacheproxy/membership/Statement.java
@@ -11,9 +11,9 @@
         String observer, int incarnation, int number, List<Claim> claims, byte[] signature) {
 
     /** Claims of one statement; the worst of them where a proxy has more. */
-    static final int MOST_CLAIMS = 16;
+    static final int MAX_CLAIMS = 16;
 
-    List<String> accuses() {
+    List<String> accusedNodes() {
         return claims.stream().map(Claim::node).sorted().toList();
     }
 
--- a/src/main/java/cacheproxy/membership/Swim.java
+++ b/src/main/java/cacheproxy/membership/Swim.java
@@ -38,15 +38,15 @@
     static final double PERIOD_MS = 500;
 
     /** Of a period, the part that an answer may take before others are asked. */
-    static final double ANSWER_SHARE = 0.4;
+    static final double ACK_TIMEOUT_SHARE = 0.4;
 
     /**
      * Of the wait, the part after which a relay that heard nothing says so (Lifeguard's nack, 80%).
      */
-    static final double NACK_SHARE = 0.8;
+    static final double NACK_DELAY_SHARE = 0.8;
 
     /** Others that are asked after one that is silent. */
-    static final int ASKED = 3;
+    static final int INDIRECT_PROBES = 3;
 
     /**
      * A gap between two calls that is longer was a pause of the process: it voids the probe that is
@@ -61,124 +61,124 @@
      * No answer of any kind for so long since a first probe without one, with two others at least,
      * and this proxy is cut off.
      */
-    static final double ISOLATED_MS = 3000;
+    static final double ISOLATION_MS = 3000;
 
     /**
      * Nor before so many probes: a proxy of bad health sends them seconds apart, and one or two are
      * lost by chance.
      */
-    private static final int ISOLATED_PROBES = 3;
+    private static final int ISOLATION_PROBES = 3;
 
     /** So many relays that were asked and say nothing at all are a sign of our own link. */
-    private static final int VOICES = 2;
+    private static final int MIN_SILENT_RELAYS = 2;
 
     /** An answer to one of so many probes proves that we are heard. */
-    private static final int HEARD_PROBES = 8;
+    private static final int RECENT_PROBES = 8;
 
     /**
      * Longest that a cut-off proxy holds back deaths: a fleet that truly died around it is let go
      * then.
      */
-    static final double HOLD_MS = 60_000;
+    static final double MAX_ISOLATION_GRACE_MS = 60_000;
 
     /**
      * Periods of the least suspicion, for each power of ten of the fleet (memberlist's 4 at a
      * period of 1 s, Lifeguard's α).
      */
-    private static final double SUSPECT_PERIODS = 2;
+    private static final double MIN_SUSPICION_PERIODS = 2;
 
     /** The longest over the least (Lifeguard's β). */
-    private static final double SUSPECT_MOST_TIMES = 6;
+    private static final double MAX_SUSPICION_FACTOR = 6;
 
     /**
      * Independent confirmations after which the least holds (Lifeguard's K; memberlist's 4 - 2).
      */
-    private static final int CONFIRMATIONS = 2;
+    private static final int EXPECTED_CONFIRMATIONS = 2;
 
     /** Accusers that are kept of one suspicion. */
-    private static final int MOST_ACCUSERS = 8;
+    private static final int MAX_ACCUSERS = 8;
 
     /** One that is gone, or a seed, is called so often. */
-    private static final double RECALL_MS = 3000;
+    private static final double RECONNECT_INTERVAL_MS = 3000;
 
     /** How long a death is remembered, so that older news of that life is known as such. */
-    private static final double REMEMBER_MS = 600_000;
+    private static final double DEAD_RETENTION_MS = 600_000;
 
     /** What it wants sent, and what it has found. */
-    interface Out {
-        void ping(Member to, int number);
+    interface Actions {
+        void sendPing(Member to, int number);
 
-        void ask(Member via, Member about, int number);
+        void sendPingRequest(Member relay, Member target, int number);
 
         /** An address that no member is known for yet. */
-        void call(String address);
+        void pingAddress(String address);
 
-        void changed(Member before, Member now);
+        void memberChanged(Member before, Member after);
 
         /** It had to raise its incarnation: {@code news} said otherwise of it. */
-        void refuted(Member news);
+        void selfRefuted(Member update);
 
         /** It is cut off and steps down, or is heard again. */
-        void stepped(boolean down, String evidence);
+        void isolationChanged(boolean isolated, String evidence);
     }
 
     private static final class Peer {
         Member member;
-        double since;
-        double heardAt;
+        double statusSince;
+        double lastPacketAt;
         final Set<String> accusers = new LinkedHashSet<>();
 
         Peer(Member member, double now) {
             this.member = member;
-            this.since = now;
-            this.heardAt = now;
+            this.statusSince = now;
+            this.lastPacketAt = now;
         }
     }
 
     private final List<String> seeds;
     private final SplittableRandom random;
-    private final int healthMost;
+    private final int maxHealth;
     private final Map<String, Peer> peers = new TreeMap<>();
     private Member self;
-    private List<String> round = new ArrayList<>();
-    private double lastNow = Double.NaN;
-    private double awake;
+    private List<String> probeOrder = new ArrayList<>();
+    private double lastCallAt = Double.NaN;
+    private double awakeMs;
 
     /** When the last tick was, by the clock and in the time that counts. */
-    private double lastTick;
+    private double lastTickAt;
 
     private double awakeAtLastTick;
-    private double periodAt;
-    private double nextRecall;
-    private int number;
-    private String probed;
-    private double probedAt;
+    private double periodStartedAt;
+    private double nextReconnectAt;
+    private int probeNumber;
+    private String probedName;
+    private double probeSentAt;
     private int probedIncarnation;
-    private boolean asked;
+    private boolean indirectProbesSent;
     private boolean answered = true;
-    private int nacksAsked;
-    private int nacks;
+    private int relaysAsked;
+    private int nacksReceived;
     private int health;
 
     /**
      * When the first probe went out of those since the last answer of any kind, and how many have.
      */
-    private double unheardSince;
+    private double unansweredSince;
 
-    private int unheardProbes;
+    private int unansweredProbes;
     private boolean isolated;
     private double isolatedAt;
     private long digest;
-    private long stalls;
+    private long stallCount;
 
     /**
      * @param healthMost the highest local health score; 0 holds timeouts as they are
      */
-    Swim(Member self, List<String> seeds, SplittableRandom random, int healthMost) {
+    Swim(Member self, List<String> seeds, SplittableRandom random, int maxHealth) {
         this.self = self;
         this.seeds = seeds.stream().filter(s -> !s.equals(self.address())).toList();
         this.random = random;
-        this.healthMost = healthMost;
+        this.maxHealth = maxHealth;
         digest = hash(self);
     }
 
@@ -195,13 +195,13 @@
     }
 
     Member find(String name) {
-        Peer p = peers.get(name);
-        return p == null ? null : p.member;
+        Peer peer = peers.get(name);
+        return peer == null ? null : peer.member;
     }
 
     /** The others that take part. */
     List<Member> others() {
-        return peers.values().stream().map(p -> p.member).filter(Member::present).toList();
+        return peers.values().stream().map(p -> p.member).filter(Member::isPresent).toList();
     }
 
     /**
@@ -223,60 +223,60 @@
     }
 
     /** How often the process was seen to stand still. */
-    long stalls() {
-        return stalls;
+    long stallCount() {
+        return stallCount;
     }
 
     /**
      * Milliseconds of its own awake time since a packet of this member was last taken; -1 for one
      * unknown.
      */
-    double heardAgoMs(double now, String name) {
-        Peer p = peers.get(name);
-        return p == null ? -1 : awake(now) - p.heardAt;
+    double lastPacketAgeMs(double now, String name) {
+        Peer peer = peers.get(name);
+        return peer == null ? -1 : advanceAwakeTime(now) - peer.lastPacketAt;
     }
 
     /** Who holds the suspicion of a member, as far as told here. */
     List<String> accusers(String name) {
-        Peer p = peers.get(name);
-        return p == null ? List.of() : List.copyOf(p.accusers);
+        Peer peer = peers.get(name);
+        return peer == null ? List.of() : List.copyOf(peer.accusers);
     }
 
-    private static long hash(Member m) {
+    private static long hash(Member member) {
         // Suspicion comes and goes too often to be made good by tables.
-        long h = m.incarnation() * 0x9e3779b97f4a7c15L + (m.present() ? 1 : 2);
-        for (int i = 0; i < m.name().length(); i++) {
-            h = (h ^ m.name().charAt(i)) * 0x100000001b3L;
+        long hash = member.incarnation() * 0x9e3779b97f4a7c15L + (member.isPresent() ? 1 : 2);
+        for (int i = 0; i < member.name().length(); i++) {
+            hash = (hash ^ member.name().charAt(i)) * 0x100000001b3L;
         }
-        return (h ^ (h >>> 29)) * 0xbf58476d1ce4e5b9L;
+        return (hash ^ (hash >>> 29)) * 0xbf58476d1ce4e5b9L;
     }
 
     /**
      * Time that counts: the own clock, less what passed while the process stood still or its event
      * loop was held up.
      */
-    private double awake(double now) {
-        if (Double.isNaN(lastNow)) {
-            lastNow = now;
-            lastTick = now;
+    private double advanceAwakeTime(double now) {
+        if (Double.isNaN(lastCallAt)) {
+            lastCallAt = now;
+            lastTickAt = now;
         }
-        double gap = Math.max(0, now - lastNow);
-        lastNow = Math.max(lastNow, now);
+        double gap = Math.max(0, now - lastCallAt);
+        lastCallAt = Math.max(lastCallAt, now);
         if (gap > STALL_MS) {
-            stalls++;
+            stallCount++;
             // What was asked before the pause is void: the answer may wait in the socket, and the
             // fault was ours.
             answered = true;
-            asked = true;
-            well(+1);
+            indirectProbesSent = true;
+            adjustHealth(+1);
             // Others may hold it dead by now: its next probe brings that to light.
-            periodAt = Double.NEGATIVE_INFINITY;
+            periodStartedAt = Double.NEGATIVE_INFINITY;
         }
-        double sinceTick = lastNow - lastTick;
+        double sinceTick = lastCallAt - lastTickAt;
         if (sinceTick <= LATE_TICK_MS) {
-            awake = Math.max(awake, awakeAtLastTick + sinceTick);
+            awakeMs = Math.max(awakeMs, awakeAtLastTick + sinceTick);
         }
-        return awake;
+        return awakeMs;
     }
 
     /**
@@ -284,144 +284,149 @@
      * came during the hold-up may lie unread in the socket, and is read before the next tick.
      */
     private void endTick() {
-        if (lastNow - lastTick > LATE_TICK_MS) {
-            awake += Gossip.TICK_MS;
+        if (lastCallAt - lastTickAt > LATE_TICK_MS) {
+            awakeMs += Gossip.TICK_MS;
         }
-        lastTick = lastNow;
-        awakeAtLastTick = awake;
+        lastTickAt = lastCallAt;
+        awakeAtLastTick = awakeMs;
     }
 
-    private void well(int change) {
-        health = Math.max(0, Math.min(healthMost, health + change));
+    private void adjustHealth(int change) {
+        health = Math.max(0, Math.min(maxHealth, health + change));
     }
 
     /**
      * While nothing answers at all, probes show whether we are cut off and accuse nobody: they go
      * on at a pace that tells soon.
      */
-    private double period() {
+    private double periodMs() {
         return Math.min(
                 PERIOD_MS * (1 + health),
-                unheardProbes == 0 ? Double.POSITIVE_INFINITY : ISOLATED_MS / ISOLATED_PROBES);
+                unansweredProbes == 0 ? Double.POSITIVE_INFINITY : ISOLATION_MS / ISOLATION_PROBES);
     }
 
     /**
      * How long this proxy waits for an answer now; a relay says no after {@link #NACK_SHARE} of it.
      */
-    double answerMs() {
-        return ANSWER_SHARE * period();
-    }
-
-    void start(double now, Out out) {
-        double at = awake(now);
-        periodAt = at - random.nextDouble() * PERIOD_MS;
-        nextRecall = at + RECALL_MS;
-        seeds.forEach(out::call);
-    }
-
-    void tick(double now, Out out) {
-        double at = awake(now);
-        if (!answered && !asked && at - probedAt >= answerMs()) {
-            asked = true;
-            Member target = find(probed);
-            for (Member via : target == null ? List.<Member>of() : some(ASKED, probed)) {
-                nacksAsked++;
-                out.ask(via, target, number);
+    double ackTimeoutMs() {
+        return ACK_TIMEOUT_SHARE * periodMs();
+    }
+
+    void start(double now, Actions actions) {
+        double awakeNow = advanceAwakeTime(now);
+        periodStartedAt = awakeNow - random.nextDouble() * PERIOD_MS;
+        nextReconnectAt = awakeNow + RECONNECT_INTERVAL_MS;
+        seeds.forEach(actions::pingAddress);
+    }
+
+    void tick(double now, Actions actions) {
+        double awakeNow = advanceAwakeTime(now);
+        if (!answered && !indirectProbesSent && awakeNow - probeSentAt >= ackTimeoutMs()) {
+            indirectProbesSent = true;
+            Member target = find(probedName);
+            for (Member relay :
+                    target == null
+                            ? List.<Member>of()
+                            : randomMembers(INDIRECT_PROBES, probedName)) {
+                relaysAsked++;
+                actions.sendPingRequest(relay, target, probeNumber);
             }
         }
-        if (at - periodAt >= period()) {
-            periodAt = at;
-            endPeriod(at, out);
-            beginPeriod(at, out);
+        if (awakeNow - periodStartedAt >= periodMs()) {
+            periodStartedAt = awakeNow;
+            endPeriod(awakeNow, actions);
+            beginPeriod(awakeNow, actions);
         }
-        age(at, out);
-        step(at, out);
+        expire(awakeNow, actions);
+        updateIsolation(awakeNow, actions);
         endTick();
     }
 
     /** A probe that failed starts a suspicion, or confirms one that others hold. */
-    private void accuse(double at, Member target, Out out) {
+    private void suspect(double awakeNow, Member target, Actions actions) {
         // Where not one of several relays says anything, the silence is our own link's as likely as
         // the member's.
-        boolean voiceless = unheardProbes > 0 && nacksAsked >= VOICES;
+        boolean relaysSilent = unansweredProbes > 0 && relaysAsked >= MIN_SILENT_RELAYS;
         // One that has refuted since the probe went out hears and is heard: the probe was late, not
         // the member.
         boolean refuted = target != null && target.incarnation() > probedIncarnation;
         if (target != null
-                && target.present()
+                && target.isPresent()
                 && !refuted
-                && !holds(at)
-                && (!voiceless || isolated)) {
-            apply(at, target.suspectedBy(self.name()), out);
+                && !withholdsVerdicts(awakeNow)
+                && (!relaysSilent || isolated)) {
+            apply(awakeNow, target.asSuspect(self.name()), actions);
         }
     }
 
-    private void endPeriod(double at, Out out) {
+    private void endPeriod(double awakeNow, Actions actions) {
         if (!answered) {
             // As memberlist counts: where every relay says that it was not answered either, the
             // member's silence is none of ours.
-            well(nacksAsked == 0 || nacks < nacksAsked ? +1 : 0);
-            accuse(at, find(probed), out);
+            adjustHealth(relaysAsked == 0 || nacksReceived < relaysAsked ? +1 : 0);
+            suspect(awakeNow, find(probedName), actions);
         }
         answered = true;
     }
 
-    private void beginPeriod(double at, Out out) {
-        if (others().isEmpty() || at >= nextRecall) {
-            nextRecall = at + RECALL_MS;
-            recall(out);
+    private void beginPeriod(double awakeNow, Actions actions) {
+        if (others().isEmpty() || awakeNow >= nextReconnectAt) {
+            nextReconnectAt = awakeNow + RECONNECT_INTERVAL_MS;
+            reconnect(actions);
         }
-        Member target = next();
+        Member target = nextTarget();
         if (target != null) {
-            number++;
-            probed = target.name();
-            probedAt = at;
+            probeNumber++;
+            probedName = target.name();
+            probeSentAt = awakeNow;
             probedIncarnation = target.incarnation();
             answered = false;
-            asked = false;
-            nacksAsked = 0;
-            nacks = 0;
-            unheardSince = unheardProbes++ == 0 ? at : unheardSince;
-            out.ping(target, number);
+            indirectProbesSent = false;
+            relaysAsked = 0;
+            nacksReceived = 0;
+            unansweredSince = unansweredProbes++ == 0 ? awakeNow : unansweredSince;
+            actions.sendPing(target, probeNumber);
         }
     }
 
-    private void recall(Out out) {
-        List<String> gone =
+    private void reconnect(Actions actions) {
+        List<String> addresses =
                 new ArrayList<>(
                         peers.values().stream()
                                 .filter(p -> p.member.status() == Status.DEAD)
                                 .map(p -> p.member.address())
                                 .toList());
         List<String> present = others().stream().map(Member::address).toList();
-        seeds.stream().filter(s -> !present.contains(s) && !gone.contains(s)).forEach(gone::add);
-        if (!gone.isEmpty()) {
-            out.call(gone.get(random.nextInt(gone.size())));
+        seeds.stream()
+                .filter(s -> !present.contains(s) && !addresses.contains(s))
+                .forEach(addresses::add);
+        if (!addresses.isEmpty()) {
+            actions.pingAddress(addresses.get(random.nextInt(addresses.size())));
         }
     }
 
-    private Member next() {
-        while (!round.isEmpty()) {
-            Member m = find(round.remove(round.size() - 1));
-            if (m != null && m.present()) {
-                return m;
+    private Member nextTarget() {
+        while (!probeOrder.isEmpty()) {
+            Member member = find(probeOrder.remove(probeOrder.size() - 1));
+            if (member != null && member.isPresent()) {
+                return member;
             }
         }
-        for (Member m : others()) {
-            round.add(random.nextInt(round.size() + 1), m.name());
+        for (Member member : others()) {
+            probeOrder.add(random.nextInt(probeOrder.size() + 1), member.name());
         }
-        return round.isEmpty() ? null : find(round.remove(round.size() - 1));
+        return probeOrder.isEmpty() ? null : find(probeOrder.remove(probeOrder.size() - 1));
     }
 
     /** So many others that take part, drawn by chance, without one. */
-    List<Member> some(int count, String without) {
-        List<Member> from = new ArrayList<>(others());
-        from.removeIf(m -> m.name().equals(without));
-        List<Member> drawn = new ArrayList<>();
-        while (drawn.size() < count && !from.isEmpty()) {
-            drawn.add(from.remove(random.nextInt(from.size())));
+    List<Member> randomMembers(int count, String excluded) {
+        List<Member> candidates = new ArrayList<>(others());
+        candidates.removeIf(m -> m.name().equals(excluded));
+        List<Member> selected = new ArrayList<>();
+        while (selected.size() < count && !candidates.isEmpty()) {
+            selected.add(candidates.remove(random.nextInt(candidates.size())));
         }
-        return drawn;
+        return selected;
     }
 
     /**
@@ -430,69 +435,72 @@
      */
     double suspicionMs(int confirmations) {
         int members = others().size() + 1;
-        double least = SUSPECT_PERIODS * PERIOD_MS * Math.max(1, Math.log10(members));
-        double most = SUSPECT_MOST_TIMES * least;
-        int expected = Math.min(CONFIRMATIONS, members - 2);
+        double minMs = MIN_SUSPICION_PERIODS * PERIOD_MS * Math.max(1, Math.log10(members));
+        double maxMs = MAX_SUSPICION_FACTOR * minMs;
+        int expected = Math.min(EXPECTED_CONFIRMATIONS, members - 2);
         if (expected < 1) {
-            return least;
+            return minMs;
         }
-        double part = Math.log(Math.min(confirmations, expected) + 1) / Math.log(expected + 1);
-        return Math.max(least, most - (most - least) * part);
+        double progress = Math.log(Math.min(confirmations, expected) + 1) / Math.log(expected + 1);
+        return Math.max(minMs, maxMs - (maxMs - minMs) * progress);
     }
 
-    private boolean holds(double at) {
-        return isolated && at - isolatedAt < HOLD_MS;
+    private boolean withholdsVerdicts(double awakeNow) {
+        return isolated && awakeNow - isolatedAt < MAX_ISOLATION_GRACE_MS;
     }
 
-    private void age(double at, Out out) {
-        for (Peer p : List.copyOf(peers.values())) {
-            if (p.member.status() == Status.SUSPECT
-                    && !holds(at)
-                    && at - p.since >= suspicionMs(p.accusers.size() - 1)) {
-                apply(at, p.member.with(Status.DEAD), out);
-            } else if (!p.member.present() && at - p.since >= REMEMBER_MS) {
-                digest ^= hash(p.member);
-                peers.remove(p.member.name());
+    private void expire(double awakeNow, Actions actions) {
+        for (Peer peer : List.copyOf(peers.values())) {
+            if (peer.member.status() == Status.SUSPECT
+                    && !withholdsVerdicts(awakeNow)
+                    && awakeNow - peer.statusSince >= suspicionMs(peer.accusers.size() - 1)) {
+                apply(awakeNow, peer.member.withStatus(Status.DEAD), actions);
+            } else if (!peer.member.isPresent()
+                    && awakeNow - peer.statusSince >= DEAD_RETENTION_MS) {
+                digest ^= hash(peer.member);
+                peers.remove(peer.member.name());
             }
         }
     }
 
     /** Steps down once nothing has answered for long, and up at the first answer. */
-    private void step(double at, Out out) {
-        boolean cut =
+    private void updateIsolation(double awakeNow, Actions actions) {
+        boolean nowIsolated =
                 others().size() >= 2
-                        && unheardProbes >= ISOLATED_PROBES
-                        && at - unheardSince >= ISOLATED_MS;
-        if (cut && !isolated) {
+                        && unansweredProbes >= ISOLATION_PROBES
+                        && awakeNow - unansweredSince >= ISOLATION_MS;
+        if (nowIsolated && !isolated) {
             isolated = true;
-            isolatedAt = at;
-            withdraw(out);
-            out.stepped(
+            isolatedAt = awakeNow;
+            withdrawOwnSuspicions(actions);
+            actions.isolationChanged(
                     true,
                     String.format(
                             Locale.ROOT,
                             "unanswered_ms:%.0f probes:%d health:%d",
-                            at - unheardSince,
-                            unheardProbes,
+                            awakeNow - unansweredSince,
+                            unansweredProbes,
                             health));
-        } else if (!cut && isolated) {
+        } else if (!nowIsolated && isolated) {
             isolated = false;
-            out.stepped(
+            actions.isolationChanged(
                     false,
-                    String.format(Locale.ROOT, "down_ms:%.0f health:%d", at - isolatedAt, health));
+                    String.format(
+                            Locale.ROOT, "down_ms:%.0f health:%d", awakeNow - isolatedAt, health));
         }
     }
 
     /** Suspicions that this proxy alone holds are its own link's fault: they are taken back. */
-    private void withdraw(Out out) {
-        for (Peer p : peers.values()) {
-            if (p.member.status() == Status.SUSPECT && p.accusers.equals(Set.of(self.name()))) {
-                Member before = p.member;
+    private void withdrawOwnSuspicions(Actions actions) {
+        for (Peer peer : peers.values()) {
+            if (peer.member.status() == Status.SUSPECT
+                    && peer.accusers.equals(Set.of(self.name()))) {
+                Member before = peer.member;
                 digest ^= hash(before);
-                p.member = before.with(Status.ALIVE);
-                p.accusers.clear();
-                digest ^= hash(p.member);
-                out.changed(before, p.member);
+                peer.member = before.withStatus(Status.ALIVE);
+                peer.accusers.clear();
+                digest ^= hash(peer.member);
+                actions.memberChanged(before, peer.member);
             }
         }
     }
@@ -501,37 +509,37 @@
      * An answer to a probe has come, from the member itself or by way of another; a late one too
      * proves that we are heard.
      */
-    void answered(double now, int probe, String from, Out out) {
-        double at = awake(now);
-        if (probe == number && from.equals(probed) && !answered) {
+    void ackReceived(double now, int probe, String from, Actions actions) {
+        double awakeNow = advanceAwakeTime(now);
+        if (probe == probeNumber && from.equals(probedName) && !answered) {
             answered = true;
-            well(-1);
+            adjustHealth(-1);
         }
-        heardBack(at, probe, out);
+        answerReceived(awakeNow, probe, actions);
     }
 
     /**
      * A relay says that the member that it was asked to ping gave it no answer; it proves our own
      * link.
      */
-    void nacked(double now, int probe, Out out) {
-        double at = awake(now);
-        nacks += probe == number ? 1 : 0;
-        heardBack(at, probe, out);
+    void nackReceived(double now, int probe, Actions actions) {
+        double awakeNow = advanceAwakeTime(now);
+        nacksReceived += probe == probeNumber ? 1 : 0;
+        answerReceived(awakeNow, probe, actions);
     }
 
-    private void heardBack(double at, int probe, Out out) {
-        if (probe > number - HEARD_PROBES && probe > 0 && probe <= number) {
-            unheardProbes = 0;
-            step(at, out);
+    private void answerReceived(double awakeNow, int probe, Actions actions) {
+        if (probe > probeNumber - RECENT_PROBES && probe > 0 && probe <= probeNumber) {
+            unansweredProbes = 0;
+            updateIsolation(awakeNow, actions);
         }
     }
 
     /** A packet of a member has been taken. */
-    void heard(double now, String name) {
-        Peer p = peers.get(name);
-        if (p != null) {
-            p.heardAt = awake(now);
+    void packetReceived(double now, String name) {
+        Peer peer = peers.get(name);
+        if (peer != null) {
+            peer.lastPacketAt = advanceAwakeTime(now);
         }
     }
 
@@ -540,83 +548,85 @@
      * refuted: this raises the incarnation past it. A suspicion that is held already counts once
      * more for each member that holds it too.
      */
-    boolean take(double now, Member news, Out out) {
-        return apply(awake(now), news, out);
+    boolean applyUpdate(double now, Member update, Actions actions) {
+        return apply(advanceAwakeTime(now), update, actions);
     }
 
-    private boolean apply(double at, Member news, Out out) {
-        if (news.name().equals(self.name())) {
-            return refute(news, out);
+    private boolean apply(double awakeNow, Member update, Actions actions) {
+        if (update.name().equals(self.name())) {
+            return refute(update, actions);
         }
-        Peer known = peers.get(news.name());
-        if (known != null
-                && news.status() == Status.SUSPECT
-                && known.member.status() == Status.SUSPECT
-                && news.incarnation() == known.member.incarnation()) {
-            return confirm(known, news, out);
+        Peer peer = peers.get(update.name());
+        if (peer != null
+                && update.status() == Status.SUSPECT
+                && peer.member.status() == Status.SUSPECT
+                && update.incarnation() == peer.member.incarnation()) {
+            return confirm(peer, update, actions);
         }
-        if (known != null && !news.overrides(known.member) || known == null && !news.present()) {
+        if (peer != null && !update.overrides(peer.member) || peer == null && !update.isPresent()) {
             return false;
         }
-        Member before = known == null ? null : known.member;
-        if (known == null) {
-            known = new Peer(news, at);
-            peers.put(news.name(), known);
+        Member before = peer == null ? null : peer.member;
+        if (peer == null) {
+            peer = new Peer(update, awakeNow);
+            peers.put(update.name(), peer);
         } else {
-            digest ^= hash(known.member);
-            known.member = news;
-            known.since = at;
+            digest ^= hash(peer.member);
+            peer.member = update;
+            peer.statusSince = awakeNow;
         }
-        known.accusers.clear();
-        if (news.status() == Status.SUSPECT) {
-            known.accusers.add(news.by().isEmpty() ? self.name() : news.by());
-            if (!news.by().equals(self.name())) {
+        peer.accusers.clear();
+        if (update.status() == Status.SUSPECT) {
+            peer.accusers.add(update.suspectedBy().isEmpty() ? self.name() : update.suspectedBy());
+            if (!update.suspectedBy().equals(self.name())) {
                 // Its own probe confirms it, or tells it of the suspicion in time to refute: it
                 // comes next, in place of its turn.
-                round.remove(news.name());
-                round.add(news.name());
+                probeOrder.remove(update.name());
+                probeOrder.add(update.name());
             }
         }
-        digest ^= hash(news);
-        out.changed(before, news);
+        digest ^= hash(update);
+        actions.memberChanged(before, update);
         return true;
     }
 
-    private boolean refute(Member news, Out out) {
-        boolean wrong =
-                news.incarnation() > self.incarnation()
-                        || news.incarnation() == self.incarnation()
-                                && news.status() != Status.ALIVE
+    private boolean refute(Member update, Actions actions) {
+        boolean contradictsSelf =
+                update.incarnation() > self.incarnation()
+                        || update.incarnation() == self.incarnation()
+                                && update.status() != Status.ALIVE
                                 && self.status() == Status.ALIVE;
-        if (wrong && news.incarnation() < Integer.MAX_VALUE) {
+        if (contradictsSelf && update.incarnation() < Integer.MAX_VALUE) {
             Member before = self;
-            become(new Member(self.name(), self.address(), news.incarnation() + 1, self.status()));
-            well(+1);
-            out.refuted(news);
-            out.changed(before, self);
+            replaceSelf(
+                    new Member(
+                            self.name(), self.address(), update.incarnation() + 1, self.status()));
+            adjustHealth(+1);
+            actions.selfRefuted(update);
+            actions.memberChanged(before, self);
         }
-        return wrong;
+        return contradictsSelf;
     }
 
-    private boolean confirm(Peer known, Member news, Out out) {
-        if (news.by().isEmpty()
-                || known.accusers.contains(news.by())
-                || known.accusers.size() >= MOST_ACCUSERS) {
+    private boolean confirm(Peer peer, Member update, Actions actions) {
+        if (update.suspectedBy().isEmpty()
+                || peer.accusers.contains(update.suspectedBy())
+                || peer.accusers.size() >= MAX_ACCUSERS) {
             return false;
         }
-        known.accusers.add(news.by());
-        Member before = known.member;
-        known.member = news;
-        out.changed(before, news);
+        peer.accusers.add(update.suspectedBy());
+        Member before = peer.member;
+        peer.member = update;
+        actions.memberChanged(before, update);
         return true;
     }
 
     /** Tells that this proxy is leaving. */
     void leave() {
-        become(self.with(Status.LEFT));
+        replaceSelf(self.withStatus(Status.LEFT));
     }
 
-    private void become(Member next) {
+    private void replaceSelf(Member next) {
         digest ^= hash(self);
         self = next;
         digest ^= hash(self);
--- a/src/main/java/cacheproxy/proxy/ClientChannel.java
+++ b/src/main/java/cacheproxy/proxy/ClientChannel.java
@@ -21,18 +21,18 @@
 final class ClientChannel extends NioSocketChannel {
 
     /** More than a system lets lie unread on a connection that nobody reads. */
-    static final int MOST_AHEAD = 128 * 1024;
+    static final int MAX_READ_AHEAD_BYTES = 128 * 1024;
 
-    private static final int MOST_AHEAD_IN_ALL = 2 * 1024 * 1024;
-    private static final int ONE_READ = 16 * 1024;
+    private static final int MAX_TOTAL_READ_AHEAD_BYTES = 2 * 1024 * 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
 
     private final Listener listener;
 
     /** What was read ahead and is not handed on yet; null where there is nothing. */
-    private ByteBuf ahead;
+    private ByteBuf readAheadBuffer;
 
-    private boolean handingOn;
-    private boolean left;
+    private boolean deliveryScheduled;
+    private boolean clientClosed;
 
     private ClientChannel(Listener listener, SocketChannel socket) {
         super(listener, socket);
@@ -43,16 +43,16 @@
      * Whether the client has ended its half or reset the connection. Costs one read that does not
      * wait.
      */
-    boolean hasLeft() {
-        while (!left && mayReadAhead()) {
+    boolean hasClientClosed() {
+        while (!clientClosed && canReadAhead()) {
             int read = readAhead();
-            left = read < 0;
+            clientClosed = read < 0;
             if (read == 0) {
                 break;
             }
         }
-        handOn();
-        return left;
+        scheduleDelivery();
+        return clientClosed;
     }
 
     /**
@@ -60,13 +60,13 @@
      * Where it also serves a close that follows, nothing is left in the kernel for which the system
      * would reset the connection.
      */
-    boolean hasUnread() {
-        return hasLeft() || ahead != null;
+    boolean hasUnreadInput() {
+        return hasClientClosed() || readAheadBuffer != null;
     }
 
-    private boolean mayReadAhead() {
-        return (ahead == null || ahead.readableBytes() < MOST_AHEAD)
-                && listener.ahead < MOST_AHEAD_IN_ALL;
+    private boolean canReadAhead() {
+        return (readAheadBuffer == null || readAheadBuffer.readableBytes() < MAX_READ_AHEAD_BYTES)
+                && listener.readAheadBytes < MAX_TOTAL_READ_AHEAD_BYTES;
     }
 
     /** Bytes that were read, and below 0 at an end or where the connection broke. */
@@ -75,9 +75,10 @@
         try {
             int read = javaChannel().read(scratch);
             if (read > 0) {
-                ahead = ahead == null ? alloc().heapBuffer(read) : ahead;
-                ahead.writeBytes(scratch.flip());
-                listener.ahead += read;
+                readAheadBuffer =
+                        readAheadBuffer == null ? alloc().heapBuffer(read) : readAheadBuffer;
+                readAheadBuffer.writeBytes(scratch.flip());
+                listener.readAheadBytes += read;
             }
             return read;
         } catch (IOException e) {
@@ -86,14 +87,14 @@
     }
 
     /** Of what was read ahead the selector tells nothing. */
-    private void handOn() {
-        if (ahead != null && !handingOn && config().isAutoRead()) {
-            handingOn = true;
+    private void scheduleDelivery() {
+        if (readAheadBuffer != null && !deliveryScheduled && config().isAutoRead()) {
+            deliveryScheduled = true;
             eventLoop()
                     .execute(
                             () -> {
-                                handingOn = false;
-                                if (ahead != null && config().isAutoRead()) {
+                                deliveryScheduled = false;
+                                if (readAheadBuffer != null && config().isAutoRead()) {
                                     unsafe().read();
                                 }
                             });
@@ -103,52 +104,52 @@
     @Override
     protected void doBeginRead() throws Exception {
         super.doBeginRead();
-        handOn();
+        scheduleDelivery();
     }
 
     @Override
-    protected int doReadBytes(ByteBuf into) throws Exception {
-        if (ahead == null) {
-            return super.doReadBytes(into);
+    protected int doReadBytes(ByteBuf target) throws Exception {
+        if (readAheadBuffer == null) {
+            return super.doReadBytes(target);
         }
-        RecvByteBufAllocator.Handle sizes = unsafe().recvBufAllocHandle();
-        int read = Math.min(into.writableBytes(), ahead.readableBytes());
-        sizes.attemptedBytesRead(read);
-        into.writeBytes(ahead, read);
-        listener.ahead -= read;
-        if (!ahead.isReadable()) {
-            dropAhead();
+        RecvByteBufAllocator.Handle allocHandle = unsafe().recvBufAllocHandle();
+        int read = Math.min(target.writableBytes(), readAheadBuffer.readableBytes());
+        allocHandle.attemptedBytesRead(read);
+        target.writeBytes(readAheadBuffer, read);
+        listener.readAheadBytes -= read;
+        if (!readAheadBuffer.isReadable()) {
+            releaseReadAhead();
         }
         return read;
     }
 
-    private void dropAhead() {
-        if (ahead != null) {
-            listener.ahead -= ahead.readableBytes();
-            ahead.release();
-            ahead = null;
+    private void releaseReadAhead() {
+        if (readAheadBuffer != null) {
+            listener.readAheadBytes -= readAheadBuffer.readableBytes();
+            readAheadBuffer.release();
+            readAheadBuffer = null;
         }
     }
 
     @Override
     protected void doClose() throws Exception {
-        left = true;
-        dropAhead();
+        clientClosed = true;
+        releaseReadAhead();
         super.doClose();
     }
 
     /** Takes clients in, all on one loop. */
     static final class Listener extends NioServerSocketChannel {
-        private final ByteBuffer scratch = ByteBuffer.allocateDirect(ONE_READ);
+        private final ByteBuffer scratch = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
         /** Bytes read ahead on all of its connections. */
-        private int ahead;
+        private int readAheadBytes;
 
         Listener() {}
 
         /** Over a socket that listens already. */
-        Listener(ServerSocketChannel passed) {
-            super(passed);
+        Listener(ServerSocketChannel boundSocket) {
+            super(boundSocket);
         }
 
         /**
@@ -156,11 +157,11 @@
          * are registered when this returns. What still waits when a listener closes is reset by the
          * system.
          */
-        void acceptWaiting(int most) {
+        void acceptPending(int limit) {
             List<Object> accepted = new ArrayList<>();
             try {
                 boolean more = true;
-                while (more && accepted.size() < most) {
+                while (more && accepted.size() < limit) {
                     more = doReadMessages(accepted) > 0;
                 }
             } catch (Exception e) {
--- a/src/main/java/cacheproxy/proxy/ClientServer.java
+++ b/src/main/java/cacheproxy/proxy/ClientServer.java
@@ -61,8 +61,8 @@
  */
 final class ClientServer {
 
-    private static final String API = "/api/";
-    private static final Pattern ID = Pattern.compile("[0-9A-Za-z_-]{1,64}");
+    private static final String API_PREFIX = "/api/";
+    private static final Pattern ID_PATTERN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
 
     /** A budget past this is a mistake, and as a timer would outlive the process. */
     private static final double MAX_BUDGET_S = 3600;
@@ -73,28 +73,28 @@
      * How often the limits in time are looked at: one timer for all, as most connections never
      * reach one.
      */
-    private static final long SWEEP_MS = 100;
+    private static final long SWEEP_INTERVAL_MS = 100;
 
     /** How long a connection may say nothing at first. */
-    private static final long SILENT_MS = 2000;
+    private static final long FIRST_BYTE_TIMEOUT_MS = 2000;
 
     /**
      * A usual client takes 2 s for a head and then sends 64 kB a second, in bursts. One that sent
      * nothing of use is owed an end 3 s after it came.
      */
-    private static final long READING_MS = 2600;
+    private static final long MIN_RATE_GRACE_MS = 2600;
 
     /** How long one may pause in the middle of a request; an end is owed within 3 s. */
-    private static final long PAUSE_MS = 2600;
+    private static final long REQUEST_PAUSE_TIMEOUT_MS = 2600;
 
-    private static final long LEAST_BYTES_PER_S = 48_000;
-    private static final long STALLED_MS = 10_000;
+    private static final long MIN_BYTES_PER_S = 48_000;
+    private static final long RESPONSE_STALL_TIMEOUT_MS = 10_000;
 
     /**
      * How long one that was served is kept for its next request: some clients ask once and stay for
      * good.
      */
-    private static final long IDLE_MS = 4000;
+    private static final long IDLE_TIMEOUT_MS = 4000;
 
     /**
      * Part of the connections that may be kept for a next request. Past it each answer is its
@@ -102,18 +102,18 @@
      * the connections that clients may hold, and all others would find none. Could do harm where
      * that many clients do ask again: each request then opens a connection.
      */
-    private static final int KEPT_PART = 4;
+    private static final int IDLE_CONNECTIONS_DIVISOR = 4;
 
-    private static final long CROWDED_IDLE_MS = 2000;
+    private static final long SHORT_IDLE_TIMEOUT_MS = 2000;
 
     /**
      * When accepting is tried again after it failed: what is out of descriptors would fail at once,
      * and for all.
      */
-    private static final long ACCEPT_AGAIN_MS = 100;
+    private static final long ACCEPT_RETRY_DELAY_MS = 100;
 
     /** Part of the connections that may have no request and never had a good one. */
-    private static final int UNPROVEN_PART = 4;
+    private static final int UNPROVEN_CONNECTIONS_DIVISOR = 4;
 
     private final EventLoop loop;
     private final Proxy proxy;
@@ -128,15 +128,15 @@
     private boolean ready;
 
     /** When the last sweep ran. */
-    private long sweptAt = System.nanoTime();
+    private long lastSweepNanos = System.nanoTime();
 
-    private boolean full;
-    private int idle;
+    private boolean atConnectionLimit;
+    private int idleConnections;
     private boolean draining;
-    private boolean emptied;
+    private boolean operatorDrain;
 
     /** Whether other processes listen on the same socket. */
-    private boolean shared;
+    private boolean sharedListener;
 
     private boolean stopped;
 
@@ -152,33 +152,40 @@
      * called again after it has failed: there may then be no socket, only a channel that can't be
      * closed either.
      */
-    ChannelFuture listen(Transport transport, SocketAddress address) {
-        return draining ? null : listens(serving(transport.server(loop)).bind(address));
+    ChannelFuture listen(ConnectionTransport transport, SocketAddress address) {
+        return draining
+                ? null
+                : listening(configure(transport.serverBootstrap(loop)).bind(address));
     }
 
     /**
      * Takes clients from a socket that listens already and that other processes take them from as
      * well.
      */
-    ChannelFuture listen(ServerSocketChannel passed) {
-        shared = true;
-        return draining ? null : listens(serving(Transport.server(loop, passed)).register());
+    ChannelFuture listen(ServerSocketChannel boundSocket) {
+        sharedListener = true;
+        return draining
+                ? null
+                : listening(
+                        configure(ConnectionTransport.serverBootstrap(loop, boundSocket))
+                                .register());
     }
 
-    boolean listens() {
+    boolean listening() {
         return listener != null;
     }
 
-    private ChannelFuture listens(ChannelFuture bound) {
-        if (!listens()) {
-            loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    private ChannelFuture listening(ChannelFuture channelFuture) {
+        if (!listening()) {
+            loop.scheduleWithFixedDelay(
+                    this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
-        listener = bound.channel();
-        return bound;
+        listener = channelFuture.channel();
+        return channelFuture;
     }
 
-    private ServerBootstrap serving(ServerBootstrap server) {
-        return server.handler(new AcceptFailures())
+    private ServerBootstrap configure(ServerBootstrap server) {
+        return server.handler(new AcceptFailureHandler())
                 .childHandler(
                         new ChannelInitializer<>() {
                             @Override
@@ -186,29 +193,30 @@
                                 Connection connection = new Connection(channel);
                                 channel.pipeline()
                                         .addLast(
-                                                connection.bytes,
+                                                connection.byteHandler,
                                                 connection.decoder,
                                                 new HttpResponseEncoder(),
-                                                new Bodies(),
+                                                new RequestAggregator(),
                                                 connection);
-                                makeRoom();
+                                enforceConnectionLimits();
                                 connections.add(connection);
                             }
                         });
     }
 
     private void sweep() {
-        long now = System.nanoTime();
-        boolean late = now - sweptAt > 2 * TimeUnit.MILLISECONDS.toNanos(SWEEP_MS);
-        sweptAt = now;
-        if (late) {
+        long nowNanos = System.nanoTime();
+        boolean delayed =
+                nowNanos - lastSweepNanos > 2 * TimeUnit.MILLISECONDS.toNanos(SWEEP_INTERVAL_MS);
+        lastSweepNanos = nowNanos;
+        if (delayed) {
             // What has come meanwhile lies unread: who seems silent may have asked long ago.
             return;
         }
-        List.copyOf(connections).forEach(c -> c.sweep(now));
+        List.copyOf(connections).forEach(c -> c.sweep(nowNanos));
     }
 
-    void ready() {
+    void markReady() {
         ready = true;
     }
 
@@ -228,10 +236,10 @@
      */
     void drain() {
         draining = true;
-        if (shared) {
-            accept(false);
+        if (sharedListener) {
+            setAccepting(false);
         } else {
-            connections.forEach(c -> c.kept = c.proven);
+            connections.forEach(c -> c.exemptFromDrain = c.hadValidRequest);
         }
     }
 
@@ -239,25 +247,25 @@
      * The operators empty this proxy, or end that. Each answer is then its connection's last;
      * clients have elsewhere to go, so those that were served before are not kept either.
      */
-    void empty(boolean begins) {
-        emptied = begins;
+    void setOperatorDrain(boolean active) {
+        operatorDrain = active;
     }
 
-    boolean isEmptied() {
-        return emptied;
+    boolean isDrainedByOperator() {
+        return operatorDrain;
     }
 
-    private boolean emptying() {
-        return emptied || handsOver();
+    private boolean closesAfterResponse() {
+        return operatorDrain || isHandingOver();
     }
 
-    private boolean handsOver() {
-        return shared && draining;
+    private boolean isHandingOver() {
+        return sharedListener && draining;
     }
 
-    private void accept(boolean accepts) {
-        if (listens()) {
-            listener.config().setAutoRead(accepts);
+    private void setAccepting(boolean enabled) {
+        if (listening()) {
+            listener.config().setAutoRead(enabled);
         }
     }
 
@@ -266,21 +274,21 @@
      * read and served, and so is one on a connection that waits to be accepted: closing the
      * listener would reset it.
      */
-    void stop() {
+    void stopAccepting() {
         boolean first = !stopped;
         stopped = true;
-        List.copyOf(connections).forEach(Connection::endIfIdle);
-        if (shared) {
-            accept(false);
-        } else if (first && listens() && listener.isOpen()) {
-            acceptWaiting();
+        List.copyOf(connections).forEach(Connection::closeIfIdle);
+        if (sharedListener) {
+            setAccepting(false);
+        } else if (first && listening() && listener.isOpen()) {
+            acceptPending();
             listener.close();
         }
     }
 
-    private void acceptWaiting() {
+    private void acceptPending() {
         if (listener instanceof ClientChannel.Listener sockets) {
-            sockets.acceptWaiting(Math.max(0, maxConnections - connections.size()));
+            sockets.acceptPending(Math.max(0, maxConnections - connections.size()));
         }
     }
 
@@ -288,9 +296,9 @@
      * Nothing more is taken: whose request has only begun to come is told to ask elsewhere. Called
      * again until no connection is left, as bytes may lie unread at the first call.
      */
-    void end() {
-        List.copyOf(connections).forEach(Connection::endIfIdle);
-        List.copyOf(connections).forEach(Connection::endIfReading);
+    void rejectIncomplete() {
+        List.copyOf(connections).forEach(Connection::closeIfIdle);
+        List.copyOf(connections).forEach(Connection::rejectIfReading);
     }
 
     /**
@@ -300,31 +308,35 @@
      * longest ago is ended. If every one is busy the next clients wait in the listener's backlog
      * until one has its answer: accepting past the limit would fail for all.
      */
-    private void makeRoom() {
-        boolean crowded = connections.size() + 1 >= maxConnections;
-        makeRoom(crowded);
-        if (crowded) {
-            full = true;
-            accept(false);
+    private void enforceConnectionLimits() {
+        boolean atLimit = connections.size() + 1 >= maxConnections;
+        enforceConnectionLimits(atLimit);
+        if (atLimit) {
+            atConnectionLimit = true;
+            setAccepting(false);
         }
     }
 
-    private void makeRoom(boolean crowded) {
+    private void enforceConnectionLimits(boolean atLimit) {
         List<Connection> unproven =
-                connections.stream().filter(c -> !c.proven && c.hasNoAnswer()).toList();
+                connections.stream()
+                        .filter(c -> !c.hadValidRequest && c.hasNoPendingResponse())
+                        .toList();
         if (!unproven.isEmpty()
-                && (crowded || unproven.size() >= Math.max(1, maxConnections / UNPROVEN_PART))) {
+                && (atLimit
+                        || unproven.size()
+                                >= Math.max(1, maxConnections / UNPROVEN_CONNECTIONS_DIVISOR))) {
             unproven.stream()
-                    .min(Comparator.comparingLong(c -> c.since))
-                    .ifPresent(Connection::giveWay);
-        } else if (crowded) {
-            endFirstIdle();
+                    .min(Comparator.comparingLong(c -> c.timerStartNanos))
+                    .ifPresent(Connection::evict);
+        } else if (atLimit) {
+            closeLeastRecentlyUsedIdle();
         }
     }
 
-    private void endFirstIdle() {
+    private void closeLeastRecentlyUsedIdle() {
         for (Connection connection : List.copyOf(connections)) {
-            if (connection.phase == Phase.IDLE && connection.endIfIdle()) {
+            if (connection.phase == Phase.IDLE && connection.closeIfIdle()) {
                 return;
             }
         }
@@ -335,37 +347,38 @@
      * let go, and accepting rests for a moment. Left to Netty it would rest for a second and then
      * go on whatever has been decided meanwhile.
      */
-    private final class AcceptFailures extends ChannelInboundHandlerAdapter {
+    private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.odd("accept_failed", "cause", cause.getMessage(), "clients", connections.size());
-            makeRoom(true);
-            accept(false);
+            log.warnLimited(
+                    "accept_failed", "cause", cause.getMessage(), "clients", connections.size());
+            enforceConnectionLimits(true);
+            setAccepting(false);
             loop.schedule(
-                    () -> accept(!full && !handsOver() && !stopped),
-                    ACCEPT_AGAIN_MS,
+                    () -> setAccepting(!atConnectionLimit && !isHandingOver() && !stopped),
+                    ACCEPT_RETRY_DELAY_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean crowded() {
-        return idle >= Math.max(1, maxConnections / KEPT_PART);
+    private boolean hasTooManyIdle() {
+        return idleConnections >= Math.max(1, maxConnections / IDLE_CONNECTIONS_DIVISOR);
     }
 
-    private void closed(Connection connection) {
+    private void onClosed(Connection connection) {
         connections.remove(connection);
-        if (full && connections.size() < maxConnections) {
-            full = false;
-            accept(!handsOver());
+        if (atConnectionLimit && connections.size() < maxConnections) {
+            atConnectionLimit = false;
+            setAccepting(!isHandingOver());
         }
     }
 
     /**
      * Puts requests together; one whose body is longer than any may be is told of by an exception.
      */
-    private static final class Bodies extends Gatherer {
+    private static final class RequestAggregator extends MessageAggregator {
         @Override
-        void accepted(ChannelHandlerContext ctx, HttpMessage message) {
+        void headAccepted(ChannelHandlerContext ctx, HttpMessage message) {
             if (HttpUtil.is100ContinueExpected(message)) {
                 ctx.writeAndFlush(
                         new DefaultFullHttpResponse(
@@ -376,7 +389,7 @@
         }
 
         @Override
-        FullHttpMessage whole(HttpMessage head, CompositeByteBuf body) {
+        FullHttpMessage aggregate(HttpMessage head, CompositeByteBuf body) {
             HttpRequest request = (HttpRequest) head;
             return new DefaultFullHttpRequest(
                     request.protocolVersion(),
@@ -390,10 +403,10 @@
 
     /** What a connection is doing; the limits in time go by it. */
     private enum Phase {
-        SILENT,
+        AWAITING_FIRST_BYTE,
         READING,
-        BUSY,
-        FLOWING,
+        PROCESSING,
+        STREAMING,
         IDLE,
         CLOSING
     }
@@ -402,84 +415,84 @@
     private final class Connection extends SimpleChannelInboundHandler<HttpObject>
             implements Proxy.Client {
         private final Channel channel;
-        private final Bytes bytes = new Bytes();
-        private final StrictHttp.Requests decoder = new StrictHttp.Requests();
-        private final Queue<Pipelined> pipelined = new ArrayDeque<>();
+        private final InboundByteHandler byteHandler = new InboundByteHandler();
+        private final StrictHttp.RequestDecoder decoder = new StrictHttp.RequestDecoder();
+        private final Queue<PipelinedRequest> pipelined = new ArrayDeque<>();
         private final HalfClose halfClose;
 
         /**
          * More came behind an open request than may wait: what waits is refused in its turn, and
          * the rest dropped.
          */
-        private boolean flooded;
+        private boolean pipelineOverflow;
 
-        private Phase phase = Phase.SILENT;
-        private long since = System.nanoTime();
-        private ChannelFuture written;
+        private Phase phase = Phase.AWAITING_FIRST_BYTE;
+        private long timerStartNanos = System.nanoTime();
+        private ChannelFuture lastWrite;
 
         /** Whether it ever had a request that could be taken. */
-        private boolean proven;
+        private boolean hadValidRequest;
 
         /** Whether it had one before the drain began. */
-        private boolean kept;
+        private boolean exemptFromDrain;
 
-        private String open;
+        private String openRequestId;
         private boolean keepAlive;
-        private boolean speaksChunks;
+        private boolean supportsChunked;
 
         /** Whether nothing but the end of the connection ends the answer. */
-        private boolean endsByClose;
+        private boolean closeDelimited;
 
         /**
          * The body that is coming in parts, and that of the request that is open; null where there
          * is none.
          */
-        private Upload coming;
+        private Upload incomingUpload;
 
         private Upload upload;
 
         /** Bytes read since {@link #since}, and what was left to write when last looked at. */
-        private long received;
+        private long receivedBytes;
 
-        private long unwritten;
+        private long unwrittenBytes;
 
         /** When its latest bytes came, or {@link #since} if that is later. */
-        private long heardAt = since;
+        private long lastReadNanos = timerStartNanos;
 
         /** Whether bytes have come of a request that has not come whole. */
-        private boolean begun;
+        private boolean hasPartialRequest;
 
         /** The long answer that is being passed on. */
-        private Flow flow;
+        private StreamedResponse streamedResponse;
 
         Connection(Channel channel) {
             this.channel = channel;
             this.halfClose = new HalfClose(channel);
         }
 
-        private void enter(Phase next) {
-            idle += (next == Phase.IDLE ? 1 : 0) - (phase == Phase.IDLE ? 1 : 0);
+        private void enterPhase(Phase next) {
+            idleConnections += (next == Phase.IDLE ? 1 : 0) - (phase == Phase.IDLE ? 1 : 0);
             phase = next;
-            restart();
+            restartTimer();
         }
 
-        private void restart() {
-            since = System.nanoTime();
-            heardAt = since;
-            received = 0;
+        private void restartTimer() {
+            timerStartNanos = System.nanoTime();
+            lastReadNanos = timerStartNanos;
+            receivedBytes = 0;
         }
 
-        boolean busy() {
-            return phase == Phase.BUSY || phase == Phase.FLOWING;
+        boolean isBusy() {
+            return phase == Phase.PROCESSING || phase == Phase.STREAMING;
         }
 
         /** Whether it has neither a request open nor an answer on its way. */
-        boolean hasNoAnswer() {
-            return !busy() && halfClose.isWritten();
+        boolean hasNoPendingResponse() {
+            return !isBusy() && halfClose.isWriteDone();
         }
 
-        private boolean hasUnread() {
-            return channel instanceof ClientChannel socket && socket.hasUnread();
+        private boolean hasUnreadInput() {
+            return channel instanceof ClientChannel socket && socket.hasUnreadInput();
         }
 
         /**
@@ -487,261 +500,284 @@
          * what has come, read or not, is still served or refused. The one place by which a
          * connection without a request is ended.
          */
-        boolean endIfIdle() {
-            boolean idle = (phase == Phase.SILENT || phase == Phase.IDLE) && !hasUnread();
-            if (idle) {
-                end();
+        boolean closeIfIdle() {
+            boolean closable =
+                    (phase == Phase.AWAITING_FIRST_BYTE || phase == Phase.IDLE)
+                            && !hasUnreadInput();
+            if (closable) {
+                beginClose();
             }
-            return idle;
+            return closable;
         }
 
         /**
          * Gives up its place at once. What has come of a request is refused first, as a close alone
          * would lose it.
          */
-        void giveWay() {
-            boolean unread = hasUnread();
-            if (phase == Phase.READING || phase == Phase.SILENT && unread) {
+        void evict() {
+            boolean unread = hasUnreadInput();
+            if (phase == Phase.READING || phase == Phase.AWAITING_FIRST_BYTE && unread) {
                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
             channel.close();
         }
 
-        void endIfReading() {
+        void rejectIfReading() {
             if (phase == Phase.READING) {
                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             }
         }
 
         /** The end of this connection, but for one that breaks. */
-        private void end() {
-            enter(Phase.CLOSING);
-            dropPipelined();
-            halfClose.begin(written);
+        private void beginClose() {
+            enterPhase(Phase.CLOSING);
+            discardPipelined();
+            halfClose.begin(lastWrite);
         }
 
         /**
          * A client that sends no end, reads no answer or just stays would hold its descriptor for
          * good.
          */
-        void sweep(long now) {
-            if (madeWay()) {
-                restart();
+        void sweep(long nowNanos) {
+            if (hasWriteProgress()) {
+                restartTimer();
             }
-            long ms = TimeUnit.NANOSECONDS.toMillis(now - since);
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - timerStartNanos);
             switch (phase) {
-                case SILENT -> endAfter(ms, SILENT_MS);
-                case IDLE -> endAfter(ms, emptying() || crowded() ? CROWDED_IDLE_MS : IDLE_MS);
-                case CLOSING -> halfClose.sweep(ms);
+                case AWAITING_FIRST_BYTE -> closeIfIdleFor(elapsedMs, FIRST_BYTE_TIMEOUT_MS);
+                case IDLE ->
+                        closeIfIdleFor(
+                                elapsedMs,
+                                closesAfterResponse() || hasTooManyIdle()
+                                        ? SHORT_IDLE_TIMEOUT_MS
+                                        : IDLE_TIMEOUT_MS);
+                case CLOSING -> halfClose.sweep(elapsedMs);
                 case READING -> {
-                    if (tooSlow(now, ms)) {
+                    if (isTooSlow(nowNanos, elapsedMs)) {
                         reject(HttpResponseStatus.REQUEST_TIMEOUT);
                     }
                 }
-                case BUSY -> {
-                    if (upload == null || !upload.waitsForClient()) {
-                        restart();
-                    } else if (tooSlow(now, ms)) {
-                        giveUp(HttpResponseStatus.REQUEST_TIMEOUT);
+                case PROCESSING -> {
+                    if (upload == null || !upload.isWaitingForClient()) {
+                        restartTimer();
+                    } else if (isTooSlow(nowNanos, elapsedMs)) {
+                        abortRequest(HttpResponseStatus.REQUEST_TIMEOUT);
                     }
                 }
-                case FLOWING -> {
-                    if (ms >= STALLED_MS) {
+                case STREAMING -> {
+                    if (elapsedMs >= RESPONSE_STALL_TIMEOUT_MS) {
                         channel.close();
                     }
                 }
             }
         }
 
-        private boolean tooSlow(long now, long ms) {
-            boolean stopped = TimeUnit.NANOSECONDS.toMillis(now - heardAt) >= PAUSE_MS;
-            return stopped
-                    || ms >= READING_MS && received < LEAST_BYTES_PER_S * (ms - READING_MS) / 1000;
+        private boolean isTooSlow(long nowNanos, long elapsedMs) {
+            boolean paused =
+                    TimeUnit.NANOSECONDS.toMillis(nowNanos - lastReadNanos)
+                            >= REQUEST_PAUSE_TIMEOUT_MS;
+            return paused
+                    || elapsedMs >= MIN_RATE_GRACE_MS
+                            && receivedBytes
+                                    < MIN_BYTES_PER_S * (elapsedMs - MIN_RATE_GRACE_MS) / 1000;
         }
 
         /** Whether the client has taken something of what it is sent since this was last asked. */
-        private boolean madeWay() {
-            ChannelOutboundBuffer out =
-                    phase == Phase.BUSY || phase == Phase.READING || phase == Phase.SILENT
+        private boolean hasWriteProgress() {
+            ChannelOutboundBuffer outbound =
+                    phase == Phase.PROCESSING
+                                    || phase == Phase.READING
+                                    || phase == Phase.AWAITING_FIRST_BYTE
                             ? null
                             : channel.unsafe().outboundBuffer();
-            long before = unwritten;
-            unwritten = out == null ? 0 : out.totalPendingWriteBytes() - out.currentProgress();
-            return unwritten > 0 && unwritten != before;
+            long previousBytes = unwrittenBytes;
+            unwrittenBytes =
+                    outbound == null
+                            ? 0
+                            : outbound.totalPendingWriteBytes() - outbound.currentProgress();
+            return unwrittenBytes > 0 && unwrittenBytes != previousBytes;
         }
 
         /** Ends the request that is open: its client broke off, or is as good as gone. */
-        private void giveUp(HttpResponseStatus status) {
-            leave();
+        private void abortRequest(HttpResponseStatus status) {
+            reportClientGone();
             reject(status);
         }
 
         @Override
-        public boolean hasLeft() {
+        public boolean hasDisconnected() {
             boolean left =
                     !channel.isActive()
-                            || channel instanceof ClientChannel socket && socket.hasLeft();
+                            || channel instanceof ClientChannel socket && socket.hasClientClosed();
             if (left) {
                 // The id may be another's by the time at which the loop tells of the close.
-                open = null;
+                openRequestId = null;
                 channel.close();
             }
             return left;
         }
 
-        private void leave() {
-            if (open != null) {
-                String gone = open;
-                open = null;
-                proxy.clientGone(gone);
+        private void reportClientGone() {
+            if (openRequestId != null) {
+                String requestId = openRequestId;
+                openRequestId = null;
+                proxy.clientDisconnected(requestId);
             }
         }
 
-        private void endAfter(long ms, long limit) {
-            if (ms >= limit) {
-                endIfIdle();
+        private void closeIfIdleFor(long elapsedMs, long timeoutMs) {
+            if (elapsedMs >= timeoutMs) {
+                closeIfIdle();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-            if (phase == Phase.CLOSING || flooded) {
+            if (phase == Phase.CLOSING || pipelineOverflow) {
                 return;
             }
             if (part instanceof HttpRequest request) {
-                coming = request instanceof FullHttpRequest ? null : new Upload(channel);
-                begun = coming != null || decoder.leftOver();
-                take(new Pipelined(ReferenceCountUtil.retain(request), coming, System.nanoTime()));
-            } else if (coming != null) {
-                coming(((HttpContent) part).retain());
+                incomingUpload = request instanceof FullHttpRequest ? null : new Upload(channel);
+                hasPartialRequest = incomingUpload != null || decoder.hasUnconsumedBytes();
+                dispatch(
+                        new PipelinedRequest(
+                                ReferenceCountUtil.retain(request),
+                                incomingUpload,
+                                System.nanoTime()));
+            } else if (incomingUpload != null) {
+                receiveContent(((HttpContent) part).retain());
             }
         }
 
-        private void coming(HttpContent part) {
+        private void receiveContent(HttpContent part) {
             if (part.decoderResult().isFailure()) {
                 // Its body breaks off in nonsense: of what a node was sent, no last byte will come.
                 part.release();
-                giveUp(HttpResponseStatus.BAD_REQUEST);
+                abortRequest(HttpResponseStatus.BAD_REQUEST);
             } else {
-                begun = !(part instanceof LastHttpContent) || decoder.leftOver();
-                coming.part(part);
+                hasPartialRequest =
+                        !(part instanceof LastHttpContent) || decoder.hasUnconsumedBytes();
+                incomingUpload.addPart(part);
             }
         }
 
-        private void take(Pipelined request) {
-            if (!busy()) {
+        private void dispatch(PipelinedRequest request) {
+            if (!isBusy()) {
                 try {
-                    handle(request.request(), request.upload(), request.arrived());
+                    handle(request.request(), request.upload(), request.arrivedNanos());
                 } finally {
                     ReferenceCountUtil.release(request.request());
                 }
             } else {
                 pipelined.add(request);
                 // Reading has to go on all the same, or its leaving would not be seen.
-                flooded = pipelined.size() >= MAX_PIPELINED;
-                if (flooded) {
+                pipelineOverflow = pipelined.size() >= MAX_PIPELINED;
+                if (pipelineOverflow) {
                     channel.config().setAutoRead(true);
                 }
             }
         }
 
-        private void handle(HttpRequest request, Upload body, long arrived) {
+        private void handle(HttpRequest request, Upload body, long arrivedNanos) {
             upload = body;
             keepAlive = HttpUtil.isKeepAlive(request);
-            speaksChunks = request.protocolVersion().isKeepAliveDefault();
-            if (request.decoderResult().isFailure() || StrictHttp.oddCoding(request)) {
+            supportsChunked = request.protocolVersion().isKeepAliveDefault();
+            if (request.decoderResult().isFailure()
+                    || StrictHttp.hasUnsupportedTransferCoding(request)) {
                 reject(HttpResponseStatus.BAD_REQUEST);
                 return;
             }
             String path = path(request.uri());
             HttpMethod method = request.method();
-            boolean api = path.startsWith(API) && path.length() > API.length();
+            boolean api = path.startsWith(API_PREFIX) && path.length() > API_PREFIX.length();
             if (!api && !path.equals("/up")) {
                 decline(HttpResponseStatus.NOT_FOUND);
             } else if (!method.equals(HttpMethod.GET) && !(api && method.equals(HttpMethod.PUT))) {
                 decline(HttpResponseStatus.METHOD_NOT_ALLOWED);
             } else if (!api) {
-                answer(
-                        isReady() && !emptied
+                respond(
+                        isReady() && !operatorDrain
                                 ? HttpResponseStatus.OK
                                 : HttpResponseStatus.SERVICE_UNAVAILABLE);
             } else {
-                call(request, path, arrived);
+                handleApiRequest(request, path, arrivedNanos);
             }
         }
 
-        private void call(HttpRequest in, String path, long arrived) {
-            HttpHeaders headers = in.headers();
+        private void handleApiRequest(HttpRequest httpRequest, String path, long arrivedNanos) {
+            HttpHeaders headers = httpRequest.headers();
             String id = headers.get("X-Call-Id", "");
-            ServiceClass service = classes.get(headers.get("X-Call-Class", ""));
+            ServiceClass serviceClass = classes.get(headers.get("X-Call-Class", ""));
             double budgetS = number(headers.get("X-Budget"), -1);
-            boolean write = in.method().equals(HttpMethod.PUT);
+            boolean write = httpRequest.method().equals(HttpMethod.PUT);
             boolean unkeyed =
                     write
-                            && service != null
-                            && service.effect() == Effect.KEYED
+                            && serviceClass != null
+                            && serviceClass.effect() == Effect.KEYED
                             && headers.get("Idempotency-Key", "").isEmpty();
             // Without its key a keyed write's repeat would not be dropped, and it may be sent
             // again.
-            if (!ID.matcher(id).matches()
-                    || service == null
+            if (!ID_PATTERN.matcher(id).matches()
+                    || serviceClass == null
                     || unkeyed
-                    || proxy.isOpen(id)
+                    || proxy.isRequestOpen(id)
                     || !(budgetS >= 0 && budgetS <= MAX_BUDGET_S)) {
                 decline(HttpResponseStatus.BAD_REQUEST);
                 return;
             }
             // A request that came behind another has waited here already.
-            double waitedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrived) / 1e3;
+            double waitedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivedNanos) / 1e3;
             Request request =
                     new Request(
                             id,
-                            service.name(),
+                            serviceClass.name(),
                             headers.get("X-Caller"),
                             PathKey.of(path),
                             Math.max(0, number(headers.get("X-Call-Cost"), 0)) / 1000,
                             Math.max(0, budgetS * 1000 - waitedMs),
                             write,
                             "1".equals(headers.get("X-Again")),
-                            uploadMs(in));
-            enter(Phase.BUSY);
-            proven = true;
-            open = id;
+                            maxUploadMs(httpRequest));
+            enterPhase(Phase.PROCESSING);
+            hadValidRequest = true;
+            openRequestId = id;
             byte[] body =
-                    in instanceof FullHttpRequest whole
-                            ? ByteBufUtil.getBytes(whole.content())
+                    httpRequest instanceof FullHttpRequest fullRequest
+                            ? ByteBufUtil.getBytes(fullRequest.content())
                             : new byte[0];
-            proxy.request(
+            proxy.requestReceived(
                     request,
                     new Proxy.Payload(
-                            in.method(),
-                            in.uri(),
+                            httpRequest.method(),
+                            httpRequest.uri(),
                             body,
                             headers.get("Idempotency-Key"),
                             headers.get(HttpHeaderNames.CONTENT_TYPE),
                             upload,
-                            HttpUtil.getContentLength(in, -1L)),
+                            HttpUtil.getContentLength(httpRequest, -1L)),
                     this);
         }
 
         /** How long the rest of its body may take to come. */
-        private double uploadMs(HttpRequest in) {
-            long left =
-                    HttpUtil.getContentLength(in, Gatherer.LONGEST)
-                            - (upload == null ? 0 : upload.bytes());
-            return upload == null || upload.ended()
+        private double maxUploadMs(HttpRequest httpRequest) {
+            long remainingBytes =
+                    HttpUtil.getContentLength(httpRequest, MessageAggregator.MAX_MESSAGE_BYTES)
+                            - (upload == null ? 0 : upload.receivedBytes());
+            return upload == null || upload.isComplete()
                     ? 0
-                    : READING_MS + 1000.0 * Math.max(0, left) / LEAST_BYTES_PER_S;
+                    : MIN_RATE_GRACE_MS + 1000.0 * Math.max(0, remainingBytes) / MIN_BYTES_PER_S;
         }
 
         @Override
-        public void served(FullHttpResponse response) {
-            FullHttpResponse answer = response(HttpResponseStatus.OK, response.content().retain());
-            passType(response, answer);
-            answer(answer);
+        public void onServed(FullHttpResponse response) {
+            FullHttpResponse clientResponse =
+                    newResponse(HttpResponseStatus.OK, response.content().retain());
+            copyContentType(response, clientResponse);
+            respond(clientResponse);
         }
 
-        private void passType(HttpResponse from, HttpResponse to) {
+        private void copyContentType(HttpResponse from, HttpResponse to) {
             String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
             if (type != null) {
                 to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
@@ -749,55 +785,64 @@
         }
 
         @Override
-        public void refused(double retryAfterMs) {
-            FullHttpResponse answer =
-                    response(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+        public void onRejected(double retryAfterMs) {
+            FullHttpResponse clientResponse =
+                    newResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
             if (retryAfterMs > 0) {
-                answer.headers()
+                clientResponse
+                        .headers()
                         .set(
                                 HttpHeaderNames.RETRY_AFTER,
                                 BigDecimal.valueOf((long) Math.ceil(retryAfterMs), 3)
                                         .toPlainString());
             }
-            answer(answer);
+            respond(clientResponse);
         }
 
         @Override
-        public void failed() {
-            answer(HttpResponseStatus.BAD_GATEWAY);
+        public void onFailed() {
+            respond(HttpResponseStatus.BAD_GATEWAY);
         }
 
-        private void answer(HttpResponseStatus status) {
-            answer(response(status, Unpooled.EMPTY_BUFFER));
+        private void respond(HttpResponseStatus status) {
+            respond(newResponse(status, Unpooled.EMPTY_BUFFER));
         }
 
-        private FullHttpResponse response(HttpResponseStatus status, ByteBuf body) {
+        private FullHttpResponse newResponse(HttpResponseStatus status, ByteBuf body) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
             HttpUtil.setContentLength(response, body.readableBytes());
             return response;
         }
 
-        private void answer(FullHttpResponse answer) {
-            ended(lasts(answer), channel.writeAndFlush(answer));
+        private void respond(FullHttpResponse clientResponse) {
+            finishRequest(markIfLast(clientResponse), channel.writeAndFlush(clientResponse));
         }
 
         /** Whether part of the request that is answered is still to come. */
-        private boolean unread() {
-            return upload != null && !upload.ended();
+        private boolean hasUnreadBody() {
+            return upload != null && !upload.isComplete();
         }
 
         /**
          * Whether this answer is its connection's last; if so it says that. What was read already
          * is answered first.
          */
-        private boolean lasts(HttpResponse answer) {
+        private boolean markIfLast(HttpResponse clientResponse) {
             // While clients wait to be accepted, a connection that is kept would keep one of them
             // out.
-            boolean ends = stopped || emptying() || draining && !kept || full || crowded();
-            boolean last = ends && pipelined.isEmpty() && !begun || !keepAlive || unread();
+            boolean closing =
+                    stopped
+                            || closesAfterResponse()
+                            || draining && !exemptFromDrain
+                            || atConnectionLimit
+                            || hasTooManyIdle();
+            boolean last =
+                    closing && pipelined.isEmpty() && !hasPartialRequest
+                            || !keepAlive
+                            || hasUnreadBody();
             if (last) {
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                clientResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             return last;
         }
@@ -806,18 +851,18 @@
          * The answer has been handed over to be written. What is still coming of its request is
          * read on and dropped.
          */
-        private void ended(boolean last, ChannelFuture handedOver) {
-            open = null;
-            written = handedOver;
+        private void finishRequest(boolean last, ChannelFuture write) {
+            openRequestId = null;
+            lastWrite = write;
             if (last) {
-                end();
+                beginClose();
             } else {
-                enter(Phase.IDLE);
+                enterPhase(Phase.IDLE);
                 // To the end of those that may be closed for room: it was the last to be used.
                 if (connections.remove(this)) {
                     connections.add(this);
                 }
-                next();
+                processNext();
             }
         }
 
@@ -826,8 +871,8 @@
          * has its answer.
          */
         private void decline(HttpResponseStatus status) {
-            if (upload == null && (begun || !pipelined.isEmpty())) {
-                answer(status);
+            if (upload == null && (hasPartialRequest || !pipelined.isEmpty())) {
+                respond(status);
             } else {
                 reject(status);
             }
@@ -835,59 +880,60 @@
 
         /** Answers what makes no sense, or comes too late, and ends the connection. */
         private void reject(HttpResponseStatus status) {
-            FullHttpResponse answer = response(status, Unpooled.EMPTY_BUFFER);
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            FullHttpResponse clientResponse = newResponse(status, Unpooled.EMPTY_BUFFER);
+            clientResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             if (upload != null) {
-                upload.drop();
+                upload.discard();
             }
-            written = channel.writeAndFlush(answer);
-            end();
+            lastWrite = channel.writeAndFlush(clientResponse);
+            beginClose();
         }
 
         @Override
-        public Exchange.Rest flows(HttpResponse head, Exchange exchange) {
-            HttpResponse answer =
+        public UpstreamAttempt.BodyConsumer onStreamedResponse(
+                HttpResponse head, UpstreamAttempt exchange) {
+            HttpResponse clientResponse =
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            passType(head, answer);
+            copyContentType(head, clientResponse);
             long length = HttpUtil.getContentLength(head, -1L);
             if (length >= 0) {
-                HttpUtil.setContentLength(answer, length);
-            } else if (speaksChunks) {
-                HttpUtil.setTransferEncodingChunked(answer, true);
+                HttpUtil.setContentLength(clientResponse, length);
+            } else if (supportsChunked) {
+                HttpUtil.setTransferEncodingChunked(clientResponse, true);
             } else {
                 keepAlive = false;
-                endsByClose = true;
+                closeDelimited = true;
             }
-            open = null;
-            flow = new Flow(exchange, lasts(answer));
-            enter(Phase.FLOWING);
-            channel.writeAndFlush(answer);
-            return flow;
+            openRequestId = null;
+            streamedResponse = new StreamedResponse(exchange, markIfLast(clientResponse));
+            enterPhase(Phase.STREAMING);
+            channel.writeAndFlush(clientResponse);
+            return streamedResponse;
         }
 
         /** A long answer on its way to the client, no faster than the client reads it. */
-        private final class Flow implements Exchange.Rest {
-            private final Exchange exchange;
+        private final class StreamedResponse implements UpstreamAttempt.BodyConsumer {
+            private final UpstreamAttempt exchange;
             private final boolean last;
 
-            Flow(Exchange exchange, boolean last) {
+            StreamedResponse(UpstreamAttempt exchange, boolean last) {
                 this.exchange = exchange;
                 this.last = last;
             }
 
             @Override
-            public void part(HttpContent part) {
-                restart();
-                written = channel.writeAndFlush(part);
-                exchange.pause(!channel.isWritable());
+            public void onPart(HttpContent part) {
+                restartTimer();
+                lastWrite = channel.writeAndFlush(part);
+                exchange.setPaused(!channel.isWritable());
             }
 
             @Override
-            public void ended(boolean whole) {
-                flow = null;
-                if (whole) {
-                    Connection.this.ended(last, written);
-                } else if (endsByClose) {
+            public void onEnd(boolean complete) {
+                streamedResponse = null;
+                if (complete) {
+                    Connection.this.finishRequest(last, lastWrite);
+                } else if (closeDelimited) {
                     halfClose.reset();
                 } else {
                     // The client can tell: neither the length nor the last chunk has come.
@@ -898,54 +944,54 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (flow != null) {
-                flow.exchange.pause(!channel.isWritable());
+            if (streamedResponse != null) {
+                streamedResponse.exchange.setPaused(!channel.isWritable());
             }
         }
 
-        private void next() {
-            if (flooded) {
-                refusePipelined();
+        private void processNext() {
+            if (pipelineOverflow) {
+                rejectPipelined();
                 return;
             }
-            Pipelined request = pipelined.poll();
+            PipelinedRequest request = pipelined.poll();
             if (request != null) {
-                take(request);
-            } else if (begun) {
+                dispatch(request);
+            } else if (hasPartialRequest) {
                 // Part of the next one came behind the last: it is owed an answer, or an error in
                 // time.
-                enter(Phase.READING);
+                enterPhase(Phase.READING);
             }
         }
 
         /** None of them was sent on, so each may come again. */
-        private void refusePipelined() {
-            for (Pipelined each = pipelined.poll(); each != null; each = pipelined.poll()) {
-                each.drop();
+        private void rejectPipelined() {
+            for (PipelinedRequest each = pipelined.poll(); each != null; each = pipelined.poll()) {
+                each.release();
                 keepAlive = !pipelined.isEmpty();
                 upload = null;
-                FullHttpResponse answer =
-                        response(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
-                lasts(answer);
-                written = channel.writeAndFlush(answer);
+                FullHttpResponse clientResponse =
+                        newResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+                markIfLast(clientResponse);
+                lastWrite = channel.writeAndFlush(clientResponse);
             }
-            end();
+            beginClose();
         }
 
-        private void dropPipelined() {
-            pipelined.forEach(Pipelined::drop);
+        private void discardPipelined() {
+            pipelined.forEach(PipelinedRequest::release);
             pipelined.clear();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            enter(Phase.CLOSING);
-            closed(this);
-            dropPipelined();
-            leave();
-            if (flow != null) {
-                flow.exchange.cancel();
-                flow = null;
+            enterPhase(Phase.CLOSING);
+            onClosed(this);
+            discardPipelined();
+            reportClientGone();
+            if (streamedResponse != null) {
+                streamedResponse.exchange.cancel();
+                streamedResponse = null;
             }
         }
 
@@ -958,9 +1004,9 @@
             if (cause instanceof IOException) {
                 // The connection is broken: no answer can reach its client.
                 ctx.close();
-            } else if (phase == Phase.BUSY && upload != null && upload == coming) {
-                giveUp(status);
-            } else if (!busy() && phase != Phase.CLOSING) {
+            } else if (phase == Phase.PROCESSING && upload != null && upload == incomingUpload) {
+                abortRequest(status);
+            } else if (!isBusy() && phase != Phase.CLOSING) {
                 reject(status);
             } else {
                 // Behind a request that is open: that one has its answer first, and it is the last.
@@ -969,22 +1015,22 @@
         }
 
         /** Sees bytes before they are decoded: the clock for a request runs from its first. */
-        private final class Bytes extends ChannelInboundHandlerAdapter {
+        private final class InboundByteHandler extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                if (phase == Phase.CLOSING || flooded) {
-                    halfClose.drop(message);
+                if (phase == Phase.CLOSING || pipelineOverflow) {
+                    halfClose.discard(message);
                     return;
                 }
-                if (phase == Phase.SILENT) {
+                if (phase == Phase.AWAITING_FIRST_BYTE) {
                     // Its time runs from when it came.
                     phase = Phase.READING;
                 } else if (phase == Phase.IDLE) {
-                    enter(Phase.READING);
+                    enterPhase(Phase.READING);
                 }
-                received += message instanceof ByteBuf in ? in.readableBytes() : 0;
-                heardAt = System.nanoTime();
-                begun = true;
+                receivedBytes += message instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
+                lastReadNanos = System.nanoTime();
+                hasPartialRequest = true;
                 ctx.fireChannelRead(message);
             }
         }
@@ -994,11 +1040,11 @@
      * A request that came while another was open on its connection, and when, as its time runs from
      * then.
      */
-    private record Pipelined(HttpRequest request, Upload upload, long arrived) {
-        void drop() {
+    private record PipelinedRequest(HttpRequest request, Upload upload, long arrivedNanos) {
+        void release() {
             ReferenceCountUtil.release(request);
             if (upload != null) {
-                upload.drop();
+                upload.discard();
             }
         }
     }
@@ -1008,14 +1054,14 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    private static double number(String text, double absent) {
+    private static double number(String text, double defaultValue) {
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             return new BigDecimal(text.trim()).doubleValue();
         } catch (NumberFormatException e) {
-            return absent;
+            return defaultValue;
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Clock.java
+++ b/src/main/java/cacheproxy/proxy/Clock.java
@@ -14,24 +14,24 @@
     private static final double NANOS_PER_MS = 1e6;
     private static final double MS_PER_S = 1e3;
 
-    private final LongSupplier nanos;
-    private final long originNanos;
-    private final double originMs;
+    private final LongSupplier nanoClock;
+    private final long startNanos;
+    private final double startMs;
 
     Clock() {
         this(System::nanoTime);
     }
 
     /** {@code nanos} is the monotonic clock, in nanoseconds. */
-    Clock(LongSupplier nanos) {
-        this.nanos = nanos;
-        originNanos = nanos.getAsLong();
-        Instant now = Instant.now();
-        originMs = now.getEpochSecond() * MS_PER_S + now.getNano() / NANOS_PER_MS;
+    Clock(LongSupplier nanoClock) {
+        this.nanoClock = nanoClock;
+        startNanos = nanoClock.getAsLong();
+        Instant startInstant = Instant.now();
+        startMs = startInstant.getEpochSecond() * MS_PER_S + startInstant.getNano() / NANOS_PER_MS;
     }
 
     double now() {
-        return originMs + (nanos.getAsLong() - originNanos) / NANOS_PER_MS;
+        return startMs + (nanoClock.getAsLong() - startNanos) / NANOS_PER_MS;
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -27,20 +27,20 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxSockets,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
-        HostList known,
+        EndpointListUpdate knownEndpoints,
         Settings settings,
-        int maxOpen,
+        int maxOpenRequests,
         InetSocketAddress admin,
         String passedSocket,
-        Path shared) {
+        Path sharedDirectory) {
 
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final int HEX = 16;
-    private static final String SHARED = "flintmill";
+    private static final int DEFAULT_MAX_SOCKETS = 1024;
+    private static final int HEX_RADIX = 16;
+    private static final String SHARED_DIRECTORY_NAME = "flintmill";
 
     public Config {
         peers = List.copyOf(peers);
@@ -66,35 +66,35 @@
      * was given.
      */
     static Config reread(Map<String, String> environment) throws ConfigException {
-        Map<String, String> others = new HashMap<>(environment);
-        others.remove("BALANCER_DISCOVERY");
-        return fromEnvironment(others);
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("BALANCER_DISCOVERY");
+        return fromEnvironment(remaining);
     }
 
     static Config parse(String json, Map<String, String> environment) throws ConfigException {
         try {
-            JsonObject o = JsonParser.parseString(json).getAsJsonObject();
-            JsonObject settings = o.getAsJsonObject("settings");
+            JsonObject root = JsonParser.parseString(json).getAsJsonObject();
+            JsonObject settings = root.getAsJsonObject("settings");
             if (settings == null) {
                 throw new ConfigException("settings: missing");
             }
-            InetSocketAddress admin = optional(o, "admin", environment.get("BALANCER_ADMIN"));
-            String passed = environment.get("BALANCER_PASSED_SOCKET");
+            InetSocketAddress admin = optional(root, "admin", environment.get("BALANCER_ADMIN"));
+            String passedSocket = environment.get("BALANCER_PASSED_SOCKET");
             return new Config(
-                    text(o, "name", environment.get("BALANCER_NAME")),
-                    required(o, "listen", environment.get("BALANCER_LISTEN")),
-                    required(o, "discovery", environment.get("BALANCER_DISCOVERY")),
-                    seed(o),
-                    sockets(o),
-                    optional(o, "peer_listen", null),
-                    peers(o),
-                    optional(o, "peers_all", null),
-                    known(o),
+                    text(root, "name", environment.get("BALANCER_NAME")),
+                    required(root, "listen", environment.get("BALANCER_LISTEN")),
+                    required(root, "discovery", environment.get("BALANCER_DISCOVERY")),
+                    seed(root),
+                    sockets(root),
+                    optional(root, "peer_listen", null),
+                    peers(root),
+                    optional(root, "peers_all", null),
+                    known(root),
                     SettingsReader.read(settings),
                     maxOpen(settings),
                     admin,
-                    passed,
-                    admin == null && passed == null ? null : shared(environment));
+                    passedSocket,
+                    admin == null && passedSocket == null ? null : shared(environment));
         } catch (RuntimeException e) {
             // Gson and the settings' own checks report what is wrong by several unchecked types.
             throw new ConfigException(
@@ -102,61 +102,64 @@
         }
     }
 
-    private static String text(JsonObject o, String field, String override) {
+    private static String text(JsonObject object, String field, String override) {
         if (override != null) {
             return override;
         }
-        JsonElement value = o.get(field);
+        JsonElement value = object.get(field);
         return value == null || value.isJsonNull() ? null : value.getAsString();
     }
 
-    private static InetSocketAddress required(JsonObject o, String field, String override)
+    private static InetSocketAddress required(JsonObject object, String field, String override)
             throws ConfigException {
-        String value = text(o, field, override);
+        String value = text(object, field, override);
         if (value == null) {
             throw new ConfigException(field + ": missing");
         }
         return Addresses.parse(value);
     }
 
-    private static InetSocketAddress optional(JsonObject o, String field, String override) {
-        String value = text(o, field, override);
+    private static InetSocketAddress optional(JsonObject object, String field, String override) {
+        String value = text(object, field, override);
         return value == null ? null : Addresses.parse(value);
     }
 
-    private static List<InetSocketAddress> peers(JsonObject o) {
+    private static List<InetSocketAddress> peers(JsonObject object) {
         List<InetSocketAddress> peers = new ArrayList<>();
-        if (o.has("peers") && !o.get("peers").isJsonNull()) {
-            o.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
+        if (object.has("peers") && !object.get("peers").isJsonNull()) {
+            object.getAsJsonArray("peers")
+                    .forEach(p -> peers.add(Addresses.parse(p.getAsString())));
         }
         return peers;
     }
 
-    private static HostList known(JsonObject o) {
-        JsonElement known = o.get("known");
-        return known == null || known.isJsonNull() ? null : HostList.parse(known.getAsJsonObject());
+    private static EndpointListUpdate known(JsonObject object) {
+        JsonElement known = object.get("known");
+        return known == null || known.isJsonNull()
+                ? null
+                : EndpointListUpdate.parse(known.getAsJsonObject());
     }
 
     private static Path shared(Map<String, String> environment) {
-        String folder = environment.get("TMPDIR");
-        return folder == null ? null : Path.of(folder, SHARED);
+        String directory = environment.get("TMPDIR");
+        return directory == null ? null : Path.of(directory, SHARED_DIRECTORY_NAME);
     }
 
     /** Whether a process of this proxy has started here before, and may be running still. */
-    boolean replaces() {
-        return shared != null && Files.isDirectory(shared);
+    boolean mayReplaceProcess() {
+        return sharedDirectory != null && Files.isDirectory(sharedDirectory);
     }
 
-    private static long seed(JsonObject o) {
-        String seed = text(o, "seed", null);
-        return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, HEX);
+    private static long seed(JsonObject object) {
+        String seed = text(object, "seed", null);
+        return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, HEX_RADIX);
     }
 
-    private static int sockets(JsonObject o) {
-        JsonObject limits = o.getAsJsonObject("limits");
+    private static int sockets(JsonObject object) {
+        JsonObject limits = object.getAsJsonObject("limits");
         return limits != null && limits.has("sockets")
                 ? limits.get("sockets").getAsInt()
-                : DEFAULT_SOCKETS;
+                : DEFAULT_MAX_SOCKETS;
     }
 
     private static int maxOpen(JsonObject settings) {
--- a/src/main/java/cacheproxy/proxy/ConfigFileWatch.java
+++ b/src/main/java/cacheproxy/proxy/ConfigFileWatch.java
@@ -18,13 +18,13 @@
 public final class ConfigFileWatch {
 
     /** Time from the end of one look at the file to the next. */
-    static final long INTERVAL_MS = 500;
+    static final long POLL_INTERVAL_MS = 500;
 
     /** Stands for the checksum of a content that could not be read; no checksum is negative. */
-    private static final long UNREADABLE = -1;
+    private static final long UNREADABLE_CHECKSUM = -1;
 
     /** What the file system says of a regular file. */
-    private record Attributes(Object inode, long size, FileTime modified) {}
+    private record Attributes(Object fileKey, long size, FileTime modified) {}
 
     private final String file;
 
@@ -38,7 +38,7 @@
      * coarse, so a write right after a look may leave them as they were: the content is compared
      * once more.
      */
-    private boolean settled;
+    private boolean unchangedAtLastCheck;
 
     /** Remembers the file as it is now: made before that is first read, it misses no change. */
     public ConfigFileWatch(Map<String, String> environment) {
@@ -48,26 +48,26 @@
     }
 
     /** Whether the file was written, touched, replaced, removed or put back since the last look. */
-    boolean changed() {
+    boolean hasChanged() {
         Attributes current = readAttributes();
-        boolean same = Objects.equals(current, attributes);
-        if (same && settled) {
+        boolean sameAttributes = Objects.equals(current, attributes);
+        if (sameAttributes && unchangedAtLastCheck) {
             return false;
         }
-        long before = checksum;
+        long previousChecksum = checksum;
         attributes = current;
         checksum = readChecksum(current);
-        settled = same && checksum != UNREADABLE;
-        return !same || checksum != before;
+        unchangedAtLastCheck = sameAttributes && checksum != UNREADABLE_CHECKSUM;
+        return !sameAttributes || checksum != previousChecksum;
     }
 
     private Attributes readAttributes() {
         try {
-            BasicFileAttributes read =
+            BasicFileAttributes found =
                     Files.readAttributes(Path.of(file), BasicFileAttributes.class);
             // Reading anything else, as a pipe, might wait without end.
-            return read.isRegularFile()
-                    ? new Attributes(read.fileKey(), read.size(), read.lastModifiedTime())
+            return found.isRegularFile()
+                    ? new Attributes(found.fileKey(), found.size(), found.lastModifiedTime())
                     : null;
         } catch (IOException | InvalidPathException e) {
             return null;
@@ -78,12 +78,12 @@
         if (found == null) {
             return 0;
         }
-        CRC32 sum = new CRC32();
+        CRC32 crc = new CRC32();
         try {
-            sum.update(Files.readAllBytes(Path.of(file)));
+            crc.update(Files.readAllBytes(Path.of(file)));
         } catch (IOException e) {
-            return UNREADABLE;
+            return UNREADABLE_CHECKSUM;
         }
-        return sum.getValue();
+        return crc.getValue();
     }
 }
