--- a/src/main/java/cacheproxy/proxy/Discovery.java
+++ b/src/main/java/cacheproxy/proxy/Discovery.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -49,7 +49,7 @@
      * first word, and the longest that goes by after the end of one that had spoken, or after
      * something that could not be read.
      */
-    record Times(long silentMs, long firstWordMs, long backoffMostMs) {
+    record Times(long silenceTimeoutMs, long firstResponseTimeoutMs, long maxBackoffMs) {
         /**
          * A heartbeat comes every 2 s, and what a silent watch misses counts as told 6 s after its
          * last: two missed, and the rest is for a new one. The agent that pushes is on this machine
@@ -66,66 +66,66 @@
     }
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
-    private static final long FIRST_BACKOFF_MS = 50;
+    private static final long INITIAL_BACKOFF_MS = 50;
 
     /**
      * A list that comes on is waited for, as another would bring the same bytes again and be later:
      * the whole list of a large fleet takes longer than {@link Times#firstWordMs} to read. It comes
      * on if so much was read since the last look, and is waited for so long at most.
      */
-    private static final int FLOWING_BYTES = 16_384;
+    private static final int MIN_PROGRESS_BYTES = 16_384;
 
-    private static final long FLOWING_MOST_MS = 1000;
-    private static final long FLOWING_LOOK_MS = 150;
+    private static final long MAX_TRANSFER_MS = 1000;
+    private static final long PROGRESS_CHECK_INTERVAL_MS = 150;
 
     /** Watches that may be waited for at once. */
-    private static final int MOST_ASKED = 4;
+    private static final int MAX_PENDING_WATCHES = 4;
 
     /**
      * For so many that are opened after its last byte the quietest of them stays: an agent that is
      * late is late for each.
      */
-    private static final int PATIENT_FOR = 20;
+    private static final int MAX_OPENED_SINCE_LAST_BYTE = 20;
 
     private final EventLoop loop;
     private InetSocketAddress address;
     private final Proxy proxy;
     private final boolean pushed;
     private final Times times;
-    private final Runnable heard;
-    private final ChannelFactory<Channel> channels;
+    private final Runnable onMessage;
+    private final ChannelFactory<Channel> channelFactory;
     private final Log log = new Log();
-    private final LongSupplier nanos;
+    private final LongSupplier nanoClock;
     private final DiscoveryOutage outage;
-    private final ListChanges changes = new ListChanges();
-    private final Deque<Watch> asked = new ArrayDeque<>();
+    private final EndpointListDiff listDiff = new EndpointListDiff();
+    private final Deque<Watch> pendingWatches = new ArrayDeque<>();
 
     /** How many watches were opened. */
-    private long opened;
+    private long openedCount;
 
-    private Watch present;
-    private long heardAt;
+    private Watch currentWatch;
+    private long lastMessageNanos;
     private long version;
 
     /**
      * Whether something that the present watch told could not be read; {@link #version} stands
      * still from then on.
      */
-    private boolean missed;
+    private boolean updateMissed;
 
-    private long backoffMs = FIRST_BACKOFF_MS;
-    private Future<?> alarm;
+    private long backoffMs = INITIAL_BACKOFF_MS;
+    private Future<?> timer;
 
     /** {@code heard} runs at every list and heartbeat. */
     Discovery(
             EventLoop loop,
             InetSocketAddress address,
             Proxy proxy,
-            HostList known,
+            EndpointListUpdate storedList,
             boolean pushed,
             Times times,
-            Runnable heard) {
-        this(loop, address, proxy, known, pushed, times, heard, NioSocketChannel::new);
+            Runnable onMessage) {
+        this(loop, address, proxy, storedList, pushed, times, onMessage, NioSocketChannel::new);
     }
 
     /** For tests: with channels that may fail to be made, as where no descriptor is left. */
@@ -133,12 +133,21 @@
             EventLoop loop,
             InetSocketAddress address,
             Proxy proxy,
-            HostList known,
+            EndpointListUpdate storedList,
             boolean pushed,
             Times times,
-            Runnable heard,
-            ChannelFactory<Channel> channels) {
-        this(loop, address, proxy, known, pushed, times, heard, channels, System::nanoTime);
+            Runnable onMessage,
+            ChannelFactory<Channel> channelFactory) {
+        this(
+                loop,
+                address,
+                proxy,
+                storedList,
+                pushed,
+                times,
+                onMessage,
+                channelFactory,
+                System::nanoTime);
     }
 
     /** For tests: with a monotonic clock of theirs too, in nanoseconds. */
@@ -146,24 +155,24 @@
             EventLoop loop,
             InetSocketAddress address,
             Proxy proxy,
-            HostList known,
+            EndpointListUpdate storedList,
             boolean pushed,
             Times times,
-            Runnable heard,
-            ChannelFactory<Channel> channels,
-            LongSupplier nanos) {
+            Runnable onMessage,
+            ChannelFactory<Channel> channelFactory,
+            LongSupplier nanoClock) {
         this.loop = loop;
         this.address = address;
         this.proxy = proxy;
         this.pushed = pushed;
         this.times = times;
-        this.heard = heard;
-        this.channels = channels;
-        this.nanos = nanos;
-        this.outage = new DiscoveryOutage(nanos);
-        this.version = known == null ? 0 : known.version();
-        if (known != null) {
-            changes.of(known);
+        this.onMessage = onMessage;
+        this.channelFactory = channelFactory;
+        this.nanoClock = nanoClock;
+        this.outage = new DiscoveryOutage(nanoClock);
+        this.version = storedList == null ? 0 : storedList.version();
+        if (storedList != null) {
+            listDiff.changedEndpoints(storedList);
         }
     }
 
@@ -183,16 +192,16 @@
             return;
         }
         address = next;
-        outage.moved();
+        outage.addressChanged();
         version = 0;
-        backoffMs = FIRST_BACKOFF_MS;
-        missed = false;
-        Watch old = present;
-        present = null;
+        backoffMs = INITIAL_BACKOFF_MS;
+        updateMissed = false;
+        Watch old = currentWatch;
+        currentWatch = null;
         if (old != null) {
             old.close();
         }
-        closeAsked();
+        closePendingWatches();
         subscribe();
     }
 
@@ -201,8 +210,11 @@
      * come late.
      */
     void subscribe() {
-        if (asked.isEmpty() && (present == null || missed || quietMs() >= times.silentMs)) {
-            open();
+        if (pendingWatches.isEmpty()
+                && (currentWatch == null
+                        || updateMissed
+                        || msSinceLastMessage() >= times.silenceTimeoutMs)) {
+            openWatch();
         }
     }
 
@@ -210,28 +222,28 @@
      * Asks for a watch from the last version seen; the present one is heard until the new one has
      * spoken.
      */
-    private void open() {
-        if (asked.size() >= MOST_ASKED) {
-            Watch least = leastHopeful();
-            asked.remove(least);
-            least.close();
+    private void openWatch() {
+        if (pendingWatches.size() >= MAX_PENDING_WATCHES) {
+            Watch leastPromising = leastPromising();
+            pendingWatches.remove(leastPromising);
+            leastPromising.close();
         }
-        opened++;
-        outage.attempt(address);
-        alarm(times.firstWordMs, this::openUnlessFlowing);
-        asked.addLast(new Watch());
+        openedCount++;
+        outage.attemptStarted(address);
+        setTimer(times.firstResponseTimeoutMs, this::openUnlessReceiving);
+        pendingWatches.addLast(new Watch());
     }
 
     /** Opens another beside those that are asked, unless the list of one of them is on its way. */
-    private void openUnlessFlowing() {
-        boolean flowing = false;
-        for (Watch watch : asked) {
-            flowing |= watch.flows();
+    private void openUnlessReceiving() {
+        boolean receiving = false;
+        for (Watch watch : pendingWatches) {
+            receiving |= watch.isReceiving();
         }
-        if (flowing) {
-            alarm(FLOWING_LOOK_MS, this::openUnlessFlowing);
+        if (receiving) {
+            setTimer(PROGRESS_CHECK_INTERVAL_MS, this::openUnlessReceiving);
         } else {
-            open();
+            openWatch();
         }
     }
 
@@ -239,53 +251,56 @@
      * Those that have begun to speak stay as long as the quietest may, and so does the first of
      * those that have not.
      */
-    private Watch leastHopeful() {
-        List<Watch> quietest =
-                asked.stream().sorted(Comparator.comparingLong(w -> w.openedThen)).toList();
-        List<Watch> mute = quietest.stream().filter(w -> !w.begun).toList();
-        if (mute.isEmpty() || opened - quietest.get(0).openedThen >= PATIENT_FOR) {
-            return quietest.get(0);
+    private Watch leastPromising() {
+        List<Watch> byLastByte =
+                pendingWatches.stream()
+                        .sorted(Comparator.comparingLong(w -> w.openedAtLastByte))
+                        .toList();
+        List<Watch> withoutData = byLastByte.stream().filter(w -> !w.hasData).toList();
+        if (withoutData.isEmpty()
+                || openedCount - byLastByte.get(0).openedAtLastByte >= MAX_OPENED_SINCE_LAST_BYTE) {
+            return byLastByte.get(0);
         }
-        return mute.get(Math.min(1, mute.size() - 1));
+        return withoutData.get(Math.min(1, withoutData.size() - 1));
     }
 
-    private void alarm(long ms, Runnable what) {
-        if (alarm != null) {
-            alarm.cancel(false);
+    private void setTimer(long ms, Runnable task) {
+        if (timer != null) {
+            timer.cancel(false);
         }
-        alarm = loop.schedule(what, ms, TimeUnit.MILLISECONDS);
+        timer = loop.schedule(task, ms, TimeUnit.MILLISECONDS);
     }
 
-    private long quietMs() {
-        return TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong() - heardAt);
+    private long msSinceLastMessage() {
+        return TimeUnit.NANOSECONDS.toMillis(nanoClock.getAsLong() - lastMessageNanos);
     }
 
     /**
      * A watch has said a whole word: it is the present one from here on, and no other is waited
      * for.
      */
-    private void spoke(Watch watch) {
-        heardAt = nanos.getAsLong();
-        outage.heard(address);
-        if (watch == present && (asked.isEmpty() || missed)) {
+    private void messageReceived(Watch watch) {
+        lastMessageNanos = nanoClock.getAsLong();
+        outage.messageReceived(address);
+        if (watch == currentWatch && (pendingWatches.isEmpty() || updateMissed)) {
             return;
         }
-        Watch before = watch == present ? null : present;
-        present = watch;
-        missed = false;
-        asked.remove(watch);
-        closeAsked();
-        if (before != null) {
-            before.close();
+        Watch previous = watch == currentWatch ? null : currentWatch;
+        currentWatch = watch;
+        updateMissed = false;
+        pendingWatches.remove(watch);
+        closePendingWatches();
+        if (previous != null) {
+            previous.close();
         }
-        alarm(times.silentMs, this::listen);
+        setTimer(times.silenceTimeoutMs, this::checkSilence);
     }
 
-    private void closeAsked() {
-        List.copyOf(asked)
+    private void closePendingWatches() {
+        List.copyOf(pendingWatches)
                 .forEach(
                         w -> {
-                            asked.remove(w);
+                            pendingWatches.remove(w);
                             w.close();
                         });
     }
@@ -294,106 +309,109 @@
      * Looks whether the present watch has fallen silent: then it is broken, as missed heartbeats
      * are the only sign of that.
      */
-    private void listen() {
-        long quietMs = quietMs();
-        if (quietMs < times.silentMs) {
-            alarm(times.silentMs - quietMs, this::listen);
+    private void checkSilence() {
+        long quietMs = msSinceLastMessage();
+        if (quietMs < times.silenceTimeoutMs) {
+            setTimer(times.silenceTimeoutMs - quietMs, this::checkSilence);
             return;
         }
-        log.odd("watch_silent", "version", version, "ms", quietMs);
+        log.warnLimited("watch_silent", "version", version, "ms", quietMs);
         if (pushed) {
-            open();
+            openWatch();
         } else {
-            alarm(times.backoffMostMs, this::stillSilent);
-            proxy.discoveryRefused();
+            setTimer(times.maxBackoffMs, this::reopenIfSilent);
+            proxy.discoveryFailed();
         }
     }
 
     /** Asked for anew, unless it was only late. */
-    private void stillSilent() {
-        if (quietMs() < times.silentMs) {
-            listen();
+    private void reopenIfSilent() {
+        if (msSinceLastMessage() < times.silenceTimeoutMs) {
+            checkSilence();
         } else {
-            open();
+            openWatch();
         }
     }
 
     /** A watch has ended; those that were given up before are of no interest any more. */
-    private void ended(Watch watch) {
-        boolean had = watch == present;
-        if (had) {
-            present = null;
-        } else if (!asked.remove(watch)) {
+    private void watchEnded(Watch watch) {
+        boolean wasCurrent = watch == currentWatch;
+        if (wasCurrent) {
+            currentWatch = null;
+        } else if (!pendingWatches.remove(watch)) {
             return;
         }
-        if (outage.failed(watch.error())) {
-            log.odd("watch_lost", "version", version);
+        if (outage.attemptFailed(watch.failureMessage())) {
+            log.warnLimited("watch_lost", "version", version);
         }
-        if (!asked.isEmpty()) {
+        if (!pendingWatches.isEmpty()) {
             // Another is waited for already.
             return;
         }
         if (pushed) {
-            againLater();
+            retryLater();
             return;
         }
-        if (had) {
-            alarm(times.backoffMostMs, this::open);
+        if (wasCurrent) {
+            setTimer(times.maxBackoffMs, this::openWatch);
         }
         // After a call that failed the alarm runs on from its start.
-        proxy.discoveryRefused();
+        proxy.discoveryFailed();
     }
 
     /**
      * The pause grows until a list has been read: one that never can be is not to be asked for
      * without end.
      */
-    private void againLater() {
-        alarm(backoffMs, this::open);
-        backoffMs = Math.min(pushed ? times.backoffMostMs : times.firstWordMs, 2 * backoffMs);
+    private void retryLater() {
+        setTimer(backoffMs, this::openWatch);
+        backoffMs =
+                Math.min(pushed ? times.maxBackoffMs : times.firstResponseTimeoutMs, 2 * backoffMs);
     }
 
     /** One connection to discovery. */
-    private final class Watch implements JsonObjects.Sink {
+    private final class Watch implements JsonObjectSplitter.Sink {
         private final ChannelFuture connecting;
         private final Channel channel;
-        private final JsonObjects objects = new JsonObjects(this);
+        private final JsonObjectSplitter splitter = new JsonObjectSplitter(this);
 
         /** What it was asked to go on from. */
-        private final long from = version;
+        private final long fromVersion = version;
 
         /** How many had been opened when its last byte came. */
-        private long openedThen = opened;
+        private long openedAtLastByte = openedCount;
 
-        private boolean begun;
+        private boolean hasData;
 
         /** What was wrong with the answer; null where it was only closed. */
-        private String fault;
+        private String failure;
 
-        private long begunAt;
+        private long firstByteNanos;
 
         /** Bytes of its body so far, and those that there were at the last look. */
-        private long read;
+        private long receivedBytes;
 
-        private long readBefore;
+        private long receivedAtLastCheck;
 
         Watch() {
             connecting =
                     new Bootstrap()
                             .group(loop)
-                            .channelFactory(channels)
+                            .channelFactory(channelFactory)
                             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                             .handler(
                                     new ChannelInitializer<>() {
                                         @Override
                                         protected void initChannel(Channel opened) {
                                             opened.pipeline()
-                                                    .addLast(new HttpClientCodec(), new Body());
+                                                    .addLast(
+                                                            new HttpClientCodec(),
+                                                            new ResponseHandler());
                                         }
                                     })
                             .connect(address);
             channel = connecting.channel();
-            channel.closeFuture().addListener(f -> ended(this));
+            channel.closeFuture().addListener(f -> watchEnded(this));
             connecting.addListener(
                     (ChannelFuture f) -> {
                         if (f.isSuccess()) {
@@ -401,12 +419,12 @@
                                     new DefaultFullHttpRequest(
                                             HttpVersion.HTTP_1_1,
                                             HttpMethod.GET,
-                                            "/discovery/hosts?watch=1&from=" + from);
+                                            "/discovery/hosts?watch=1&from=" + fromVersion);
                             request.headers().set(HttpHeaderNames.HOST, "discovery.internal");
                             channel.writeAndFlush(request);
                         } else if (!loop.isShuttingDown()) {
                             // Without a descriptor there was no channel, and none that closes.
-                            loop.execute(() -> ended(this));
+                            loop.execute(() -> watchEnded(this));
                         }
                     });
         }
@@ -418,110 +436,114 @@
         }
 
         /** Why it has ended, for the log. */
-        private String error() {
+        private String failureMessage() {
             if (connecting.cause() != null) {
                 return connecting.cause().getMessage();
             }
-            return fault == null ? "closed by discovery" : fault;
+            return failure == null ? "closed by discovery" : failure;
         }
 
         /** Whether much of it has come since the last look, and it began lately. */
-        private boolean flows() {
-            boolean much = read - readBefore >= FLOWING_BYTES;
-            readBefore = read;
-            return much
-                    && nanos.getAsLong() - begunAt < TimeUnit.MILLISECONDS.toNanos(FLOWING_MOST_MS);
+        private boolean isReceiving() {
+            boolean hasProgress = receivedBytes - receivedAtLastCheck >= MIN_PROGRESS_BYTES;
+            receivedAtLastCheck = receivedBytes;
+            return hasProgress
+                    && nanoClock.getAsLong() - firstByteNanos
+                            < TimeUnit.MILLISECONDS.toNanos(MAX_TRANSFER_MS);
         }
 
-        private void took(int bytes) {
-            openedThen = opened;
-            begunAt = begun ? begunAt : nanos.getAsLong();
-            begun = true;
-            read += bytes;
+        private void bytesReceived(int bytes) {
+            openedAtLastByte = openedCount;
+            firstByteNanos = hasData ? firstByteNanos : nanoClock.getAsLong();
+            hasData = true;
+            receivedBytes += bytes;
         }
 
-        private boolean counts() {
-            return this == present || asked.contains(this);
+        private boolean isActive() {
+            return this == currentWatch || pendingWatches.contains(this);
         }
 
         @Override
-        public boolean object(String text, boolean behindSpoilt) {
-            if (!counts()) {
+        public boolean object(String text, boolean afterMalformed) {
+            if (!isActive()) {
                 return true;
             }
             try {
-                HostList list = HostList.parse(JsonParser.parseString(text).getAsJsonObject());
-                spoke(this);
-                if (behindSpoilt) {
-                    spoilt();
+                EndpointListUpdate update =
+                        EndpointListUpdate.parse(JsonParser.parseString(text).getAsJsonObject());
+                messageReceived(this);
+                if (afterMalformed) {
+                    malformed();
                 }
-                changes.of(list)
+                listDiff.changedEndpoints(update)
                         .forEach(
-                                h ->
+                                endpoint ->
                                         Log.event(
                                                 "list",
                                                 "version",
-                                                list.version(),
+                                                update.version(),
                                                 "node",
-                                                h.node().id(),
+                                                endpoint.node().id(),
                                                 "availability",
-                                                h.node().availability(),
+                                                endpoint.node().availability(),
                                                 "dial",
-                                                h.dial()));
-                proxy.hosts(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
-                if (missed && list.whole()) {
-                    missed = false;
-                    closeAsked();
-                    alarm(times.silentMs, Discovery.this::listen);
+                                                endpoint.address()));
+                proxy.endpointListReceived(
+                        update.snapshot() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA,
+                        update);
+                if (updateMissed && update.snapshot()) {
+                    updateMissed = false;
+                    closePendingWatches();
+                    setTimer(times.silenceTimeoutMs, Discovery.this::checkSilence);
                 }
-                version = missed ? version : list.version();
-                backoffMs = FIRST_BACKOFF_MS;
-                heard.run();
+                version = updateMissed ? version : update.version();
+                backoffMs = INITIAL_BACKOFF_MS;
+                onMessage.run();
                 return true;
             } catch (RuntimeException e) {
-                log.odd("list_dropped", "cause", e.getMessage());
+                log.warnLimited("list_dropped", "cause", e.getMessage());
                 return false;
             }
         }
 
         @Override
         public void emptyLine() {
-            if (counts()) {
-                spoke(this);
-                heard.run();
+            if (isActive()) {
+                messageReceived(this);
+                onMessage.run();
             }
         }
 
         /** What it should have said is asked for again, from the last that was understood. */
         @Override
-        public void spoilt() {
-            if (!counts()) {
+        public void malformed() {
+            if (!isActive()) {
                 return;
             }
-            spoke(this);
-            if (!missed) {
-                log.odd("list_spoilt", "version", version);
-                missed = true;
-                againLater();
+            messageReceived(this);
+            if (!updateMissed) {
+                log.warnLimited("list_spoilt", "version", version);
+                updateMissed = true;
+                retryLater();
             }
         }
 
         /** Passes on what a good answer's body holds; any other answer ends the try. */
-        private final class Body extends SimpleChannelInboundHandler<HttpObject> {
+        private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
                 if (part.decoderResult().isFailure()) {
-                    fault = "not HTTP";
+                    failure = "not HTTP";
                     ctx.close();
                 } else if (part instanceof HttpResponse head
                         && !head.status().equals(HttpResponseStatus.OK)) {
-                    fault = "HTTP status " + head.status().code();
+                    failure = "HTTP status " + head.status().code();
                     ctx.close();
                 } else if (part instanceof HttpContent content
                         && content.content().isReadable()
-                        && counts()) {
-                    took(content.content().readableBytes());
-                    objects.read(content.content());
+                        && isActive()) {
+                    bytesReceived(content.content().readableBytes());
+                    splitter.read(content.content());
                 }
                 if (part instanceof LastHttpContent) {
                     ctx.close();
@@ -530,9 +552,9 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                fault = cause.getMessage();
+                failure = cause.getMessage();
                 if (!outage.hasFailed()) {
-                    log.odd("watch_broke", "cause", cause);
+                    log.warnLimited("watch_broke", "cause", cause);
                 }
                 ctx.close();
             }
--- a/src/main/java/cacheproxy/proxy/DiscoveryOutage.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryOutage.java
@@ -11,88 +11,90 @@
 final class DiscoveryOutage {
 
     /** How long nothing may be heard before that is worth a line of the log. */
-    static final long UNREACHABLE_MS = 4000;
+    static final long UNREACHABLE_AFTER_MS = 4000;
 
     private static final String NO_ANSWER = "no answer";
 
-    private final LongSupplier nanos;
+    private final LongSupplier nanoClock;
 
     /** When the last word came from discovery, or else the first attempt began. */
-    private long quietSince;
+    private long silentSinceNanos;
 
-    private boolean begun;
+    private boolean started;
 
     /** Attempts since the last word, or since the last move to another address. */
-    private int attempts;
+    private int attemptCount;
 
     /** Whether one has failed since then. */
-    private boolean failed;
+    private boolean hasFailed;
 
     private String lastError = NO_ANSWER;
 
     /** The address that the log told of as unreachable; null where it told of no outage. */
-    private InetSocketAddress reported;
+    private InetSocketAddress reportedAddress;
 
     /** {@code nanos} is a monotonic clock, in nanoseconds. */
-    DiscoveryOutage(LongSupplier nanos) {
-        this.nanos = nanos;
+    DiscoveryOutage(LongSupplier nanoClock) {
+        this.nanoClock = nanoClock;
     }
 
     /** An attempt begins at this address. */
-    void attempt(InetSocketAddress address) {
-        if (!begun) {
-            begun = true;
-            quietSince = nanos.getAsLong();
+    void attemptStarted(InetSocketAddress address) {
+        if (!started) {
+            started = true;
+            silentSinceNanos = nanoClock.getAsLong();
         }
-        if (attempts > 0 && quietMs() > UNREACHABLE_MS && !address.equals(reported)) {
-            reported = address;
+        if (attemptCount > 0
+                && silentMs() > UNREACHABLE_AFTER_MS
+                && !address.equals(reportedAddress)) {
+            reportedAddress = address;
             Log.warn(
                     "discovery_unreachable",
                     "address",
                     address,
                     "since_ms",
-                    quietMs(),
+                    silentMs(),
                     "cause",
                     lastError);
         }
-        attempts++;
+        attemptCount++;
     }
 
     /** An attempt, or a watch that had spoken, has failed; true for the first since that word. */
-    boolean failed(String error) {
-        boolean first = !failed;
-        failed = true;
+    boolean attemptFailed(String error) {
+        boolean first = !hasFailed;
+        hasFailed = true;
         lastError = error;
         return first;
     }
 
     boolean hasFailed() {
-        return failed;
+        return hasFailed;
     }
 
     /** Discovery has said a whole word, from this address. */
-    void heard(InetSocketAddress address) {
-        if (reported != null) {
-            Log.event("discovery_restored", "address", address, "after_ms", quietMs());
-            reported = null;
+    void messageReceived(InetSocketAddress address) {
+        if (reportedAddress != null) {
+            Log.event("discovery_restored", "address", address, "after_ms", silentMs());
+            reportedAddress = null;
         }
-        begun = true;
-        quietSince = nanos.getAsLong();
-        forgetAttempts();
+        started = true;
+        silentSinceNanos = nanoClock.getAsLong();
+        resetAttempts();
     }
 
     /** From here on the attempts go to another address. */
-    void moved() {
-        forgetAttempts();
+    void addressChanged() {
+        resetAttempts();
     }
 
-    private void forgetAttempts() {
-        attempts = 0;
-        failed = false;
+    private void resetAttempts() {
+        attemptCount = 0;
+        hasFailed = false;
         lastError = NO_ANSWER;
     }
 
-    private long quietMs() {
-        return TimeUnit.NANOSECONDS.toMillis(nanos.getAsLong() - quietSince);
+    private long silentMs() {
+        return TimeUnit.NANOSECONDS.toMillis(nanoClock.getAsLong() - silentSinceNanos);
     }
 }
--- a/src/main/java/cacheproxy/proxy/LoopWatch.java
+++ b/src/main/java/cacheproxy/proxy/EventLoopMonitor.java
@@ -17,112 +17,113 @@
  * clock a turn. And it has the loop sleep until a timer is due, where the last part of a
  * millisecond would be spent on asking the system again.
  */
-final class LoopWatch implements IoHandler {
+final class EventLoopMonitor implements IoHandler {
 
     /** Takes what kept the loop, in milliseconds. */
-    interface Slow {
+    interface SlowTurnListener {
         /** A turn that worked for so long. */
-        void turn(long inputMs, int ready, long tasksMs);
+        void slowTurn(long inputMs, int ready, long tasksMs);
 
         /**
          * A wait that ended so long after the first timer was due: the loop had nothing to do with
          * that.
          */
-        void woke(long lateMs);
+        void lateTimer(long lateMs);
     }
 
     /**
      * A client's patience is some hundreds of milliseconds, and 100 ms after it has left nothing
      * may begin for it.
      */
-    static final long SLOW_MS = 100;
+    static final long SLOW_TURN_MS = 100;
 
-    private static final long A_MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final IoHandler handler;
-    private final LongSupplier nanos;
-    private final Slow slow;
-    private final Measured measured = new Measured();
+    private final IoHandler delegate;
+    private final LongSupplier nanoClock;
+    private final SlowTurnListener listener;
+    private final MeasuringContext measuringContext = new MeasuringContext();
     private long inputNanos;
     private int ready;
 
     /** When the tasks of this turn began. */
-    private long tasksSince;
+    private long tasksStartNanos;
 
-    private boolean turned;
+    private boolean hasRun;
 
-    LoopWatch(IoHandler handler, LongSupplier nanos, Slow slow) {
-        this.handler = handler;
-        this.nanos = nanos;
-        this.slow = slow;
+    EventLoopMonitor(IoHandler delegate, LongSupplier nanoClock, SlowTurnListener listener) {
+        this.delegate = delegate;
+        this.nanoClock = nanoClock;
+        this.listener = listener;
     }
 
-    static IoHandlerFactory factory(IoHandlerFactory handlers, Slow slow) {
+    static IoHandlerFactory factory(IoHandlerFactory delegates, SlowTurnListener listener) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
-                return new LoopWatch(handlers.newHandler(executor), System::nanoTime, slow);
+                return new EventLoopMonitor(
+                        delegates.newHandler(executor), System::nanoTime, listener);
             }
         };
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        long began = nanos.getAsLong();
-        if (turned) {
-            long tasksNanos = began - tasksSince;
-            if (inputNanos + tasksNanos >= TimeUnit.MILLISECONDS.toNanos(SLOW_MS)) {
-                slow.turn(
+        long startNanos = nanoClock.getAsLong();
+        if (hasRun) {
+            long tasksNanos = startNanos - tasksStartNanos;
+            if (inputNanos + tasksNanos >= TimeUnit.MILLISECONDS.toNanos(SLOW_TURN_MS)) {
+                listener.slowTurn(
                         TimeUnit.NANOSECONDS.toMillis(inputNanos),
                         ready,
                         TimeUnit.NANOSECONDS.toMillis(tasksNanos));
             }
         }
         inputNanos = 0;
-        measured.context = context;
-        long due = context.canBlock() ? Math.max(0, context.delayNanos(began)) : 0;
-        ready = handler.run(measured);
-        turned = true;
-        tasksSince = nanos.getAsLong();
-        long lateNanos = tasksSince - began - inputNanos - due;
-        if (lateNanos >= TimeUnit.MILLISECONDS.toNanos(SLOW_MS)) {
-            slow.woke(TimeUnit.NANOSECONDS.toMillis(lateNanos));
+        measuringContext.context = context;
+        long timeoutNanos = context.canBlock() ? Math.max(0, context.delayNanos(startNanos)) : 0;
+        ready = delegate.run(measuringContext);
+        hasRun = true;
+        tasksStartNanos = nanoClock.getAsLong();
+        long lateNanos = tasksStartNanos - startNanos - inputNanos - timeoutNanos;
+        if (lateNanos >= TimeUnit.MILLISECONDS.toNanos(SLOW_TURN_MS)) {
+            listener.lateTimer(TimeUnit.NANOSECONDS.toMillis(lateNanos));
         }
         return ready;
     }
 
     @Override
     public void initialize() {
-        handler.initialize();
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        handler.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        handler.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return handler.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        handler.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> type) {
-        return handler.isCompatible(type);
+        return delegate.isCompatible(type);
     }
 
     /** Has the handler say how long it worked, its wait not counted. */
-    private final class Measured implements IoHandlerContext {
+    private final class MeasuringContext implements IoHandlerContext {
         private IoHandlerContext context;
 
         @Override
@@ -137,11 +138,13 @@
          */
         @Override
         public long delayNanos(long nowNanos) {
-            long delay = context.delayNanos(nowNanos);
-            long over = delay % A_MILLISECOND;
-            return delay <= 0 || over == 0 || delay > Long.MAX_VALUE - A_MILLISECOND
-                    ? delay
-                    : delay + A_MILLISECOND - over;
+            long delayNanos = context.delayNanos(nowNanos);
+            long remainderNanos = delayNanos % NANOS_PER_MS;
+            return delayNanos <= 0
+                            || remainderNanos == 0
+                            || delayNanos > Long.MAX_VALUE - NANOS_PER_MS
+                    ? delayNanos
+                    : delayNanos + NANOS_PER_MS - remainderNanos;
         }
 
         @Override
--- a/src/main/java/cacheproxy/proxy/Sharing.java
+++ b/src/main/java/cacheproxy/proxy/GossipIntegration.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.config.Options;
@@ -15,19 +15,20 @@
  * Joins a proxy to the fleet's gossip, both ways. Held apart, so that a proxy that shares nothing
  * loads nothing of it.
  */
-final class Sharing implements Proxy.Watch {
+final class GossipIntegration implements Proxy.NodeObserver {
 
     private final GossipSocket socket;
 
-    private Sharing(GossipSocket socket) {
+    private GossipIntegration(GossipSocket socket) {
         this.socket = socket;
     }
 
     /** Begins to listen and to tell; {@code proxy} hears of doubts on the loop. */
-    static Sharing open(EventLoop loop, Clock clock, long seed, Options.Gossip options, Proxy proxy)
+    static GossipIntegration open(
+            EventLoop loop, Clock clock, long seed, Options.Gossip options, Proxy proxy)
             throws IOException, InterruptedException, ConfigException {
         try {
-            return new Sharing(
+            return new GossipIntegration(
                     GossipSocket.open(
                             loop,
                             clock::now,
@@ -35,8 +36,8 @@
                             options,
                             new GossipSocket.Hooks() {
                                 @Override
-                                public void standing(String node, boolean doubted) {
-                                    proxy.standing(node, doubted);
+                                public void nodeSuspicionChanged(String node, boolean suspected) {
+                                    proxy.suspicionChanged(node, suspected);
                                 }
 
                                 @Override
@@ -67,42 +68,42 @@
     }
 
     void logTally() {
-        Gossip.Counts c = socket.counts();
+        Gossip.Counts counts = socket.counts();
         Log.event(
                 "gossip_tally",
                 "sent",
-                c.sent(),
+                counts.sent(),
                 "bytes",
-                c.sentBytes(),
+                counts.sentBytes(),
                 "received",
-                c.received(),
+                counts.received(),
                 "rubbish",
-                c.rubbish(),
+                counts.invalid(),
                 "replayed",
-                c.replayed(),
+                counts.replayed(),
                 "verified",
-                c.verified(),
+                counts.verified(),
                 "held_back",
-                c.heldBack());
+                counts.rateLimited());
     }
 
     @Override
-    public void listed(ListKind kind, List<Node> nodes) {
-        socket.listed(kind, nodes);
+    public void onEndpointList(EndpointListKind kind, List<Node> nodes) {
+        socket.updateNodes(kind, nodes);
     }
 
     @Override
-    public void sent(String node) {
-        socket.sent(node);
+    public void onAttemptSent(String node) {
+        socket.attemptStarted(node);
     }
 
     @Override
-    public void ended(String node, Outcome outcome, double elapsedMs) {
-        socket.ended(node, outcome, elapsedMs);
+    public void onAttemptEnded(String node, Outcome outcome, double elapsedMs) {
+        socket.attemptEnded(node, outcome, elapsedMs);
     }
 
     @Override
-    public void probed(String node, Outcome outcome) {
-        socket.probed(node, outcome);
+    public void onProbeCompleted(String node, Outcome outcome) {
+        socket.probeEnded(node, outcome);
     }
 }
--- a/src/main/java/cacheproxy/proxy/HalfClose.java
+++ b/src/main/java/cacheproxy/proxy/HalfClose.java
@@ -16,15 +16,15 @@
  */
 final class HalfClose {
 
-    private static final long LINGER_MS = 1000;
-    private static final long LINGER_BYTES = 1 << 20;
+    private static final long LINGER_TIMEOUT_MS = 1000;
+    private static final long MAX_LINGER_BYTES = 1 << 20;
 
     /** How long an answer may make no way at all to a client. */
-    private static final long UNREAD_MS = 5000;
+    private static final long WRITE_STALL_TIMEOUT_MS = 5000;
 
     private final Channel channel;
     private ChannelFuture lastWrite;
-    private long dropped;
+    private long discardedBytes;
 
     HalfClose(Channel channel) {
         this.channel = channel;
@@ -37,15 +37,15 @@
         lastWrite = written;
         channel.config().setAutoRead(true);
         if (written == null) {
-            endOurHalf();
+            shutdownOurSide();
         } else {
-            written.addListener(f -> endOurHalf());
+            written.addListener(f -> shutdownOurSide());
         }
     }
 
-    private void endOurHalf() {
-        if (channel instanceof DuplexChannel halves) {
-            halves.shutdownOutput();
+    private void shutdownOurSide() {
+        if (channel instanceof DuplexChannel duplexChannel) {
+            duplexChannel.shutdownOutput();
         } else {
             channel.close();
         }
@@ -55,10 +55,10 @@
      * Something more that was read; past what is read for courtesy the rest waits on the client's
      * side.
      */
-    void drop(Object message) {
-        dropped += message instanceof ByteBuf in ? in.readableBytes() : 0;
+    void discard(Object message) {
+        discardedBytes += message instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
         ReferenceCountUtil.release(message);
-        if (dropped > LINGER_BYTES) {
+        if (discardedBytes > MAX_LINGER_BYTES) {
             channel.config().setAutoRead(false);
         }
     }
@@ -67,14 +67,14 @@
      * Closes both halves when the client has had its time, {@code ms} since it last took or sent
      * something.
      */
-    void sweep(long ms) {
-        if (ms >= (isWritten() ? LINGER_MS : UNREAD_MS)) {
+    void sweep(long idleMs) {
+        if (idleMs >= (isWriteDone() ? LINGER_TIMEOUT_MS : WRITE_STALL_TIMEOUT_MS)) {
             channel.close();
         }
     }
 
     /** Whether what was to be written is out. */
-    boolean isWritten() {
+    boolean isWriteDone() {
         return lastWrite == null || lastWrite.isDone();
     }
 
--- a/src/main/java/cacheproxy/proxy/Hangup.java
+++ b/src/main/java/cacheproxy/proxy/HangupSignal.java
@@ -10,9 +10,9 @@
  * interface to signals is supported but not standard, so it is looked up by name: the compiler
  * warns of any other use.
  */
-public final class Hangup {
+public final class HangupSignal {
 
-    private Hangup() {}
+    private HangupSignal() {}
 
     /**
      * Runs {@code reload} at each signal from now on, on a thread of the Java machine's. False
@@ -21,22 +21,23 @@
      */
     public static boolean handle(Runnable reload) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
             MethodHandles.Lookup lookup = MethodHandles.publicLookup();
-            MethodHandle run =
+            MethodHandle runReload =
                     lookup.findVirtual(Runnable.class, "run", MethodType.methodType(void.class))
                             .bindTo(reload);
-            Object handling =
+            Object handlerInstance =
                     MethodHandleProxies.asInterfaceInstance(
-                            handler, MethodHandles.dropArguments(run, 0, signal));
+                            handlerClass, MethodHandles.dropArguments(runReload, 0, signalClass));
             Object previous =
-                    signal.getMethod("handle", signal, handler)
+                    signalClass
+                            .getMethod("handle", signalClass, handlerClass)
                             .invoke(
                                     null,
-                                    signal.getConstructor(String.class).newInstance("HUP"),
-                                    handling);
-            return previous != handler.getField("SIG_IGN").get(null);
+                                    signalClass.getConstructor(String.class).newInstance("HUP"),
+                                    handlerInstance);
+            return previous != handlerClass.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIGHUP cannot be handled here", e);
         }
--- a/src/main/java/cacheproxy/proxy/Log.java
+++ b/src/main/java/cacheproxy/proxy/Log.java
@@ -13,90 +13,90 @@
  */
 public final class Log {
 
-    private static final String PROVIDER = "slf4j.provider";
+    private static final String PROVIDER_PROPERTY = "slf4j.provider";
 
     private static volatile Options.Log options = Options.DEFAULTS.log();
-    private static volatile boolean chosen;
+    private static volatile boolean formatConfigured;
 
-    private long windowStart = System.nanoTime();
-    private int lines;
-    private int dropped;
+    private long windowStartNanos = System.nanoTime();
+    private int linesInWindow;
+    private int suppressedLines;
 
     /** Held apart, so that a choice of format comes before the library is first touched. */
-    private static final class Lines {
+    private static final class LoggerHolder {
         static final Logger LOGGER = LoggerFactory.getLogger("cacheproxy");
     }
 
     /** Takes the options in; the format of the first call holds for the life of this process. */
     public static void configure(Options.Log next) {
-        if (chosen && next.format() != options.format()) {
+        if (formatConfigured && next.format() != options.format()) {
             event("needs_restart", "key", "log.format");
         }
-        Options.Format format = chosen ? options.format() : next.format();
-        if (!chosen) {
+        Options.Format format = formatConfigured ? options.format() : next.format();
+        if (!formatConfigured) {
             System.setProperty("slf4j.internal.verbosity", "WARN");
             System.setProperty(
-                    PROVIDER,
+                    PROVIDER_PROPERTY,
                     format == Options.Format.JSON
                             ? "ch.qos.logback.classic.spi.LogbackServiceProvider"
                             : "org.slf4j.simple.SimpleServiceProvider");
             System.setProperty("logback.configurationFile", "cacheproxy-logback.xml");
         }
-        chosen = true;
+        formatConfigured = true;
         options = new Options.Log(format, next.tallyS(), next.oddLines(), next.oddWindowS());
     }
 
     /** An event and its fields, which are names and values in turn. */
     static void event(String name, Object... fields) {
         if (options.format() == Options.Format.JSON) {
-            write(Lines.LOGGER.atInfo(), name, fields);
+            write(LoggerHolder.LOGGER.atInfo(), name, fields);
         } else {
-            Lines.LOGGER.info(text(name, fields));
+            LoggerHolder.LOGGER.info(formatLine(name, fields));
         }
     }
 
     /** A fault of our own; never held back. */
     static void error(String name, Throwable cause) {
-        Lines.LOGGER.error(name, cause);
+        LoggerHolder.LOGGER.error(name, cause);
     }
 
     /** Something odd from outside; past a few lines each window they are only counted. */
-    void odd(String name, Object... fields) {
-        long now = System.nanoTime();
-        if (now - windowStart > TimeUnit.SECONDS.toNanos(options.oddWindowS())) {
-            if (dropped > 0) {
-                warn("left_out", "lines", dropped);
+    void warnLimited(String name, Object... fields) {
+        long nowNanos = System.nanoTime();
+        if (nowNanos - windowStartNanos > TimeUnit.SECONDS.toNanos(options.oddWindowS())) {
+            if (suppressedLines > 0) {
+                warn("left_out", "lines", suppressedLines);
             }
-            windowStart = now;
-            lines = 0;
-            dropped = 0;
+            windowStartNanos = nowNanos;
+            linesInWindow = 0;
+            suppressedLines = 0;
         }
-        if (lines++ < options.oddLines()) {
+        if (linesInWindow++ < options.oddLines()) {
             warn(name, fields);
         } else {
-            dropped++;
+            suppressedLines++;
         }
     }
 
     /** Something for the operators to mend, told once; never held back. */
     static void warn(String name, Object... fields) {
         if (options.format() == Options.Format.JSON) {
-            write(Lines.LOGGER.atWarn(), name, fields);
+            write(LoggerHolder.LOGGER.atWarn(), name, fields);
         } else {
-            Lines.LOGGER.warn(text(name, fields));
+            LoggerHolder.LOGGER.warn(formatLine(name, fields));
         }
     }
 
-    private static void write(LoggingEventBuilder line, String name, Object... fields) {
-        LoggingEventBuilder open = line;
+    private static void write(LoggingEventBuilder builder, String name, Object... fields) {
+        LoggingEventBuilder withFields = builder;
         for (int i = 0; i + 1 < fields.length; i += 2) {
-            open = open.addKeyValue((String) fields[i], fields[i + 1]);
+            withFields = withFields.addKeyValue((String) fields[i], fields[i + 1]);
         }
-        open.log(name);
+        withFields.log(name);
     }
 
     /** {@code name key=value key="a value with blanks"}. */
-    static String text(String name, Object... fields) {
+    static String formatLine(String name, Object... fields) {
         StringBuilder line = new StringBuilder(name);
         for (int i = 0; i + 1 < fields.length; i += 2) {
             String value = String.valueOf(fields[i + 1]);
--- a/src/main/java/cacheproxy/proxy/Gatherer.java
+++ b/src/main/java/cacheproxy/proxy/MessageAggregator.java
@@ -19,57 +19,57 @@
  * head as soon as it knows, and then the parts as they come; so no more than those 64 KiB are ever
  * held for a connection.
  */
-abstract class Gatherer extends ChannelInboundHandlerAdapter {
+abstract class MessageAggregator extends ChannelInboundHandlerAdapter {
 
     /** What is still gathered, and the longest message of all: peers may send 32 MB. */
-    static final int MOST_GATHERED = 64 * 1024;
+    static final int MAX_AGGREGATED_BYTES = 64 * 1024;
 
-    static final long LONGEST = 33L << 20;
+    static final long MAX_MESSAGE_BYTES = 33L << 20;
 
     /** Of more pieces one is made: each holds a whole read, however few bytes it has. */
-    private static final int MOST_PIECES = 64;
+    private static final int MAX_COMPONENTS = 64;
 
     private HttpMessage head;
     private CompositeByteBuf body;
-    private long bytes;
-    private boolean flows;
+    private long receivedBytes;
+    private boolean streaming;
 
     /** Of a message that was given up, the rest is dropped. */
-    private boolean drops;
+    private boolean discarding;
 
     /** A message and its body as one. */
-    abstract FullHttpMessage whole(HttpMessage head, CompositeByteBuf body);
+    abstract FullHttpMessage aggregate(HttpMessage head, CompositeByteBuf body);
 
     /** The head was read, and the rest may come. */
-    void accepted(ChannelHandlerContext ctx, HttpMessage message) {}
+    void headAccepted(ChannelHandlerContext ctx, HttpMessage message) {}
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof FullHttpMessage) {
             ctx.fireChannelRead(message);
-        } else if (message instanceof HttpMessage begun) {
-            head(ctx, begun);
+        } else if (message instanceof HttpMessage messageHead) {
+            startMessage(ctx, messageHead);
         } else {
-            part(ctx, (HttpContent) message);
+            addContent(ctx, (HttpContent) message);
         }
     }
 
-    private void head(ChannelHandlerContext ctx, HttpMessage message) {
+    private void startMessage(ChannelHandlerContext ctx, HttpMessage message) {
         head = message;
-        bytes = 0;
-        long length = length(message);
-        drops = message.decoderResult().isFailure() || length > LONGEST;
-        flows = !drops && length > MOST_GATHERED;
+        receivedBytes = 0;
+        long length = declaredLength(message);
+        discarding = message.decoderResult().isFailure() || length > MAX_MESSAGE_BYTES;
+        streaming = !discarding && length > MAX_AGGREGATED_BYTES;
         if (message.decoderResult().isFailure()) {
-            fireWhole(ctx, Unpooled.compositeBuffer());
-        } else if (drops) {
-            tooLong(ctx);
+            fireAggregated(ctx, Unpooled.compositeBuffer());
+        } else if (discarding) {
+            fireTooLong(ctx);
         } else {
-            accepted(ctx, message);
-            if (flows) {
+            headAccepted(ctx, message);
+            if (streaming) {
                 ctx.fireChannelRead(message);
             } else {
-                body = Unpooled.compositeBuffer(MOST_PIECES);
+                body = Unpooled.compositeBuffer(MAX_COMPONENTS);
             }
         }
     }
@@ -78,7 +78,7 @@
      * The length that it names, 0 without one; one that is no number makes the message one that
      * can't be read.
      */
-    private static long length(HttpMessage message) {
+    private static long declaredLength(HttpMessage message) {
         try {
             return HttpUtil.getContentLength(message, 0L);
         } catch (NumberFormatException e) {
@@ -87,54 +87,55 @@
         }
     }
 
-    private void fireWhole(ChannelHandlerContext ctx, CompositeByteBuf content) {
-        FullHttpMessage whole = whole(head, content);
-        whole.setDecoderResult(head.decoderResult());
-        ctx.fireChannelRead(whole);
+    private void fireAggregated(ChannelHandlerContext ctx, CompositeByteBuf content) {
+        FullHttpMessage aggregated = aggregate(head, content);
+        aggregated.setDecoderResult(head.decoderResult());
+        ctx.fireChannelRead(aggregated);
     }
 
-    private void tooLong(ChannelHandlerContext ctx) {
+    private void fireTooLong(ChannelHandlerContext ctx) {
         ctx.fireExceptionCaught(
-                new TooLongHttpContentException("a message of over " + LONGEST + " bytes"));
+                new TooLongHttpContentException(
+                        "a message of over " + MAX_MESSAGE_BYTES + " bytes"));
     }
 
-    private void part(ChannelHandlerContext ctx, HttpContent part) {
-        bytes += part.content().readableBytes();
+    private void addContent(ChannelHandlerContext ctx, HttpContent part) {
+        receivedBytes += part.content().readableBytes();
         if (part instanceof LastHttpContent last && !last.trailingHeaders().isEmpty()) {
             // What they say belongs to the hop that they came by.
             last.trailingHeaders().clear();
         }
-        if (drops) {
+        if (discarding) {
             part.release();
-        } else if (bytes > LONGEST) {
-            drops = true;
+        } else if (receivedBytes > MAX_MESSAGE_BYTES) {
+            discarding = true;
             part.release();
-            tooLong(ctx);
-        } else if (flows) {
+            fireTooLong(ctx);
+        } else if (streaming) {
             ctx.fireChannelRead(part);
         } else if (part.decoderResult().isFailure()) {
-            drops = true;
+            discarding = true;
             head.setDecoderResult(part.decoderResult());
-            fireWhole(ctx, taken());
+            fireAggregated(ctx, detachBody());
             part.release();
-        } else if (bytes > MOST_GATHERED) {
-            flows = true;
-            CompositeByteBuf first = taken();
+        } else if (receivedBytes > MAX_AGGREGATED_BYTES) {
+            streaming = true;
+            CompositeByteBuf first = detachBody();
             ctx.fireChannelRead(head);
             ctx.fireChannelRead(new DefaultHttpContent(first));
             ctx.fireChannelRead(part);
         } else {
             body.addComponent(true, part.content());
             if (part instanceof LastHttpContent) {
-                fireWhole(ctx, taken());
+                fireAggregated(ctx, detachBody());
             }
         }
     }
 
-    private CompositeByteBuf taken() {
-        CompositeByteBuf taken = body;
+    private CompositeByteBuf detachBody() {
+        CompositeByteBuf detached = body;
         body = null;
-        return taken;
+        return detached;
     }
 
     @Override
@@ -149,7 +150,7 @@
     }
 
     private void release() {
-        ReferenceCountUtil.release(taken());
-        drops = true;
+        ReferenceCountUtil.release(detachBody());
+        discarding = true;
     }
 }
--- a/src/main/java/cacheproxy/proxy/NodeChannel.java
+++ b/src/main/java/cacheproxy/proxy/NodeChannel.java
@@ -22,7 +22,7 @@
      * Whether neither bytes nor an end wait in the kernel. One byte is taken if there is one, so a
      * connection that is not quiet is of no use any more.
      */
-    boolean isQuiet() {
+    boolean hasNoPendingInput() {
         try {
             return javaChannel().read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
--- a/src/main/java/cacheproxy/proxy/NodePool.java
+++ b/src/main/java/cacheproxy/proxy/NodePool.java
@@ -63,51 +63,58 @@
      * Idle connections close at this part of the node's own limit: one that it closes first loses a
      * request.
      */
-    private static final double IDLE_PART = 0.75;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     /**
      * How long a connection rests between two exchanges: a second copy of the answer that comes a
      * moment late would be taken for the next one's. Counted by timers, which run after all that
      * has arrived was read, also after a pause.
      */
-    private static final long REST_MS = 4;
+    private static final long REUSE_PAUSE_MS = 4;
 
     /** Idle connections are looked through so often in the time that they may stand. */
-    private static final double IDLE_SWEEPS = 10;
+    private static final double SWEEPS_PER_IDLE_TIMEOUT = 10;
 
     /**
      * An answer that has begun and does not end in this part of the shortest aim, or at most in so
      * long, is spoilt: nodes write theirs in one go, and where one came in part its rest never did.
      * It can then still be had elsewhere in time.
      */
-    private static final double STALL_PART = 0.25;
+    private static final double STALL_TIMEOUT_FRACTION = 0.25;
 
-    private static final double STALL_MOST_MS = 200;
-    private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+    private static final double MAX_STALL_TIMEOUT_MS = 200;
+    private static final byte[] STATUS_LINE_START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    private final double idleMs;
+    private final double idleTimeoutMs;
     private final int connectTimeoutMs;
     private final int maxConnections;
     private final Map<String, Target> targets = new HashMap<>();
-    private final Deque<Connection> resting = new ArrayDeque<>();
-    private final IdleAges ages = new IdleAges();
-    private final LongSupplier nanos;
+    private final Deque<Connection> pausing = new ArrayDeque<>();
+    private final IdleTimeoutEstimator idleTimeouts = new IdleTimeoutEstimator();
+    private final LongSupplier nanoClock;
     private final SplittableRandom random;
-    private double stallMs = STALL_MOST_MS;
-    private boolean restsWatched;
-    private boolean idleWatched;
-    private int connections;
+    private double stallTimeoutMs = MAX_STALL_TIMEOUT_MS;
+    private boolean pauseTimerSet;
+    private boolean idleSweepScheduled;
+    private int connectionCount;
 
     NodePool(
             EventLoop loop,
-            Transport transport,
+            ConnectionTransport transport,
             double connectTimeoutMs,
-            double idleMs,
+            double idleTimeoutMs,
             int maxConnections,
             long seed) {
-        this(loop, transport, connectTimeoutMs, idleMs, maxConnections, seed, System::nanoTime);
+        this(
+                loop,
+                transport,
+                connectTimeoutMs,
+                idleTimeoutMs,
+                maxConnections,
+                seed,
+                System::nanoTime);
     }
 
     /**
@@ -116,45 +123,54 @@
      */
     NodePool(
             EventLoop loop,
-            Transport transport,
+            ConnectionTransport transport,
             double connectTimeoutMs,
-            double idleMs,
+            double idleTimeoutMs,
             int maxConnections,
             long seed,
-            LongSupplier nanos) {
-        this(loop, transport.client(loop), connectTimeoutMs, idleMs, maxConnections, seed, nanos);
+            LongSupplier nanoClock) {
+        this(
+                loop,
+                transport.clientBootstrap(loop),
+                connectTimeoutMs,
+                idleTimeoutMs,
+                maxConnections,
+                seed,
+                nanoClock);
     }
 
     /** {@code client} says over what connections are made. */
     NodePool(
             EventLoop loop,
-            Bootstrap client,
+            Bootstrap baseBootstrap,
             double connectTimeoutMs,
-            double idleMs,
+            double idleTimeoutMs,
             int maxConnections,
             long seed,
-            LongSupplier nanos) {
+            LongSupplier nanoClock) {
         this.loop = loop;
-        this.nanos = nanos;
+        this.nanoClock = nanoClock;
         this.random = new SplittableRandom(seed);
-        this.idleMs = idleMs * IDLE_PART;
+        this.idleTimeoutMs = idleTimeoutMs * IDLE_TIMEOUT_FRACTION;
         this.maxConnections = maxConnections;
         this.connectTimeoutMs = Math.max(1, (int) connectTimeoutMs);
-        this.bootstrap = client.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, this.connectTimeoutMs);
+        this.bootstrap =
+                baseBootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, this.connectTimeoutMs);
     }
 
     /** Takes to heart how soon answers are wanted. */
-    void serve(List<ServiceClass> classes) {
-        stallMs = stallMs(classes);
+    void setServiceClasses(List<ServiceClass> classes) {
+        stallTimeoutMs = stallTimeoutMs(classes);
     }
 
-    static double stallMs(List<ServiceClass> classes) {
-        double aim =
+    static double stallTimeoutMs(List<ServiceClass> classes) {
+        double shortestObjectiveMs =
                 classes.stream()
-                        .mapToDouble(ServiceClass::aimMs)
+                        .mapToDouble(ServiceClass::latencyObjectiveMs)
                         .min()
                         .orElse(Double.POSITIVE_INFINITY);
-        return Math.max(1, Math.min(STALL_MOST_MS, STALL_PART * aim));
+        return Math.max(
+                1, Math.min(MAX_STALL_TIMEOUT_MS, STALL_TIMEOUT_FRACTION * shortestObjectiveMs));
     }
 
     /**
@@ -162,46 +178,50 @@
      * no use, and what has not been written there is not to be any more. The latter ends when the
      * result runs: whoever is told of it then has to know the list.
      */
-    Runnable list(HostList list) {
-        List<Runnable> endings = new ArrayList<>();
-        if (list.whole()) {
-            Set<String> named =
-                    list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
+    Runnable applyEndpointList(EndpointListUpdate update) {
+        List<Runnable> cancellations = new ArrayList<>();
+        if (update.snapshot()) {
+            Set<String> listedIds =
+                    update.endpoints().stream().map(h -> h.node().id()).collect(Collectors.toSet());
             List.copyOf(targets.keySet()).stream()
-                    .filter(id -> !named.contains(id))
-                    .forEach(id -> forget(id, endings));
-        }
-        for (HostList.Host host : list.hosts()) {
-            Target known = targets.get(host.node().id());
-            if (host.node().availability() == Availability.GONE) {
-                forget(host.node().id(), endings);
-            } else if (known == null
-                    || !known.dial.equals(host.dial())
-                    || known.bornMs != host.node().startedAtMs()) {
-                forget(host.node().id(), endings);
-                targets.put(host.node().id(), new Target(host.dial(), host.node().startedAtMs()));
-            } else if (host.node().availability() == Availability.DRAINING) {
-                closeIdle(known);
-                endings.add(() -> endUnwritten(known, Outcome.NEVER_SENT));
+                    .filter(id -> !listedIds.contains(id))
+                    .forEach(id -> removeTarget(id, cancellations));
+        }
+        for (EndpointListUpdate.Endpoint endpoint : update.endpoints()) {
+            Target target = targets.get(endpoint.node().id());
+            if (endpoint.node().availability() == Availability.GONE) {
+                removeTarget(endpoint.node().id(), cancellations);
+            } else if (target == null
+                    || !target.address.equals(endpoint.address())
+                    || target.startedAtMs != endpoint.node().startedAtMs()) {
+                removeTarget(endpoint.node().id(), cancellations);
+                targets.put(
+                        endpoint.node().id(),
+                        new Target(endpoint.address(), endpoint.node().startedAtMs()));
+            } else if (endpoint.node().availability() == Availability.DRAINING) {
+                closeIdle(target);
+                cancellations.add(() -> cancelUnwritten(target, Outcome.NEVER_SENT));
             }
         }
-        return () -> endings.forEach(Runnable::run);
+        return () -> cancellations.forEach(Runnable::run);
     }
 
-    private void forget(String node, List<Runnable> endings) {
+    private void removeTarget(String node, List<Runnable> cancellations) {
         Target target = targets.remove(node);
         if (target != null) {
             closeIdle(target);
-            target.current = false;
-            endings.add(() -> endUnwritten(target, Outcome.CONNECT_FAILED));
+            target.listed = false;
+            cancellations.add(() -> cancelUnwritten(target, Outcome.CONNECT_FAILED));
         }
     }
 
     /** Ends what waits for a connection there, one that is coming up as well. */
-    private static void endUnwritten(Target target, Outcome outcome) {
-        List.copyOf(target.connecting).forEach(e -> e.abandon(outcome));
-        for (Exchange e = target.nextWaiting(); e != null; e = target.nextWaiting()) {
-            e.end(outcome, null);
+    private static void cancelUnwritten(Target target, Outcome outcome) {
+        List.copyOf(target.connecting).forEach(attempt -> attempt.abandon(outcome));
+        for (UpstreamAttempt attempt = target.pollWaiting();
+                attempt != null;
+                attempt = target.pollWaiting()) {
+            attempt.finish(outcome, null);
         }
     }
 
@@ -213,78 +233,82 @@
         Target target = targets.get(node);
         if (target != null) {
             closeIdle(target);
-            endUnwritten(target, Outcome.NEVER_SENT);
+            cancelUnwritten(target, Outcome.NEVER_SENT);
         }
     }
 
     private void closeIdle(Target target) {
         List<Connection> all = new ArrayList<>(target.idle);
         target.idle.clear();
-        resting.stream().filter(c -> c.target == target).forEach(all::add);
-        resting.removeAll(all);
+        pausing.stream().filter(c -> c.target == target).forEach(all::add);
+        pausing.removeAll(all);
         all.forEach(c -> c.context.close());
     }
 
-    int connections() {
-        return connections;
+    int connectionCount() {
+        return connectionCount;
     }
 
     /** Connections to one node, busy and idle. */
-    int connections(String node) {
+    int connectionCount(String node) {
         Target target = targets.get(node);
-        return target == null ? 0 : target.connections;
+        return target == null ? 0 : target.connectionCount;
     }
 
     /** Whether no connection is in the pause that follows an answer. */
-    boolean isRested() {
-        return resting.isEmpty();
+    boolean hasNoPausingConnection() {
+        return pausing.isEmpty();
     }
 
     /**
      * Starts an exchange that is given up after {@code timeoutMs}. The request is made when a
      * connection is there to write it to, so that the budget it names is what is left then.
      */
-    Exchange send(
-            String node, Supplier<FullHttpRequest> request, double timeoutMs, Exchange.Done done) {
-        return send(node, request, null, timeoutMs, Double.POSITIVE_INFINITY, done);
+    UpstreamAttempt send(
+            String node,
+            Supplier<FullHttpRequest> request,
+            double timeoutMs,
+            UpstreamAttempt.Listener listener) {
+        return send(node, request, null, timeoutMs, Double.POSITIVE_INFINITY, listener);
     }
 
     /**
      * As above, with a body that flows behind the request's head, null where the request is whole,
      * and with its last byte written within {@code writeWithinMs} or never.
      */
-    Exchange send(
+    UpstreamAttempt send(
             String node,
             Supplier<? extends HttpRequest> request,
             Upload upload,
             double timeoutMs,
             double writeWithinMs,
-            Exchange.Done done) {
-        Exchange exchange = new Exchange(request, upload, done, loop, ages, nanos);
-        exchange.limit(timeoutMs);
-        exchange.writeWithin(writeWithinMs);
+            UpstreamAttempt.Listener listener) {
+        UpstreamAttempt attempt =
+                new UpstreamAttempt(request, upload, listener, loop, idleTimeouts, nanoClock);
+        attempt.setTimeout(timeoutMs);
+        attempt.setWriteDeadline(writeWithinMs);
         Target target = targets.get(node);
         if (target == null) {
-            exchange.end(Outcome.CONNECT_FAILED, null);
-            return exchange;
+            attempt.finish(Outcome.CONNECT_FAILED, null);
+            return attempt;
         }
-        if (!exchange.mayBeWritten()) {
-            return exchange;
+        if (!attempt.mayBeWritten()) {
+            return attempt;
         }
-        Connection idle = newestIdle(target);
+        Connection idle = takeNewestIdle(target);
         if (idle != null) {
-            idle.write(exchange);
-        } else if (target.table.pausing(nanos.getAsLong())) {
-            waitFor(target, exchange);
-        } else if (connections < maxConnections || closeOldestIdle()) {
-            connect(target, exchange);
+            idle.write(attempt);
+        } else if (target.backoff.isPausing(nanoClock.getAsLong())) {
+            enqueue(target, attempt);
+        } else if (connectionCount < maxConnections || closeOldestIdle()) {
+            connect(target, attempt);
         } else {
             // Out of descriptors: opening one more could leave none for a client that is being
             // accepted. The node is
             // not to blame, so this must not look like a failure of its own.
-            exchange.end(Outcome.NEVER_SENT, null);
+            attempt.finish(Outcome.NEVER_SENT, null);
         }
-        return exchange;
+        return attempt;
     }
 
     /**
@@ -292,88 +316,98 @@
      * may take: what waits until its own time is up is answered late, and the module learns of it
      * too late.
      */
-    private void waitFor(Target target, Exchange exchange) {
-        target.waiting.addLast(exchange);
-        loop.schedule(exchange::unconnected, connectTimeoutMs, TimeUnit.MILLISECONDS);
-        openLater(target);
+    private void enqueue(Target target, UpstreamAttempt attempt) {
+        target.waiting.addLast(attempt);
+        loop.schedule(attempt::failIfUnconnected, connectTimeoutMs, TimeUnit.MILLISECONDS);
+        scheduleConnect(target);
     }
 
-    private void openLater(Target target) {
-        if (!target.opening && !target.waiting.isEmpty()) {
-            target.opening = true;
-            long pause =
+    private void scheduleConnect(Target target) {
+        if (!target.connectScheduled && !target.waiting.isEmpty()) {
+            target.connectScheduled = true;
+            long pauseNanos =
                     Math.max(
-                            TimeUnit.MILLISECONDS.toNanos(REST_MS),
-                            target.table.leftNanos(nanos.getAsLong()));
-            loop.schedule(() -> open(target), pause, TimeUnit.NANOSECONDS);
+                            TimeUnit.MILLISECONDS.toNanos(REUSE_PAUSE_MS),
+                            target.backoff.remainingNanos(nanoClock.getAsLong()));
+            loop.schedule(() -> connectNext(target), pauseNanos, TimeUnit.NANOSECONDS);
         }
     }
 
     /** Tries one more connection for the exchange that has waited longest. */
-    private void open(Target target) {
-        target.opening = false;
-        if (!target.table.pausing(nanos.getAsLong())
-                && (connections < maxConnections || closeOldestIdle())) {
-            Exchange first = target.nextWaiting();
-            if (first != null) {
-                connect(target, first);
+    private void connectNext(Target target) {
+        target.connectScheduled = false;
+        if (!target.backoff.isPausing(nanoClock.getAsLong())
+                && (connectionCount < maxConnections || closeOldestIdle())) {
+            UpstreamAttempt attempt = target.pollWaiting();
+            if (attempt != null) {
+                connect(target, attempt);
             }
         }
-        openLater(target);
+        scheduleConnect(target);
     }
 
-    private Connection newestIdle(Target target) {
-        long now = nanos.getAsLong();
-        double limit = Math.min(idleMs, ages.limitMs(now));
-        for (Connection c = target.idle.pollFirst(); c != null; c = target.idle.pollFirst()) {
-            if (c.idleMs(now) >= limit) {
-                c.context.close();
-            } else if (c.isQuiet()) {
-                return c;
+    private Connection takeNewestIdle(Target target) {
+        long now = nanoClock.getAsLong();
+        double timeoutMs = Math.min(idleTimeoutMs, idleTimeouts.timeoutMs(now));
+        for (Connection connection = target.idle.pollFirst();
+                connection != null;
+                connection = target.idle.pollFirst()) {
+            if (connection.idleMs(now) >= timeoutMs) {
+                connection.context.close();
+            } else if (connection.isUsable()) {
+                return connection;
             } else {
-                c.context.close();
+                connection.context.close();
             }
         }
         return null;
     }
 
     /** Closes what has been idle for too long; runs as long as something is idle. */
-    private void watchIdle() {
-        if (!idleWatched && idleMs < Long.MAX_VALUE / 1e6) {
-            idleWatched = true;
+    private void scheduleIdleSweep() {
+        if (!idleSweepScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
+            idleSweepScheduled = true;
             loop.schedule(
-                    this::closeAged,
-                    (long) (Math.min(idleMs / IDLE_SWEEPS, FullTable.SPARE_MS) * 1e6),
+                    this::closeExpiredIdle,
+                    (long)
+                            (Math.min(
+                                            idleTimeoutMs / SWEEPS_PER_IDLE_TIMEOUT,
+                                            ConnectionBackoff.SPARE_IDLE_TIMEOUT_MS)
+                                    * 1e6),
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    private void closeAged() {
-        long now = nanos.getAsLong();
-        double limit = Math.min(idleMs, ages.limitMs(now));
-        boolean left = false;
+    private void closeExpiredIdle() {
+        long now = nanoClock.getAsLong();
+        double timeoutMs = Math.min(idleTimeoutMs, idleTimeouts.timeoutMs(now));
+        boolean anyIdle = false;
         for (Target target : targets.values()) {
-            int spare = target.connections - 1;
-            for (Connection c = target.idle.peekLast();
-                    c != null
-                            && c.idleMs(now)
-                                    >= (spare > 0 ? Math.min(limit, FullTable.SPARE_MS) : limit);
-                    c = target.idle.peekLast()) {
-                spare--;
+            int spareConnections = target.connectionCount - 1;
+            for (Connection connection = target.idle.peekLast();
+                    connection != null
+                            && connection.idleMs(now)
+                                    >= (spareConnections > 0
+                                            ? Math.min(
+                                                    timeoutMs,
+                                                    ConnectionBackoff.SPARE_IDLE_TIMEOUT_MS)
+                                            : timeoutMs);
+                    connection = target.idle.peekLast()) {
+                spareConnections--;
                 target.idle.removeLast();
-                c.context.close();
+                connection.context.close();
             }
-            left |= !target.idle.isEmpty();
+            anyIdle |= !target.idle.isEmpty();
         }
-        idleWatched = false;
-        if (left) {
-            watchIdle();
+        idleSweepScheduled = false;
+        if (anyIdle) {
+            scheduleIdleSweep();
         }
     }
 
-    private void connect(Target target, Exchange exchange) {
+    private void connect(Target target, UpstreamAttempt attempt) {
         Connection connection = new Connection(target);
-        ChannelFuture connecting =
+        ChannelFuture connectFuture =
                 bootstrap
                         .clone()
                         .handler(
@@ -383,65 +417,65 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpRequestEncoder(),
-                                                        connection.bytes,
+                                                        connection.byteHandler,
                                                         connection.decoder,
-                                                        new Answers(),
+                                                        new ResponseAggregator(),
                                                         connection);
                                     }
                                 })
-                        .connect(target.dial);
-        if (connecting.isDone()) {
+                        .connect(target.address);
+        if (connectFuture.isDone()) {
             // Connecting itself is a later step: no socket could be made, as descriptors are out,
             // and the node is not to blame.
-            exchange.end(Outcome.NEVER_SENT, null);
+            attempt.finish(Outcome.NEVER_SENT, null);
             return;
         }
-        connections++;
-        target.connections++;
-        exchange.channel = connecting.channel();
-        target.connecting.add(exchange);
-        connecting
+        connectionCount++;
+        target.connectionCount++;
+        attempt.channel = connectFuture.channel();
+        target.connecting.add(attempt);
+        connectFuture
                 .channel()
                 .closeFuture()
                 .addListener(
                         f -> {
-                            connections--;
-                            target.connections--;
+                            connectionCount--;
+                            target.connectionCount--;
                         });
-        connecting.addListener(
+        connectFuture.addListener(
                 f -> {
                     if (!f.isSuccess()) {
-                        target.connecting.remove(exchange);
-                        connecting.channel().close();
-                        exchange.end(Outcome.CONNECT_FAILED, null);
+                        target.connecting.remove(attempt);
+                        connectFuture.channel().close();
+                        attempt.finish(Outcome.CONNECT_FAILED, null);
                     } else {
-                        connected(target, connection, exchange);
+                        onConnected(target, connection, attempt);
                     }
                 });
     }
 
-    private static void connected(Target target, Connection connection, Exchange exchange) {
-        target.connecting.remove(exchange);
-        if (exchange.mayBeWritten() && connection.isQuiet()) {
-            connection.write(exchange);
+    private static void onConnected(Target target, Connection connection, UpstreamAttempt attempt) {
+        target.connecting.remove(attempt);
+        if (attempt.mayBeWritten() && connection.isUsable()) {
+            connection.write(attempt);
         } else {
             connection.context.close();
-            exchange.broken();
+            attempt.connectionBroken();
         }
     }
 
     /** Makes room for a connection that is needed now; false if every one is busy. */
     private boolean closeOldestIdle() {
-        Connection oldest = resting.peekFirst();
+        Connection oldest = pausing.peekFirst();
         for (Target target : targets.values()) {
             Connection candidate = target.idle.peekLast();
             if (candidate != null
-                    && (oldest == null || candidate.idleSince - oldest.idleSince < 0)) {
+                    && (oldest == null || candidate.idleSinceNanos - oldest.idleSinceNanos < 0)) {
                 oldest = candidate;
             }
         }
         if (oldest != null) {
-            resting.remove(oldest);
+            pausing.remove(oldest);
             oldest.target.idle.remove(oldest);
             oldest.context.close();
         }
@@ -450,32 +484,32 @@
 
     /** A host's address, its idle connections, newest first, and what waits for one. */
     private static final class Target {
-        final SocketAddress dial;
-        final double bornMs;
+        final SocketAddress address;
+        final double startedAtMs;
         final Deque<Connection> idle = new ArrayDeque<>();
 
         /**
          * False once the list has moved on: connections that come free then must not wait for a
          * use.
          */
-        boolean current = true;
+        boolean listed = true;
 
-        final Deque<Exchange> waiting = new ArrayDeque<>();
+        final Deque<UpstreamAttempt> waiting = new ArrayDeque<>();
 
         /** Those for which a connection is being opened. */
-        final Set<Exchange> connecting = new HashSet<>();
+        final Set<UpstreamAttempt> connecting = new HashSet<>();
 
-        int connections;
-        final FullTable table = new FullTable();
-        private boolean opening;
+        int connectionCount;
+        final ConnectionBackoff backoff = new ConnectionBackoff();
+        private boolean connectScheduled;
 
-        Target(SocketAddress dial, double bornMs) {
-            this.dial = dial;
-            this.bornMs = bornMs;
+        Target(SocketAddress address, double startedAtMs) {
+            this.address = address;
+            this.startedAtMs = startedAtMs;
         }
 
-        Exchange nextWaiting() {
-            Exchange next = waiting.pollFirst();
+        UpstreamAttempt pollWaiting() {
+            UpstreamAttempt next = waiting.pollFirst();
             while (next != null && !next.mayBeWritten()) {
                 next = waiting.pollFirst();
             }
@@ -484,67 +518,68 @@
     }
 
     /** Hands connections back whose rest is over; runs as long as some are left. */
-    private void endRests() {
-        long now = nanos.getAsLong();
-        while (!resting.isEmpty()
-                && now - resting.peekFirst().idleSince >= TimeUnit.MILLISECONDS.toNanos(REST_MS)) {
-            resting.removeFirst().rested();
+    private void endPauses() {
+        long now = nanoClock.getAsLong();
+        while (!pausing.isEmpty()
+                && now - pausing.peekFirst().idleSinceNanos
+                        >= TimeUnit.MILLISECONDS.toNanos(REUSE_PAUSE_MS)) {
+            pausing.removeFirst().endPause();
         }
-        restsWatched = false;
-        watchRests();
+        pauseTimerSet = false;
+        schedulePauseEnd();
     }
 
-    private void watchRests() {
-        if (!restsWatched && !resting.isEmpty()) {
-            restsWatched = true;
-            loop.schedule(this::endRests, REST_MS, TimeUnit.MILLISECONDS);
+    private void schedulePauseEnd() {
+        if (!pauseTimerSet && !pausing.isEmpty()) {
+            pauseTimerSet = true;
+            loop.schedule(this::endPauses, REUSE_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** One connection to a host. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Target target;
-        private final StrictHttp.Responses decoder = new StrictHttp.Responses();
-        private final Bytes bytes = new Bytes();
+        private final StrictHttp.ResponseDecoder decoder = new StrictHttp.ResponseDecoder();
+        private final InboundByteHandler byteHandler = new InboundByteHandler();
         private ChannelHandlerContext context;
-        private Exchange current;
+        private UpstreamAttempt currentAttempt;
 
         /**
          * The whole answer, until the read that brought it is over and shows whether more came with
          * it.
          */
-        private FullHttpResponse answer;
+        private FullHttpResponse completeResponse;
 
-        private boolean more;
-        private int begun;
+        private boolean hasSurplusInput;
+        private int matchedStartBytes;
 
         /** When its latest bytes came. */
-        private long lastFlowed;
+        private long lastReadNanos;
 
         /** Whether the long answer that flows on it leaves it open. */
-        private boolean keeps;
+        private boolean keepAliveAfterStream;
 
         /**
          * Whether nothing but the connection's end ends the long answer; and whether the node has
          * ended its half, no reset.
          */
-        private boolean endsByClose;
+        private boolean closeDelimited;
 
-        private boolean ended;
+        private boolean inputShutdown;
         private Future<?> stallTimer;
-        private long idleSince;
-        private boolean used;
-        private boolean answered;
+        private long idleSinceNanos;
+        private boolean usedBefore;
+        private boolean hasAnswered;
 
         /**
          * Opened after one was turned away: only such a one tells whether the node takes
          * connections again.
          */
-        private final boolean tried;
+        private final boolean openedAfterRejection;
 
         Connection(Target target) {
             this.target = target;
-            this.tried = target.table.met();
+            this.openedAfterRejection = target.backoff.isTableFull();
         }
 
         @Override
@@ -552,33 +587,33 @@
             context = ctx;
         }
 
-        void write(Exchange exchange) {
-            current = exchange;
-            begun = 0;
-            exchange.idleMs = used ? idleMs(nanos.getAsLong()) : 0;
-            used = true;
-            exchange.channel = context.channel();
+        void write(UpstreamAttempt attempt) {
+            currentAttempt = attempt;
+            matchedStartBytes = 0;
+            attempt.connectionIdleMs = usedBefore ? idleMs(nanoClock.getAsLong()) : 0;
+            usedBefore = true;
+            attempt.channel = context.channel();
             // The promise covers head and body: it fails if the connection breaks before the last
             // byte is written.
-            context.writeAndFlush(exchange.request())
+            context.writeAndFlush(attempt.buildRequest())
                     .addListener(
                             f -> {
                                 if (!f.isSuccess()) {
                                     context.close();
-                                    exchange.broken();
-                                } else if (exchange.upload == null) {
-                                    exchange.written = true;
+                                    attempt.connectionBroken();
+                                } else if (attempt.upload == null) {
+                                    attempt.written = true;
                                 }
                             });
-            if (exchange.upload != null) {
-                exchange.upload.take(context.channel(), () -> exchange.written = true);
+            if (attempt.upload != null) {
+                attempt.upload.sendTo(context.channel(), () -> attempt.written = true);
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (current != null && current.upload != null) {
-                current.upload.flow();
+            if (currentAttempt != null && currentAttempt.upload != null) {
+                currentAttempt.upload.updateReading();
             }
         }
 
@@ -586,41 +621,42 @@
          * Whether nothing has come on it since its last answer: neither an end nor bytes that the
          * next answer would begin with.
          */
-        boolean isQuiet() {
+        boolean isUsable() {
             return context.channel().isActive()
-                    && (!(context.channel() instanceof NodeChannel node) || node.isQuiet());
+                    && (!(context.channel() instanceof NodeChannel node)
+                            || node.hasNoPendingInput());
         }
 
         double idleMs(long now) {
-            return Math.max(1, now - idleSince) / 1e6;
+            return Math.max(1, now - idleSinceNanos) / 1e6;
         }
 
         /** Whether bytes that have come can belong to the answer that is awaited. */
-        private boolean expected(ByteBuf in) {
-            if (current == null
-                    || current.over && current.rest == null
-                    || !current.written && current.upload == null) {
+        private boolean isExpected(ByteBuf buffer) {
+            if (currentAttempt == null
+                    || currentAttempt.finished && currentAttempt.bodyConsumer == null
+                    || !currentAttempt.written && currentAttempt.upload == null) {
                 return false;
             }
-            for (int i = in.readerIndex();
-                    begun < START.length && i < in.writerIndex();
-                    i++, begun++) {
-                if (in.getByte(i) != START[begun]) {
+            for (int i = buffer.readerIndex();
+                    matchedStartBytes < STATUS_LINE_START.length && i < buffer.writerIndex();
+                    i++, matchedStartBytes++) {
+                if (buffer.getByte(i) != STATUS_LINE_START[matchedStartBytes]) {
                     return false;
                 }
             }
-            current.answering = true;
+            currentAttempt.responseStarted = true;
             return true;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part instanceof FullHttpResponse response) {
-                whole(ctx, response);
+                handleFullResponse(ctx, response);
             } else if (part instanceof HttpResponse head) {
-                begin(ctx, head);
-            } else if (current != null && current.rest != null) {
-                flow(ctx, ((HttpContent) part).retain());
+                startStreaming(ctx, head);
+            } else if (currentAttempt != null && currentAttempt.bodyConsumer != null) {
+                streamPart(ctx, ((HttpContent) part).retain());
             }
         }
 
@@ -628,37 +664,37 @@
          * A long answer: what is not good would be passed on in vain, and of one by far too long
          * the rest never ends.
          */
-        private void begin(ChannelHandlerContext ctx, HttpResponse head) {
-            if (current == null || answer != null) {
-                more = true;
-            } else if (outcome(head) != Outcome.OK || !tellsItsEnd(head)) {
-                fail(ctx, null);
+        private void startStreaming(ChannelHandlerContext ctx, HttpResponse head) {
+            if (currentAttempt == null || completeResponse != null) {
+                hasSurplusInput = true;
+            } else if (outcomeOf(head) != Outcome.OK || !hasDetectableEnd(head)) {
+                failAttempt(ctx, null);
             } else {
-                stopStallTimer();
-                keeps = HttpUtil.isKeepAlive(head);
-                endsByClose = !tellsLength(head);
-                current.begin(head);
-                if (current.rest == null) {
+                cancelStallTimer();
+                keepAliveAfterStream = HttpUtil.isKeepAlive(head);
+                closeDelimited = !declaresLength(head);
+                currentAttempt.startStreaming(head);
+                if (currentAttempt.bodyConsumer == null) {
                     ctx.close();
                 }
             }
         }
 
-        private void flow(ChannelHandlerContext ctx, HttpContent part) {
-            Exchange exchange = current;
+        private void streamPart(ChannelHandlerContext ctx, HttpContent part) {
+            UpstreamAttempt attempt = currentAttempt;
             if (part.decoderResult().isFailure()) {
                 part.release();
-                fail(ctx, part.decoderResult().cause());
-            } else if (part instanceof LastHttpContent && endsByClose && !ended) {
+                failAttempt(ctx, part.decoderResult().cause());
+            } else if (part instanceof LastHttpContent && closeDelimited && !inputShutdown) {
                 part.release();
-                fail(ctx, null);
+                failAttempt(ctx, null);
             } else if (part instanceof LastHttpContent) {
-                current = null;
-                release(exchange, keeps && ctx.channel().isActive());
-                taken();
-                exchange.lastPart(part);
+                currentAttempt = null;
+                keepOrClose(attempt, keepAliveAfterStream && ctx.channel().isActive());
+                recordAnswered();
+                attempt.finishStreaming(part);
             } else {
-                exchange.rest.part(part);
+                attempt.bodyConsumer.onPart(part);
             }
         }
 
@@ -666,58 +702,63 @@
          * The node has answered on it: if it was tried after one was turned away, there is room
          * again.
          */
-        private void taken() {
-            if (!answered && tried) {
-                target.table.tookOne();
+        private void recordAnswered() {
+            if (!hasAnswered && openedAfterRejection) {
+                target.backoff.recordAccepted();
             }
-            answered = true;
+            hasAnswered = true;
         }
 
-        private void whole(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (current == null || answer != null) {
-                more = true;
+        private void handleFullResponse(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (currentAttempt == null || completeResponse != null) {
+                hasSurplusInput = true;
             } else if (response.decoderResult().isFailure()) {
-                fail(ctx, response.decoderResult().cause());
+                failAttempt(ctx, response.decoderResult().cause());
             } else if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-                begun = 0;
-            } else if (!tellsLength(response) && !(ended && saidToClose(response))) {
+                matchedStartBytes = 0;
+            } else if (!declaresLength(response) && !(inputShutdown && announcesClose(response))) {
                 // Nothing but the end of the connection ended it, so nobody can tell whether it is
                 // whole; a reset is no end.
-                current.broken();
+                currentAttempt.connectionBroken();
             } else {
-                answer = response.retain();
+                completeResponse = response.retain();
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (answer != null) {
-                finish();
-            } else if (current != null && begun > 0 && current.rest == null && stallTimer == null) {
-                watchStall(ctx, current, stallMs);
+            if (completeResponse != null) {
+                finishAttempt();
+            } else if (currentAttempt != null
+                    && matchedStartBytes > 0
+                    && currentAttempt.bodyConsumer == null
+                    && stallTimer == null) {
+                scheduleStallCheck(ctx, currentAttempt, stallTimeoutMs);
             }
         }
 
         /** An answer that comes on in pieces is waited for; one that has stopped is not. */
-        private void watchStall(ChannelHandlerContext ctx, Exchange watched, double waitMs) {
+        private void scheduleStallCheck(
+                ChannelHandlerContext ctx, UpstreamAttempt watchedAttempt, double waitMs) {
             stallTimer =
                     loop.schedule(
                             () -> {
                                 stallTimer = null;
-                                double quietMs = (nanos.getAsLong() - lastFlowed) / 1e6;
-                                if (current != watched || begun == 0) {
+                                double quietMs = (nanoClock.getAsLong() - lastReadNanos) / 1e6;
+                                if (currentAttempt != watchedAttempt || matchedStartBytes == 0) {
                                     return;
-                                } else if (quietMs >= stallMs) {
-                                    fail(ctx, null);
+                                } else if (quietMs >= stallTimeoutMs) {
+                                    failAttempt(ctx, null);
                                 } else {
-                                    watchStall(ctx, watched, stallMs - quietMs);
+                                    scheduleStallCheck(
+                                            ctx, watchedAttempt, stallTimeoutMs - quietMs);
                                 }
                             },
                             (long) (waitMs * 1e6),
                             TimeUnit.NANOSECONDS);
         }
 
-        private void stopStallTimer() {
+        private void cancelStallTimer() {
             if (stallTimer != null) {
                 stallTimer.cancel(false);
                 stallTimer = null;
@@ -727,25 +768,25 @@
         /**
          * Ends the exchange with its answer. What came behind it would be taken for the next one's.
          */
-        private void finish() {
-            FullHttpResponse response = answer;
-            Exchange exchange = current;
-            answer = null;
-            current = null;
-            stopStallTimer();
-            release(exchange, !more && HttpUtil.isKeepAlive(response));
-            Outcome outcome = outcome(response);
-            if (!answered && outcome == Outcome.REJECTED && !HttpUtil.isKeepAlive(response)) {
+        private void finishAttempt() {
+            FullHttpResponse response = completeResponse;
+            UpstreamAttempt attempt = currentAttempt;
+            completeResponse = null;
+            currentAttempt = null;
+            cancelStallTimer();
+            keepOrClose(attempt, !hasSurplusInput && HttpUtil.isKeepAlive(response));
+            Outcome outcome = outcomeOf(response);
+            if (!hasAnswered && outcome == Outcome.REJECTED && !HttpUtil.isKeepAlive(response)) {
                 // A new connection that is closed again unheard: the node's table is full, whatever
                 // its cores do.
                 outcome = Outcome.CONNECT_FAILED;
-                target.table.turnedAway(nanos.getAsLong(), random.nextDouble());
-                answered = true;
+                target.backoff.recordRejection(nanoClock.getAsLong(), random.nextDouble());
+                hasAnswered = true;
             } else {
-                taken();
+                recordAnswered();
             }
             try {
-                exchange.end(outcome, response);
+                attempt.finish(outcome, response);
             } finally {
                 response.release();
             }
@@ -755,31 +796,31 @@
          * Keeps the connection for another exchange if it may be, and if all was read and written
          * on it that was due.
          */
-        private void release(Exchange done, boolean mayKeep) {
+        private void keepOrClose(UpstreamAttempt attempt, boolean reusable) {
             // The last part may have come while the connection was held back for its reader.
             context.channel().config().setAutoRead(true);
-            boolean sent = done.upload == null || done.written;
-            if (mayKeep && sent && !decoder.leftOver() && target.current) {
-                idleSince = nanos.getAsLong();
-                resting.addLast(this);
-                watchRests();
+            boolean requestWritten = attempt.upload == null || attempt.written;
+            if (reusable && requestWritten && !decoder.hasUnconsumedBytes() && target.listed) {
+                idleSinceNanos = nanoClock.getAsLong();
+                pausing.addLast(this);
+                schedulePauseEnd();
             } else {
                 context.close();
             }
         }
 
-        private void rested() {
-            if (!isQuiet() || !target.current) {
+        private void endPause() {
+            if (!isUsable() || !target.listed) {
                 context.close();
                 return;
             }
-            Exchange waits = target.nextWaiting();
-            if (waits != null) {
-                write(waits);
+            UpstreamAttempt waiting = target.pollWaiting();
+            if (waiting != null) {
+                write(waiting);
                 return;
             }
             target.idle.addFirst(this);
-            watchIdle();
+            scheduleIdleSweep();
         }
 
         @Override
@@ -793,37 +834,39 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             target.idle.remove(this);
-            resting.remove(this);
-            if (answer != null) {
-                finish();
-            } else if (current != null) {
-                current.cutShort();
-                current.broken();
+            pausing.remove(this);
+            if (completeResponse != null) {
+                finishAttempt();
+            } else if (currentAttempt != null) {
+                currentAttempt.abortStreaming();
+                currentAttempt.connectionBroken();
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            fail(ctx, cause);
+            failAttempt(ctx, cause);
         }
 
         /**
          * A connection that broke ends its exchange as such, also inside an answer; else the answer
          * makes no sense.
          */
-        private void fail(ChannelHandlerContext ctx, Throwable cause) {
+        private void failAttempt(ChannelHandlerContext ctx, Throwable cause) {
             boolean broke =
                     cause instanceof IOException
                             || cause instanceof PrematureChannelClosureException;
-            if (answer != null) {
-                more = true;
-                finish();
-            } else if (current != null && current.rest != null) {
-                current.cutShort();
-            } else if (current != null && !broke && (current.written || current.answering)) {
-                current.end(Outcome.ERROR, null);
-            } else if (current != null) {
-                current.broken();
+            if (completeResponse != null) {
+                hasSurplusInput = true;
+                finishAttempt();
+            } else if (currentAttempt != null && currentAttempt.bodyConsumer != null) {
+                currentAttempt.abortStreaming();
+            } else if (currentAttempt != null
+                    && !broke
+                    && (currentAttempt.written || currentAttempt.responseStarted)) {
+                currentAttempt.finish(Outcome.ERROR, null);
+            } else if (currentAttempt != null) {
+                currentAttempt.connectionBroken();
             }
             ctx.close();
         }
@@ -833,33 +876,33 @@
          * the request is out, belong to an older one, and those that start no answer would only be
          * seen as such at the end of a line.
          */
-        private final class Bytes extends ChannelInboundHandlerAdapter {
+        private final class InboundByteHandler extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
-                if (answer != null) {
-                    more = true;
+                if (completeResponse != null) {
+                    hasSurplusInput = true;
                     ReferenceCountUtil.release(message);
-                } else if (message instanceof ByteBuf in && !expected(in)) {
-                    in.release();
-                    fail(context, null);
+                } else if (message instanceof ByteBuf buffer && !isExpected(buffer)) {
+                    buffer.release();
+                    failAttempt(context, null);
                 } else {
-                    lastFlowed = nanos.getAsLong();
+                    lastReadNanos = nanoClock.getAsLong();
                     ctx.fireChannelRead(message);
                 }
             }
 
             @Override
             public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-                ended |= event instanceof ChannelInputShutdownEvent;
+                inputShutdown |= event instanceof ChannelInputShutdownEvent;
                 ctx.fireUserEventTriggered(event);
             }
         }
     }
 
     /** Puts answers together; one that is longer than any may be makes no sense. */
-    private static final class Answers extends Gatherer {
+    private static final class ResponseAggregator extends MessageAggregator {
         @Override
-        FullHttpMessage whole(HttpMessage head, CompositeByteBuf body) {
+        FullHttpMessage aggregate(HttpMessage head, CompositeByteBuf body) {
             HttpResponse response = (HttpResponse) head;
             return new DefaultFullHttpResponse(
                     response.protocolVersion(),
@@ -874,22 +917,22 @@
      * Whether the end of an answer can be told from its being cut off, as far as a connection's end
      * can tell it.
      */
-    private static boolean tellsItsEnd(HttpResponse response) {
-        return tellsLength(response) || saidToClose(response);
+    private static boolean hasDetectableEnd(HttpResponse response) {
+        return declaresLength(response) || announcesClose(response);
     }
 
-    private static boolean tellsLength(HttpResponse response) {
+    private static boolean declaresLength(HttpResponse response) {
         return HttpUtil.isContentLengthSet(response)
                 || HttpUtil.isTransferEncodingChunked(response);
     }
 
     /** Whether an answer that names no length said that its connection's end would be its own. */
-    private static boolean saidToClose(HttpResponse response) {
+    private static boolean announcesClose(HttpResponse response) {
         return response.headers()
                 .contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
     }
 
-    private static Outcome outcome(HttpResponse response) {
+    private static Outcome outcomeOf(HttpResponse response) {
         HttpResponseStatus status = response.status();
         return switch (status.code()) {
             case 200 -> Outcome.OK;
--- a/src/main/java/cacheproxy/proxy/Operations.java
+++ b/src/main/java/cacheproxy/proxy/Operations.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
+import cacheproxy.admin.AdminOperations;
 import cacheproxy.admin.AdminServer;
-import cacheproxy.admin.Desk;
 import cacheproxy.store.CallTime;
-import cacheproxy.store.OutageFiles;
+import cacheproxy.store.MaintenanceFiles;
 import cacheproxy.store.SupersededException;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -21,13 +21,13 @@
  * Carries the operators' calls to the module and the clients' side, and keeps what has to outlast
  * this process.
  */
-final class Operations implements Desk {
+final class Operations implements AdminOperations {
 
     /**
      * How often the other process's calls are looked for; a yes of its own holds here that much
      * later.
      */
-    private static final long LOOK_MS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
 
     /**
      * The drain's name as a state that is written; a cache node's is its id after {@link
@@ -35,7 +35,7 @@
      */
     private static final String DRAIN_STATE = "drain";
 
-    private static final String NODE_STATE = "cache node ";
+    private static final String NODE_STATE_PREFIX = "cache node ";
 
     private final EventLoop loop;
     private final Proxy proxy;
@@ -43,61 +43,65 @@
     private final AdminServer server;
 
     /** Null where nothing outlasts this process; a test puts another in its place. */
-    private OutageFiles files;
+    private MaintenanceFiles stateFiles;
 
     private final StateWriter writer;
-    private final Set<String> out = new HashSet<>();
+    private final Set<String> nodesInMaintenance = new HashSet<>();
     private final Log log = new Log();
-    private boolean open;
-    private InetSocketAddress listening;
+    private boolean acceptingCalls;
+    private InetSocketAddress boundAddress;
 
-    Operations(EventLoop loop, Proxy proxy, ClientServer clients, Path shared) {
+    Operations(EventLoop loop, Proxy proxy, ClientServer clients, Path sharedDirectory) {
         this.loop = loop;
         this.proxy = proxy;
         this.clients = clients;
         this.server = new AdminServer(loop, this);
-        this.files = shared == null ? null : new OutageFiles(shared);
+        this.stateFiles = sharedDirectory == null ? null : new MaintenanceFiles(sharedDirectory);
         this.writer = new StateWriter(loop);
     }
 
     /** For tests: what is kept from now on goes to these files. */
-    void keepIn(OutageFiles others) {
-        loop.submit(() -> files = others).syncUninterruptibly();
+    void useFiles(MaintenanceFiles replacement) {
+        loop.submit(() -> stateFiles = replacement).syncUninterruptibly();
     }
 
     /** Whether something that was taken on is not known to be on disk yet. */
-    boolean isAnyOwed() {
-        return writer.isAnyOwed();
+    boolean hasPendingWrites() {
+        return writer.hasPending();
     }
 
     ChannelFuture listen(SocketAddress address) {
         return server.listen(address)
                 .addListener(
-                        (ChannelFuture f) ->
-                                listening = (InetSocketAddress) f.channel().localAddress());
+                        (ChannelFuture bound) ->
+                                boundAddress = (InetSocketAddress) bound.channel().localAddress());
     }
 
-    InetSocketAddress listening() {
-        return listening;
+    InetSocketAddress boundAddress() {
+        return boundAddress;
     }
 
     /**
      * The module has its first list: calls are taken from now on, and those that an earlier process
      * took hold.
      */
-    void open() {
-        open = true;
-        if (files != null) {
-            proxy.onList(this::look);
-            begun();
-            loop.scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-            look();
+    void acceptCalls() {
+        acceptingCalls = true;
+        if (stateFiles != null) {
+            proxy.setEndpointListListener(this::applyStoredState);
+            createDirectory();
+            loop.scheduleAtFixedRate(
+                    this::applyStoredState,
+                    POLL_INTERVAL_MS,
+                    POLL_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
+            applyStoredState();
         }
     }
 
-    private void begun() {
+    private void createDirectory() {
         try {
-            files.create();
+            stateFiles.create();
         } catch (IOException e) {
             Log.error("shared_folder_missing", e);
         }
@@ -108,103 +112,118 @@
      * taken out when one does. What this process still owes to the disk is left as it is: the disk
      * doesn't tell of it yet.
      */
-    private void look() {
-        OutageFiles.Kept kept;
+    private void applyStoredState() {
+        MaintenanceFiles.MaintenanceState stored;
         try {
-            kept = files.read();
+            stored = stateFiles.read();
         } catch (IOException e) {
-            log.odd("shared_folder_unread", "cause", e);
+            log.warnLimited("shared_folder_unread", "cause", e);
             return;
         }
-        for (String node : kept.out()) {
-            if (!out.contains(node) && !isOwed(node) && proxy.maintain(node, true)) {
-                taken(node, true);
+        for (String node : stored.nodes()) {
+            if (!nodesInMaintenance.contains(node)
+                    && !isWritePending(node)
+                    && proxy.setMaintenance(node, true)) {
+                recordMaintenance(node, true);
             }
         }
-        if (kept.drained() != clients.isEmptied() && !writer.isOwed(DRAIN_STATE)) {
-            drained(kept.drained());
+        if (stored.drained() != clients.isDrainedByOperator() && !writer.isPending(DRAIN_STATE)) {
+            applyDrain(stored.drained());
         }
-        List.copyOf(out).stream()
-                .filter(n -> !kept.out().contains(n) && !isOwed(n))
+        List.copyOf(nodesInMaintenance).stream()
+                .filter(node -> !stored.nodes().contains(node) && !isWritePending(node))
                 .forEach(
-                        n -> {
-                            proxy.maintain(n, false);
-                            taken(n, false);
+                        node -> {
+                            proxy.setMaintenance(node, false);
+                            recordMaintenance(node, false);
                         });
     }
 
-    private boolean isOwed(String node) {
-        return writer.isOwed(NODE_STATE + node);
+    private boolean isWritePending(String node) {
+        return writer.isPending(NODE_STATE_PREFIX + node);
     }
 
     /** Whether operators hold a node out at this proxy. */
-    boolean isOut(String node) {
-        return out.contains(node);
+    boolean isInMaintenance(String node) {
+        return nodesInMaintenance.contains(node);
     }
 
-    private void drained(boolean begins) {
-        Log.event(begins ? "emptying" : "filling", "clients", clients.connections());
-        clients.empty(begins);
+    private void applyDrain(boolean start) {
+        Log.event(start ? "emptying" : "filling", "clients", clients.connections());
+        clients.setOperatorDrain(start);
     }
 
-    private void taken(String node, boolean begins) {
-        if (begins ? out.add(node) : out.remove(node)) {
-            Log.event("maintenance", "node", node, "out", begins, "all_out", out.size());
+    private void recordMaintenance(String node, boolean start) {
+        if (start ? nodesInMaintenance.add(node) : nodesInMaintenance.remove(node)) {
+            Log.event(
+                    "maintenance",
+                    "node",
+                    node,
+                    "out",
+                    start,
+                    "all_out",
+                    nodesInMaintenance.size());
         }
     }
 
     @Override
     public Reply health() {
         return clients.isReady()
-                ? Reply.yes(clients.isEmptied() ? "ready; drained by an operator" : "ready")
-                : Reply.no(open ? "not ready: waiting for discovery, or ending" : "starting");
+                ? Reply.ok(
+                        clients.isDrainedByOperator() ? "ready; drained by an operator" : "ready")
+                : Reply.unavailable(
+                        acceptingCalls
+                                ? "not ready: waiting for discovery, or ending"
+                                : "starting");
     }
 
     /**
      * A yes is given once it is kept; where it can't be kept nothing changes and the answer is no.
      */
     @Override
-    public void maintain(String node, boolean begins, Consumer<Reply> answer) {
-        if (!open) {
-            answer.accept(Reply.no("starting"));
-        } else if (node.equals(proxy.origin())) {
-            answer.accept(Reply.unknown(node + " is the origin, no cache node"));
-        } else if (!proxy.knows(node)) {
-            answer.accept(Reply.unknown("no list ever named a cache node " + node));
+    public void setMaintenance(String node, boolean start, Consumer<Reply> answer) {
+        if (!acceptingCalls) {
+            answer.accept(Reply.unavailable("starting"));
+        } else if (node.equals(proxy.originId())) {
+            answer.accept(Reply.notFound(node + " is the origin, no cache node"));
+        } else if (!proxy.isKnownCacheNode(node)) {
+            answer.accept(Reply.notFound("no list ever named a cache node " + node));
         } else {
             CallTime call = CallTime.now();
-            keep(
+            persist(
                     node,
-                    begins,
+                    start,
                     call,
                     failure -> {
                         answer.accept(
                                 failure == null
-                                        ? kept(node, begins)
-                                        : notKept(node, call, failure));
+                                        ? applyMaintenance(node, start)
+                                        : rejectUnpersisted(node, call, failure));
                     });
         }
     }
 
-    private void keep(String node, boolean begins, CallTime call, Consumer<IOException> answer) {
-        if (files == null) {
+    private void persist(String node, boolean start, CallTime call, Consumer<IOException> answer) {
+        if (stateFiles == null) {
             answer.accept(null);
         } else {
-            writer.write(NODE_STATE + node, change(node, begins, call), answer);
+            writer.write(NODE_STATE_PREFIX + node, stateChange(node, start, call), answer);
         }
     }
 
-    private StateWriter.Change change(String node, boolean begins, CallTime call) {
-        OutageFiles kept = files;
-        return begins ? () -> kept.begin(node, call) : () -> kept.end(node, call);
+    private StateWriter.StateChange stateChange(String node, boolean start, CallTime call) {
+        MaintenanceFiles target = stateFiles;
+        return start
+                ? () -> target.startMaintenance(node, call)
+                : () -> target.endMaintenance(node, call);
     }
 
-    private Reply kept(String node, boolean begins) {
-        proxy.maintain(node, begins);
-        taken(node, begins);
-        return Reply.yes(
+    private Reply applyMaintenance(String node, boolean start) {
+        proxy.setMaintenance(node, start);
+        recordMaintenance(node, start);
+        return Reply.ok(
                 node
-                        + (begins
+                        + (start
                                 ? " is out: nothing new goes there until it is put back"
                                 : " may serve again"));
     }
@@ -214,16 +233,17 @@
      * taken back too, as a part of the failed call: it gives way to a later one. A superseded write
      * has left nothing.
      */
-    private Reply notKept(String node, CallTime call, IOException failure) {
+    private Reply rejectUnpersisted(String node, CallTime call, IOException failure) {
         if (failure instanceof SupersededException) {
-            return Reply.no("nothing changed: " + failure.getMessage());
+            return Reply.unavailable("nothing changed: " + failure.getMessage());
         }
         Log.error("outage_not_kept", failure);
-        if (!writer.isAnswerDue(NODE_STATE + node)) {
-            StateWriter.Change takingBack = change(node, out.contains(node), call);
-            writer.write(NODE_STATE + node, takingBack, ignored -> {});
+        if (!writer.isAnswerPending(NODE_STATE_PREFIX + node)) {
+            StateWriter.StateChange revert =
+                    stateChange(node, nodesInMaintenance.contains(node), call);
+            writer.write(NODE_STATE_PREFIX + node, revert, ignored -> {});
         }
-        return Reply.no(
+        return Reply.unavailable(
                 "nothing changed: it could not be kept for the next process: "
                         + failure.getMessage());
     }
@@ -234,32 +254,32 @@
      * it is, or until a later call at another process has been written.
      */
     @Override
-    public void drain(boolean begins, Consumer<Reply> answer) {
-        if (!open) {
-            answer.accept(Reply.no("starting"));
+    public void setDraining(boolean start, Consumer<Reply> answer) {
+        if (!acceptingCalls) {
+            answer.accept(Reply.unavailable("starting"));
             return;
         }
-        if (begins != clients.isEmptied()) {
-            drained(begins);
+        if (start != clients.isDrainedByOperator()) {
+            applyDrain(start);
         }
-        String done =
-                begins
+        String confirmation =
+                start
                         ? "emptying: /up says no, each answer ends its connection"
                         : "serving: /up says yes";
-        if (files == null) {
-            answer.accept(Reply.yes(done));
+        if (stateFiles == null) {
+            answer.accept(Reply.ok(confirmation));
             return;
         }
-        OutageFiles kept = files;
+        MaintenanceFiles target = stateFiles;
         CallTime call = CallTime.now();
         writer.write(
                 DRAIN_STATE,
-                () -> kept.drain(begins, call),
-                failure -> answer.accept(Reply.yes(done + shortfall(failure))));
+                () -> target.setDraining(start, call),
+                failure -> answer.accept(Reply.ok(confirmation + failureNote(failure))));
     }
 
     /** What an answer to a drain adds where its first write failed. */
-    private static String shortfall(IOException failure) {
+    private static String failureNote(IOException failure) {
         if (failure == null) {
             return "";
         }
--- a/src/main/java/cacheproxy/proxy/PassedSocket.java
+++ b/src/main/java/cacheproxy/proxy/PassedSocket.java
@@ -11,13 +11,13 @@
  */
 final class PassedSocket {
 
-    private static final String OURS = "0";
+    private static final String SUPPORTED_DESCRIPTOR = "0";
 
     private PassedSocket() {}
 
     /** {@code name} is what the platform calls it. */
-    static ServerSocketChannel take(String name) throws ConfigException {
-        if (name.chars().allMatch(Character::isDigit) && !name.equals(OURS)) {
+    static ServerSocketChannel open(String name) throws ConfigException {
+        if (name.chars().allMatch(Character::isDigit) && !name.equals(SUPPORTED_DESCRIPTOR)) {
             throw new ConfigException(
                     "passed socket: descriptor " + name + " cannot be taken, only 0");
         }
--- a/src/main/java/cacheproxy/proxy/PathKey.java
+++ b/src/main/java/cacheproxy/proxy/PathKey.java
@@ -4,7 +4,7 @@
 public final class PathKey {
 
     /** Keys are below 2^53, as on the simulator's wire. */
-    private static final long BITS = (1L << 53) - 1;
+    private static final long KEY_MASK = (1L << 53) - 1;
 
     private PathKey() {}
 
@@ -17,6 +17,6 @@
         for (int i = path.lastIndexOf('/') + 1; i < path.length(); i++) {
             hash = (hash ^ path.charAt(i)) * 0x100000001b3L;
         }
-        return (hash ^ hash >>> 32) & BITS;
+        return (hash ^ hash >>> 32) & KEY_MASK;
     }
 }
--- a/src/main/java/cacheproxy/proxy/PeerEar.java
+++ b/src/main/java/cacheproxy/proxy/PeerListener.java
@@ -14,18 +14,18 @@
  * start of all. Without peers, or where the address can't be had yet, nothing is heard; the proxy's
  * own attempt to listen reports why.
  */
-final class PeerEar implements Closeable {
+final class PeerListener implements Closeable {
 
     /** Null where there was no descriptor for them; nothing is heard then. */
     private Selector selector;
 
     private DatagramChannel channel;
 
-    PeerEar(InetSocketAddress address) {
+    PeerListener(InetSocketAddress address) {
         this(address, SelectorProvider.provider());
     }
 
-    PeerEar(InetSocketAddress address, SelectorProvider provider) {
+    PeerListener(InetSocketAddress address, SelectorProvider provider) {
         try {
             selector = provider.openSelector();
             channel = provider.openDatagramChannel();
@@ -45,7 +45,7 @@
     }
 
     /** Whether a message has come, or comes within so long; it is left unread. */
-    boolean heard(long waitMs) throws IOException {
+    boolean awaitMessage(long waitMs) throws IOException {
         if (selector == null) {
             return false;
         }
--- a/src/main/java/cacheproxy/proxy/Peers.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -16,86 +16,86 @@
 import java.util.List;
 
 /** Short messages between proxies, over UDP: late, lost, or from strangers. */
-final class Peers {
+final class PeerSocket {
 
-    static final int MAX_MESSAGE = 256;
+    static final int MAX_MESSAGE_BYTES = 256;
 
     private final EventLoop loop;
     private final Config config;
     private final Proxy proxy;
-    private final int self;
-    private final ChannelFactory<? extends DatagramChannel> channels;
+    private final int ownIndex;
+    private final ChannelFactory<? extends DatagramChannel> channelFactory;
     private final Log log = new Log();
     private Channel channel;
 
-    Peers(EventLoop loop, Config config, Proxy proxy) {
+    PeerSocket(EventLoop loop, Config config, Proxy proxy) {
         this(loop, config, proxy, NioDatagramChannel::new);
     }
 
     /** With a socket whose system calls may fail, as tests have it. */
-    Peers(
+    PeerSocket(
             EventLoop loop,
             Config config,
             Proxy proxy,
-            ChannelFactory<? extends DatagramChannel> channels) {
+            ChannelFactory<? extends DatagramChannel> channelFactory) {
         this.loop = loop;
-        this.channels = channels;
+        this.channelFactory = channelFactory;
         this.config = config;
         this.proxy = proxy;
-        this.self = config.settings().index();
+        this.ownIndex = config.settings().index();
     }
 
     ChannelFuture listen() {
-        ChannelFuture bound =
+        ChannelFuture bindFuture =
                 new Bootstrap()
                         .group(loop)
-                        .channelFactory(channels)
-                        .handler(new Inbox())
+                        .channelFactory(channelFactory)
+                        .handler(new DatagramHandler())
                         .bind(config.peerListen());
-        channel = bound.channel();
-        return bound;
+        channel = bindFuture.channel();
+        return bindFuture;
     }
 
-    InetSocketAddress listening() {
+    InetSocketAddress localAddress() {
         return (InetSocketAddress) channel.localAddress();
     }
 
     /** Sends to every other proxy. */
-    void tell(byte[] contents) {
-        if (channel == null || contents.length > MAX_MESSAGE) {
-            log.odd("peer_message_unsent", "bytes", contents.length);
+    void sendToAll(byte[] contents) {
+        if (channel == null || contents.length > MAX_MESSAGE_BYTES) {
+            log.warnLimited("peer_message_unsent", "bytes", contents.length);
         } else if (config.peersAll() != null) {
             send(contents, config.peersAll());
         } else {
             List<InetSocketAddress> peers = config.peers();
             for (int i = 0; i < peers.size(); i++) {
-                if (i != self) {
+                if (i != ownIndex) {
                     send(contents, peers.get(i));
                 }
             }
         }
     }
 
-    private void send(byte[] contents, InetSocketAddress to) {
-        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(contents), to));
+    private void send(byte[] contents, InetSocketAddress recipient) {
+        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(contents), recipient));
     }
 
-    private final class Inbox extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            int from = config.peers().indexOf(packet.sender());
+            int senderIndex = config.peers().indexOf(packet.sender());
             int length = packet.content().readableBytes();
-            if (from < 0 || length > MAX_MESSAGE) {
-                log.odd("datagram_dropped", "bytes", length, "from", packet.sender());
-            } else if (from != self) {
-                proxy.peerMessage(from, ByteBufUtil.getBytes(packet.content()));
+            if (senderIndex < 0 || length > MAX_MESSAGE_BYTES) {
+                log.warnLimited("datagram_dropped", "bytes", length, "from", packet.sender());
+            } else if (senderIndex != ownIndex) {
+                proxy.peerMessageReceived(senderIndex, ByteBufUtil.getBytes(packet.content()));
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // An unreachable peer shows as an error on this socket; the socket itself is fine.
-            log.odd("peer_socket", "cause", cause);
+            log.warnLimited("peer_socket", "cause", cause);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Governing.java
+++ b/src/main/java/cacheproxy/proxy/PolicyIntegration.java
@@ -15,17 +15,17 @@
  * Joins a proxy to the fleet's policy. Held apart, so that a proxy that goes by its own file loads
  * nothing of it.
  */
-final class Governing {
+final class PolicyIntegration {
 
     private final Proxy proxy;
-    private final Predicate<String> outByOperators;
-    private final Set<String> wanted = new HashSet<>();
-    private final Set<String> out = new HashSet<>();
-    private PolicyService service;
+    private final Predicate<String> isInMaintenanceByOperators;
+    private final Set<String> policyNodes = new HashSet<>();
+    private final Set<String> nodesInMaintenance = new HashSet<>();
+    private PolicyService policyService;
 
-    private Governing(Proxy proxy, Predicate<String> outByOperators) {
+    private PolicyIntegration(Proxy proxy, Predicate<String> isInMaintenanceByOperators) {
         this.proxy = proxy;
-        this.outByOperators = outByOperators;
+        this.isInMaintenanceByOperators = isInMaintenanceByOperators;
     }
 
     /**
@@ -34,20 +34,20 @@
      * @param outByOperators whether this proxy's own operators hold a node out, which no policy
      *     ends
      */
-    static Governing open(
+    static PolicyIntegration open(
             EventLoop loop,
-            Options own,
+            Options ownOptions,
             long seed,
             Proxy proxy,
-            Predicate<String> outByOperators,
+            Predicate<String> isInMaintenanceByOperators,
             Consumer<Options> configure)
             throws IOException, InterruptedException {
-        Governing governing = new Governing(proxy, outByOperators);
-        loop.submit(() -> governing.want(own.nodes().out())).sync();
-        governing.service =
+        PolicyIntegration integration = new PolicyIntegration(proxy, isInMaintenanceByOperators);
+        loop.submit(() -> integration.setPolicyNodes(ownOptions.nodes().out())).sync();
+        integration.policyService =
                 PolicyService.open(
                         loop,
-                        own,
+                        ownOptions,
                         Path.of(
                                 System.getenv()
                                         .getOrDefault(
@@ -57,7 +57,7 @@
                             @Override
                             public void apply(Options options) {
                                 configure.accept(options);
-                                governing.want(options.nodes().out());
+                                integration.setPolicyNodes(options.nodes().out());
                             }
 
                             @Override
@@ -65,28 +65,28 @@
                                 Log.event(name, fields);
                             }
                         });
-        return governing;
+        return integration;
     }
 
-    private void want(List<String> nodes) {
-        wanted.clear();
-        wanted.addAll(nodes);
-        look();
+    private void setPolicyNodes(List<String> nodes) {
+        policyNodes.clear();
+        policyNodes.addAll(nodes);
+        applyMaintenance();
     }
 
     /** On the loop, now and then: a node that no list had named is taken out once one has. */
-    void look() {
-        for (String node : wanted) {
-            if (!out.contains(node) && proxy.maintain(node, true)) {
-                out.add(node);
+    void applyMaintenance() {
+        for (String node : policyNodes) {
+            if (!nodesInMaintenance.contains(node) && proxy.setMaintenance(node, true)) {
+                nodesInMaintenance.add(node);
                 Log.event("policy_node", "node", node, "out", true);
             }
         }
-        for (String node : List.copyOf(out)) {
-            if (!wanted.contains(node)) {
-                out.remove(node);
-                if (!outByOperators.test(node)) {
-                    proxy.maintain(node, false);
+        for (String node : List.copyOf(nodesInMaintenance)) {
+            if (!policyNodes.contains(node)) {
+                nodesInMaintenance.remove(node);
+                if (!isInMaintenanceByOperators.test(node)) {
+                    proxy.setMaintenance(node, false);
                 }
                 Log.event("policy_node", "node", node, "out", false);
             }
@@ -94,6 +94,6 @@
     }
 
     void close() {
-        service.close();
+        policyService.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -3,7 +3,7 @@
 import cacheproxy.Router;
 import cacheproxy.Router.Actions;
 import cacheproxy.Router.AttemptEnd;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.Request;
 import cacheproxy.Router.Settings;
@@ -47,15 +47,15 @@
      * Router#HOLD_UP_MS} the node is still told of no more than the client has left and the slack
      * of 0.15 s that the terms give.
      */
-    private static final double READ_LATE_MS = 25;
+    private static final double MAX_READ_DELAY_MS = 25;
 
-    private static final double READ_LATE_MOST_PART = 0.25;
+    private static final double MAX_READ_DELAY_FRACTION = 0.25;
 
     /**
      * When a timer whose handling failed is tried again: without it one fault would end all later
      * intervals.
      */
-    private static final double RETRY_TIMER_MS = 1000;
+    private static final double TIMER_RETRY_DELAY_MS = 1000;
 
     /** The client's side of one request. */
     interface Client {
@@ -63,32 +63,33 @@
          * Whether it waits for no answer any more, as far as it has told up to now; if so its
          * connection ends.
          */
-        boolean hasLeft();
+        boolean hasDisconnected();
 
-        void served(FullHttpResponse response);
+        void onServed(FullHttpResponse response);
 
-        void refused(double retryAfterMs);
+        void onRejected(double retryAfterMs);
 
-        void failed();
+        void onFailed();
 
         /**
          * A long answer begins; the request is over with it, and the client's side has what
          * follows.
          */
-        Exchange.Rest flows(HttpResponse head, Exchange exchange);
+        UpstreamAttempt.BodyConsumer onStreamedResponse(
+                HttpResponse head, UpstreamAttempt upstreamAttempt);
     }
 
     /**
      * Who shares with other proxies what this one sees of the nodes; told of it on the event loop.
      */
-    interface Watch {
-        void listed(ListKind kind, List<Router.Node> nodes);
+    interface NodeObserver {
+        void onEndpointList(EndpointListKind kind, List<Router.Node> nodes);
 
-        void sent(String node);
+        void onAttemptSent(String node);
 
-        void ended(String node, Outcome outcome, double elapsedMs);
+        void onAttemptEnded(String node, Outcome outcome, double elapsedMs);
 
-        void probed(String node, Outcome outcome);
+        void onProbeCompleted(String node, Outcome outcome);
     }
 
     /**
@@ -120,7 +121,7 @@
         final int[] refusedAfter = new int[Outcome.values().length];
 
         int refusedUntried;
-        private double fetchedMs;
+        private double servedFetchMs;
         int requests;
         int served;
         int refused;
@@ -128,46 +129,46 @@
         int gone;
 
         /** Mean time of the fetches that were served, in milliseconds. */
-        long fetchMs() {
-            return Math.round(fetchedMs / Math.max(1, fetches[Outcome.OK.ordinal()]));
+        long meanFetchMs() {
+            return Math.round(servedFetchMs / Math.max(1, fetches[Outcome.OK.ordinal()]));
         }
     }
 
-    private interface Event {
-        void tell(double now);
+    private interface RouterEvent {
+        void deliver(double now);
     }
 
-    private record Pending(Event event, Runnable rescue) {}
+    private record QueuedEvent(RouterEvent event, Runnable fallback) {}
 
     private final EventLoop loop;
     private final Clock clock;
     private final Settings settings;
     private final Router router;
     private final NodePool pool;
-    private final int maxOpen;
+    private final int maxOpenRequests;
     private final Map<String, Call> calls = new HashMap<>();
 
     /** For how long each keyed class may be repeated. */
-    private final Map<String, Double> windows;
+    private final Map<String, Double> repeatWindowsMs;
 
-    private final Queue<Pending> events = new ArrayDeque<>();
-    private final List<Runnable> actions = new ArrayList<>();
+    private final Queue<QueuedEvent> queuedEvents = new ArrayDeque<>();
+    private final List<Runnable> requestedActions = new ArrayList<>();
     private final Log log = new Log();
     private final Tally tally = new Tally();
-    private Runnable subscribe = () -> {};
-    private Runnable listed = () -> {};
-    private Consumer<byte[]> tell = contents -> {};
+    private Runnable discoverySubscriber = () -> {};
+    private Runnable endpointListListener = () -> {};
+    private Consumer<byte[]> peerSender = contents -> {};
 
     /** Null where nothing is shared. */
-    private Watch watch;
+    private NodeObserver nodeObserver;
 
-    private boolean telling;
+    private boolean dispatching;
 
     /** Whether the last answers have been given, as the process ends. */
-    private boolean ending;
+    private boolean terminating;
 
-    private int owed;
-    private String origin = "";
+    private int pendingRequests;
+    private String originId = "";
 
     Proxy(
             EventLoop loop,
@@ -175,14 +176,14 @@
             Settings settings,
             Router router,
             NodePool pool,
-            int maxOpen) {
+            int maxOpenRequests) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
         this.router = router;
         this.pool = pool;
-        this.maxOpen = maxOpen;
-        this.windows =
+        this.maxOpenRequests = maxOpenRequests;
+        this.repeatWindowsMs =
                 settings.classes().stream()
                         .filter(c -> c.effect() == Router.Effect.KEYED)
                         .collect(
@@ -193,31 +194,31 @@
     }
 
     /** Names what asks discovery and what tells peers; both need this proxy to be made first. */
-    void wire(Runnable asksDiscovery, Consumer<byte[]> tellsPeers) {
-        subscribe = asksDiscovery;
-        tell = tellsPeers;
+    void setOutputs(Runnable subscriber, Consumer<byte[]> sender) {
+        discoverySubscriber = subscriber;
+        peerSender = sender;
     }
 
     /** Names what runs once the module knows a list and before anything is sent by it. */
-    void onList(Runnable runs) {
-        listed = runs;
+    void setEndpointListListener(Runnable listener) {
+        endpointListListener = listener;
     }
 
     /** Names who is told of what this proxy sees; before {@link #start}. */
-    void watch(Watch watching) {
-        watch = watching;
+    void setNodeObserver(NodeObserver observer) {
+        nodeObserver = observer;
     }
 
-    void start(HostList known) {
-        tell(now -> router.started(now, this), () -> {});
-        if (known != null) {
-            hosts(ListKind.REMEMBERED, known);
+    void start(EndpointListUpdate storedList) {
+        dispatch(now -> router.started(now, this), () -> {});
+        if (storedList != null) {
+            endpointListReceived(EndpointListKind.STORED_SNAPSHOT, storedList);
         }
     }
 
     /** Requests that have no final answer yet. */
-    int owed() {
-        return owed;
+    int pendingRequests() {
+        return pendingRequests;
     }
 
     Tally tally() {
@@ -227,118 +228,135 @@
     // Events from the sockets.
 
     /** The module's own account of how it is doing, for the log. */
-    String state() {
-        return router.state();
+    String describeState() {
+        return router.describeState();
     }
 
-    int level() {
-        return router.level();
+    int controlLevel() {
+        return router.controlLevel();
     }
 
     /** The origin's id; empty as long as no list has named one. */
-    String origin() {
-        return origin;
+    String originId() {
+        return originId;
     }
 
-    void hosts(ListKind kind, HostList list) {
-        list.nodes().stream()
+    void endpointListReceived(EndpointListKind kind, EndpointListUpdate update) {
+        update.nodes().stream()
                 .filter(n -> n.model() != null && n.model().equals(settings.originModel()))
-                .forEach(n -> origin = n.id());
-        Runnable endings = pool.list(list);
-        if (watch != null) {
-            watch.listed(kind, list.nodes().stream().filter(n -> !n.id().equals(origin)).toList());
+                .forEach(n -> originId = n.id());
+        Runnable cancellations = pool.applyEndpointList(update);
+        if (nodeObserver != null) {
+            nodeObserver.onEndpointList(
+                    kind, update.nodes().stream().filter(n -> !n.id().equals(originId)).toList());
         }
-        tell(now -> router.nodes(now, kind, list.version(), list.nodes(), this), () -> {});
-        endings.run();
-        listed.run();
+        dispatch(
+                now ->
+                        router.endpointListReceived(
+                                now, kind, update.version(), update.nodes(), this),
+                () -> {});
+        cancellations.run();
+        endpointListListener.run();
     }
 
     /** Whether any list ever named this cache node. */
-    boolean knows(String node) {
-        return router.knows(node);
+    boolean isKnownCacheNode(String node) {
+        return router.isKnownCacheNode(node);
     }
 
     /**
      * The operators take a cache node out or put it back; false where the module has not taken
      * that.
      */
-    boolean maintain(String node, boolean begins) {
-        boolean[] taken = new boolean[1];
-        tell(now -> taken[0] = router.maintain(now, node, begins, this), () -> {});
-        return taken[0];
+    boolean setMaintenance(String node, boolean active) {
+        boolean[] accepted = new boolean[1];
+        dispatch(now -> accepted[0] = router.setMaintenance(now, node, active, this), () -> {});
+        return accepted[0];
     }
 
-    void discoveryRefused() {
-        tell(now -> router.nodes(now, ListKind.REFUSED, 0, List.of(), this), () -> {});
+    void discoveryFailed() {
+        dispatch(
+                now ->
+                        router.endpointListReceived(
+                                now, EndpointListKind.FAILED, 0, List.of(), this),
+                () -> {});
     }
 
     /** Peers doubt a node, or no longer do. */
-    void standing(String node, boolean doubted) {
-        tell(now -> router.standing(now, node, doubted, this), () -> {});
+    void suspicionChanged(String node, boolean suspected) {
+        dispatch(now -> router.suspicionChanged(now, node, suspected, this), () -> {});
     }
 
-    void peerMessage(int from, byte[] contents) {
-        tell(now -> router.peerMessage(now, from, contents, this), () -> {});
+    void peerMessageReceived(int from, byte[] contents) {
+        dispatch(now -> router.peerMessageReceived(now, from, contents, this), () -> {});
     }
 
     /** Whether a request with this id is open: its answer and another's could not be told apart. */
-    boolean isOpen(String id) {
+    boolean isRequestOpen(String id) {
         return calls.containsKey(id);
     }
 
-    void request(Request in, Payload payload, Client client) {
+    void requestReceived(Request request, Payload payload, Client client) {
         tally.requests++;
-        if (ending || calls.size() >= maxOpen) {
+        if (terminating || calls.size() >= maxOpenRequests) {
             // Beyond what the settings allow, or after the last answers, the module is not asked;
             // nothing ran, so this promise is true.
             tally.refused++;
-            client.refused(0);
+            client.onRejected(0);
             return;
         }
-        Call call = new Call(in, payload, client, clock.now() + in.uploadMs() + in.budgetMs());
-        calls.put(in.id(), call);
-        owed++;
-        call.backstop =
+        Call call =
+                new Call(
+                        request,
+                        payload,
+                        client,
+                        clock.now() + request.uploadMs() + request.budgetMs());
+        calls.put(request.id(), call);
+        pendingRequests++;
+        call.deadlineTimer =
                 loop.schedule(
-                        () -> overdue(call),
-                        clock.nanosUntil(call.deadline + settings.rules().answerSlackMs()),
+                        () -> deadlinePassed(call),
+                        clock.nanosUntil(call.deadlineMs + settings.rules().answerSlackMs()),
                         TimeUnit.NANOSECONDS);
         if (payload.upload() != null) {
-            payload.upload().whenEnded(() -> bodyEnded(call));
+            payload.upload().onComplete(() -> uploadCompleted(call));
         }
-        tell(now -> router.request(now, in, this), () -> answerInstead(call));
+        dispatch(now -> router.requestReceived(now, request, this), () -> answerAfterFault(call));
     }
 
     /**
      * The client's time runs from here; the module knows no closer end of it than the latest, so
      * this side keeps it.
      */
-    private void bodyEnded(Call call) {
-        if (call.over) {
+    private void uploadCompleted(Call call) {
+        if (call.finished) {
             return;
         }
-        call.bodyEnded = clock.now();
-        call.deadline = call.bodyEnded + call.in.budgetMs();
-        double last = call.deadline - 2 * settings.tickMs();
-        call.backstop.cancel(false);
-        call.backstop =
-                loop.schedule(() -> overdue(call), clock.nanosUntil(last), TimeUnit.NANOSECONDS);
-        if (call.out != null && call.out.exchange != null) {
-            call.out.exchange.limit(last - call.bodyEnded);
+        call.uploadEndMs = clock.now();
+        call.deadlineMs = call.uploadEndMs + call.clientRequest.budgetMs();
+        double latestEndMs = call.deadlineMs - 2 * settings.tickMs();
+        call.deadlineTimer.cancel(false);
+        call.deadlineTimer =
+                loop.schedule(
+                        () -> deadlinePassed(call),
+                        clock.nanosUntil(latestEndMs),
+                        TimeUnit.NANOSECONDS);
+        if (call.pendingAttempt != null && call.pendingAttempt.upstream != null) {
+            call.pendingAttempt.upstream.setTimeout(latestEndMs - call.uploadEndMs);
         }
     }
 
-    void clientGone(String id) {
+    void clientDisconnected(String id) {
         Call call = calls.get(id);
-        if (call != null && !call.over) {
-            gone(call);
+        if (call != null && !call.finished) {
+            closeForDisconnect(call);
         }
     }
 
-    private void gone(Call call) {
+    private void closeForDisconnect(Call call) {
         tally.gone++;
-        settle(call);
-        tell(now -> router.clientGone(now, call.in.id(), this), () -> {});
+        markFinished(call);
+        dispatch(now -> router.clientDisconnected(now, call.clientRequest.id(), this), () -> {});
     }
 
     /**
@@ -346,46 +364,52 @@
      * is held back.
      */
     private boolean isWanted(Call call) {
-        if (!call.over && call.client.hasLeft()) {
-            gone(call);
+        if (!call.finished && call.client.hasDisconnected()) {
+            closeForDisconnect(call);
         }
-        return !call.over;
+        return !call.finished;
     }
 
-    private void ended(
+    private void attemptEnded(
             Call call,
             int attempt,
             String node,
             double sentAt,
             Outcome outcome,
             FullHttpResponse response) {
-        call.out = null;
-        call.proven &= outcome.provesNotRun();
-        call.last = outcome;
-        count(node, outcome);
-        if (outcome == Outcome.OK && node.equals(origin)) {
-            tally.fetchedMs += clock.now() - sentAt;
-        }
-        if (outcome == Outcome.OK && !call.over) {
+        call.pendingAttempt = null;
+        call.provenNotRun &= outcome.provesNotRun();
+        call.lastOutcome = outcome;
+        countOutcome(node, outcome);
+        if (outcome == Outcome.OK && node.equals(originId)) {
+            tally.servedFetchMs += clock.now() - sentAt;
+        }
+        if (outcome == Outcome.OK && !call.finished) {
             tally.served++;
-            settle(call);
-            call.client.served(response);
+            markFinished(call);
+            call.client.onServed(response);
         }
-        told(
+        notifyAttemptEnded(
                 call,
                 attempt,
                 node,
                 outcome,
-                clock.now() - Math.max(sentAt, call.bodyEnded),
-                note(response));
+                clock.now() - Math.max(sentAt, call.uploadEndMs),
+                cacheStatus(response));
     }
 
-    private void told(
-            Call call, int attempt, String node, Outcome outcome, double elapsedMs, int note) {
-        if (watch != null && !node.equals(origin)) {
-            watch.ended(node, outcome, elapsedMs);
+    private void notifyAttemptEnded(
+            Call call,
+            int attempt,
+            String node,
+            Outcome outcome,
+            double elapsedMs,
+            int cacheStatus) {
+        if (nodeObserver != null && !node.equals(originId)) {
+            nodeObserver.onAttemptEnded(node, outcome, elapsedMs);
         }
-        report(call.in.id(), call, attempt, node, outcome, elapsedMs, note);
+        reportToRouter(
+                call.clientRequest.id(), call, attempt, node, outcome, elapsedMs, cacheStatus);
     }
 
     /**
@@ -393,53 +417,54 @@
      * elsewhere any more. The module is told that it was answered, after the time until its first
      * bytes.
      */
-    private Exchange.Rest began(
+    private UpstreamAttempt.BodyConsumer streamingStarted(
             Call call,
             int attempt,
             String node,
             double sentAt,
-            Exchange exchange,
+            UpstreamAttempt upstreamAttempt,
             HttpResponse head) {
-        call.out = null;
-        call.last = Outcome.OK;
-        count(node, Outcome.OK);
-        Exchange.Rest rest = null;
-        if (!call.over) {
+        call.pendingAttempt = null;
+        call.lastOutcome = Outcome.OK;
+        countOutcome(node, Outcome.OK);
+        UpstreamAttempt.BodyConsumer consumer = null;
+        if (!call.finished) {
             tally.served++;
-            settle(call);
-            rest = call.client.flows(head, exchange);
+            markFinished(call);
+            consumer = call.client.onStreamedResponse(head, upstreamAttempt);
         }
-        told(
+        notifyAttemptEnded(
                 call,
                 attempt,
                 node,
                 Outcome.OK,
-                clock.now() - Math.max(sentAt, call.bodyEnded),
-                note(head));
-        return rest;
+                clock.now() - Math.max(sentAt, call.uploadEndMs),
+                cacheStatus(head));
+        return consumer;
     }
 
-    private void count(String node, Outcome outcome) {
-        (node.equals(origin) ? tally.fetches : tally.lookUps)[outcome.ordinal()]++;
+    private void countOutcome(String node, Outcome outcome) {
+        (node.equals(originId) ? tally.fetches : tally.lookUps)[outcome.ordinal()]++;
     }
 
-    private void report(
+    private void reportToRouter(
             String id,
             Call call,
             int attempt,
             String node,
             Outcome outcome,
             double elapsedMs,
-            int note) {
-        boolean finished = call == null || call.over;
+            int cacheStatus) {
+        boolean finished = call == null || call.finished;
         if (call != null) {
-            forgetIfDone(call);
+            removeIfDone(call);
         }
         AttemptEnd end =
-                new AttemptEnd(id, attempt, node, outcome, elapsedMs, finished, note, Map.of());
-        tell(
+                new AttemptEnd(
+                        id, attempt, node, outcome, elapsedMs, finished, cacheStatus, Map.of());
+        dispatch(
                 now -> router.attemptEnded(now, end, this),
-                call == null ? () -> {} : () -> answerInstead(call));
+                call == null ? () -> {} : () -> answerAfterFault(call));
     }
 
     // The module's calls, one at a time.
@@ -449,26 +474,26 @@
      * are being done: it must never be entered from within itself, and its wishes must take effect
      * in the order it had them.
      */
-    private void tell(Event event, Runnable rescue) {
-        events.add(new Pending(event, rescue));
-        if (telling) {
+    private void dispatch(RouterEvent event, Runnable fallback) {
+        queuedEvents.add(new QueuedEvent(event, fallback));
+        if (dispatching) {
             return;
         }
-        telling = true;
-        while (!events.isEmpty()) {
-            Pending next = events.remove();
-            boolean failed = !guarded(() -> next.event().tell(clock.now()));
-            actions.forEach(this::guarded);
-            actions.clear();
+        dispatching = true;
+        while (!queuedEvents.isEmpty()) {
+            QueuedEvent next = queuedEvents.remove();
+            boolean failed = !runGuarded(() -> next.event().deliver(clock.now()));
+            requestedActions.forEach(this::runGuarded);
+            requestedActions.clear();
             if (failed) {
-                guarded(next.rescue());
+                runGuarded(next.fallback());
             }
         }
-        telling = false;
+        dispatching = false;
     }
 
     /** One fault must not take the process, and with it every other request, along. */
-    private boolean guarded(Runnable action) {
+    private boolean runGuarded(Runnable action) {
         try {
             action.run();
             return true;
@@ -482,46 +507,47 @@
      * Answers for a module that failed: a refusal only where provably nothing ran, as it promises
      * just that.
      */
-    private void answerInstead(Call call) {
-        if (call.over || call.out != null) {
+    private void answerAfterFault(Call call) {
+        if (call.finished || call.pendingAttempt != null) {
             return;
         }
-        if (call.proven) {
-            refuseNow(call, 0);
+        if (call.provenNotRun) {
+            rejectNow(call, 0);
         } else {
             failNow(call);
         }
-        tell(now -> router.clientGone(now, call.in.id(), this), () -> {});
+        dispatch(now -> router.clientDisconnected(now, call.clientRequest.id(), this), () -> {});
     }
 
     /** The module owes an answer before this; without one the request would be lost. */
-    private void overdue(Call call) {
-        if (!call.over) {
-            log.odd("overdue", "request", call.in.id());
-            if (call.out != null) {
-                call.out.cancel();
+    private void deadlinePassed(Call call) {
+        if (!call.finished) {
+            log.warnLimited("overdue", "request", call.clientRequest.id());
+            if (call.pendingAttempt != null) {
+                call.pendingAttempt.cancel();
             }
-            answerInstead(call);
+            answerAfterFault(call);
         }
     }
 
     /** The process ends: whatever is open has its answer now, and what still comes is refused. */
-    void answerAll() {
-        ending = true;
+    void answerPendingRequests() {
+        terminating = true;
         for (Call call : List.copyOf(calls.values())) {
-            if (call.over) {
+            if (call.finished) {
                 continue;
             }
-            Attempt out = call.out;
-            if (call.proven && (out == null || !out.isWritten())) {
-                refuseNow(call, 0);
+            PendingAttempt pending = call.pendingAttempt;
+            if (call.provenNotRun && (pending == null || !pending.isWritten())) {
+                rejectNow(call, 0);
             } else {
                 failNow(call);
             }
-            if (out != null) {
-                out.cancel();
+            if (pending != null) {
+                pending.cancel();
             }
-            tell(now -> router.clientGone(now, call.in.id(), this), () -> {});
+            dispatch(
+                    now -> router.clientDisconnected(now, call.clientRequest.id(), this), () -> {});
         }
     }
 
@@ -529,163 +555,171 @@
 
     @Override
     public void send(String request, String node, double timeoutMs) {
-        actions.add(() -> sendNow(request, node, timeoutMs));
+        requestedActions.add(() -> sendNow(request, node, timeoutMs));
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        actions.add(
+        requestedActions.add(
                 () -> {
                     Call call = calls.get(request);
-                    if (call != null && call.out != null && call.attempts - 1 == attempt) {
-                        call.out.cancel();
+                    if (call != null
+                            && call.pendingAttempt != null
+                            && call.attemptCount - 1 == attempt) {
+                        call.pendingAttempt.cancel();
                     }
                 });
     }
 
     @Override
-    public void refuse(String request, double retryAfterMs) {
-        actions.add(() -> ifOpen(request, call -> refuseNow(call, retryAfterMs)));
+    public void reject(String request, double retryAfterMs) {
+        requestedActions.add(() -> ifOpen(request, call -> rejectNow(call, retryAfterMs)));
     }
 
     @Override
     public void fail(String request) {
-        actions.add(() -> ifOpen(request, this::failNow));
+        requestedActions.add(() -> ifOpen(request, this::failNow));
     }
 
     @Override
-    public void timer(double atMs, String token) {
-        actions.add(() -> timerNow(atMs, token));
+    public void scheduleTimer(double atMs, String token) {
+        requestedActions.add(() -> scheduleTimerNow(atMs, token));
     }
 
     @Override
     public void subscribe() {
-        actions.add(subscribe);
+        requestedActions.add(discoverySubscriber);
     }
 
     @Override
     public void probe(String node) {
-        actions.add(() -> probeNow(node));
+        requestedActions.add(() -> probeNow(node));
     }
 
     @Override
-    public void tell(byte[] contents) {
+    public void sendToPeers(byte[] contents) {
         // The module may use its array again before this is sent.
         byte[] copy = Arrays.copyOf(contents, contents.length);
-        actions.add(() -> tell.accept(copy));
+        requestedActions.add(() -> peerSender.accept(copy));
     }
 
     @Override
-    public void close(String node) {
-        actions.add(() -> pool.closeIdle(node));
+    public void closeIdleConnections(String node) {
+        requestedActions.add(() -> pool.closeIdle(node));
     }
 
     private void ifOpen(String request, Consumer<Call> action) {
         Call call = calls.get(request);
-        if (call != null && !call.over) {
+        if (call != null && !call.finished) {
             action.accept(call);
         }
     }
 
-    private void refuseNow(Call call, double retryAfterMs) {
+    private void rejectNow(Call call, double retryAfterMs) {
         tally.refused++;
-        if (call.last == null) {
+        if (call.lastOutcome == null) {
             tally.refusedUntried++;
         } else {
-            tally.refusedAfter[call.last.ordinal()]++;
+            tally.refusedAfter[call.lastOutcome.ordinal()]++;
         }
-        settle(call);
-        call.client.refused(retryAfterMs);
+        markFinished(call);
+        call.client.onRejected(retryAfterMs);
     }
 
     private void failNow(Call call) {
         tally.failed++;
-        settle(call);
-        call.client.failed();
+        markFinished(call);
+        call.client.onFailed();
     }
 
-    private void settle(Call call) {
-        call.over = true;
+    private void markFinished(Call call) {
+        call.finished = true;
         if (call.payload.upload() != null) {
-            call.payload.upload().drop();
+            call.payload.upload().discard();
         }
-        owed--;
-        call.backstop.cancel(false);
-        if (call.out != null) {
+        pendingRequests--;
+        call.deadlineTimer.cancel(false);
+        if (call.pendingAttempt != null) {
             // Nobody waits for it any more: if it has not been written it never is.
-            call.out.dropUnlessWritten();
+            call.pendingAttempt.cancelIfUnwritten();
         }
-        forgetIfDone(call);
+        removeIfDone(call);
     }
 
-    private void forgetIfDone(Call call) {
-        if (call.over && call.out == null) {
-            calls.remove(call.in.id(), call);
+    private void removeIfDone(Call call) {
+        if (call.finished && call.pendingAttempt == null) {
+            calls.remove(call.clientRequest.id(), call);
         }
     }
 
-    private void timerNow(double atMs, String token) {
+    private void scheduleTimerNow(double atMs, String token) {
         loop.schedule(
                 () ->
-                        tell(
-                                now -> router.timer(now, token, this),
-                                () -> timerNow(clock.now() + RETRY_TIMER_MS, token)),
+                        dispatch(
+                                now -> router.timerFired(now, token, this),
+                                () -> scheduleTimerNow(clock.now() + TIMER_RETRY_DELAY_MS, token)),
                 clock.nanosUntil(atMs),
                 TimeUnit.NANOSECONDS);
     }
 
     private void sendNow(String request, String node, double timeoutMs) {
         Call call = calls.get(request);
-        int attempt = call == null ? 0 : call.attempts++;
+        int attempt = call == null ? 0 : call.attemptCount++;
         double now = clock.now();
-        double left = call == null ? 0 : call.deadline - now;
-        double wait = timeoutMs == UNTIL_DEADLINE ? left : Math.min(timeoutMs, left);
-        double writeWithin = call == null ? 0 : repeatWithin(call, now);
+        double remainingMs = call == null ? 0 : call.deadlineMs - now;
+        double attemptTimeoutMs =
+                timeoutMs == UNTIL_DEADLINE ? remainingMs : Math.min(timeoutMs, remainingMs);
+        double writeWithinMs = call == null ? 0 : remainingRepeatWindowMs(call, now);
         // Nothing goes out for a request that is over or late, past the attempts allowed, or beside
         // another of its own.
         if (call == null
-                || call.over
-                || call.out != null
-                || wait <= 0
+                || call.finished
+                || call.pendingAttempt != null
+                || attemptTimeoutMs <= 0
                 || attempt >= settings.limits().maxAttempts()
-                || call.isUsedUp()
-                || writeWithin <= 0) {
-            count(node, Outcome.NEVER_SENT);
-            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, 0);
+                || call.isUploadConsumed()
+                || writeWithinMs <= 0) {
+            countOutcome(node, Outcome.NEVER_SENT);
+            reportToRouter(request, call, attempt, node, Outcome.NEVER_SENT, 0, 0);
             return;
         }
-        double giveUp = now + wait;
-        Attempt out = new Attempt();
-        call.out = out;
-        if (watch != null && !node.equals(origin)) {
-            watch.sent(node);
+        double attemptEndMs = now + attemptTimeoutMs;
+        PendingAttempt pending = new PendingAttempt();
+        call.pendingAttempt = pending;
+        if (nodeObserver != null && !node.equals(originId)) {
+            nodeObserver.onAttemptSent(node);
         }
-        call.firstSent = call.proven ? now : call.firstSent;
+        call.firstSentAtMs = call.provenNotRun ? now : call.firstSentAtMs;
         Upload upload = call.payload.upload();
         // The time of a body that is still coming is its client's.
-        double limit = upload == null ? wait : left;
-        out.exchange =
+        double limitMs = upload == null ? attemptTimeoutMs : remainingMs;
+        pending.upstream =
                 pool.send(
                         node,
-                        () -> call.toNode(toldMs(call, giveUp)),
+                        () -> call.newNodeRequest(statedBudgetMs(call, attemptEndMs)),
                         upload,
-                        limit,
-                        writeWithin,
-                        new Exchange.Done() {
+                        limitMs,
+                        writeWithinMs,
+                        new UpstreamAttempt.Listener() {
                             @Override
                             public boolean isWanted() {
                                 return Proxy.this.isWanted(call);
                             }
 
                             @Override
-                            public void ended(
-                                    Exchange exchange, Outcome outcome, FullHttpResponse response) {
-                                Proxy.this.ended(call, attempt, node, now, outcome, response);
+                            public void onEnded(
+                                    UpstreamAttempt upstreamAttempt,
+                                    Outcome outcome,
+                                    FullHttpResponse response) {
+                                Proxy.this.attemptEnded(
+                                        call, attempt, node, now, outcome, response);
                             }
 
                             @Override
-                            public Exchange.Rest began(Exchange exchange, HttpResponse head) {
-                                return Proxy.this.began(call, attempt, node, now, exchange, head);
+                            public UpstreamAttempt.BodyConsumer onStreamedResponse(
+                                    UpstreamAttempt upstreamAttempt, HttpResponse head) {
+                                return Proxy.this.streamingStarted(
+                                        call, attempt, node, now, upstreamAttempt, head);
                             }
                         });
     }
@@ -694,13 +728,13 @@
      * The time that an attempt tells its node, in milliseconds, read as it is written. Of a body
      * that is still coming its client's time has not begun.
      */
-    private double toldMs(Call call, double giveUp) {
+    private double statedBudgetMs(Call call, double attemptEndMs) {
         Upload upload = call.payload.upload();
-        if (upload != null && !upload.ended()) {
-            return call.in.budgetMs();
+        if (upload != null && !upload.isComplete()) {
+            return call.clientRequest.budgetMs();
         }
-        double left = (upload == null ? giveUp : call.deadline) - clock.now();
-        return left - Math.min(READ_LATE_MS, READ_LATE_MOST_PART * left);
+        double remainingMs = (upload == null ? attemptEndMs : call.deadlineMs) - clock.now();
+        return remainingMs - Math.min(MAX_READ_DELAY_MS, MAX_READ_DELAY_FRACTION * remainingMs);
     }
 
     /**
@@ -709,15 +743,16 @@
      * it writes. The module minds that when it decides, but what it decides may wait for a
      * connection.
      */
-    private double repeatWithin(Call call, double now) {
-        double window =
-                call.proven
+    private double remainingRepeatWindowMs(Call call, double now) {
+        double windowMs =
+                call.provenNotRun
                         ? Double.POSITIVE_INFINITY
-                        : windows.getOrDefault(call.in.service(), Double.POSITIVE_INFINITY);
-        return call.firstSent + window - Router.HOLD_UP_MS - now;
+                        : repeatWindowsMs.getOrDefault(
+                                call.clientRequest.service(), Double.POSITIVE_INFINITY);
+        return call.firstSentAtMs + windowMs - Router.MAX_PROCESSING_DELAY_MS - now;
     }
 
-    private static int note(HttpResponse response) {
+    private static int cacheStatus(HttpResponse response) {
         return switch (response == null ? "" : response.headers().get("X-Hit", "")) {
             case "hit" -> 1;
             case "miss" -> 2;
@@ -732,32 +767,36 @@
                 node,
                 () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/alive"),
                 settings.limits().connectTimeoutMs() * 2,
-                (exchange, outcome, response) -> {
-                    double elapsed = clock.now() - now;
-                    if (watch != null) {
-                        watch.probed(node, outcome);
+                (upstreamAttempt, outcome, response) -> {
+                    double elapsedMs = clock.now() - now;
+                    if (nodeObserver != null) {
+                        nodeObserver.onProbeCompleted(node, outcome);
                     }
-                    tell(at -> router.probed(at, node, outcome, elapsed, Map.of(), this), () -> {});
+                    dispatch(
+                            at ->
+                                    router.probeCompleted(
+                                            at, node, outcome, elapsedMs, Map.of(), this),
+                            () -> {});
                 });
     }
 
     /** The attempt that is out; the pool may end it before it has handed the exchange over. */
-    private static final class Attempt {
-        private Exchange exchange;
+    private static final class PendingAttempt {
+        private UpstreamAttempt upstream;
 
         boolean isWritten() {
-            return exchange != null && exchange.written;
+            return upstream != null && upstream.written;
         }
 
-        void dropUnlessWritten() {
-            if (exchange != null) {
-                exchange.dropUnlessWritten();
+        void cancelIfUnwritten() {
+            if (upstream != null) {
+                upstream.cancelIfUnwritten();
             }
         }
 
         void cancel() {
-            if (exchange != null) {
-                exchange.cancel();
+            if (upstream != null) {
+                upstream.cancel();
             }
         }
     }
@@ -767,40 +806,40 @@
      * ended.
      */
     private static final class Call {
-        final Request in;
+        final Request clientRequest;
         final Payload payload;
         final Client client;
-        double deadline;
+        double deadlineMs;
 
         /** When the last byte of its body came, where that flows. */
-        double bodyEnded;
+        double uploadEndMs;
 
-        Future<?> backstop;
-        Attempt out;
-        int attempts;
+        Future<?> deadlineTimer;
+        PendingAttempt pendingAttempt;
+        int attemptCount;
 
         /** When the first attempt was sent that may have run. */
-        double firstSent;
+        double firstSentAtMs;
 
         /** How its latest attempt ended; null before one has. */
-        Outcome last;
+        Outcome lastOutcome;
 
-        boolean proven = true;
-        boolean over;
+        boolean provenNotRun = true;
+        boolean finished;
 
-        Call(Request in, Payload payload, Client client, double deadline) {
-            this.in = in;
+        Call(Request clientRequest, Payload payload, Client client, double deadlineMs) {
+            this.clientRequest = clientRequest;
             this.payload = payload;
             this.client = client;
-            this.deadline = deadline;
+            this.deadlineMs = deadlineMs;
         }
 
         /** Whether its body has gone to a node already: there is nothing left to send again. */
-        boolean isUsedUp() {
-            return payload.upload() != null && payload.upload().taken();
+        boolean isUploadConsumed() {
+            return payload.upload() != null && payload.upload().isConsumed();
         }
 
-        HttpRequest toNode(double budgetMs) {
+        HttpRequest newNodeRequest(double budgetMs) {
             HttpRequest request =
                     payload.upload() != null
                             ? new DefaultHttpRequest(
@@ -812,7 +851,7 @@
                                     Unpooled.wrappedBuffer(payload.body()));
             request.headers()
                     .set(HttpHeaderNames.HOST, "service.internal")
-                    .set("X-Call-Id", in.id())
+                    .set("X-Call-Id", clientRequest.id())
                     .set(
                             "X-Budget",
                             BigDecimal.valueOf(Math.max(1, (long) budgetMs), 3).toPlainString());
