--- a/src/main/java/cacheproxy/proxy/Service.java
+++ b/src/main/java/cacheproxy/proxy/Service.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.ServiceClass;
@@ -34,13 +34,13 @@
      * Descriptors for the listener, the watch, peers, operators, the selector and the Java
      * machine's own files.
      */
-    static final int RESERVED_SOCKETS = 48;
+    static final int RESERVED_DESCRIPTORS = 48;
 
     /**
      * Part of the other descriptors that is for clients; each of their requests has one attempt out
      * at most.
      */
-    private static final double CLIENT_PART = 0.5;
+    private static final double CLIENT_FRACTION = 0.5;
 
     /**
      * SIGKILL comes no sooner after SIGTERM than this and the longest deadline, of which no more
@@ -49,32 +49,32 @@
      * and the loop may stand still for a moment on part of a core. A proxy that left sooner left
      * them nobody while the next one was starting.
      */
-    private static final double KILL_MS = 700;
+    private static final double SIGKILL_DELAY_MS = 700;
 
-    private static final double LONGEST_MS = 3000;
-    private static final double LAST_ANSWER_MS = 250;
-    private static final long DRAIN_POLL_MS = 10;
+    private static final double MAX_COUNTED_DEADLINE_MS = 3000;
+    private static final double FINAL_RESPONSE_MARGIN_MS = 250;
+    private static final long TERMINATION_POLL_MS = 10;
 
     /**
      * How long readiness waits for discovery: a list from the configuration serves if it says
      * nothing.
      */
-    private static final long FIRST_NEWS_MS = 2000;
+    private static final long READINESS_TIMEOUT_MS = 2000;
 
     /**
      * How long the clients' address stays closed for discovery's first word. Discovery's agent may
      * hold drains that are older than this process and count as told, so what comes before its word
      * could go to a node that wants nothing new.
      */
-    private static final long UNTOLD_MS = 500;
+    private static final long INITIAL_DRAIN_STATE_TIMEOUT_MS = 500;
 
     /** For how long an address that can't be bound is tried again, and how often. */
-    private static final long BIND_PATIENCE_MS = 1500;
+    private static final long BIND_RETRY_TIMEOUT_MS = 1500;
 
-    private static final long BIND_AGAIN_MS = 50;
+    private static final long BIND_RETRY_INTERVAL_MS = 50;
 
     /** A configuration with one of everything, at addresses that any machine has. */
-    static final String REHEARSED =
+    static final String REHEARSAL_CONFIG =
             """
             {"name": "rehearsal", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:0", "seed": "1", "peer_listen": "127.0.0.1:0",
              "admin": "127.0.0.1:0",
@@ -89,87 +89,88 @@
                           "services": [{"name": "read", "effect": "retryable", "group": "all", "deadline_ms": 1500}]}}
             """;
 
-    private static final long STATE_S = 1;
-    private static final long STALLED_MS = 500;
+    private static final long STATE_LOG_INTERVAL_S = 1;
+    private static final long STALL_THRESHOLD_MS = 500;
 
     private final Log log = new Log();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
-                    1, LoopWatch.factory(NioIoHandler.newFactory(), new SlowTurns()));
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final CountDownLatch told = new CountDownLatch(1);
+                    1, EventLoopMonitor.factory(NioIoHandler.newFactory(), new SlowTurnLogger()));
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final CountDownLatch openingAllowed = new CountDownLatch(1);
     private final EventLoop loop = group.next();
     private final Config config;
     private final Proxy proxy;
     private final NodePool pool;
     private final ClientServer clients;
     private final Discovery discovery;
-    private final Peers peers;
+    private final PeerSocket peers;
     private final Clock clock;
 
     /** Null where this proxy shares nothing. */
-    private Sharing sharing;
+    private GossipIntegration gossip;
 
     /** Null where this proxy goes by its own file alone. */
-    private Governing governing;
+    private PolicyIntegration policy;
 
-    private InetSocketAddress listening;
+    private InetSocketAddress clientAddress;
 
     /** Whether {@link #finish} looks already whether anything is left. */
-    private boolean ending;
+    private boolean terminating;
 
     /**
      * Whether the last answers have been given: the end waits no longer for a disk that takes no
      * writes.
      */
-    private boolean answeredAll;
+    private boolean finalResponsesSent;
 
-    private String state = "";
-    private double lastStateMs = Double.POSITIVE_INFINITY;
+    private String lastState = "";
+    private double lastStateLogMs = Double.POSITIVE_INFINITY;
     private Duration lastCpu = Duration.ZERO;
 
     /** Requests that had come when the last slow turn was told of. */
-    private int requestsBefore;
+    private int requestsAtLastSlowTurn;
 
     /** Null where the platform passes none. */
-    private final ServerSocketChannel passed;
+    private final ServerSocketChannel passedSocket;
 
     /** Null where there is no operators' address. */
     private Operations operations;
 
-    private OptionsSource options = () -> Options.DEFAULTS;
-    private int tallyS = Options.DEFAULTS.log().tallyS();
+    private OptionsSource optionsSource = () -> Options.DEFAULTS;
+    private int tallyIntervalS = Options.DEFAULTS.log().tallyS();
 
     private Service(Config config, Router router, Discovery.Times times, Clock clock)
             throws ConfigException {
         this.config = config;
         this.clock = clock;
-        passed = config.passedSocket() == null ? null : PassedSocket.take(config.passedSocket());
+        passedSocket =
+                config.passedSocket() == null ? null : PassedSocket.open(config.passedSocket());
         Settings settings = config.settings();
-        int sockets = Math.max(2, config.sockets() - RESERVED_SOCKETS);
-        int clientSockets = Math.max(1, (int) (sockets * CLIENT_PART));
+        int sockets = Math.max(2, config.maxSockets() - RESERVED_DESCRIPTORS);
+        int clientSockets = Math.max(1, (int) (sockets * CLIENT_FRACTION));
         pool =
                 new NodePool(
                         loop,
-                        Transport.TCP,
+                        ConnectionTransport.TCP,
                         settings.limits().connectTimeoutMs(),
-                        settings.connections().idleMs(),
+                        settings.connections().idleTimeoutMs(),
                         Math.max(1, sockets - clientSockets),
                         config.seed());
-        pool.serve(settings.classes());
-        proxy = new Proxy(loop, clock, settings, router, pool, config.maxOpen());
+        pool.setServiceClasses(settings.classes());
+        proxy = new Proxy(loop, clock, settings, router, pool, config.maxOpenRequests());
         clients = new ClientServer(loop, proxy, settings, clientSockets);
         discovery =
                 new Discovery(
                         loop,
                         config.discovery(),
                         proxy,
-                        config.known(),
+                        config.knownEndpoints(),
                         !settings.mustSubscribe(),
                         times,
-                        this::heard);
-        peers = config.peerListen() == null ? null : new Peers(loop, config, proxy);
-        proxy.wire(discovery::subscribe, peers == null ? contents -> {} : peers::tell);
+                        this::discoveryHeard);
+        peers = config.peerListen() == null ? null : new PeerSocket(loop, config, proxy);
+        proxy.setOutputs(discovery::subscribe, peers == null ? contents -> {} : peers::sendToAll);
     }
 
     /**
@@ -178,12 +179,12 @@
      * a core.
      */
     public static void rehearse() throws IOException, InterruptedException, ConfigException {
-        Hangup.handle(() -> {});
-        Config config = Config.parse(REHEARSED, Map.of());
+        HangupSignal.handle(() -> {});
+        Config config = Config.parse(REHEARSAL_CONFIG, Map.of());
         Service service = start(config, Options.DEFAULTS, new CompletableFuture<>());
-        service.beginDrain();
-        service.endDrain();
-        service.awaitEnd();
+        service.startShutdown();
+        service.stopAccepting();
+        service.awaitTermination();
     }
 
     /** Where the operator's options are read at a reload; throws if they can't be taken. */
@@ -195,26 +196,26 @@
      * Uses these options from the start and reads them again at each reload. Called before the
      * first reload.
      */
-    public void options(OptionsSource source, Options first) {
+    public void useOptions(OptionsSource source, Options first) {
         loop.execute(
                 () -> {
-                    options = source;
+                    optionsSource = source;
                     configure(first);
                 });
     }
 
     private void configure(Options next) {
         Log.configure(next.log());
-        tallyS = next.log().tallyS();
+        tallyIntervalS = next.log().tallyS();
     }
 
-    private void tallyLater() {
+    private void scheduleTally() {
         loop.schedule(
                 () -> {
                     logTally();
-                    tallyLater();
+                    scheduleTally();
                 },
-                tallyS,
+                tallyIntervalS,
                 TimeUnit.SECONDS);
     }
 
@@ -227,16 +228,17 @@
             throws IOException, InterruptedException, ConfigException {
         return start(
                 config,
-                new Decide(config.settings(), config.seed()),
+                new DecisionModule(config.settings(), config.seed()),
                 options,
-                new Manner(true, UNTOLD_MS, times(config), opening, new Clock()));
+                new StartOptions(
+                        true, INITIAL_DRAIN_STATE_TIMEOUT_MS, times(config), opening, new Clock()));
     }
 
     /** For tests: opens the clients' address after so long at the latest. */
     static Service start(
             Config config,
             Router router,
-            long untoldMs,
+            long initialDrainStateTimeoutMs,
             Discovery.Times times,
             CompletableFuture<Service> opening)
             throws IOException, InterruptedException, ConfigException {
@@ -244,7 +246,7 @@
                 config,
                 router,
                 Options.DEFAULTS,
-                new Manner(false, untoldMs, times, opening, new Clock()));
+                new StartOptions(false, initialDrainStateTimeoutMs, times, opening, new Clock()));
     }
 
     /** For tests: goes by a clock of theirs. */
@@ -254,7 +256,7 @@
                 config,
                 router,
                 Options.DEFAULTS,
-                new Manner(false, 0, times, new CompletableFuture<>(), clock));
+                new StartOptions(false, 0, times, new CompletableFuture<>(), clock));
     }
 
     static Service start(Config config, Router router)
@@ -270,36 +272,43 @@
      * How a start goes: warmed up or not, how long it waits for discovery, its watch's times, who
      * may forbid its opening, and its clock.
      */
-    private record Manner(
-            boolean warm,
-            long untoldMs,
-            Discovery.Times times,
+    private record StartOptions(
+            boolean warmUp,
+            long initialDrainStateTimeoutMs,
+            Discovery.Times watchTimes,
             CompletableFuture<Service> opening,
             Clock clock) {}
 
-    private static Service start(Config config, Router router, Options options, Manner manner)
+    private static Service start(
+            Config config, Router router, Options options, StartOptions startOptions)
             throws IOException, InterruptedException, ConfigException {
-        Service service = new Service(config, router, manner.times, manner.clock);
+        Service service = new Service(config, router, startOptions.watchTimes, startOptions.clock);
         try {
             if (config.admin() != null) {
                 service.operations =
                         new Operations(
-                                service.loop, service.proxy, service.clients, config.shared());
-                bound(
-                        listenPatiently(() -> service.operations.listen(config.admin())),
+                                service.loop,
+                                service.proxy,
+                                service.clients,
+                                config.sharedDirectory());
+                requireBound(
+                        listenWithRetries(() -> service.operations.listen(config.admin())),
                         config.admin());
             }
-            if (manner.warm) {
+            if (startOptions.warmUp) {
                 Warmup.run(
-                        config.settings(), config.peerListen(), config.known(), config.replaces());
+                        config.settings(),
+                        config.peerListen(),
+                        config.knownEndpoints(),
+                        config.mayReplaceProcess());
             }
             if (options.gossip().enabled()) {
-                service.join(options.gossip());
+                service.joinGossip(options.gossip());
             }
-            if (manner.opening.complete(service)
-                    && service.open(manner.untoldMs)
+            if (startOptions.opening.complete(service)
+                    && service.openToClients(startOptions.initialDrainStateTimeoutMs)
                     && options.policy().enabled()) {
-                service.govern(options);
+                service.joinPolicy(options);
             }
         } catch (IOException | ConfigException e) {
             service.group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
@@ -312,78 +321,83 @@
      * Before the list is known and the first client comes: what the others know is then part of the
      * first decisions.
      */
-    private void join(Options.Gossip shared)
+    private void joinGossip(Options.Gossip gossipOptions)
             throws IOException, InterruptedException, ConfigException {
-        sharing = Sharing.open(loop, clock, config.seed(), shared, proxy);
-        loop.submit(() -> proxy.watch(sharing)).sync();
+        gossip = GossipIntegration.open(loop, clock, config.seed(), gossipOptions, proxy);
+        loop.submit(() -> proxy.setNodeObserver(gossip)).sync();
     }
 
-    private void govern(Options own) throws IOException, InterruptedException {
-        governing =
-                Governing.open(
+    private void joinPolicy(Options ownOptions) throws IOException, InterruptedException {
+        policy =
+                PolicyIntegration.open(
                         loop,
-                        own,
+                        ownOptions,
                         config.seed(),
                         proxy,
-                        n -> operations != null && operations.isOut(n),
+                        node -> operations != null && operations.isInMaintenance(node),
                         this::configure);
     }
 
-    private void heard() {
-        clients.ready();
-        told.countDown();
+    private void discoveryHeard() {
+        clients.markReady();
+        openingAllowed.countDown();
     }
 
     /** Lets clients in; false where the process was told to end meanwhile, and none is let in. */
-    private boolean open(long untoldMs) throws IOException, InterruptedException {
+    private boolean openToClients(long initialDrainStateTimeoutMs)
+            throws IOException, InterruptedException {
         Log.event(
                 "known",
                 "version",
-                config.known() == null ? 0 : config.known().version(),
+                config.knownEndpoints() == null ? 0 : config.knownEndpoints().version(),
                 "hosts",
-                config.known() == null ? 0 : config.known().hosts().size());
+                config.knownEndpoints() == null ? 0 : config.knownEndpoints().endpoints().size());
         if (peers != null) {
-            bound(listenPatiently(peers::listen), config.peerListen());
+            requireBound(listenWithRetries(peers::listen), config.peerListen());
         }
         // The module knows its list before the first client can come.
         loop.submit(
                         () -> {
-                            proxy.start(config.known());
+                            proxy.start(config.knownEndpoints());
                             if (operations != null) {
-                                operations.open();
+                                operations.acceptCalls();
                             }
                         })
                 .sync();
         loop.execute(discovery::start);
-        if (!config.settings().mustSubscribe() && !told.await(untoldMs, TimeUnit.MILLISECONDS)) {
-            Log.event("untold", "after_ms", untoldMs);
+        if (!config.settings().mustSubscribe()
+                && !openingAllowed.await(initialDrainStateTimeoutMs, TimeUnit.MILLISECONDS)) {
+            Log.event("untold", "after_ms", initialDrainStateTimeoutMs);
         }
         // On the loop, where a drain comes wholly before it or wholly after.
         Callable<ChannelFuture> listenOnLoop =
                 () ->
-                        passed == null
-                                ? clients.listen(Transport.TCP, config.listen())
-                                : clients.listen(passed);
-        ChannelFuture listens = null;
+                        passedSocket == null
+                                ? clients.listen(ConnectionTransport.TCP, config.listen())
+                                : clients.listen(passedSocket);
+        ChannelFuture listener = null;
         try {
-            listens = listenPatiently(() -> loop.submit(listenOnLoop).sync().getNow());
+            listener = listenWithRetries(() -> loop.submit(listenOnLoop).sync().getNow());
         } catch (RejectedExecutionException e) {
             Log.event("not_opened", "cause", "the proxy has ended");
         }
-        if (listens == null) {
+        if (listener == null) {
             return false;
         }
-        listening = (InetSocketAddress) bound(listens, config.listen()).channel().localAddress();
-        long patience = config.settings().mustSubscribe() ? 0 : FIRST_NEWS_MS;
-        loop.schedule(clients::ready, patience, TimeUnit.MILLISECONDS);
-        tallyLater();
-        loop.scheduleAtFixedRate(this::logState, STATE_S, STATE_S, TimeUnit.SECONDS);
+        clientAddress =
+                (InetSocketAddress)
+                        requireBound(listener, config.listen()).channel().localAddress();
+        long readinessTimeoutMs = config.settings().mustSubscribe() ? 0 : READINESS_TIMEOUT_MS;
+        loop.schedule(clients::markReady, readinessTimeoutMs, TimeUnit.MILLISECONDS);
+        scheduleTally();
+        loop.scheduleAtFixedRate(
+                this::logState, STATE_LOG_INTERVAL_S, STATE_LOG_INTERVAL_S, TimeUnit.SECONDS);
         return true;
     }
 
     /** Begins to listen at an address; null where that is no longer wanted. */
-    private interface Listening {
-        ChannelFuture begin() throws IOException, InterruptedException;
+    private interface BindAttempt {
+        ChannelFuture bind() throws IOException, InterruptedException;
     }
 
     /**
@@ -391,18 +405,18 @@
      * fail for a while, and a start that ends for it serves nobody. Returns the last attempt, done,
      * or null where listening is no longer wanted.
      */
-    private static ChannelFuture listenPatiently(Listening listening)
+    private static ChannelFuture listenWithRetries(BindAttempt attempt)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BIND_PATIENCE_MS);
-        ChannelFuture bound = listening.begin();
-        while (bound != null && !bound.await().isSuccess() && System.nanoTime() - end < 0) {
-            TimeUnit.MILLISECONDS.sleep(BIND_AGAIN_MS);
-            bound = listening.begin();
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(BIND_RETRY_TIMEOUT_MS);
+        ChannelFuture bound = attempt.bind();
+        while (bound != null && !bound.await().isSuccess() && System.nanoTime() - endNanos < 0) {
+            TimeUnit.MILLISECONDS.sleep(BIND_RETRY_INTERVAL_MS);
+            bound = attempt.bind();
         }
         return bound;
     }
 
-    private static ChannelFuture bound(ChannelFuture bound, InetSocketAddress address)
+    private static ChannelFuture requireBound(ChannelFuture bound, InetSocketAddress address)
             throws IOException, InterruptedException {
         bound.await();
         if (!bound.isSuccess()) {
@@ -412,20 +426,20 @@
         return bound;
     }
 
-    InetSocketAddress peerListening() {
-        return peers.listening();
+    InetSocketAddress peerAddress() {
+        return peers.localAddress();
     }
 
     Operations operations() {
         return operations;
     }
 
-    InetSocketAddress adminListening() {
-        return operations.listening();
+    InetSocketAddress adminAddress() {
+        return operations.boundAddress();
     }
 
-    InetSocketAddress listening() {
-        return listening;
+    InetSocketAddress clientAddress() {
+        return clientAddress;
     }
 
     /**
@@ -457,12 +471,12 @@
         try {
             loop.scheduleWithFixedDelay(
                     () -> {
-                        if (watch.changed()) {
+                        if (watch.hasChanged()) {
                             reload.run();
                         }
                     },
                     0,
-                    ConfigFileWatch.INTERVAL_MS,
+                    ConfigFileWatch.POLL_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
             Log.event("reload_refused", "cause", "the proxy has ended");
@@ -471,13 +485,13 @@
 
     private void reloadNow(Map<String, String> environment) {
         try {
-            Config next = Config.reread(environment);
-            Options more = options.read();
-            Log.event("reloaded", "discovery", next.discovery());
-            configure(more);
-            discovery.moveTo(next.discovery());
-            if (sharing != null) {
-                sharing.reload();
+            Config nextConfig = Config.reread(environment);
+            Options nextOptions = optionsSource.read();
+            Log.event("reloaded", "discovery", nextConfig.discovery());
+            configure(nextOptions);
+            discovery.moveTo(nextConfig.discovery());
+            if (gossip != null) {
+                gossip.reload();
             }
         } catch (ConfigException | BadFileException e) {
             Log.event("reload_refused", "cause", e.getMessage());
@@ -485,22 +499,25 @@
     }
 
     /** Ends the service once nothing is owed, and returns then. */
-    public void drain() {
-        double longest =
+    public void shutDown() {
+        double longestDeadlineMs =
                 config.settings().classes().stream()
                         .mapToDouble(ServiceClass::deadlineMs)
                         .max()
                         .orElse(0);
-        longest = Math.min(LONGEST_MS, longest);
-        loop.schedule(this::endDrain, (long) (KILL_MS + longest / 2), TimeUnit.MILLISECONDS);
+        longestDeadlineMs = Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadlineMs);
+        loop.schedule(
+                this::stopAccepting,
+                (long) (SIGKILL_DELAY_MS + longestDeadlineMs / 2),
+                TimeUnit.MILLISECONDS);
         loop.schedule(
-                this::answerAll,
-                (long) (KILL_MS + longest - LAST_ANSWER_MS),
+                this::answerPendingRequests,
+                (long) (SIGKILL_DELAY_MS + longestDeadlineMs - FINAL_RESPONSE_MARGIN_MS),
                 TimeUnit.MILLISECONDS);
         // Last, as it ends the loop at once where nobody was ever let in.
-        beginDrain();
+        startShutdown();
         try {
-            ended.await();
+            terminated.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -511,51 +528,51 @@
      * process has the clients' socket too it serves whoever comes, and this one ends when all that
      * it took is answered.
      */
-    void beginDrain() {
-        Log.event(passed == null ? "draining" : "handing_over");
-        if (sharing != null) {
-            loop.execute(sharing::leave);
+    void startShutdown() {
+        Log.event(passedSocket == null ? "draining" : "handing_over");
+        if (gossip != null) {
+            loop.execute(gossip::leave);
         }
         loop.execute(
                 () -> {
                     clients.drain();
-                    told.countDown();
-                    if (passed != null || !clients.listens()) {
-                        endWhenEmpty();
+                    openingAllowed.countDown();
+                    if (passedSocket != null || !clients.listening()) {
+                        startTermination();
                     }
                 });
     }
 
     /** Takes no more, and ends when all that was taken is answered. */
-    void endDrain() {
-        loop.execute(this::stop);
+    void stopAccepting() {
+        loop.execute(this::stopAcceptingNow);
     }
 
-    private void stop() {
-        clients.stop();
-        endWhenEmpty();
+    private void stopAcceptingNow() {
+        clients.stopAccepting();
+        startTermination();
     }
 
     /**
      * The process ends: whatever is open has its answer now, as one that never comes is a lost
      * request.
      */
-    private void answerAll() {
-        stop();
-        answeredAll = true;
-        clients.end();
-        proxy.answerAll();
+    private void answerPendingRequests() {
+        stopAcceptingNow();
+        finalResponsesSent = true;
+        clients.rejectIncomplete();
+        proxy.answerPendingRequests();
     }
 
-    private void endWhenEmpty() {
-        if (!ending) {
-            ending = true;
-            finish();
+    private void startTermination() {
+        if (!terminating) {
+            terminating = true;
+            pollTermination();
         }
     }
 
     /** Ends at once, whatever is owed. */
-    void kill() {
+    void terminateNow() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
@@ -564,73 +581,75 @@
      * What an operator was promised for the next process is waited for too, as long as there is
      * time.
      */
-    private void finish() {
-        if (answeredAll) {
-            clients.end();
+    private void pollTermination() {
+        if (finalResponsesSent) {
+            clients.rejectIncomplete();
         }
-        boolean unwritten = operations != null && operations.isAnyOwed() && !answeredAll;
-        if (proxy.owed() > 0 || clients.connections() > 0 || unwritten) {
-            loop.schedule(this::finish, DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+        boolean writesPending =
+                operations != null && operations.hasPendingWrites() && !finalResponsesSent;
+        if (proxy.pendingRequests() > 0 || clients.connections() > 0 || writesPending) {
+            loop.schedule(this::pollTermination, TERMINATION_POLL_MS, TimeUnit.MILLISECONDS);
         } else {
             logTally();
-            if (sharing != null) {
-                sharing.close();
+            if (gossip != null) {
+                gossip.close();
             }
-            if (governing != null) {
-                governing.close();
+            if (policy != null) {
+                policy.close();
             }
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(f -> ended.countDown());
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS)
+                    .addListener(f -> terminated.countDown());
         }
     }
 
     /** Waits until the service has ended. */
-    public void awaitEnd() throws InterruptedException {
-        ended.await();
+    public void awaitTermination() throws InterruptedException {
+        terminated.await();
     }
 
     private void logTally() {
-        Proxy.Tally t = proxy.tally();
+        Proxy.Tally tally = proxy.tally();
         Log.event(
                 "tally",
                 "requests",
-                t.requests,
+                tally.requests,
                 "served",
-                t.served,
+                tally.served,
                 "refused",
-                t.refused,
+                tally.refused,
                 "failed",
-                t.failed,
+                tally.failed,
                 "gone",
-                t.gone,
+                tally.gone,
                 "owed",
-                proxy.owed(),
+                proxy.pendingRequests(),
                 "clients",
                 clients.connections(),
                 "nodes",
-                pool.connections(),
+                pool.connectionCount(),
                 "look_ups",
-                counts(t.lookUps),
+                nonZeroCounts(tally.lookUps),
                 "fetches",
-                counts(t.fetches),
+                nonZeroCounts(tally.fetches),
                 "refused_untried",
-                t.refusedUntried,
+                tally.refusedUntried,
                 "refused_after",
-                counts(t.refusedAfter),
+                nonZeroCounts(tally.refusedAfter),
                 "origin_connections",
-                pool.connections(proxy.origin()),
+                pool.connectionCount(proxy.originId()),
                 "fetch_ms",
-                t.fetchMs());
-        if (sharing != null) {
-            sharing.logTally();
+                tally.meanFetchMs());
+        if (gossip != null) {
+            gossip.logTally();
         }
     }
 
     /** Tells the log of what kept the loop. */
-    private final class SlowTurns implements LoopWatch.Slow {
+    private final class SlowTurnLogger implements EventLoopMonitor.SlowTurnListener {
         @Override
-        public void turn(long inputMs, int ready, long tasksMs) {
+        public void slowTurn(long inputMs, int ready, long tasksMs) {
             int requests = proxy.tally().requests;
-            log.odd(
+            log.warnLimited(
                     "slow_turn",
                     "input_ms",
                     inputMs,
@@ -639,17 +658,17 @@
                     "tasks_ms",
                     tasksMs,
                     "requests",
-                    requests - requestsBefore);
-            requestsBefore = requests;
+                    requests - requestsAtLastSlowTurn);
+            requestsAtLastSlowTurn = requests;
         }
 
         @Override
-        public void woke(long lateMs) {
-            log.odd("woke_late", "ms", lateMs);
+        public void lateTimer(long lateMs) {
+            log.warnLimited("woke_late", "ms", lateMs);
         }
     }
 
-    private static String counts(int[] outcomes) {
+    private static String nonZeroCounts(int[] outcomes) {
         return Arrays.stream(Outcome.values())
                 .filter(o -> outcomes[o.ordinal()] > 0)
                 .map(o -> o + "=" + outcomes[o.ordinal()])
@@ -662,25 +681,27 @@
      * or a core that it did not get.
      */
     private void logState() {
-        double at = clock.now();
+        double nowMs = clock.now();
         Duration cpu = ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
-        if (at - lastStateMs > TimeUnit.SECONDS.toMillis(STATE_S) + STALLED_MS) {
+        if (nowMs - lastStateLogMs
+                > TimeUnit.SECONDS.toMillis(STATE_LOG_INTERVAL_S) + STALL_THRESHOLD_MS) {
             Log.event(
                     "stood_still",
                     "ms",
-                    Math.round(at - lastStateMs) - TimeUnit.SECONDS.toMillis(STATE_S),
+                    Math.round(nowMs - lastStateLogMs)
+                            - TimeUnit.SECONDS.toMillis(STATE_LOG_INTERVAL_S),
                     "cpu_ms",
                     cpu.minus(lastCpu).toMillis());
         }
-        lastStateMs = at;
+        lastStateLogMs = nowMs;
         lastCpu = cpu;
-        if (governing != null) {
-            governing.look();
+        if (policy != null) {
+            policy.applyMaintenance();
         }
-        String now = proxy.state();
-        if (!now.equals(state)) {
-            state = now;
-            Log.event("control", "level", proxy.level(), "state", now);
+        String currentState = proxy.describeState();
+        if (!currentState.equals(lastState)) {
+            lastState = currentState;
+            Log.event("control", "level", proxy.controlLevel(), "state", currentState);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/StateWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateWriter.java
@@ -22,59 +22,59 @@
      * A change on disk; it may be made again after it has been made in part or in full. It throws
      * {@link SupersededException}, and changes nothing, where a later call has been written.
      */
-    interface Change {
-        void make() throws IOException;
+    interface StateChange {
+        void apply() throws IOException;
     }
 
     /**
      * An answer to an operator is due within 1 s; a disk that takes longer than this counts as
      * failed.
      */
-    static final long ANSWER_MS = 700;
+    static final long ANSWER_TIMEOUT_MS = 700;
 
-    static final long FIRST_RETRY_MS = 100;
-    static final long LAST_RETRY_MS = 500;
-    private static final long IDLE_THREAD_S = 10;
+    static final long INITIAL_RETRY_DELAY_MS = 100;
+    static final long MAX_RETRY_DELAY_MS = 500;
+    private static final long THREAD_KEEP_ALIVE_S = 10;
 
     /** The last change of each state that is not known to be on disk, by the state's name. */
-    private final Map<String, Write> owed = new HashMap<>();
+    private final Map<String, PendingWrite> pendingWrites = new HashMap<>();
 
     private final EventLoop loop;
     private final Log log = new Log();
 
     /** Null before the first change: most processes never need it. */
-    private ThreadPoolExecutor disk;
+    private ThreadPoolExecutor diskExecutor;
 
     /** Whether a failure has been logged and its end has not, and when that was. */
-    private boolean failing;
+    private boolean failureLogged;
 
-    private long failingSince;
+    private long failingSinceNanos;
 
     StateWriter(EventLoop loop) {
         this.loop = loop;
     }
 
     /** One change of one state. */
-    private static final class Write {
+    private static final class PendingWrite {
         final String state;
-        final Change change;
+        final StateChange change;
 
         /** Null once it has been called. */
-        Consumer<IOException> answer;
+        Consumer<IOException> callback;
 
-        long retryMs = FIRST_RETRY_MS;
+        long retryDelayMs = INITIAL_RETRY_DELAY_MS;
 
-        Write(String state, Change change, Consumer<IOException> answer) {
+        PendingWrite(String state, StateChange change, Consumer<IOException> callback) {
             this.state = state;
             this.change = change;
-            this.answer = answer;
+            this.callback = callback;
         }
 
-        void answer(IOException failure) {
-            Consumer<IOException> caller = answer;
-            answer = null;
-            if (caller != null) {
-                caller.accept(failure);
+        void complete(IOException failure) {
+            Consumer<IOException> pendingCallback = callback;
+            callback = null;
+            if (pendingCallback != null) {
+                pendingCallback.accept(failure);
             }
         }
     }
@@ -84,11 +84,11 @@
      * once: with null when the change holds, or with what the first attempt failed of. After a
      * failure the change is still owed, unless a later call has superseded it.
      */
-    void write(String state, Change change, Consumer<IOException> answer) {
-        Write write = new Write(state, change, answer);
-        owed.put(state, write);
-        IOException late = new IOException("not written within " + ANSWER_MS + " ms");
-        loop.schedule(() -> write.answer(late), ANSWER_MS, TimeUnit.MILLISECONDS);
+    void write(String state, StateChange change, Consumer<IOException> callback) {
+        PendingWrite write = new PendingWrite(state, change, callback);
+        pendingWrites.put(state, write);
+        IOException timeout = new IOException("not written within " + ANSWER_TIMEOUT_MS + " ms");
+        loop.schedule(() -> write.complete(timeout), ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         attempt(write);
     }
 
@@ -96,27 +96,28 @@
      * Whether a change of this state is not known to hold yet: what the disk says of it counts for
      * nothing.
      */
-    boolean isOwed(String state) {
-        return owed.containsKey(state);
+    boolean isPending(String state) {
+        return pendingWrites.containsKey(state);
     }
 
     /** Whether any change is owed. */
-    boolean isAnyOwed() {
-        return !owed.isEmpty();
+    boolean hasPending() {
+        return !pendingWrites.isEmpty();
     }
 
     /** Whether a caller still waits for the last change of this state. */
-    boolean isAnswerDue(String state) {
-        Write write = owed.get(state);
-        return write != null && write.answer != null;
+    boolean isAnswerPending(String state) {
+        PendingWrite write = pendingWrites.get(state);
+        return write != null && write.callback != null;
     }
 
-    private void attempt(Write write) {
-        disk().execute(
+    private void attempt(PendingWrite write) {
+        diskExecutor()
+                .execute(
                         () -> {
-                            IOException failure = failureOf(write.change);
+                            IOException failure = apply(write.change);
                             try {
-                                loop.execute(() -> ended(write, failure));
+                                loop.execute(() -> attemptEnded(write, failure));
                             } catch (RejectedExecutionException e) {
                                 // The process has ended meanwhile: nobody is left to be told.
                                 return;
@@ -124,30 +125,30 @@
                         });
     }
 
-    private ThreadPoolExecutor disk() {
-        if (disk == null) {
-            disk =
+    private ThreadPoolExecutor diskExecutor() {
+        if (diskExecutor == null) {
+            diskExecutor =
                     new ThreadPoolExecutor(
                             1,
                             1,
-                            IDLE_THREAD_S,
+                            THREAD_KEEP_ALIVE_S,
                             TimeUnit.SECONDS,
                             new LinkedBlockingQueue<>(),
-                            StateWriter::thread);
-            disk.allowCoreThreadTimeOut(true);
+                            StateWriter::newThread);
+            diskExecutor.allowCoreThreadTimeOut(true);
         }
-        return disk;
+        return diskExecutor;
     }
 
-    private static Thread thread(Runnable work) {
-        Thread thread = new Thread(work, "operator-state");
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "operator-state");
         thread.setDaemon(true);
         return thread;
     }
 
-    private static IOException failureOf(Change change) {
+    private static IOException apply(StateChange change) {
         try {
-            change.make();
+            change.apply();
             return null;
         } catch (IOException e) {
             return e;
@@ -156,57 +157,57 @@
         }
     }
 
-    private void ended(Write write, IOException failure) {
+    private void attemptEnded(PendingWrite write, IOException failure) {
         if (failure == null) {
-            owed.remove(write.state, write);
-            write.answer(null);
-            logEndOfTrouble();
+            pendingWrites.remove(write.state, write);
+            write.complete(null);
+            logRecovery();
             return;
         }
         if (failure instanceof SupersededException) {
             superseded(write, failure);
             return;
         }
-        logTrouble(write.state, failure);
-        write.answer(failure);
+        logFailure(write.state, failure);
+        write.complete(failure);
         // The caller may have put another change in its place, which has attempts of its own.
         if (isLatest(write)) {
-            loop.schedule(() -> retry(write), write.retryMs, TimeUnit.MILLISECONDS);
-            write.retryMs = Math.min(LAST_RETRY_MS, 2 * write.retryMs);
+            loop.schedule(() -> retry(write), write.retryDelayMs, TimeUnit.MILLISECONDS);
+            write.retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, 2 * write.retryDelayMs);
         }
     }
 
-    private void superseded(Write write, IOException failure) {
-        if (owed.remove(write.state, write)) {
+    private void superseded(PendingWrite write, IOException failure) {
+        if (pendingWrites.remove(write.state, write)) {
             Log.event("operator_state_superseded", "state", write.state);
         }
-        write.answer(failure);
-        logEndOfTrouble();
+        write.complete(failure);
+        logRecovery();
     }
 
-    private void retry(Write write) {
+    private void retry(PendingWrite write) {
         if (isLatest(write)) {
             attempt(write);
         }
     }
 
-    private boolean isLatest(Write write) {
-        return owed.get(write.state) == write;
+    private boolean isLatest(PendingWrite write) {
+        return pendingWrites.get(write.state) == write;
     }
 
-    private void logTrouble(String state, IOException failure) {
-        if (!failing) {
-            failing = true;
-            failingSince = System.nanoTime();
-            log.odd("operator_state_write_failed", "state", state, "cause", failure);
+    private void logFailure(String state, IOException failure) {
+        if (!failureLogged) {
+            failureLogged = true;
+            failingSinceNanos = System.nanoTime();
+            log.warnLimited("operator_state_write_failed", "state", state, "cause", failure);
         }
     }
 
-    private void logEndOfTrouble() {
-        if (failing && owed.isEmpty()) {
-            failing = false;
-            long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - failingSince);
-            log.odd("operator_state_written", "after_ms", afterMs);
+    private void logRecovery() {
+        if (failureLogged && pendingWrites.isEmpty()) {
+            failureLogged = false;
+            long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - failingSinceNanos);
+            log.warnLimited("operator_state_written", "after_ms", afterMs);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/StrictHttp.java
+++ b/src/main/java/cacheproxy/proxy/StrictHttp.java
@@ -15,7 +15,7 @@
  */
 final class StrictHttp {
 
-    private static final int MAX_HEAD = 8192;
+    private static final int MAX_HEADER_BYTES = 8192;
 
     private StrictHttp() {}
 
@@ -23,50 +23,50 @@
      * Reads requests. One with both lengths may hide another in its body, which a node would carry
      * out.
      */
-    static final class Requests extends HttpRequestDecoder {
-        Requests() {
-            super(config());
+    static final class RequestDecoder extends HttpRequestDecoder {
+        RequestDecoder() {
+            super(decoderConfig());
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw twoLengths();
+            throw ambiguousLength();
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            return super.splitHeaderName(line, start, checked(line, start, length));
+            return super.splitHeaderName(line, start, checkedNameLength(line, start, length));
         }
 
         /** Whether bytes have come that no request has used yet. */
-        boolean leftOver() {
+        boolean hasUnconsumedBytes() {
             return actualReadableBytes() > 0;
         }
     }
 
     /** Reads answers, and tells whether bytes have come that no answer has used. */
-    static final class Responses extends HttpResponseDecoder {
-        Responses() {
-            super(config());
+    static final class ResponseDecoder extends HttpResponseDecoder {
+        ResponseDecoder() {
+            super(decoderConfig());
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw twoLengths();
+            throw ambiguousLength();
         }
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            return super.splitHeaderName(line, start, checked(line, start, length));
+            return super.splitHeaderName(line, start, checkedNameLength(line, start, length));
         }
 
-        boolean leftOver() {
+        boolean hasUnconsumedBytes() {
             return actualReadableBytes() > 0;
         }
     }
 
     /** Whether a coding is named that Netty leaves alone, and with it the message's length open. */
-    static boolean oddCoding(HttpMessage message) {
+    static boolean hasUnsupportedTransferCoding(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return !codings.isEmpty()
                 && (codings.size() > 1
@@ -74,22 +74,22 @@
                                 codings.get(0).trim()));
     }
 
-    private static HttpDecoderConfig config() {
-        return new HttpDecoderConfig().setMaxHeaderSize(MAX_HEAD);
+    private static HttpDecoderConfig decoderConfig() {
+        return new HttpDecoderConfig().setMaxHeaderSize(MAX_HEADER_BYTES);
     }
 
     /**
      * The length of a header's name, which a colon must follow: Netty takes any line for one, and
      * so spoilt heads.
      */
-    private static int checked(byte[] line, int start, int length) {
+    private static int checkedNameLength(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
             throw new IllegalArgumentException("a line of the head is no header");
         }
         return length;
     }
 
-    private static IllegalArgumentException twoLengths() {
+    private static IllegalArgumentException ambiguousLength() {
         return new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 }
--- a/src/main/java/cacheproxy/proxy/Upload.java
+++ b/src/main/java/cacheproxy/proxy/Upload.java
@@ -14,109 +14,110 @@
  */
 final class Upload {
 
-    private final Channel client;
-    private final Queue<HttpContent> early = new ArrayDeque<>();
-    private Channel node;
-    private Runnable sent;
-    private Runnable whenEnded = () -> {};
-    private boolean ended;
-    private boolean over;
-    private long bytes;
+    private final Channel clientChannel;
+    private final Queue<HttpContent> buffered = new ArrayDeque<>();
+    private Channel nodeChannel;
+    private Runnable onSent;
+    private Runnable onComplete = () -> {};
+    private boolean complete;
+    private boolean discarding;
+    private long receivedBytes;
 
     /** {@code client} is where it comes from. */
     Upload(Channel client) {
-        this.client = client;
+        this.clientChannel = client;
         client.config().setAutoRead(false);
     }
 
     /** One more part; this owns it. */
-    void part(HttpContent part) {
+    void addPart(HttpContent part) {
         boolean last = part instanceof LastHttpContent;
-        bytes += part.content().readableBytes();
-        if (last && !ended) {
-            ended = true;
+        receivedBytes += part.content().readableBytes();
+        if (last && !complete) {
+            complete = true;
             // Nothing is held back any more, and a client that leaves has to be seen.
-            client.config().setAutoRead(true);
-            whenEnded.run();
+            clientChannel.config().setAutoRead(true);
+            onComplete.run();
         }
-        if (over) {
+        if (discarding) {
             part.release();
-        } else if (node == null) {
-            early.add(part);
+        } else if (nodeChannel == null) {
+            buffered.add(part);
         } else {
             write(part);
-            flow();
+            updateReading();
         }
     }
 
     /** Runs once all of it has come. */
-    void whenEnded(Runnable runs) {
-        whenEnded = runs;
-        if (ended) {
-            runs.run();
+    void onComplete(Runnable action) {
+        onComplete = action;
+        if (complete) {
+            action.run();
         }
     }
 
     /** Bytes that have come. */
-    long bytes() {
-        return bytes;
+    long receivedBytes() {
+        return receivedBytes;
     }
 
     /** Whether all of it has come. */
-    boolean ended() {
-        return ended;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether it has been used up, wholly or in part. */
-    boolean taken() {
-        return node != null || over;
+    boolean isConsumed() {
+        return nodeChannel != null || discarding;
     }
 
     /** Whether the client is the one that is waited for. */
-    boolean waitsForClient() {
-        return !ended && client.config().isAutoRead();
+    boolean isWaitingForClient() {
+        return !complete && clientChannel.config().isAutoRead();
     }
 
     /**
      * Flows to a node's connection, behind the request's head; {@code whenSent} runs once its last
      * byte is written.
      */
-    void take(Channel to, Runnable whenSent) {
-        node = to;
-        sent = whenSent;
-        for (HttpContent part = early.poll(); part != null; part = early.poll()) {
+    void sendTo(Channel target, Runnable whenSent) {
+        nodeChannel = target;
+        onSent = whenSent;
+        for (HttpContent part = buffered.poll(); part != null; part = buffered.poll()) {
             write(part);
         }
-        flow();
+        updateReading();
     }
 
     private void write(HttpContent part) {
         boolean last = part instanceof LastHttpContent;
-        node.writeAndFlush(part)
+        nodeChannel
+                .writeAndFlush(part)
                 .addListener(
                         f -> {
                             if (!f.isSuccess()) {
-                                node.close();
+                                nodeChannel.close();
                             } else if (last) {
-                                sent.run();
+                                onSent.run();
                             }
                         });
     }
 
     /** Reads on from the client as far as the node's connection takes it. */
-    void flow() {
-        if (!ended && !over && node != null) {
-            client.config().setAutoRead(node.isWritable());
+    void updateReading() {
+        if (!complete && !discarding && nodeChannel != null) {
+            clientChannel.config().setAutoRead(nodeChannel.isWritable());
         }
     }
 
     /** Nobody wants the rest: it is dropped as it comes. */
-    void drop() {
-        if (!over) {
-            over = true;
-            early.forEach(HttpContent::release);
-            early.clear();
-            client.config().setAutoRead(true);
+    void discard() {
+        if (!discarding) {
+            discarding = true;
+            buffered.forEach(HttpContent::release);
+            buffered.clear();
+            clientChannel.config().setAutoRead(true);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamAttempt.java
@@ -17,14 +17,14 @@
  * run: it can be given up without a trace, and is where nobody waits for it any more or its time
  * for being written is over.
  */
-final class Exchange {
+final class UpstreamAttempt {
 
     /**
      * Takes how an exchange ended; {@code response} is null where no whole answer came and is
      * released afterwards.
      */
-    interface Done {
-        void ended(Exchange exchange, Outcome outcome, FullHttpResponse response);
+    interface Listener {
+        void onEnded(UpstreamAttempt attempt, Outcome outcome, FullHttpResponse response);
 
         /**
          * Whether somebody still waits for its answer; asked in the moment in which its first byte
@@ -38,29 +38,29 @@
          * A good answer that is too long to be gathered has begun; null where nobody takes its
          * rest.
          */
-        default Rest began(Exchange exchange, HttpResponse head) {
+        default BodyConsumer onStreamedResponse(UpstreamAttempt attempt, HttpResponse head) {
             return null;
         }
     }
 
     /** Takes the rest of a long answer. */
-    interface Rest {
+    interface BodyConsumer {
         /** A part, which this owns. */
-        void part(HttpContent part);
+        void onPart(HttpContent part);
 
         /** It has come to its end, or will not. */
-        void ended(boolean whole);
+        void onEnd(boolean complete);
     }
 
-    private final Supplier<? extends HttpRequest> request;
+    private final Supplier<? extends HttpRequest> requestSupplier;
     private final EventLoop loop;
-    private final IdleAges ages;
-    private final LongSupplier nanos;
-    private final Done done;
+    private final IdleTimeoutEstimator idleTimeouts;
+    private final LongSupplier nanoClock;
+    private final Listener listener;
     final Upload upload;
 
     /** Who takes the rest of a long answer; null where there is none, or none is left. */
-    Rest rest;
+    BodyConsumer bodyConsumer;
 
     /** Its connection, which may be coming up still; null while it waits for one. */
     Channel channel;
@@ -68,36 +68,36 @@
     /** Whether its last byte is. */
     boolean written;
 
-    boolean over;
+    boolean finished;
 
     /**
      * How long its connection had been idle, 0 for a new one; and whether bytes of an answer have
      * come.
      */
-    double idleMs;
+    double connectionIdleMs;
 
-    boolean answering;
-    private Future<?> timer;
-    private Future<?> writeTimer;
-    private long writeBy;
+    boolean responseStarted;
+    private Future<?> timeoutTimer;
+    private Future<?> writeDeadlineTimer;
+    private long writeDeadlineNanos;
 
-    Exchange(
-            Supplier<? extends HttpRequest> request,
+    UpstreamAttempt(
+            Supplier<? extends HttpRequest> requestSupplier,
             Upload upload,
-            Done done,
+            Listener listener,
             EventLoop loop,
-            IdleAges ages,
-            LongSupplier nanos) {
-        this.request = request;
+            IdleTimeoutEstimator idleTimeouts,
+            LongSupplier nanoClock) {
+        this.requestSupplier = requestSupplier;
         this.upload = upload;
-        this.done = done;
+        this.listener = listener;
         this.loop = loop;
-        this.ages = ages;
-        this.nanos = nanos;
+        this.idleTimeouts = idleTimeouts;
+        this.nanoClock = nanoClock;
     }
 
-    HttpRequest request() {
-        return request.get();
+    HttpRequest buildRequest() {
+        return requestSupplier.get();
     }
 
     /**
@@ -106,16 +106,16 @@
      */
     void cancel() {
         abandon(Outcome.CANCELLED);
-        if (rest != null) {
-            rest = null;
+        if (bodyConsumer != null) {
+            bodyConsumer = null;
             channel.close();
         }
     }
 
     /** Stops reading a long answer, or reads on. */
-    void pause(boolean pauses) {
-        if (rest != null) {
-            channel.config().setAutoRead(!pauses);
+    void setPaused(boolean paused) {
+        if (bodyConsumer != null) {
+            channel.config().setAutoRead(!paused);
         }
     }
 
@@ -123,12 +123,12 @@
      * Gives it up after so long from now; said again for a request whose body flows, as its time
      * begins with its last byte.
      */
-    void limit(double timeoutMs) {
-        if (!over) {
-            stop(timer);
-            timer =
+    void setTimeout(double timeoutMs) {
+        if (!finished) {
+            cancelTimer(timeoutTimer);
+            timeoutTimer =
                     loop.schedule(
-                            this::timedOut,
+                            this::onTimeout,
                             (long) (Math.max(0, timeoutMs) * 1e6),
                             TimeUnit.NANOSECONDS);
         }
@@ -138,103 +138,107 @@
      * Has its last byte written within so long, or never: what may not run twice may be repeated
      * for a short while only.
      */
-    void writeWithin(double ms) {
-        if (ms < Long.MAX_VALUE / 1e6) {
-            long left = (long) (ms * 1e6);
-            writeBy = nanos.getAsLong() + left;
-            writeTimer =
-                    loop.schedule(this::dropUnlessWritten, Math.max(0, left), TimeUnit.NANOSECONDS);
+    void setWriteDeadline(double timeoutMs) {
+        if (timeoutMs < Long.MAX_VALUE / 1e6) {
+            long timeoutNanos = (long) (timeoutMs * 1e6);
+            writeDeadlineNanos = nanoClock.getAsLong() + timeoutNanos;
+            writeDeadlineTimer =
+                    loop.schedule(
+                            this::cancelIfUnwritten,
+                            Math.max(0, timeoutNanos),
+                            TimeUnit.NANOSECONDS);
         }
     }
 
     /** Whether it may be written now, which asks its client's side; one that may not ends here. */
     boolean mayBeWritten() {
-        if (writeTimer != null && nanos.getAsLong() - writeBy >= 0) {
-            dropUnlessWritten();
+        if (writeDeadlineTimer != null && nanoClock.getAsLong() - writeDeadlineNanos >= 0) {
+            cancelIfUnwritten();
         }
-        if (!over && !done.isWanted()) {
-            dropUnlessWritten();
+        if (!finished && !listener.isWanted()) {
+            cancelIfUnwritten();
         }
-        return !over;
+        return !finished;
     }
 
     /**
      * Gives it up if it can't have run, whatever the settings say of giving up: then nothing was
      * sent.
      */
-    void dropUnlessWritten() {
+    void cancelIfUnwritten() {
         if (!written) {
             abandon(Outcome.NEVER_SENT);
         }
     }
 
-    private static void stop(Future<?> running) {
-        if (running != null) {
-            running.cancel(false);
+    private static void cancelTimer(Future<?> timer) {
+        if (timer != null) {
+            timer.cancel(false);
         }
     }
 
-    private void stopTimers() {
-        stop(timer);
-        stop(writeTimer);
+    private void cancelTimers() {
+        cancelTimer(timeoutTimer);
+        cancelTimer(writeDeadlineTimer);
     }
 
-    void begin(HttpResponse head) {
-        over = true;
-        stopTimers();
-        ages.used(idleMs, false, nanos.getAsLong());
-        rest = done.began(this, head);
+    void startStreaming(HttpResponse head) {
+        finished = true;
+        cancelTimers();
+        idleTimeouts.recordUse(connectionIdleMs, false, nanoClock.getAsLong());
+        bodyConsumer = listener.onStreamedResponse(this, head);
     }
 
-    void lastPart(HttpContent part) {
-        Rest taker = rest;
-        rest = null;
-        taker.part(part);
-        taker.ended(true);
+    void finishStreaming(HttpContent part) {
+        BodyConsumer consumer = bodyConsumer;
+        bodyConsumer = null;
+        consumer.onPart(part);
+        consumer.onEnd(true);
     }
 
     /** The rest of a long answer will not come. */
-    void cutShort() {
-        Rest taker = rest;
-        rest = null;
-        if (taker != null) {
-            taker.ended(false);
+    void abortStreaming() {
+        BodyConsumer consumer = bodyConsumer;
+        bodyConsumer = null;
+        if (consumer != null) {
+            consumer.onEnd(false);
         }
     }
 
-    private void timedOut() {
+    private void onTimeout() {
         // Before its last byte was written the node cannot have begun it.
         abandon(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
-    void unconnected() {
+    void failIfUnconnected() {
         if (channel == null) {
-            end(Outcome.CONNECT_FAILED, null);
+            finish(Outcome.CONNECT_FAILED, null);
         }
     }
 
-    void broken() {
-        end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
+    void connectionBroken() {
+        finish(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
     void abandon(Outcome outcome) {
-        if (!over) {
-            end(outcome, null);
+        if (!finished) {
+            finish(outcome, null);
             if (channel != null) {
                 channel.close();
             }
         }
     }
 
-    void end(Outcome outcome, FullHttpResponse response) {
-        if (!over) {
-            over = true;
-            stopTimers();
+    void finish(Outcome outcome, FullHttpResponse response) {
+        if (!finished) {
+            finished = true;
+            cancelTimers();
             boolean broke = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
             if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
-                ages.used(idleMs, broke && !answering, nanos.getAsLong());
+                idleTimeouts.recordUse(
+                        connectionIdleMs, broke && !responseStarted, nanoClock.getAsLong());
             }
-            done.ended(this, outcome, response);
+            listener.onEnded(this, outcome, response);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Warmup.java
+++ b/src/main/java/cacheproxy/proxy/Warmup.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router.Availability;
 import cacheproxy.Router.Effect;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Group;
 import cacheproxy.Router.Limits;
-import cacheproxy.Router.ListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Rules;
 import cacheproxy.Router.ServiceClass;
@@ -47,78 +47,78 @@
  */
 final class Warmup {
 
-    static final int REQUESTS = 2000;
+    static final int REQUEST_COUNT = 2000;
 
     /**
      * It may take no longer while peers serve: at a rolling restart the next proxy goes down 3 s
      * after this one did.
      */
-    private static final long PATIENCE_MS = 2000;
+    private static final long TIMEOUT_MS = 2000;
 
     /**
      * And so much longer where none is heard or none may speak: at the first start of all nobody
      * waits for us, and on half a core all of it takes nine seconds.
      */
-    private static final long ALONE_MS = 8000;
+    private static final long EXTRA_TIME_WITHOUT_PEERS_MS = 8000;
 
     /**
      * All that a proxy which served before may take. It is told to stop 3 s before the next one is,
      * is started anew two seconds later, and the Java machine's start takes one on half a core;
      * once the next has ended, nobody serves.
      */
-    private static final long AGAIN_MS = 700;
+    private static final long RESTART_TIMEOUT_MS = 700;
 
-    private static final int AT_ONCE = 4;
+    private static final int CLIENT_COUNT = 4;
 
     /**
      * After so many requests the loop has nothing to do for a moment. Where a hundred processes
      * start on a few cores at once, a thread that works for one second of its own without a wait
      * holds its core for a minute, and is taken for one that hangs.
      */
-    private static final int REST_EVERY = 40;
+    private static final int REQUESTS_PER_PAUSE = 40;
 
-    private static final long REST_MS = 1;
+    private static final long PAUSE_MS = 1;
 
     /** How often one that has no answer is waited for. */
-    private static final int REST_MOST = 5;
+    private static final int MAX_PAUSE_EXTENSIONS = 5;
 
-    private static final int NODES = 4;
+    private static final int NODE_COUNT = 4;
 
     /**
      * So many that all its clients may rest: where more than a part of those allowed do, each
      * answer is its connection's last.
      */
-    private static final int MOST_CLIENTS = 8 * AT_ONCE;
+    private static final int MAX_CLIENT_CONNECTIONS = 8 * CLIENT_COUNT;
 
     /** One of so many requests is a miss at its cache node. */
-    private static final int MISS = 4;
+    private static final int REQUESTS_PER_MISS = 4;
 
-    private static final double CONNECT_MS = 1000;
+    private static final double CONNECT_TIMEOUT_MS = 1000;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch done = new CountDownLatch(1);
     private final Settings settings;
-    private final long lastsMs;
-    private long endsAt;
+    private final long durationMs;
+    private long endNanos;
     private int sent;
 
     /** Clients that ask again when the rest is over; null where there is none. */
-    private List<Runnable> resting;
+    private List<Runnable> pausedRequests;
 
-    private volatile int rests;
+    private volatile int pauses;
     private volatile int served;
-    private volatile boolean over;
+    private volatile boolean stopped;
 
     /**
      * Its clients stop asking by themselves after {@code lastsMs}: the loop leaves the core to no
      * other thread as long as it finds work, so whoever waits for the end may get no turn to call
      * it.
      */
-    Warmup(Settings settings, long lastsMs) {
+    Warmup(Settings settings, long durationMs) {
         this.settings = settings;
-        this.lastsMs = lastsMs;
+        this.durationMs = durationMs;
     }
 
     /**
@@ -127,33 +127,40 @@
      * serves, yet that waits for no more than seconds.
      */
     static int run(
-            Settings settings, InetSocketAddress peerListen, HostList known, boolean replaces)
+            Settings settings,
+            InetSocketAddress peerListen,
+            EndpointListUpdate knownEndpoints,
+            boolean mayReplaceProcess)
             throws IOException, InterruptedException {
-        long begun = System.nanoTime();
-        long started = begun;
-        long ending = begun;
-        long patience = replaces ? PATIENCE_MS : patienceMs(known);
-        Warmup warmup = new Warmup(settings, patience + moreMs(known, replaces));
-        try (PeerEar ear = new PeerEar(peerListen)) {
+        long startNanos = System.nanoTime();
+        long clientsStartedNanos = startNanos;
+        long shutDownNanos = startNanos;
+        long timeoutMs = mayReplaceProcess ? TIMEOUT_MS : timeoutMs(knownEndpoints);
+        Warmup warmup =
+                new Warmup(settings, timeoutMs + extraTimeMs(knownEndpoints, mayReplaceProcess));
+        try (PeerListener peerListener = new PeerListener(peerListen)) {
             warmup.start();
-            started = System.nanoTime();
-            if (!warmup.done.await(patience, TimeUnit.MILLISECONDS)) {
-                warmup.done.await(moreMs(known, replaces || ear.heard(0)), TimeUnit.MILLISECONDS);
+            clientsStartedNanos = System.nanoTime();
+            if (!warmup.done.await(timeoutMs, TimeUnit.MILLISECONDS)) {
+                warmup.done.await(
+                        extraTimeMs(
+                                knownEndpoints, mayReplaceProcess || peerListener.awaitMessage(0)),
+                        TimeUnit.MILLISECONDS);
             }
-            ending = System.nanoTime();
+            shutDownNanos = System.nanoTime();
         } finally {
-            warmup.end();
+            warmup.shutDown();
         }
         Log.event(
                 "warmed_up",
                 "requests",
                 warmup.served,
                 "set_up_ms",
-                ms(started - begun),
+                ms(clientsStartedNanos - startNanos),
                 "at_work_ms",
-                ms(ending - started),
+                ms(shutDownNanos - clientsStartedNanos),
                 "to_end_ms",
-                ms(System.nanoTime() - ending));
+                ms(System.nanoTime() - shutDownNanos));
         return warmup.served;
     }
 
@@ -165,20 +172,20 @@
      * A list that discovery has numbered was had from it in an earlier life: this is a restart, and
      * clients wait.
      */
-    private static boolean servedBefore(HostList known) {
-        return known != null && known.version() > 0;
+    private static boolean servedBefore(EndpointListUpdate knownEndpoints) {
+        return knownEndpoints != null && knownEndpoints.version() > 0;
     }
 
-    static long patienceMs(HostList known) {
-        return servedBefore(known) ? AGAIN_MS : PATIENCE_MS;
+    static long timeoutMs(EndpointListUpdate knownEndpoints) {
+        return servedBefore(knownEndpoints) ? RESTART_TIMEOUT_MS : TIMEOUT_MS;
     }
 
     /**
      * What it may take on top: at a birth, with nobody else at work, no client comes before all are
      * ready.
      */
-    static long moreMs(HostList known, boolean othersServe) {
-        return servedBefore(known) || othersServe ? 0 : ALONE_MS;
+    static long extraTimeMs(EndpointListUpdate knownEndpoints, boolean peersServe) {
+        return servedBefore(knownEndpoints) || peersServe ? 0 : EXTRA_TIME_WITHOUT_PEERS_MS;
     }
 
     void awaitDone() throws InterruptedException {
@@ -189,12 +196,12 @@
      * Its clients ask no more from here on: a loop that is told to end goes on as long as it finds
      * work.
      */
-    void halt() {
-        over = true;
+    void stopClients() {
+        stopped = true;
     }
 
-    void end() throws InterruptedException {
-        halt();
+    void shutDown() throws InterruptedException {
+        stopClients();
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).await(1, TimeUnit.SECONDS);
     }
 
@@ -203,39 +210,39 @@
     }
 
     /** How often the loop had nothing at all to do, as all its clients waited. */
-    int rests() {
-        return rests;
+    int pauses() {
+        return pauses;
     }
 
     /** Asks now, or when the rest is over that begins here or has begun. */
-    private void askInTurn(Runnable ask) {
-        if (resting == null && sent % REST_EVERY == 0 && sent > 0) {
-            resting = new ArrayList<>();
-            loop.schedule(() -> goOn(REST_MOST), REST_MS, TimeUnit.MILLISECONDS);
+    private void sendOrPause(Runnable sendRequest) {
+        if (pausedRequests == null && sent % REQUESTS_PER_PAUSE == 0 && sent > 0) {
+            pausedRequests = new ArrayList<>();
+            loop.schedule(() -> endPause(MAX_PAUSE_EXTENSIONS), PAUSE_MS, TimeUnit.MILLISECONDS);
         }
-        if (resting == null) {
-            ask.run();
+        if (pausedRequests == null) {
+            sendRequest.run();
         } else {
-            resting.add(ask);
+            pausedRequests.add(sendRequest);
         }
     }
 
-    private void goOn(int left) {
-        List<Runnable> next = resting;
-        if (next.size() < AT_ONCE && left > 0) {
+    private void endPause(int extensionsLeft) {
+        List<Runnable> requests = pausedRequests;
+        if (requests.size() < CLIENT_COUNT && extensionsLeft > 0) {
             // Some have no answer yet.
-            loop.schedule(() -> goOn(left - 1), REST_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> endPause(extensionsLeft - 1), PAUSE_MS, TimeUnit.MILLISECONDS);
             return;
         }
         // Written by the loop alone.
-        int so = rests + (next.size() < AT_ONCE ? 0 : 1);
-        rests = so;
-        resting = null;
-        next.forEach(Runnable::run);
+        int updatedPauses = pauses + (requests.size() < CLIENT_COUNT ? 0 : 1);
+        pauses = updatedPauses;
+        pausedRequests = null;
+        requests.forEach(Runnable::run);
     }
 
     /** How many were asked by now, once the loop has come to say so. */
-    int asked() throws InterruptedException, ExecutionException {
+    int sentCount() throws InterruptedException, ExecutionException {
         return loop.submit(() -> sent).get();
     }
 
@@ -243,7 +250,7 @@
      * Settings under which it runs where there is no configuration, as when the class archive is
      * made.
      */
-    static Settings anySettings() {
+    static Settings defaultSettings() {
         return new Settings(
                 0,
                 1,
@@ -255,7 +262,7 @@
                 List.of(),
                 1,
                 false,
-                new Limits(NODES, true, false, false, true, 1000, false, CONNECT_MS),
+                new Limits(NODE_COUNT, true, false, false, true, 1000, false, CONNECT_TIMEOUT_MS),
                 new Rules(0, 1, 0, 1, 1000, 0, 0),
                 false,
                 Weights.NONE,
@@ -263,26 +270,32 @@
     }
 
     void start() throws InterruptedException {
-        endsAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(lastsMs);
+        endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
         NodePool pool =
                 new NodePool(
                         loop,
-                        Transport.IN_PROCESS,
-                        CONNECT_MS,
-                        settings.connections().idleMs(),
-                        NODES * AT_ONCE,
+                        ConnectionTransport.IN_PROCESS,
+                        CONNECT_TIMEOUT_MS,
+                        settings.connections().idleTimeoutMs(),
+                        NODE_COUNT * CLIENT_COUNT,
                         1);
         Proxy proxy =
-                new Proxy(loop, new Clock(), settings, new Decide(settings, 0), pool, AT_ONCE + 1);
-        ClientServer clients = new ClientServer(loop, proxy, settings, MOST_CLIENTS);
-        LocalAddress front = new LocalAddress(Warmup.class);
-        List<HostList.Host> hosts = new ArrayList<>();
-        for (int i = 0; i <= NODES; i++) {
+                new Proxy(
+                        loop,
+                        new Clock(),
+                        settings,
+                        new DecisionModule(settings, 0),
+                        pool,
+                        CLIENT_COUNT + 1);
+        ClientServer clients = new ClientServer(loop, proxy, settings, MAX_CLIENT_CONNECTIONS);
+        LocalAddress proxyAddress = new LocalAddress(Warmup.class);
+        List<EndpointListUpdate.Endpoint> hosts = new ArrayList<>();
+        for (int i = 0; i <= NODE_COUNT; i++) {
             LocalAddress address = new LocalAddress(Warmup.class);
-            boolean origin = i == NODES && settings.originModel() != null;
-            node(address, origin);
+            boolean origin = i == NODE_COUNT && settings.originModel() != null;
+            startNode(address, origin);
             hosts.add(
-                    new HostList.Host(
+                    new EndpointListUpdate.Endpoint(
                             new Node(
                                     "warm-up-" + i,
                                     origin ? settings.originModel() : "",
@@ -296,18 +309,20 @@
         loop.submit(
                         () -> {
                             proxy.start(null);
-                            proxy.hosts(ListKind.FULL, new HostList(1, true, hosts));
+                            proxy.endpointListReceived(
+                                    EndpointListKind.SNAPSHOT,
+                                    new EndpointListUpdate(1, true, hosts));
                         })
                 .sync();
-        clients.listen(Transport.IN_PROCESS, front).sync();
-        for (int i = 0; i < AT_ONCE; i++) {
-            client(front);
+        clients.listen(ConnectionTransport.IN_PROCESS, proxyAddress).sync();
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            connectClient(proxyAddress);
         }
     }
 
-    private void node(LocalAddress address, boolean origin) throws InterruptedException {
-        Transport.IN_PROCESS
-                .server(loop)
+    private void startNode(LocalAddress address, boolean origin) throws InterruptedException {
+        ConnectionTransport.IN_PROCESS
+                .serverBootstrap(loop)
                 .childHandler(
                         new ChannelInitializer<>() {
                             @Override
@@ -315,23 +330,24 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpServerCodec(),
-                                                new HttpObjectAggregator(Gatherer.MOST_GATHERED),
-                                                new Answers(origin));
+                                                new HttpObjectAggregator(
+                                                        MessageAggregator.MAX_AGGREGATED_BYTES),
+                                                new NodeHandler(origin));
                             }
                         })
                 .bind(address)
                 .sync();
     }
 
-    private void answered() {
+    private void countServed() {
         // Written by the loop alone.
         int next = served + 1;
         served = next;
     }
 
-    private void client(LocalAddress front) {
-        Transport.IN_PROCESS
-                .client(loop)
+    private void connectClient(LocalAddress proxyAddress) {
+        ConnectionTransport.IN_PROCESS
+                .clientBootstrap(loop)
                 .handler(
                         new ChannelInitializer<>() {
                             @Override
@@ -339,25 +355,26 @@
                                 channel.pipeline()
                                         .addLast(
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(Gatherer.MOST_GATHERED),
-                                                new Asks());
+                                                new HttpObjectAggregator(
+                                                        MessageAggregator.MAX_AGGREGATED_BYTES),
+                                                new ClientHandler());
                             }
                         })
-                .connect(front);
+                .connect(proxyAddress);
     }
 
     /** A node that has most keys, or the origin, which has all. */
-    private static final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class NodeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private static final byte[] BODY = new byte[1000];
         private final boolean origin;
 
-        Answers(boolean origin) {
+        NodeHandler(boolean origin) {
             this.origin = origin;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean miss = !origin && request.uri().hashCode() % MISS == 0;
+            boolean miss = !origin && request.uri().hashCode() % REQUESTS_PER_MISS == 0;
             FullHttpResponse answer =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
@@ -376,30 +393,30 @@
      * A client that asks again as soon as it has its answer, and comes back on a new connection if
      * need be.
      */
-    private final class Asks extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (!over) {
-                ask(ctx);
+            if (!stopped) {
+                sendRequest(ctx);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             if (answer.status().equals(HttpResponseStatus.OK)) {
-                answered();
+                countServed();
             }
-            askInTurn(
+            sendOrPause(
                     () -> {
-                        if (sent < REQUESTS && !over && System.nanoTime() - endsAt < 0) {
-                            ask(ctx);
+                        if (sent < REQUEST_COUNT && !stopped && System.nanoTime() - endNanos < 0) {
+                            sendRequest(ctx);
                         } else {
                             done.countDown();
                         }
                     });
         }
 
-        private void ask(ChannelHandlerContext ctx) {
+        private void sendRequest(ChannelHandlerContext ctx) {
             int number = sent++;
             FullHttpRequest request =
                     new DefaultFullHttpRequest(
--- a/src/main/java/cacheproxy/raft/Codec.java
+++ b/src/main/java/cacheproxy/raft/Codec.java
@@ -4,7 +4,7 @@
 import cacheproxy.epoch.Epochs.Epoch;
 import cacheproxy.epoch.Message;
 import cacheproxy.stream.Change;
-import cacheproxy.stream.Frames;
+import cacheproxy.stream.FrameCodec;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -38,49 +38,52 @@
  */
 final class Codec {
 
-    static final RaftModelFactory MODELS = new DefaultRaftModelFactory();
-    static final String GROUP = "policy";
+    static final RaftModelFactory MODEL_FACTORY = new DefaultRaftModelFactory();
+    static final String GROUP_ID = "policy";
 
     private Codec() {}
 
     // Log entries.
 
-    static JsonObject entry(LogEntry e) {
-        return placed(operation(e.getOperation()), e);
+    static JsonObject entry(LogEntry entry) {
+        return withPosition(operation(entry.getOperation()), entry);
     }
 
-    private static JsonObject placed(JsonObject o, BaseLogEntry e) {
-        o.addProperty("index", e.getIndex());
-        o.addProperty("term", e.getTerm());
-        return o;
+    private static JsonObject withPosition(JsonObject json, BaseLogEntry entry) {
+        json.addProperty("index", entry.getIndex());
+        json.addProperty("term", entry.getTerm());
+        return json;
     }
 
-    static LogEntry entry(JsonObject o) {
-        return MODELS.createLogEntryBuilder()
-                .setIndex(o.get("index").getAsLong())
-                .setTerm(o.get("term").getAsInt())
-                .setOperation(operation(o))
+    static LogEntry entry(JsonObject json) {
+        return MODEL_FACTORY
+                .createLogEntryBuilder()
+                .setIndex(json.get("index").getAsLong())
+                .setTerm(json.get("term").getAsInt())
+                .setOperation(operation(json))
                 .build();
     }
 
     /** A part of a snapshot; what it holds is bytes. */
-    static JsonObject chunk(SnapshotChunk c) {
-        JsonObject o = new JsonObject();
-        o.addProperty("bytes", Base64.getEncoder().encodeToString((byte[]) c.getOperation()));
-        o.addProperty("part", c.getSnapshotChunkIndex());
-        o.addProperty("parts", c.getSnapshotChunkCount());
-        o.add("view", members(c.getGroupMembersView()));
-        return placed(o, c);
+    static JsonObject chunk(SnapshotChunk chunk) {
+        JsonObject json = new JsonObject();
+        json.addProperty(
+                "bytes", Base64.getEncoder().encodeToString((byte[]) chunk.getOperation()));
+        json.addProperty("part", chunk.getSnapshotChunkIndex());
+        json.addProperty("parts", chunk.getSnapshotChunkCount());
+        json.add("view", members(chunk.getGroupMembersView()));
+        return withPosition(json, chunk);
     }
 
-    static SnapshotChunk chunk(JsonObject o) {
-        return MODELS.createSnapshotChunkBuilder()
-                .setIndex(o.get("index").getAsLong())
-                .setTerm(o.get("term").getAsInt())
-                .setOperation(Base64.getDecoder().decode(o.get("bytes").getAsString()))
-                .setSnapshotChunkIndex(o.get("part").getAsInt())
-                .setSnapshotChunkCount(o.get("parts").getAsInt())
-                .setGroupMembersView(members(o.getAsJsonObject("view")))
+    static SnapshotChunk chunk(JsonObject json) {
+        return MODEL_FACTORY
+                .createSnapshotChunkBuilder()
+                .setIndex(json.get("index").getAsLong())
+                .setTerm(json.get("term").getAsInt())
+                .setOperation(Base64.getDecoder().decode(json.get("bytes").getAsString()))
+                .setSnapshotChunkIndex(json.get("part").getAsInt())
+                .setSnapshotChunkCount(json.get("parts").getAsInt())
+                .setGroupMembersView(members(json.getAsJsonObject("view")))
                 .build();
     }
 
@@ -88,61 +91,61 @@
         if (operation instanceof Epochs.Change change) {
             return change(change);
         }
-        JsonObject o = new JsonObject();
-        if (operation instanceof StreamLog.Found f) {
-            o.addProperty("op", "found");
-            o.addProperty("lineage", f.lineage());
+        JsonObject json = new JsonObject();
+        if (operation instanceof StreamLog.CreateStream creation) {
+            json.addProperty("op", "found");
+            json.addProperty("lineage", creation.lineage());
         } else {
             Change change = (Change) operation;
-            ByteBuffer bytes = ByteBuffer.allocate(Frames.bytes(change));
-            Frames.write(bytes, change);
-            o.addProperty("op", "stream");
-            o.addProperty("change", Base64.getEncoder().encodeToString(bytes.array()));
+            ByteBuffer bytes = ByteBuffer.allocate(FrameCodec.encodedBytes(change));
+            FrameCodec.writeChange(bytes, change);
+            json.addProperty("op", "stream");
+            json.addProperty("change", Base64.getEncoder().encodeToString(bytes.array()));
         }
-        return o;
+        return json;
     }
 
-    private static Object operation(JsonObject o) {
-        return switch (o.get("op").getAsString()) {
-            case "found" -> new StreamLog.Found(o.get("lineage").getAsLong());
+    private static Object operation(JsonObject json) {
+        return switch (json.get("op").getAsString()) {
+            case "found" -> new StreamLog.CreateStream(json.get("lineage").getAsLong());
             case "stream" ->
-                    Frames.read(
+                    FrameCodec.readChange(
                             ByteBuffer.wrap(
-                                    Base64.getDecoder().decode(o.get("change").getAsString())));
-            default -> change(o);
+                                    Base64.getDecoder().decode(json.get("change").getAsString())));
+            default -> change(json);
         };
     }
 
     private static JsonObject change(Epochs.Change change) {
-        JsonObject o = new JsonObject();
-        if (change instanceof Epochs.Prepare p) {
-            o.addProperty("op", "prepare");
-            o.addProperty("proposal", p.proposal());
-            o.addProperty("base", p.base());
-            o.addProperty("content", p.content());
-        } else if (change instanceof Epochs.Activate a) {
-            o.addProperty("op", "activate");
-            o.addProperty("epoch", a.epoch());
+        JsonObject json = new JsonObject();
+        if (change instanceof Epochs.Prepare prepare) {
+            json.addProperty("op", "prepare");
+            json.addProperty("proposal", prepare.proposal());
+            json.addProperty("base", prepare.base());
+            json.addProperty("content", prepare.content());
+        } else if (change instanceof Epochs.Activate activate) {
+            json.addProperty("op", "activate");
+            json.addProperty("epoch", activate.epoch());
         } else {
-            o.addProperty("op", "begin");
+            json.addProperty("op", "begin");
         }
-        return o;
+        return json;
     }
 
-    private static Epochs.Change change(JsonObject o) {
-        return switch (o.get("op").getAsString()) {
+    private static Epochs.Change change(JsonObject json) {
+        return switch (json.get("op").getAsString()) {
             case "prepare" ->
                     new Epochs.Prepare(
-                            o.get("proposal").getAsString(),
-                            o.get("base").getAsLong(),
-                            o.get("content").getAsString());
-            case "activate" -> new Epochs.Activate(o.get("epoch").getAsLong());
-            case "begin" -> new Epochs.Begin();
-            default -> throw new IllegalArgumentException("no such entry: " + o.get("op"));
+                            json.get("proposal").getAsString(),
+                            json.get("base").getAsLong(),
+                            json.get("content").getAsString());
+            case "activate" -> new Epochs.Activate(json.get("epoch").getAsLong());
+            case "begin" -> new Epochs.NewTermEntry();
+            default -> throw new IllegalArgumentException("no such entry: " + json.get("op"));
         };
     }
 
-    static JsonArray names(Collection<RaftEndpoint> endpoints) {
+    static JsonArray endpointNames(Collection<RaftEndpoint> endpoints) {
         JsonArray all = new JsonArray();
         endpoints.forEach(e -> all.add((String) e.getId()));
         return all;
@@ -155,290 +158,301 @@
     }
 
     static JsonObject members(RaftGroupMembersView view) {
-        JsonObject o = new JsonObject();
-        o.addProperty("index", view.getLogIndex());
-        o.add("members", names(view.getMembers()));
-        o.add("voting", names(view.getVotingMembers()));
-        return o;
+        JsonObject json = new JsonObject();
+        json.addProperty("index", view.getLogIndex());
+        json.add("members", endpointNames(view.getMembers()));
+        json.add("voting", endpointNames(view.getVotingMembers()));
+        return json;
     }
 
-    static RaftGroupMembersView members(JsonObject o) {
-        return MODELS.createRaftGroupMembersViewBuilder()
-                .setLogIndex(o.get("index").getAsLong())
-                .setMembers(endpoints(o.getAsJsonArray("members")))
-                .setVotingMembers(endpoints(o.getAsJsonArray("voting")))
+    static RaftGroupMembersView members(JsonObject json) {
+        return MODEL_FACTORY
+                .createRaftGroupMembersViewBuilder()
+                .setLogIndex(json.get("index").getAsLong())
+                .setMembers(endpoints(json.getAsJsonArray("members")))
+                .setVotingMembers(endpoints(json.getAsJsonArray("voting")))
                 .build();
     }
 
     // Raft's messages.
 
     /** Null for a kind that is not sent here. */
-    static JsonObject raft(RaftMessage m) {
-        JsonObject o = new JsonObject();
-        if (m instanceof AppendEntriesRequest r) {
-            o.addProperty("t", "append");
-            o.addProperty("prev_term", r.getPreviousLogTerm());
-            o.addProperty("prev_index", r.getPreviousLogIndex());
-            o.addProperty("commit", r.getCommitIndex());
-            o.addProperty("query", r.getQuerySequenceNumber());
-            o.addProperty("flow", r.getFlowControlSequenceNumber());
+    static JsonObject raftMessage(RaftMessage message) {
+        JsonObject json = new JsonObject();
+        if (message instanceof AppendEntriesRequest typed) {
+            json.addProperty("t", "append");
+            json.addProperty("prev_term", typed.getPreviousLogTerm());
+            json.addProperty("prev_index", typed.getPreviousLogIndex());
+            json.addProperty("commit", typed.getCommitIndex());
+            json.addProperty("query", typed.getQuerySequenceNumber());
+            json.addProperty("flow", typed.getFlowControlSequenceNumber());
             JsonArray entries = new JsonArray();
-            r.getLogEntries().forEach(e -> entries.add(entry(e)));
-            o.add("entries", entries);
-        } else if (m instanceof AppendEntriesSuccessResponse r) {
-            o.addProperty("t", "appended");
-            o.addProperty("last", r.getLastLogIndex());
-            o.addProperty("query", r.getQuerySequenceNumber());
-            o.addProperty("flow", r.getFlowControlSequenceNumber());
-        } else if (m instanceof AppendEntriesFailureResponse r) {
-            o.addProperty("t", "not-appended");
-            o.addProperty("next", r.getExpectedNextIndex());
-            o.addProperty("query", r.getQuerySequenceNumber());
-            o.addProperty("flow", r.getFlowControlSequenceNumber());
-        } else if (m instanceof VoteRequest r) {
-            o.addProperty("t", "vote");
-            o.addProperty("last_term", r.getLastLogTerm());
-            o.addProperty("last_index", r.getLastLogIndex());
-            o.addProperty("sticky", r.isSticky());
-        } else if (m instanceof VoteResponse r) {
-            o.addProperty("t", "voted");
-            o.addProperty("granted", r.isGranted());
-        } else if (m instanceof PreVoteRequest r) {
-            o.addProperty("t", "pre-vote");
-            o.addProperty("last_term", r.getLastLogTerm());
-            o.addProperty("last_index", r.getLastLogIndex());
-        } else if (m instanceof PreVoteResponse r) {
-            o.addProperty("t", "pre-voted");
-            o.addProperty("granted", r.isGranted());
-        } else if (m instanceof TriggerLeaderElectionRequest r) {
-            o.addProperty("t", "elect");
-            o.addProperty("last_term", r.getLastLogTerm());
-            o.addProperty("last_index", r.getLastLogIndex());
-        } else if (m instanceof InstallSnapshotRequest r) {
-            o.addProperty("t", "snapshot");
-            o.addProperty("leads", r.isSenderLeader());
-            o.addProperty("snapshot_term", r.getSnapshotTerm());
-            o.addProperty("snapshot_index", r.getSnapshotIndex());
-            o.addProperty("parts", r.getTotalSnapshotChunkCount());
-            if (r.getSnapshotChunk() != null) {
-                o.add("chunk", chunk(r.getSnapshotChunk()));
+            typed.getLogEntries().forEach(e -> entries.add(entry(e)));
+            json.add("entries", entries);
+        } else if (message instanceof AppendEntriesSuccessResponse typed) {
+            json.addProperty("t", "appended");
+            json.addProperty("last", typed.getLastLogIndex());
+            json.addProperty("query", typed.getQuerySequenceNumber());
+            json.addProperty("flow", typed.getFlowControlSequenceNumber());
+        } else if (message instanceof AppendEntriesFailureResponse typed) {
+            json.addProperty("t", "not-appended");
+            json.addProperty("next", typed.getExpectedNextIndex());
+            json.addProperty("query", typed.getQuerySequenceNumber());
+            json.addProperty("flow", typed.getFlowControlSequenceNumber());
+        } else if (message instanceof VoteRequest typed) {
+            json.addProperty("t", "vote");
+            json.addProperty("last_term", typed.getLastLogTerm());
+            json.addProperty("last_index", typed.getLastLogIndex());
+            json.addProperty("sticky", typed.isSticky());
+        } else if (message instanceof VoteResponse typed) {
+            json.addProperty("t", "voted");
+            json.addProperty("granted", typed.isGranted());
+        } else if (message instanceof PreVoteRequest typed) {
+            json.addProperty("t", "pre-vote");
+            json.addProperty("last_term", typed.getLastLogTerm());
+            json.addProperty("last_index", typed.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse typed) {
+            json.addProperty("t", "pre-voted");
+            json.addProperty("granted", typed.isGranted());
+        } else if (message instanceof TriggerLeaderElectionRequest typed) {
+            json.addProperty("t", "elect");
+            json.addProperty("last_term", typed.getLastLogTerm());
+            json.addProperty("last_index", typed.getLastLogIndex());
+        } else if (message instanceof InstallSnapshotRequest typed) {
+            json.addProperty("t", "snapshot");
+            json.addProperty("leads", typed.isSenderLeader());
+            json.addProperty("snapshot_term", typed.getSnapshotTerm());
+            json.addProperty("snapshot_index", typed.getSnapshotIndex());
+            json.addProperty("parts", typed.getTotalSnapshotChunkCount());
+            if (typed.getSnapshotChunk() != null) {
+                json.add("chunk", chunk(typed.getSnapshotChunk()));
             }
-            o.add("have", names(r.getSnapshottedMembers()));
-            o.add("view", members(r.getGroupMembersView()));
-            o.addProperty("query", r.getQuerySequenceNumber());
-            o.addProperty("flow", r.getFlowControlSequenceNumber());
-        } else if (m instanceof InstallSnapshotResponse r) {
-            o.addProperty("t", "snapshot-part");
-            o.addProperty("snapshot_index", r.getSnapshotIndex());
-            o.addProperty("part", r.getRequestedSnapshotChunkIndex());
-            o.addProperty("query", r.getQuerySequenceNumber());
-            o.addProperty("flow", r.getFlowControlSequenceNumber());
+            json.add("have", endpointNames(typed.getSnapshottedMembers()));
+            json.add("view", members(typed.getGroupMembersView()));
+            json.addProperty("query", typed.getQuerySequenceNumber());
+            json.addProperty("flow", typed.getFlowControlSequenceNumber());
+        } else if (message instanceof InstallSnapshotResponse typed) {
+            json.addProperty("t", "snapshot-part");
+            json.addProperty("snapshot_index", typed.getSnapshotIndex());
+            json.addProperty("part", typed.getRequestedSnapshotChunkIndex());
+            json.addProperty("query", typed.getQuerySequenceNumber());
+            json.addProperty("flow", typed.getFlowControlSequenceNumber());
         } else {
             return null;
         }
-        o.addProperty("raft_term", m.getTerm());
-        return o;
+        json.addProperty("raft_term", message.getTerm());
+        return json;
     }
 
     /** A message of Raft from this sender; null where it is none. */
-    static RaftMessage raft(String sender, JsonObject o) {
-        if (!o.has("raft_term")) {
+    static RaftMessage raftMessage(String sender, JsonObject json) {
+        if (!json.has("raft_term")) {
             return null;
         }
         Endpoint from = new Endpoint(sender);
-        int term = o.get("raft_term").getAsInt();
-        return switch (o.get("t").getAsString()) {
+        int term = json.get("raft_term").getAsInt();
+        return switch (json.get("t").getAsString()) {
             case "append" -> {
                 List<LogEntry> entries = new ArrayList<>();
-                for (JsonElement e : o.getAsJsonArray("entries")) {
+                for (JsonElement e : json.getAsJsonArray("entries")) {
                     entries.add(entry(e.getAsJsonObject()));
                 }
-                yield MODELS.createAppendEntriesRequestBuilder()
-                        .setGroupId(GROUP)
+                yield MODEL_FACTORY
+                        .createAppendEntriesRequestBuilder()
+                        .setGroupId(GROUP_ID)
                         .setSender(from)
                         .setTerm(term)
-                        .setPreviousLogTerm(o.get("prev_term").getAsInt())
-                        .setPreviousLogIndex(o.get("prev_index").getAsLong())
-                        .setCommitIndex(o.get("commit").getAsLong())
+                        .setPreviousLogTerm(json.get("prev_term").getAsInt())
+                        .setPreviousLogIndex(json.get("prev_index").getAsLong())
+                        .setCommitIndex(json.get("commit").getAsLong())
                         .setLogEntries(entries)
-                        .setQuerySequenceNumber(o.get("query").getAsLong())
-                        .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                        .setQuerySequenceNumber(json.get("query").getAsLong())
+                        .setFlowControlSequenceNumber(json.get("flow").getAsLong())
                         .build();
             }
             case "appended" ->
-                    MODELS.createAppendEntriesSuccessResponseBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogIndex(o.get("last").getAsLong())
-                            .setQuerySequenceNumber(o.get("query").getAsLong())
-                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .setLastLogIndex(json.get("last").getAsLong())
+                            .setQuerySequenceNumber(json.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(json.get("flow").getAsLong())
                             .build();
             case "not-appended" ->
-                    MODELS.createAppendEntriesFailureResponseBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setExpectedNextIndex(o.get("next").getAsLong())
-                            .setQuerySequenceNumber(o.get("query").getAsLong())
-                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .setExpectedNextIndex(json.get("next").getAsLong())
+                            .setQuerySequenceNumber(json.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(json.get("flow").getAsLong())
                             .build();
             case "vote" ->
-                    MODELS.createVoteRequestBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createVoteRequestBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogTerm(o.get("last_term").getAsInt())
-                            .setLastLogIndex(o.get("last_index").getAsLong())
-                            .setSticky(o.get("sticky").getAsBoolean())
+                            .setLastLogTerm(json.get("last_term").getAsInt())
+                            .setLastLogIndex(json.get("last_index").getAsLong())
+                            .setSticky(json.get("sticky").getAsBoolean())
                             .build();
             case "voted" ->
-                    MODELS.createVoteResponseBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createVoteResponseBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setGranted(o.get("granted").getAsBoolean())
+                            .setGranted(json.get("granted").getAsBoolean())
                             .build();
             case "pre-vote" ->
-                    MODELS.createPreVoteRequestBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createPreVoteRequestBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogTerm(o.get("last_term").getAsInt())
-                            .setLastLogIndex(o.get("last_index").getAsLong())
+                            .setLastLogTerm(json.get("last_term").getAsInt())
+                            .setLastLogIndex(json.get("last_index").getAsLong())
                             .build();
             case "pre-voted" ->
-                    MODELS.createPreVoteResponseBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createPreVoteResponseBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setGranted(o.get("granted").getAsBoolean())
+                            .setGranted(json.get("granted").getAsBoolean())
                             .build();
             case "elect" ->
-                    MODELS.createTriggerLeaderElectionRequestBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setLastLogTerm(o.get("last_term").getAsInt())
-                            .setLastLogIndex(o.get("last_index").getAsLong())
+                            .setLastLogTerm(json.get("last_term").getAsInt())
+                            .setLastLogIndex(json.get("last_index").getAsLong())
                             .build();
             case "snapshot" ->
-                    MODELS.createInstallSnapshotRequestBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createInstallSnapshotRequestBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setSenderLeader(o.get("leads").getAsBoolean())
-                            .setSnapshotTerm(o.get("snapshot_term").getAsInt())
-                            .setSnapshotIndex(o.get("snapshot_index").getAsLong())
-                            .setTotalSnapshotChunkCount(o.get("parts").getAsInt())
+                            .setSenderLeader(json.get("leads").getAsBoolean())
+                            .setSnapshotTerm(json.get("snapshot_term").getAsInt())
+                            .setSnapshotIndex(json.get("snapshot_index").getAsLong())
+                            .setTotalSnapshotChunkCount(json.get("parts").getAsInt())
                             .setSnapshotChunk(
-                                    o.has("chunk") ? chunk(o.getAsJsonObject("chunk")) : null)
-                            .setSnapshottedMembers(endpoints(o.getAsJsonArray("have")))
-                            .setGroupMembersView(members(o.getAsJsonObject("view")))
-                            .setQuerySequenceNumber(o.get("query").getAsLong())
-                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                                    json.has("chunk") ? chunk(json.getAsJsonObject("chunk")) : null)
+                            .setSnapshottedMembers(endpoints(json.getAsJsonArray("have")))
+                            .setGroupMembersView(members(json.getAsJsonObject("view")))
+                            .setQuerySequenceNumber(json.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(json.get("flow").getAsLong())
                             .build();
             case "snapshot-part" ->
-                    MODELS.createInstallSnapshotResponseBuilder()
-                            .setGroupId(GROUP)
+                    MODEL_FACTORY
+                            .createInstallSnapshotResponseBuilder()
+                            .setGroupId(GROUP_ID)
                             .setSender(from)
                             .setTerm(term)
-                            .setSnapshotIndex(o.get("snapshot_index").getAsLong())
-                            .setRequestedSnapshotChunkIndex(o.get("part").getAsInt())
-                            .setQuerySequenceNumber(o.get("query").getAsLong())
-                            .setFlowControlSequenceNumber(o.get("flow").getAsLong())
+                            .setSnapshotIndex(json.get("snapshot_index").getAsLong())
+                            .setRequestedSnapshotChunkIndex(json.get("part").getAsInt())
+                            .setQuerySequenceNumber(json.get("query").getAsLong())
+                            .setFlowControlSequenceNumber(json.get("flow").getAsLong())
                             .build();
-            default -> throw new IllegalArgumentException("no such message: " + o.get("t"));
+            default -> throw new IllegalArgumentException("no such message: " + json.get("t"));
         };
     }
 
     // The policy's messages.
 
-    static JsonObject epoch(Epoch e) {
-        JsonObject o = new JsonObject();
-        o.addProperty("number", e.number());
-        o.addProperty("proposal", e.proposal());
-        o.addProperty("content", e.content());
-        return o;
+    static JsonObject epoch(Epoch epoch) {
+        JsonObject json = new JsonObject();
+        json.addProperty("number", epoch.number());
+        json.addProperty("proposal", epoch.proposal());
+        json.addProperty("content", epoch.content());
+        return json;
     }
 
-    static Epoch epoch(JsonObject o) {
+    static Epoch epoch(JsonObject json) {
         return new Epoch(
-                o.get("number").getAsLong(),
-                o.get("proposal").getAsString(),
-                o.get("content").getAsString());
+                json.get("number").getAsLong(),
+                json.get("proposal").getAsString(),
+                json.get("content").getAsString());
     }
 
-    static JsonObject policy(Message m) {
-        JsonObject o = new JsonObject();
-        if (m instanceof Message.Hello h) {
-            o.addProperty("t", "hello");
-            o.addProperty("seq", h.seq());
-            o.addProperty("epoch", h.epoch());
-            o.addProperty("fenced", h.fenced());
-        } else if (m instanceof Message.Welcome w) {
-            o.addProperty("t", "welcome");
-            o.addProperty("seq", w.seq());
-            o.addProperty("granted", w.granted());
-            o.addProperty("in_force", w.inForce());
-            o.addProperty("prepared", w.prepared());
-            o.addProperty("clear", w.clear());
+    static JsonObject policyMessage(Message message) {
+        JsonObject json = new JsonObject();
+        if (message instanceof Message.Hello hello) {
+            json.addProperty("t", "hello");
+            json.addProperty("seq", hello.seq());
+            json.addProperty("epoch", hello.epoch());
+            json.addProperty("fenced", hello.fenced());
+        } else if (message instanceof Message.Welcome welcome) {
+            json.addProperty("t", "welcome");
+            json.addProperty("seq", welcome.seq());
+            json.addProperty("granted", welcome.granted());
+            json.addProperty("in_force", welcome.inForce());
+            json.addProperty("prepared", welcome.prepared());
+            json.addProperty("clear", welcome.olderLeasesExpired());
             JsonArray next = new JsonArray();
-            w.next().forEach(e -> next.add(epoch(e)));
-            o.add("next", next);
-            o.addProperty("leader", w.leader());
-            o.addProperty("term", w.term());
-            o.addProperty("applied", w.applied());
-            o.addProperty("led", w.led());
-        } else if (m instanceof Message.Propose p) {
-            o.addProperty("t", "propose");
-            o.addProperty("id", p.id());
-            o.addProperty("base", p.base());
-            o.addProperty("content", p.content());
-        } else if (m instanceof Message.Proposed p) {
-            o.addProperty("t", "proposed");
-            o.addProperty("id", p.id());
-            o.addProperty("ending", p.ending().name());
-            o.addProperty("epoch", p.epoch());
-            o.addProperty("text", p.text());
+            welcome.next().forEach(e -> next.add(epoch(e)));
+            json.add("next", next);
+            json.addProperty("leader", welcome.leader());
+            json.addProperty("term", welcome.term());
+            json.addProperty("applied", welcome.appliedIndex());
+            json.addProperty("led", welcome.leadershipConfirmed());
+        } else if (message instanceof Message.Propose proposal) {
+            json.addProperty("t", "propose");
+            json.addProperty("id", proposal.id());
+            json.addProperty("base", proposal.base());
+            json.addProperty("content", proposal.content());
+        } else if (message instanceof Message.Proposed proposal) {
+            json.addProperty("t", "proposed");
+            json.addProperty("id", proposal.id());
+            json.addProperty("ending", proposal.status().name());
+            json.addProperty("epoch", proposal.epoch());
+            json.addProperty("text", proposal.text());
         }
-        return o;
+        return json;
     }
 
-    static Message policy(JsonObject o) {
-        return switch (o.get("t").getAsString()) {
+    static Message policyMessage(JsonObject json) {
+        return switch (json.get("t").getAsString()) {
             case "hello" ->
                     new Message.Hello(
-                            o.get("seq").getAsLong(),
-                            o.get("epoch").getAsLong(),
-                            o.get("fenced").getAsLong());
+                            json.get("seq").getAsLong(),
+                            json.get("epoch").getAsLong(),
+                            json.get("fenced").getAsLong());
             case "welcome" -> {
                 List<Epoch> next = new ArrayList<>();
-                o.getAsJsonArray("next").forEach(e -> next.add(epoch(e.getAsJsonObject())));
+                json.getAsJsonArray("next").forEach(e -> next.add(epoch(e.getAsJsonObject())));
                 yield new Message.Welcome(
-                        o.get("seq").getAsLong(),
-                        o.get("granted").getAsBoolean(),
-                        o.get("in_force").getAsLong(),
-                        o.get("prepared").getAsLong(),
-                        o.get("clear").getAsBoolean(),
+                        json.get("seq").getAsLong(),
+                        json.get("granted").getAsBoolean(),
+                        json.get("in_force").getAsLong(),
+                        json.get("prepared").getAsLong(),
+                        json.get("clear").getAsBoolean(),
                         next,
-                        o.get("leader").getAsString(),
-                        o.get("term").getAsInt(),
-                        o.get("applied").getAsLong(),
-                        o.get("led").getAsBoolean());
+                        json.get("leader").getAsString(),
+                        json.get("term").getAsInt(),
+                        json.get("applied").getAsLong(),
+                        json.get("led").getAsBoolean());
             }
             case "propose" ->
                     new Message.Propose(
-                            o.get("id").getAsString(),
-                            o.get("base").getAsLong(),
-                            o.get("content").getAsString());
+                            json.get("id").getAsString(),
+                            json.get("base").getAsLong(),
+                            json.get("content").getAsString());
             case "proposed" ->
                     new Message.Proposed(
-                            o.get("id").getAsString(),
-                            Message.Ending.valueOf(o.get("ending").getAsString()),
-                            o.get("epoch").getAsLong(),
-                            o.get("text").getAsString());
-            default -> throw new IllegalArgumentException("no such message: " + o.get("t"));
+                            json.get("id").getAsString(),
+                            Message.ProposalStatus.valueOf(json.get("ending").getAsString()),
+                            json.get("epoch").getAsLong(),
+                            json.get("text").getAsString());
+            default -> throw new IllegalArgumentException("no such message: " + json.get("t"));
         };
     }
 }
--- a/src/main/java/cacheproxy/raft/ControlMachine.java
+++ b/src/main/java/cacheproxy/raft/ControlMachine.java
@@ -1,14 +1,14 @@
 package cacheproxy.raft;
 
+import cacheproxy.stream.Acknowledgements;
+import cacheproxy.stream.Acknowledgements.FullyAcknowledged;
 import cacheproxy.stream.Change;
-import cacheproxy.stream.Deliveries;
-import cacheproxy.stream.Deliveries.Everywhere;
-import cacheproxy.stream.Frames;
+import cacheproxy.stream.FrameCodec;
 import cacheproxy.stream.Message;
 import cacheproxy.stream.Message.Row;
 import cacheproxy.stream.Message.Tally;
 import cacheproxy.stream.Publisher;
-import cacheproxy.stream.Window;
+import cacheproxy.stream.RetainedLog;
 import com.google.gson.JsonObject;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.RaftStore;
@@ -32,16 +32,16 @@
  */
 public final class ControlMachine {
 
-    private static final double ASK_MS = 200;
-    private static final double APART_MS = 2600;
-    private static final double FORGET_MS = 7_200_000;
-    private static final int MOST_ROWS = 1000;
+    private static final double HEAD_QUERY_INTERVAL_MS = 200;
+    private static final double SUBSCRIBER_TIMEOUT_MS = 2600;
+    private static final double SUBSCRIBER_RETENTION_MS = 7_200_000;
+    private static final int MAX_ROWS_PER_MESSAGE = 1000;
 
     /** What one is made of, as {@link StreamLog.Parts} says; {@code bounds} are the window's. */
     public record Parts(
             String name,
             List<String> controls,
-            Window.Bounds bounds,
+            RetainedLog.Bounds bounds,
             RaftNodeExecutor executor,
             DoubleSupplier nowMs,
             long seed,
@@ -50,55 +50,56 @@
             int snapshotEvery) {}
 
     /** What it asks for. */
-    public interface Out extends Publisher.Out {
+    public interface Out extends Publisher.PublisherActions {
         /** Sends to another control machine; what is lost is asked again. */
-        void tell(String control, JsonObject message);
+        void sendToControl(String control, JsonObject message);
 
         /** An entry has come to be everywhere; told where it leads. */
-        void everywhere(Everywhere entry);
+        void fullyAcknowledged(FullyAcknowledged entry);
     }
 
-    private record Asked(double at, double stamp) {}
+    private record PendingQuery(double at, double stamp) {}
 
     private final DoubleSupplier nowMs;
     private final Out out;
-    private final Window window;
-    private final Deliveries deliveries = new Deliveries(APART_MS, FORGET_MS);
+    private final RetainedLog retainedLog;
+    private final Acknowledgements acknowledgements =
+            new Acknowledgements(SUBSCRIBER_TIMEOUT_MS, SUBSCRIBER_RETENTION_MS);
     private final Publisher publisher;
     private final StreamLog log;
-    private final Map<String, Asked> asked = new HashMap<>();
-    private double askedAt = Double.NEGATIVE_INFINITY;
+    private final Map<String, PendingQuery> pendingQueries = new HashMap<>();
+    private double lastQueryAtMs = Double.NEGATIVE_INFINITY;
 
     /** The last entry whose way {@link #deliveries} was given to watch. */
-    private long watched;
+    private long lastTracked;
 
     /** Since when it leads without a break; infinite while it does not. */
-    private double leadsSince = Double.POSITIVE_INFINITY;
+    private double leaderSinceMs = Double.POSITIVE_INFINITY;
 
     /** What the leader has said: its last entry when this one asked. */
-    private long leadersHead = Long.MAX_VALUE;
+    private long leaderHead = Long.MAX_VALUE;
 
-    private double leadersStamp;
+    private double leaderStamp;
 
     public ControlMachine(Parts parts, Out out) {
         this.nowMs = parts.nowMs();
         this.out = out;
-        window = new Window(parts.bounds());
-        publisher = new Publisher(window, deliveries);
+        retainedLog = new RetainedLog(parts.bounds());
+        publisher = new Publisher(retainedLog, acknowledgements);
         log =
                 new StreamLog(
                         new StreamLog.Parts(
                                 parts.name(),
                                 parts.controls(),
-                                window,
+                                retainedLog,
                                 parts.executor(),
                                 parts.nowMs(),
                                 parts.seed(),
                                 parts.store(),
                                 parts.restored(),
                                 parts.snapshotEvery()),
-                        out::tell,
-                        this::advanced);
+                        out::sendToControl,
+                        this::onLogAdvanced);
     }
 
     public void start() {
@@ -110,59 +111,62 @@
         return log.stop();
     }
 
-    private void advanced() {
+    private void onLogAdvanced() {
         if (log == null) {
             // A snapshot that the start begins with: nobody is connected yet.
             return;
         }
         // Whether it leads or not: the one that leads may be lost before an entry is everywhere.
-        for (watched = Math.max(watched, window.base()); watched < window.head(); ) {
-            deliveries.committed(nowMs.getAsDouble(), ++watched);
+        for (lastTracked = Math.max(lastTracked, retainedLog.base());
+                lastTracked < retainedLog.head(); ) {
+            acknowledgements.entryCommitted(nowMs.getAsDouble(), ++lastTracked);
         }
-        publisher.advanced(out);
-        caughtUp();
+        publisher.onLogAdvanced(out);
+        updateFreshness();
     }
 
     /** Called every some ten milliseconds. */
     public void tick(double now) {
-        log.tick(now, this::confirmed);
-        leadsSince = log.leads() ? Math.min(leadsSince, now) : Double.POSITIVE_INFINITY;
-        if (now - leadsSince >= APART_MS) {
+        log.tick(now, this::leadershipConfirmed);
+        leaderSinceMs = log.isLeader() ? Math.min(leaderSinceMs, now) : Double.POSITIVE_INFINITY;
+        if (now - leaderSinceMs >= SUBSCRIBER_TIMEOUT_MS) {
             // Before that, who is served by another machine may not have been heard of here.
-            deliveries.everywhere(now).forEach(out::everywhere);
-        } else if (!log.leads() && now - askedAt >= ASK_MS && !log.leader().isEmpty()) {
-            askedAt = now;
-            ask(now, log.leader());
+            acknowledgements.takeFullyAcknowledged(now).forEach(out::fullyAcknowledged);
+        } else if (!log.isLeader()
+                && now - lastQueryAtMs >= HEAD_QUERY_INTERVAL_MS
+                && !log.leader().isEmpty()) {
+            lastQueryAtMs = now;
+            queryLeader(now, log.leader());
         }
         publisher.tick(now, out);
     }
 
     private static JsonObject message(String kind) {
-        JsonObject o = new JsonObject();
-        o.addProperty("t", kind);
-        return o;
+        JsonObject json = new JsonObject();
+        json.addProperty("t", kind);
+        return json;
     }
 
     /** How far is it, and this is how far those have come whom this one serves. */
-    private void ask(double now, String leader) {
-        JsonObject question = message("how-far");
-        question.addProperty("stamp", now);
-        out.tell(leader, question);
-        List<Row> heard = deliveries.heard();
-        for (int i = 0; i < heard.size(); i += MOST_ROWS) {
+    private void queryLeader(double now, String leader) {
+        JsonObject query = message("how-far");
+        query.addProperty("stamp", now);
+        out.sendToControl(leader, query);
+        List<Row> rows = acknowledgements.takeTally();
+        for (int i = 0; i < rows.size(); i += MAX_ROWS_PER_MESSAGE) {
             JsonObject tally = message("tally");
             tally.addProperty(
                     "rows",
                     Base64.getEncoder()
                             .encodeToString(
-                                    Frames.encode(
+                                    FrameCodec.encode(
                                             new Tally(
-                                                    heard.subList(
+                                                    rows.subList(
                                                             i,
                                                             Math.min(
-                                                                    heard.size(),
-                                                                    i + MOST_ROWS))))));
-            out.tell(leader, tally);
+                                                                    rows.size(),
+                                                                    i + MAX_ROWS_PER_MESSAGE))))));
+            out.sendToControl(leader, tally);
         }
     }
 
@@ -170,27 +174,27 @@
      * A majority has said that this one led at that time: all that was committed then is in its
      * window.
      */
-    private void confirmed(double at) {
-        publisher.fresh(at);
-        asked.forEach(
-                (name, a) -> {
-                    if (a.at() <= at) {
+    private void leadershipConfirmed(double at) {
+        publisher.setFreshAsOf(at);
+        pendingQueries.forEach(
+                (name, query) -> {
+                    if (query.at() <= at) {
                         JsonObject answer = message("so-far");
-                        answer.addProperty("stamp", a.stamp());
-                        answer.addProperty("head", window.head());
+                        answer.addProperty("stamp", query.stamp());
+                        answer.addProperty("head", retainedLog.head());
                         answer.addProperty(
                                 "everywhere",
-                                Math.min(deliveries.firstPending() - 1, window.head()));
-                        out.tell(name, answer);
+                                Math.min(acknowledgements.firstPending() - 1, retainedLog.head()));
+                        out.sendToControl(name, answer);
                     }
                 });
-        asked.values().removeIf(a -> a.at() <= at);
+        pendingQueries.values().removeIf(query -> query.at() <= at);
     }
 
-    private void caughtUp() {
-        if (window.head() >= leadersHead) {
-            publisher.fresh(leadersStamp);
-            leadersHead = Long.MAX_VALUE;
+    private void updateFreshness() {
+        if (retainedLog.head() >= leaderHead) {
+            publisher.setFreshAsOf(leaderStamp);
+            leaderHead = Long.MAX_VALUE;
         }
     }
 
@@ -203,26 +207,27 @@
             // The first that has no answer yet: were it the last, one who asks in step with the
             // leader's own questions would never have one.
             case "how-far" ->
-                    asked.putIfAbsent(
-                            from, new Asked(nowMs.getAsDouble(), json.get("stamp").getAsDouble()));
+                    pendingQueries.putIfAbsent(
+                            from,
+                            new PendingQuery(nowMs.getAsDouble(), json.get("stamp").getAsDouble()));
             case "so-far" -> {
                 // One of an earlier version says nothing of it and had none watched but its own.
-                deliveries.settled(
+                acknowledgements.fullyAcknowledgedUpTo(
                         json.has("everywhere")
                                 ? json.get("everywhere").getAsLong()
                                 : json.get("head").getAsLong());
-                if (leadersHead == Long.MAX_VALUE) {
-                    leadersHead = json.get("head").getAsLong();
-                    leadersStamp = json.get("stamp").getAsDouble();
+                if (leaderHead == Long.MAX_VALUE) {
+                    leaderHead = json.get("head").getAsLong();
+                    leaderStamp = json.get("stamp").getAsDouble();
                 }
-                caughtUp();
+                updateFreshness();
             }
             case "tally" -> {
-                if (Frames.decode(
+                if (FrameCodec.decode(
                                 ByteBuffer.wrap(
                                         Base64.getDecoder().decode(json.get("rows").getAsString())))
-                        instanceof Tally t) {
-                    deliveries.add(nowMs.getAsDouble(), t.rows());
+                        instanceof Tally tally) {
+                    acknowledgements.addTally(nowMs.getAsDouble(), tally.rows());
                 }
             }
             default -> throw new IllegalArgumentException("no such message: " + json.get("t"));
@@ -240,45 +245,47 @@
     }
 
     /** Adds a change, as {@link StreamLog#append} does. */
-    public void publish(Change change, Consumer<Long> then) {
-        log.append(change, then);
+    public void publish(Change change, Consumer<Long> callback) {
+        log.append(change, callback);
     }
 
     /** Whether it leads. */
-    public boolean leads() {
-        return log.leads();
+    public boolean isLeader() {
+        return log.isLeader();
     }
 
     /**
      * Whether it has ended by itself, as where its file can't be written. It serves what it has;
      * its readers see that it falls behind, and go.
      */
-    public boolean broken() {
-        return log.broken();
+    public boolean isTerminated() {
+        return log.isTerminated();
     }
 
     /** Its last entry. */
     public long head() {
-        return window.head();
+        return retainedLog.head();
     }
 
     /** The stream's name; 0 before there is one. */
     public long lineage() {
-        return window.lineage();
+        return retainedLog.lineage();
     }
 
     /** The last entry before those that it still holds. */
     public long base() {
-        return window.base();
+        return retainedLog.base();
     }
 
     /**
      * Where it leads: those who lack an entry, and those who have not been heard for a while, by
      * name.
      */
-    public List<String> stragglers(long seq) {
+    public List<String> laggingSubscribers(long seq) {
         double now = nowMs.getAsDouble();
-        return Stream.concat(deliveries.behind(now, seq).stream(), deliveries.apart(now).stream())
+        return Stream.concat(
+                        acknowledgements.laggingSubscribers(now, seq).stream(),
+                        acknowledgements.timedOutSubscribers(now).stream())
                 .toList();
     }
 }
--- a/src/main/java/cacheproxy/raft/DurableFiles.java
+++ b/src/main/java/cacheproxy/raft/DurableFiles.java
@@ -36,7 +36,7 @@
 
     /** Makes the names in a folder last. */
     void syncFolder(Path folder) throws IOException {
-        FileOperations.SYSTEM.forceFolder(folder);
+        FileOperations.SYSTEM.syncDirectory(folder);
     }
 
     /** Writes a text whole, however short the single writes are. */
--- a/src/main/java/cacheproxy/raft/OnLoop.java
+++ b/src/main/java/cacheproxy/raft/EventLoopExecutor.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The library's tasks on a loop of Netty. */
-record OnLoop(EventLoop loop) implements RaftNodeExecutor {
+record EventLoopExecutor(EventLoop loop) implements RaftNodeExecutor {
     @Override
     public void execute(Runnable task) {
         loop.execute(task);
--- a/src/main/java/cacheproxy/raft/LogFile.java
+++ b/src/main/java/cacheproxy/raft/LogFile.java
@@ -101,19 +101,19 @@
         if (!Files.exists(file)) {
             throw new StorageUnavailableException(file, "is gone");
         }
-        LogFile opened = open(file.getParent(), files);
-        if (opened.term() < term()) {
-            opened.discard();
+        LogFile reopened = open(file.getParent(), files);
+        if (reopened.term() < term()) {
+            reopened.closeQuietly();
             throw new CorruptLogException(
                     file,
                     1,
-                    "term " + term() + " was confirmed, and term " + opened.term() + " is there");
+                    "term " + term() + " was confirmed, and term " + reopened.term() + " is there");
         }
-        return opened;
+        return reopened;
     }
 
     /** Closes it where nobody waits for what closing may say. */
-    void discard() {
+    void closeQuietly() {
         try {
             close();
         } catch (IOException e) {
@@ -123,8 +123,8 @@
 
     private void read(Path file) throws IOException {
         // A line that was cut off within a character is as torn as any: its checksum tells.
-        String all = new String(files.read(file), StandardCharsets.UTF_8);
-        String[] lines = all.split("\n", -1);
+        String content = new String(files.read(file), StandardCharsets.UTF_8);
+        String[] lines = content.split("\n", -1);
         boolean endsWithLine = lines[lines.length - 1].isEmpty();
         for (int i = 0; i < lines.length - 1; i++) {
             String json = lines[i].length() < 9 ? "" : lines[i].substring(9);
@@ -135,14 +135,14 @@
                 throw new CorruptLogException(file, i + 1, "damaged");
             }
             try {
-                take(JsonParser.parseString(json).getAsJsonObject());
+                applyLine(JsonParser.parseString(json).getAsJsonObject());
             } catch (JsonParseException | IllegalStateException e) {
                 throw new CorruptLogException(file, i + 1, e.getMessage());
             }
         }
     }
 
-    private void take(JsonObject line) {
+    private void applyLine(JsonObject line) {
         switch (line.get("k").getAsString()) {
             case "self" -> {
                 endpoint = new Endpoint(line.get("name").getAsString());
@@ -151,26 +151,26 @@
             case "members" -> members = line;
             case "term" -> term = line;
             case "entry" -> {
-                LogEntry e = Codec.entry(line);
-                entries.tailMap(e.getIndex(), true).clear();
-                entries.put(e.getIndex(), e);
+                LogEntry entry = Codec.entry(line);
+                entries.tailMap(entry.getIndex(), true).clear();
+                entries.put(entry.getIndex(), entry);
             }
             case "from" -> entries.tailMap(line.get("index").getAsLong(), true).clear();
             case "until" -> entries.headMap(line.get("index").getAsLong(), true).clear();
-            case "chunk" -> keep(Codec.chunk(line));
+            case "chunk" -> store(Codec.chunk(line));
             case "no-chunks" -> snapshots.remove(line.get("index").getAsLong());
             default -> throw new IllegalStateException("no such line: " + line.get("k"));
         }
     }
 
-    private void keep(SnapshotChunk chunk) {
+    private void store(SnapshotChunk chunk) {
         snapshots
                 .computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>())
                 .put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
     /** The last snapshot of which all parts are there; null without one. */
-    private TreeMap<Integer, SnapshotChunk> snapshot() {
+    private TreeMap<Integer, SnapshotChunk> lastCompleteSnapshot() {
         return snapshots.descendingMap().values().stream()
                 .filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount())
                 .findFirst()
@@ -182,32 +182,32 @@
      * is on the disk.
      */
     private void rewrite() throws IOException {
-        TreeMap<Integer, SnapshotChunk> last = snapshot();
-        if (last != null) {
-            snapshots.headMap(last.firstEntry().getValue().getIndex(), false).clear();
+        TreeMap<Integer, SnapshotChunk> chunks = lastCompleteSnapshot();
+        if (chunks != null) {
+            snapshots.headMap(chunks.firstEntry().getValue().getIndex(), false).clear();
         }
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
-        FileChannel old = channel;
-        FileChannel opened = files.create(fresh);
+        Path newFile = file.resolveSibling(file.getFileName() + ".new");
+        FileChannel oldChannel = channel;
+        FileChannel newChannel = files.create(newFile);
         try {
-            channel = opened;
+            channel = newChannel;
             writeAll();
-            files.rename(fresh, file);
+            files.rename(newFile, file);
             files.syncFolder(file.getParent());
         } catch (IOException e) {
-            channel = old;
-            opened.close();
+            channel = oldChannel;
+            newChannel.close();
             throw e;
         }
-        syncedBytes = opened.position();
-        if (old != null) {
-            old.close();
+        syncedBytes = newChannel.position();
+        if (oldChannel != null) {
+            oldChannel.close();
         }
     }
 
     private void writeAll() throws IOException {
         if (endpoint != null) {
-            write("self", self(endpoint.name(), voting));
+            write("self", selfLine(endpoint.name(), voting));
         }
         if (members != null) {
             write("members", members);
@@ -216,21 +216,21 @@
             write("term", term);
         }
         for (TreeMap<Integer, SnapshotChunk> chunks : snapshots.values()) {
-            for (SnapshotChunk c : chunks.values()) {
-                write("chunk", Codec.chunk(c));
+            for (SnapshotChunk chunk : chunks.values()) {
+                write("chunk", Codec.chunk(chunk));
             }
         }
-        for (LogEntry e : entries.values()) {
-            write("entry", Codec.entry(e));
+        for (LogEntry entry : entries.values()) {
+            write("entry", Codec.entry(entry));
         }
         channel.force(false);
     }
 
-    private static JsonObject self(String name, boolean votes) {
-        JsonObject o = new JsonObject();
-        o.addProperty("name", name);
-        o.addProperty("voting", votes);
-        return o;
+    private static JsonObject selfLine(String name, boolean votes) {
+        JsonObject json = new JsonObject();
+        json.addProperty("name", name);
+        json.addProperty("voting", votes);
+        return json;
     }
 
     private static String checksum(String json) {
@@ -239,15 +239,15 @@
         return String.format("%08x", crc.getValue());
     }
 
-    private void write(String kind, JsonObject o) throws IOException {
-        o.addProperty("k", kind);
-        String json = o.toString();
+    private void write(String kind, JsonObject line) throws IOException {
+        line.addProperty("k", kind);
+        String json = line.toString();
         DurableFiles.write(channel, checksum(json) + " " + json + "\n");
     }
 
     /** A change of what the file holds: written first, and then in memory. */
     private interface Change {
-        void make() throws IOException;
+        void apply() throws IOException;
     }
 
     /** Makes a change; the first that fails is the last that is tried. */
@@ -256,10 +256,10 @@
             throw new StorageUnavailableException(file, "failed before, open it again");
         }
         try {
-            change.make();
+            change.apply();
         } catch (IOException e) {
             fault = new StorageUnavailableException(file, e);
-            abandon();
+            discardUnsynced();
             throw fault;
         }
     }
@@ -267,7 +267,7 @@
     /**
      * Takes away what was written and not synced, as far as the system lets: nobody was told of it.
      */
-    private void abandon() {
+    private void discardUnsynced() {
         try (FileChannel abandoned = channel) {
             abandoned.truncate(syncedBytes);
         } catch (IOException e) {
@@ -285,7 +285,7 @@
         return fault;
     }
 
-    private void force() throws IOException {
+    private void sync() throws IOException {
         channel.force(false);
         syncedBytes = channel.position();
     }
@@ -296,13 +296,13 @@
             return null;
         }
         var self =
-                Codec.MODELS
+                Codec.MODEL_FACTORY
                         .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(endpoint)
                         .setVoting(voting)
                         .build();
-        var voted =
-                Codec.MODELS
+        var termState =
+                Codec.MODEL_FACTORY
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(term())
                         .setVotedFor(
@@ -310,24 +310,28 @@
                                         ? new Endpoint(term.get("voted").getAsString())
                                         : null)
                         .build();
-        TreeMap<Integer, SnapshotChunk> last = snapshot();
-        if (last == null) {
+        TreeMap<Integer, SnapshotChunk> chunks = lastCompleteSnapshot();
+        if (chunks == null) {
             return new RestoredRaftState(
-                    self, Codec.members(members), voted, null, new ArrayList<>(entries.values()));
+                    self,
+                    Codec.members(members),
+                    termState,
+                    null,
+                    new ArrayList<>(entries.values()));
         }
-        SnapshotChunk first = last.firstEntry().getValue();
+        SnapshotChunk first = chunks.firstEntry().getValue();
         var snapshot =
-                Codec.MODELS
+                Codec.MODEL_FACTORY
                         .createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
-                        .setSnapshotChunks(List.copyOf(last.values()))
+                        .setSnapshotChunks(List.copyOf(chunks.values()))
                         .setGroupMembersView(first.getGroupMembersView())
                         .build();
         return new RestoredRaftState(
                 self,
                 Codec.members(members),
-                voted,
+                termState,
                 snapshot,
                 new ArrayList<>(entries.tailMap(first.getIndex(), false).values()));
     }
@@ -343,8 +347,8 @@
         Endpoint self = (Endpoint) state.getLocalEndpoint();
         change(
                 () -> {
-                    write("self", self(self.name(), state.isVoting()));
-                    force();
+                    write("self", selfLine(self.name(), state.isVoting()));
+                    sync();
                     endpoint = self;
                     voting = state.isVoting();
                 });
@@ -357,7 +361,7 @@
         change(
                 () -> {
                     write("members", line);
-                    force();
+                    sync();
                     members = line;
                 });
     }
@@ -373,7 +377,7 @@
         change(
                 () -> {
                     write("term", line);
-                    force();
+                    sync();
                     term = line;
                 });
     }
@@ -382,10 +386,10 @@
     public void persistLogEntries(List<LogEntry> added) throws StorageUnavailableException {
         change(
                 () -> {
-                    for (LogEntry e : added) {
-                        write("entry", Codec.entry(e));
-                        entries.tailMap(e.getIndex(), true).clear();
-                        entries.put(e.getIndex(), e);
+                    for (LogEntry entry : added) {
+                        write("entry", Codec.entry(entry));
+                        entries.tailMap(entry.getIndex(), true).clear();
+                        entries.put(entry.getIndex(), entry);
                     }
                 });
     }
@@ -394,15 +398,15 @@
     public void truncateLogEntriesFrom(long index) throws StorageUnavailableException {
         change(
                 () -> {
-                    write("from", at(index));
+                    write("from", indexLine(index));
                     entries.tailMap(index, true).clear();
                 });
     }
 
-    private static JsonObject at(long index) {
-        JsonObject o = new JsonObject();
-        o.addProperty("index", index);
-        return o;
+    private static JsonObject indexLine(long index) {
+        JsonObject json = new JsonObject();
+        json.addProperty("index", index);
+        return json;
     }
 
     @Override
@@ -410,7 +414,7 @@
         change(
                 () -> {
                     write("chunk", Codec.chunk(chunk));
-                    keep(chunk);
+                    store(chunk);
                 });
     }
 
@@ -418,7 +422,7 @@
     public void truncateLogEntriesUntil(long index) throws StorageUnavailableException {
         change(
                 () -> {
-                    write("until", at(index));
+                    write("until", indexLine(index));
                     entries.headMap(index, true).clear();
                     rewrite();
                 });
@@ -428,14 +432,14 @@
     public void deleteSnapshotChunks(long index, int count) throws StorageUnavailableException {
         change(
                 () -> {
-                    write("no-chunks", at(index));
+                    write("no-chunks", indexLine(index));
                     snapshots.remove(index);
                 });
     }
 
     @Override
     public void flush() throws StorageUnavailableException {
-        change(this::force);
+        change(this::sync);
     }
 
     @Override
@@ -447,7 +451,7 @@
      * The last epoch in force, kept apart: a proxy runs it from its start on, whoever it reaches.
      * Null where there is none.
      */
-    static Epoch last(Path folder) throws IOException {
+    static Epoch lastEpoch(Path folder) throws IOException {
         Path file = folder.resolve("in-force");
         try {
             return Files.exists(file)
@@ -458,28 +462,28 @@
         }
     }
 
-    static void keep(Path folder, Epoch epoch) throws StorageUnavailableException {
-        keep(folder, epoch, new DurableFiles());
+    static void store(Path folder, Epoch epoch) throws StorageUnavailableException {
+        store(folder, epoch, new DurableFiles());
     }
 
     /**
      * Keeps the epoch in force; where that fails, the one that was kept before or this one is
      * there, whole.
      */
-    static void keep(Path folder, Epoch epoch, DurableFiles files)
+    static void store(Path folder, Epoch epoch, DurableFiles files)
             throws StorageUnavailableException {
-        Path kept = folder.resolve("in-force");
-        Path fresh = folder.resolve("in-force.new");
+        Path target = folder.resolve("in-force");
+        Path newFile = folder.resolve("in-force.new");
         try {
             Files.createDirectories(folder);
-            try (FileChannel opened = files.create(fresh)) {
-                DurableFiles.write(opened, Codec.epoch(epoch).toString());
-                opened.force(true);
+            try (FileChannel newChannel = files.create(newFile)) {
+                DurableFiles.write(newChannel, Codec.epoch(epoch).toString());
+                newChannel.force(true);
             }
-            files.rename(fresh, kept);
+            files.rename(newFile, target);
             files.syncFolder(folder);
         } catch (IOException e) {
-            throw new StorageUnavailableException(kept, e);
+            throw new StorageUnavailableException(target, e);
         }
     }
 }
--- a/src/main/java/cacheproxy/raft/Links.java
+++ b/src/main/java/cacheproxy/raft/PeerConnections.java
@@ -49,76 +49,77 @@
  * frame took a fifth of a core. A connection that falls silent is closed and made anew. What can't
  * be sent is dropped, as all that is sent is asked again.
  */
-final class Links {
+final class PeerConnections {
 
-    private static final int MOST_FRAME = 1 << 18;
-    private static final String AGREEMENT = "X25519";
-    private static final String SEAL = "HmacSHA256";
-    private static final byte[] PURPOSE = "flintmill policy 1".getBytes(StandardCharsets.US_ASCII);
-    private static final int MOST_WAITING = 64;
-    private static final int CONNECT_MS = 500;
+    private static final int MAX_FRAME_BYTES = 1 << 18;
+    private static final String KEY_AGREEMENT = "X25519";
+    private static final String MAC_ALGORITHM = "HmacSHA256";
+    private static final byte[] PROTOCOL_LABEL =
+            "flintmill policy 1".getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_QUEUED_MESSAGES = 64;
+    private static final int CONNECT_TIMEOUT_MS = 500;
 
     /** Questions go out several times a second, and each has an answer. */
-    private static final long SILENT_MS = 1500;
+    private static final long READ_TIMEOUT_MS = 1500;
 
-    private static final long AGAIN_MS = 200;
+    private static final long RECONNECT_DELAY_MS = 200;
 
     /** Takes a message whose sender is proven. */
-    interface Inbox {
+    interface MessageListener {
         void received(String from, JsonObject message);
     }
 
     private final EventLoop loop;
     private final Identity identity;
     private final Map<String, InetSocketAddress> voters;
-    private final Consumer<Channel> opens;
-    private final Inbox inbox;
-    private final ChannelFactory<Channel> channels;
+    private final Consumer<Channel> channelInitializer;
+    private final MessageListener messageListener;
+    private final ChannelFactory<Channel> channelFactory;
     private final Map<String, Link> outgoing = new HashMap<>();
     private final Map<String, Link> incoming = new HashMap<>();
-    private Channel listener;
+    private Channel serverChannel;
     private boolean closed;
 
     /**
      * @param opens is given each connection before anything of ours is in its pipeline
      */
-    Links(
+    PeerConnections(
             EventLoop loop,
             Identity identity,
             Map<String, InetSocketAddress> voters,
-            Consumer<Channel> opens,
-            Inbox inbox) {
-        this(loop, identity, voters, opens, inbox, NioSocketChannel::new);
+            Consumer<Channel> channelInitializer,
+            MessageListener messageListener) {
+        this(loop, identity, voters, channelInitializer, messageListener, NioSocketChannel::new);
     }
 
     /**
      * For tests: connects over channels that may fail to be made, as where no descriptor is left.
      */
-    Links(
+    PeerConnections(
             EventLoop loop,
             Identity identity,
             Map<String, InetSocketAddress> voters,
-            Consumer<Channel> opens,
-            Inbox inbox,
-            ChannelFactory<Channel> channels) {
+            Consumer<Channel> channelInitializer,
+            MessageListener messageListener,
+            ChannelFactory<Channel> channelFactory) {
         this.loop = loop;
         this.identity = identity;
         this.voters = voters;
-        this.opens = opens;
-        this.inbox = inbox;
-        this.channels = channels;
+        this.channelInitializer = channelInitializer;
+        this.messageListener = messageListener;
+        this.channelFactory = channelFactory;
     }
 
     private static KeyPair sessionKey() {
         try {
-            return KeyPairGenerator.getInstance(AGREEMENT).generateKeyPair();
+            return KeyPairGenerator.getInstance(KEY_AGREEMENT).generateKeyPair();
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Takes connections; only a voter has any. */
-    void listen(InetSocketAddress at) throws IOException, InterruptedException {
+    void listen(InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound =
                 new ServerBootstrap()
                         .group(loop)
@@ -127,16 +128,19 @@
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        pipe(channel, new Link(null));
+                                        initPipeline(channel, new Link(null));
                                     }
                                 })
-                        .bind(at)
+                        .bind(address)
                         .await();
         if (!bound.isSuccess()) {
             throw new IOException(
-                    "cannot listen on " + at + " for the policy: " + bound.cause().getMessage());
+                    "cannot listen on "
+                            + address
+                            + " for the policy: "
+                            + bound.cause().getMessage());
         }
-        listener = bound.channel();
+        serverChannel = bound.channel();
     }
 
     /** On the loop: connects to every voter but this proxy itself. */
@@ -146,15 +150,15 @@
 
     void close() {
         closed = true;
-        if (listener != null) {
-            listener.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         outgoing.values().forEach(l -> l.channel.close());
         incoming.values().forEach(l -> l.channel.close());
     }
 
     /** On the loop: a question, to a voter. */
-    void ask(String voter, JsonObject message) {
+    void sendToVoter(String voter, JsonObject message) {
         Link link = outgoing.get(voter);
         if (link != null) {
             link.send(message);
@@ -162,7 +166,7 @@
     }
 
     /** On the loop: an answer, on the connection that the proxy keeps to us. */
-    void answer(String proxy, JsonObject message) {
+    void sendToProxy(String proxy, JsonObject message) {
         Link link = incoming.get(proxy);
         if (link != null) {
             link.send(message);
@@ -178,13 +182,13 @@
         ChannelFuture connecting =
                 new Bootstrap()
                         .group(loop)
-                        .channelFactory(channels)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .channelFactory(channelFactory)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        pipe(channel, link);
+                                        initPipeline(channel, link);
                                     }
                                 })
                         .connect(voters.get(voter));
@@ -192,26 +196,26 @@
             // No socket could be made, as descriptors are out: there is no channel whose end would
             // be told.
             outgoing.remove(voter);
-            connectLater(voter);
+            scheduleReconnect(voter);
             return;
         }
         link.channel = connecting.channel();
-        link.channel.closeFuture().addListener(f -> connectLater(voter));
+        link.channel.closeFuture().addListener(f -> scheduleReconnect(voter));
     }
 
-    private void connectLater(String voter) {
+    private void scheduleReconnect(String voter) {
         if (!closed) {
-            loop.schedule(() -> connect(voter), AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> connect(voter), RECONNECT_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void pipe(Channel channel, Link link) {
+    private void initPipeline(Channel channel, Link link) {
         link.channel = channel;
-        opens.accept(channel);
+        channelInitializer.accept(channel);
         channel.pipeline()
                 .addLast(
-                        new ReadTimeoutHandler(SILENT_MS, TimeUnit.MILLISECONDS),
-                        new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4),
+                        new ReadTimeoutHandler(READ_TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                        new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4),
                         new LengthFieldPrepender(4),
                         link);
     }
@@ -219,39 +223,40 @@
     /** One connection. */
     private final class Link extends SimpleChannelInboundHandler<ByteBuf> {
         /** Whom it was made to; null where it was taken. */
-        private final String to;
+        private final String expectedPeer;
 
-        private final KeyPair ours = sessionKey();
-        private final Deque<JsonObject> waiting = new ArrayDeque<>();
+        private final KeyPair localKeys = sessionKey();
+        private final Deque<JsonObject> queuedMessages = new ArrayDeque<>();
         private Channel channel;
-        private byte[] theirs;
-        private Mac sends;
-        private Mac takes;
-        private String from;
-        private long sent;
-        private long received;
+        private byte[] remoteKey;
+        private Mac sendMac;
+        private Mac receiveMac;
+        private String peerName;
+        private long framesSent;
+        private long framesReceived;
 
-        Link(String to) {
-            this.to = to;
+        Link(String expectedPeer) {
+            this.expectedPeer = expectedPeer;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(Unpooled.copiedBuffer(ours.getPublic().getEncoded()));
+            ctx.writeAndFlush(Unpooled.copiedBuffer(localKeys.getPublic().getEncoded()));
         }
 
         void send(JsonObject message) {
-            if (theirs == null) {
-                if (waiting.size() < MOST_WAITING) {
-                    waiting.add(message);
+            if (remoteKey == null) {
+                if (queuedMessages.size() < MAX_QUEUED_MESSAGES) {
+                    queuedMessages.add(message);
                 }
             } else if (channel.isActive() && channel.isWritable()) {
                 byte[] json = message.toString().getBytes(StandardCharsets.UTF_8);
-                channel.writeAndFlush(Unpooled.wrappedBuffer(seal(sends, ++sent, json), json));
+                channel.writeAndFlush(
+                        Unpooled.wrappedBuffer(computeMac(sendMac, ++framesSent, json), json));
             }
         }
 
-        private byte[] seal(Mac mac, long count, byte[] json) {
+        private byte[] computeMac(Mac mac, long count, byte[] json) {
             mac.update(ByteBuffer.allocate(Long.BYTES).putLong(count).array());
             return mac.doFinal(json);
         }
@@ -260,84 +265,93 @@
          * The session's keys follow from both ends' fresh ones; what proves who the other end is,
          * is its signature over both.
          */
-        private void greet(ChannelHandlerContext ctx, byte[] key) throws GeneralSecurityException {
-            byte[] own = ours.getPublic().getEncoded();
-            KeyAgreement agreement = KeyAgreement.getInstance(AGREEMENT);
-            agreement.init(ours.getPrivate());
+        private void establishSession(ChannelHandlerContext ctx, byte[] remotePublicKey)
+                throws GeneralSecurityException {
+            byte[] localPublicKey = localKeys.getPublic().getEncoded();
+            KeyAgreement agreement = KeyAgreement.getInstance(KEY_AGREEMENT);
+            agreement.init(localKeys.getPrivate());
             agreement.doPhase(
-                    KeyFactory.getInstance(AGREEMENT).generatePublic(new X509EncodedKeySpec(key)),
+                    KeyFactory.getInstance(KEY_AGREEMENT)
+                            .generatePublic(new X509EncodedKeySpec(remotePublicKey)),
                     true);
             byte[] secret = agreement.generateSecret();
-            sends = mac(secret, own, key);
-            takes = mac(secret, key, own);
-            theirs = key;
+            sendMac = deriveMac(secret, localPublicKey, remotePublicKey);
+            receiveMac = deriveMac(secret, remotePublicKey, localPublicKey);
+            remoteKey = remotePublicKey;
             byte[] name = identity.name().getBytes(StandardCharsets.UTF_8);
-            byte[] both = both(own, key);
+            byte[] transcript = transcript(localPublicKey, remotePublicKey);
             ctx.writeAndFlush(
                     Unpooled.buffer()
                             .writeByte(name.length)
                             .writeBytes(name)
                             .writeInt(identity.keyId())
-                            .writeBytes(identity.sign(both, both.length)));
-            waiting.forEach(this::send);
-            waiting.clear();
+                            .writeBytes(identity.sign(transcript, transcript.length)));
+            queuedMessages.forEach(this::send);
+            queuedMessages.clear();
         }
 
-        private Mac mac(byte[] secret, byte[] sender, byte[] receiver)
+        private Mac deriveMac(byte[] secret, byte[] sender, byte[] receiver)
                 throws GeneralSecurityException {
-            Mac derive = Mac.getInstance(SEAL);
-            derive.init(new SecretKeySpec(secret, SEAL));
-            Mac mac = Mac.getInstance(SEAL);
-            mac.init(new SecretKeySpec(derive.doFinal(both(sender, receiver)), SEAL));
+            Mac keyDerivation = Mac.getInstance(MAC_ALGORITHM);
+            keyDerivation.init(new SecretKeySpec(secret, MAC_ALGORITHM));
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
+            mac.init(
+                    new SecretKeySpec(
+                            keyDerivation.doFinal(transcript(sender, receiver)), MAC_ALGORITHM));
             return mac;
         }
 
-        private byte[] both(byte[] sender, byte[] receiver) {
-            return ByteBuffer.allocate(PURPOSE.length + sender.length + receiver.length)
-                    .put(PURPOSE)
+        private byte[] transcript(byte[] sender, byte[] receiver) {
+            return ByteBuffer.allocate(PROTOCOL_LABEL.length + sender.length + receiver.length)
+                    .put(PROTOCOL_LABEL)
                     .put(sender)
                     .put(receiver)
                     .array();
         }
 
         /** The other end says who it is, and proves it. */
-        private boolean proves(ByteBuf frame) {
+        private boolean verifyIdentity(ByteBuf frame) {
             String name =
                     frame.readCharSequence(frame.readUnsignedByte(), StandardCharsets.UTF_8)
                             .toString();
-            int key = frame.readInt();
-            byte[] both = both(theirs, ours.getPublic().getEncoded());
-            boolean proven =
-                    (to == null || name.equals(to))
-                            && identity.knows(name, key)
+            int keyId = frame.readInt();
+            byte[] transcript = transcript(remoteKey, localKeys.getPublic().getEncoded());
+            boolean verified =
+                    (expectedPeer == null || name.equals(expectedPeer))
+                            && identity.hasKey(name, keyId)
                             && identity.verify(
-                                    name, key, both, both.length, ByteBufUtil.getBytes(frame));
-            from = proven ? name : null;
-            if (proven && to == null) {
+                                    name,
+                                    keyId,
+                                    transcript,
+                                    transcript.length,
+                                    ByteBufUtil.getBytes(frame));
+            peerName = verified ? name : null;
+            if (verified && expectedPeer == null) {
                 incoming.put(name, this);
             }
-            return proven;
+            return verified;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame)
                 throws GeneralSecurityException {
-            if (theirs == null) {
-                greet(ctx, ByteBufUtil.getBytes(frame));
-            } else if (from == null) {
-                if (!proves(frame)) {
+            if (remoteKey == null) {
+                establishSession(ctx, ByteBufUtil.getBytes(frame));
+            } else if (peerName == null) {
+                if (!verifyIdentity(frame)) {
                     ctx.close();
                 }
             } else {
-                byte[] seal = new byte[takes.getMacLength()];
-                frame.readBytes(seal);
+                byte[] frameMac = new byte[receiveMac.getMacLength()];
+                frame.readBytes(frameMac);
                 byte[] json = ByteBufUtil.getBytes(frame);
-                if (!MessageDigest.isEqual(seal, seal(takes, ++received, json))) {
+                if (!MessageDigest.isEqual(
+                        frameMac, computeMac(receiveMac, ++framesReceived, json))) {
                     ctx.close();
                     return;
                 }
-                inbox.received(
-                        from,
+                messageListener.received(
+                        peerName,
                         JsonParser.parseString(new String(json, StandardCharsets.UTF_8))
                                 .getAsJsonObject());
             }
@@ -345,8 +359,8 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (from != null) {
-                incoming.remove(from, this);
+            if (peerName != null) {
+                incoming.remove(peerName, this);
             }
         }
 
--- a/src/main/java/cacheproxy/raft/PolicyService.java
+++ b/src/main/java/cacheproxy/raft/PolicyService.java
@@ -53,18 +53,18 @@
          * A connection is being set up, made or taken; what is put into its pipeline here sees each
          * byte as the wire does.
          */
-        default void opens(Channel connection) {}
+        default void connectionOpened(Channel connection) {}
     }
 
     private final EventLoop loop;
-    private final Options own;
+    private final Options ownOptions;
     private final Hooks hooks;
     private final Path folder;
     private final Identity identity;
     private final Map<String, InetSocketAddress> voters = new LinkedHashMap<>();
-    private final Links links;
+    private final PeerConnections peerConnections;
     private final DurableFiles files;
-    private final StorageRecovery storage;
+    private final StorageRecovery storageRecovery;
     private final long seed;
     private Epochs epochs = new Epochs();
 
@@ -80,16 +80,16 @@
     private Epoch inForce;
 
     /** What the folder lacks of that: the epoch in force where it could not be kept; else null. */
-    private Epoch unkept;
+    private Epoch unsavedEpoch;
 
-    private int lives;
+    private int incarnation;
     private LocalSocket socket;
     private boolean closed;
-    private int toldTerm = -1;
+    private int reportedTerm = -1;
 
     private PolicyService(
             EventLoop loop,
-            Options own,
+            Options ownOptions,
             Path folder,
             Identity identity,
             long seed,
@@ -97,19 +97,21 @@
             DurableFiles files)
             throws IOException {
         this.loop = loop;
-        this.own = own;
+        this.ownOptions = ownOptions;
         this.folder = folder;
         this.identity = identity;
         this.hooks = hooks;
         this.files = files;
         this.seed = seed;
-        storage = new StorageRecovery(folder, hooks::event);
-        for (String voter : own.policy().voters()) {
+        storageRecovery = new StorageRecovery(folder, hooks::event);
+        for (String voter : ownOptions.policy().voters()) {
             voters.put(
                     voter.substring(0, voter.indexOf('=')),
                     address(voter.substring(voter.indexOf('=') + 1)));
         }
-        links = new Links(loop, identity, voters, hooks::opens, this::received);
+        peerConnections =
+                new PeerConnections(
+                        loop, identity, voters, hooks::connectionOpened, this::received);
     }
 
     /**
@@ -119,24 +121,32 @@
      * @param temporary the folder for temporary files, for where the options name none
      */
     public static PolicyService open(
-            EventLoop loop, Options own, Path temporary, long seed, Hooks hooks)
+            EventLoop loop, Options ownOptions, Path temporary, long seed, Hooks hooks)
             throws IOException, InterruptedException {
-        return open(loop, own, temporary, seed, hooks, new DurableFiles());
+        return open(loop, ownOptions, temporary, seed, hooks, new DurableFiles());
     }
 
     /** {@link #open} with the calls to the file system that the voter's file is written by. */
     static PolicyService open(
-            EventLoop loop, Options own, Path temporary, long seed, Hooks hooks, DurableFiles files)
+            EventLoop loop,
+            Options ownOptions,
+            Path temporary,
+            long seed,
+            Hooks hooks,
+            DurableFiles files)
             throws IOException, InterruptedException {
         try {
             Identity keys =
-                    new KeyRing(Path.of(own.gossip().keyFile()), Path.of(own.gossip().ringFile()));
+                    new KeyRing(
+                            Path.of(ownOptions.gossip().keyFile()),
+                            Path.of(ownOptions.gossip().ringFile()));
             Path folder =
-                    own.policy().folder().isEmpty()
+                    ownOptions.policy().folder().isEmpty()
                             ? temporary.resolve("policy-" + keys.name())
-                            : Path.of(own.policy().folder());
-            PolicyService service = new PolicyService(loop, own, folder, keys, seed, hooks, files);
-            service.begin();
+                            : Path.of(ownOptions.policy().folder());
+            PolicyService service =
+                    new PolicyService(loop, ownOptions, folder, keys, seed, hooks, files);
+            service.start();
             return service;
         } catch (KeyException e) {
             throw new IOException(e.getMessage());
@@ -160,35 +170,37 @@
         return voters.containsKey(identity.name());
     }
 
-    private void begin() throws IOException, InterruptedException {
+    private void start() throws IOException, InterruptedException {
         LogFile opened = null;
         boolean corrupt = false;
         try {
-            inForce = LogFile.last(folder);
+            inForce = LogFile.lastEpoch(folder);
             opened = isVoter() ? LogFile.open(folder, files) : null;
         } catch (IOException e) {
             corrupt = e instanceof CorruptLogException;
-            storage.failed(now(), e);
+            storageRecovery.failed(now(), e);
         }
         if (opened != null) {
-            vote(opened);
+            startVoting(opened);
         } else {
             member = newMember();
         }
         if (isVoter() && !corrupt) {
-            links.listen(address(own.policy().listen()));
+            peerConnections.listen(address(ownOptions.policy().listen()));
         }
-        if (!own.policy().socket().isEmpty()) {
-            socket = PolicySocket.open(Path.of(own.policy().socket()), loop, this::operator);
+        if (!ownOptions.policy().socket().isEmpty()) {
+            socket =
+                    PolicySocket.open(
+                            Path.of(ownOptions.policy().socket()), loop, this::answerOperator);
         }
         Epoch first = inForce;
         loop.submit(
                         () -> {
                             if (first != null) {
-                                put(first);
-                                event(PolicyMember.What.APPLIED, first.number(), now());
+                                applyOptions(first);
+                                event(PolicyMember.PolicyEvent.APPLIED, first.number(), now());
                             }
-                            links.start();
+                            peerConnections.start();
                             if (log != null) {
                                 log.start();
                             }
@@ -206,7 +218,7 @@
      * Makes a voter of this proxy, from what its file holds. Nothing is sent once that file has
      * failed: the library goes on with a node whose store has thrown.
      */
-    private void vote(LogFile opened) {
+    private void startVoting(LogFile opened) {
         file = opened;
         epochs = new Epochs();
         RaftLog.Parts parts =
@@ -214,9 +226,9 @@
                         identity.name(),
                         List.copyOf(voters.keySet()),
                         epochs,
-                        new OnLoop(loop),
+                        new EventLoopExecutor(loop),
                         PolicyService::now,
-                        seed + lives++,
+                        seed + incarnation++,
                         opened,
                         opened.restored());
         log =
@@ -224,38 +236,38 @@
                         parts,
                         (to, json) -> {
                             if (!opened.failed()) {
-                                links.ask(to, json);
+                                peerConnections.sendToVoter(to, json);
                             }
                         },
-                        this::committed);
+                        this::entriesCommitted);
         member = newMember();
     }
 
     /** Ends the vote until the file can be written again; this proxy goes on without one. */
     private void stopVoting() {
-        storage.failed(now(), file.failed() ? file.fault() : nodeEnded(folder));
+        storageRecovery.failed(now(), file.failed() ? file.fault() : nodeTerminated(folder));
         log.stop();
-        file.discard();
+        file.closeQuietly();
         log = null;
-        member.end(now(), this);
+        member.close(now(), this);
         member = newMember();
     }
 
     /** Why a voter that ended by itself, with a file that did not fail, is begun anew. */
-    static StorageUnavailableException nodeEnded(Path folder) {
+    static StorageUnavailableException nodeTerminated(Path folder) {
         return new StorageUnavailableException(folder, "the raft node has ended by itself");
     }
 
     /** Keeps what could not be kept, and votes again; throws where the folder still fails. */
-    private void useFolderAgain() throws IOException {
-        if (unkept != null) {
-            LogFile.keep(folder, unkept, files);
-            unkept = null;
+    private void recoverStorage() throws IOException {
+        if (unsavedEpoch != null) {
+            LogFile.store(folder, unsavedEpoch, files);
+            unsavedEpoch = null;
         }
         if (isVoter() && log == null) {
             LogFile opened = file == null ? LogFile.open(folder, files) : file.reopen();
-            member.end(now(), this);
-            vote(opened);
+            member.close(now(), this);
+            startVoting(opened);
             log.start();
         }
     }
@@ -266,18 +278,18 @@
         }
         // First the next one: a fault in this must not end all later ones.
         loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
-        if (log != null && (file.failed() || log.broken())) {
+        if (log != null && (file.failed() || log.isTerminated())) {
             stopVoting();
         }
-        storage.tick(now(), this::useFolderAgain);
+        storageRecovery.tick(now(), this::recoverStorage);
         if (log != null) {
             log.tick(now());
-            if (log.led() && log.term() != toldTerm) {
-                toldTerm = log.term();
+            if (log.isLeadershipConfirmed() && log.term() != reportedTerm) {
+                reportedTerm = log.term();
                 hooks.event(
                         "policy_leads",
                         "subject",
-                        toldTerm,
+                        reportedTerm,
                         "evidence",
                         String.format(Locale.ROOT, "at:%.3f", now()));
             }
@@ -285,24 +297,24 @@
         member.tick(now(), this);
     }
 
-    private void committed() {
-        member.committed(now(), this);
+    private void entriesCommitted() {
+        member.entriesCommitted(now(), this);
     }
 
     private void received(String from, JsonObject json) {
-        if (log == null && Codec.raft(from, json) != null) {
+        if (log == null && Codec.raftMessage(from, json) != null) {
             // For a voter; there is none here for the moment.
             return;
         }
         if (log == null || !log.received(from, json)) {
-            member.received(now(), from, Codec.policy(json), this);
+            member.received(now(), from, Codec.policyMessage(json), this);
         }
     }
 
     /** Ends it; called on the loop. */
     public void close() {
         closed = true;
-        links.close();
+        peerConnections.close();
         if (socket != null) {
             socket.close();
         }
@@ -315,11 +327,11 @@
 
     @Override
     public void send(String to, Message message) {
-        JsonObject json = Codec.policy(message);
+        JsonObject json = Codec.policyMessage(message);
         if (message instanceof Message.Welcome || message instanceof Message.Proposed) {
-            links.answer(to, json);
+            peerConnections.sendToProxy(to, json);
         } else {
-            links.ask(to, json);
+            peerConnections.sendToVoter(to, json);
         }
     }
 
@@ -327,19 +339,19 @@
     public void apply(Epoch epoch) {
         inForce = epoch;
         try {
-            LogFile.keep(folder, epoch, files);
-            unkept = null;
+            LogFile.store(folder, epoch, files);
+            unsavedEpoch = null;
         } catch (StorageUnavailableException e) {
             // It runs here all the same, and is kept once the folder can be written.
-            unkept = epoch;
-            storage.failed(now(), e);
+            unsavedEpoch = epoch;
+            storageRecovery.failed(now(), e);
         }
-        put(epoch);
+        applyOptions(epoch);
     }
 
-    private void put(Epoch epoch) {
+    private void applyOptions(Epoch epoch) {
         try {
-            hooks.apply(OptionsFile.policy(epoch.content(), own));
+            hooks.apply(OptionsFile.withPolicy(epoch.content(), ownOptions));
         } catch (BadFileException e) {
             // Checked before it was proposed, by the same checker: a proxy of another version may
             // know less.
@@ -348,7 +360,7 @@
     }
 
     @Override
-    public void event(PolicyMember.What what, long epoch, double atMs) {
+    public void event(PolicyMember.PolicyEvent what, long epoch, double atMs) {
         hooks.event(
                 "policy_" + what.name().toLowerCase(Locale.ROOT),
                 "subject",
@@ -359,39 +371,40 @@
 
     // What operators ask.
 
-    private void operator(JsonObject asked, Consumer<JsonObject> then) {
-        switch (asked.get("ask").getAsString()) {
-            case "status" -> then.accept(PolicySocket.answer(0, status()));
-            case "history" -> then.accept(PolicySocket.answer(0, history()));
-            case "propose" -> propose(asked.get("content").getAsString(), then);
+    private void answerOperator(JsonObject request, Consumer<JsonObject> callback) {
+        switch (request.get("ask").getAsString()) {
+            case "status" -> callback.accept(PolicySocket.answer(0, status()));
+            case "history" -> callback.accept(PolicySocket.answer(0, history()));
+            case "propose" -> propose(request.get("content").getAsString(), callback);
             case "revert" -> {
-                Epoch old = epochs.find(asked.get("epoch").getAsLong());
-                if (old == null) {
-                    then.accept(
+                Epoch earlier = epochs.find(request.get("epoch").getAsLong());
+                if (earlier == null) {
+                    callback.accept(
                             PolicySocket.answer(
                                     PolicySocket.REFUSED,
                                     "no epoch "
-                                            + asked.get("epoch")
+                                            + request.get("epoch")
                                             + " is known here; nothing was changed"));
                 } else {
-                    propose(old.content(), then);
+                    propose(earlier.content(), callback);
                 }
             }
-            default -> then.accept(PolicySocket.answer(PolicySocket.REFUSED, "no such question"));
+            default ->
+                    callback.accept(PolicySocket.answer(PolicySocket.REFUSED, "no such question"));
         }
     }
 
-    private void propose(String content, Consumer<JsonObject> then) {
+    private void propose(String content, Consumer<JsonObject> callback) {
         try {
-            OptionsFile.policy(content, own);
+            OptionsFile.withPolicy(content, ownOptions);
         } catch (BadFileException e) {
-            then.accept(
+            callback.accept(
                     PolicySocket.answer(
-                            PolicySocket.BAD, e.getMessage() + "; nothing was changed"));
+                            PolicySocket.INVALID_POLICY, e.getMessage() + "; nothing was changed"));
             return;
         }
-        if (isVoter() && (log == null || log.broken())) {
-            then.accept(
+        if (isVoter() && (log == null || log.isTerminated())) {
+            callback.accept(
                     PolicySocket.answer(
                             PolicySocket.REFUSED,
                             "this voter's folder "
@@ -403,7 +416,7 @@
                 now(),
                 content,
                 this,
-                a -> then.accept(PolicySocket.answer(PolicySocket.exit(a.ending()), a.text())));
+                a -> callback.accept(PolicySocket.answer(PolicySocket.exit(a.status()), a.text())));
     }
 
     private String status() {
@@ -416,39 +429,39 @@
                         identity.name(),
                         member.inForce(),
                         (now - member.inForceSince()) / 1000,
-                        member.current(now) ? "current" : "not current",
-                        member.highest(),
-                        member.reachable(now),
+                        member.isCurrent(now) ? "current" : "not current",
+                        member.highestKnownEpoch(),
+                        member.reachableVoters(now),
                         voters.size(),
                         member.leader(now).isEmpty() ? "unknown" : member.leader(now),
-                        storage.failed() ? "; its folder can't be used" : ""));
+                        storageRecovery.failed() ? "; its folder can't be used" : ""));
         // What a voter was told; others hear only of voters.
-        member.seen().entrySet().stream()
+        member.proxyReports().entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
-                .filter(e -> !e.getKey().equals(identity.name()))
+                .filter(entry -> !entry.getKey().equals(identity.name()))
                 .forEach(
-                        e ->
+                        entry ->
                                 lines.add(
                                         String.format(
                                                 Locale.ROOT,
                                                 "%-32s epoch %-6d %-8s heard %.1f s ago",
-                                                e.getKey(),
-                                                e.getValue().epoch(),
-                                                e.getValue().fenced() ? "fenced" : "",
-                                                (now - e.getValue().at()) / 1000)));
+                                                entry.getKey(),
+                                                entry.getValue().epoch(),
+                                                entry.getValue().fenced() ? "fenced" : "",
+                                                (now - entry.getValue().atMs()) / 1000)));
         return String.join("\n", lines);
     }
 
     private String history() {
         List<String> lines = new ArrayList<>();
-        for (Epoch e : epochs.history()) {
+        for (Epoch epoch : epochs.history()) {
             lines.add(
                     "# epoch "
-                            + e.number()
+                            + epoch.number()
                             + ", proposal "
-                            + e.proposal()
-                            + (e.number() == member.inForce() ? ", in force" : ""));
-            lines.add(e.content().stripTrailing());
+                            + epoch.proposal()
+                            + (epoch.number() == member.inForce() ? ", in force" : ""));
+            lines.add(epoch.content().stripTrailing());
         }
         return lines.isEmpty()
                 ? "no epoch yet: each proxy runs its own file"
--- a/src/main/java/cacheproxy/raft/PolicySocket.java
+++ b/src/main/java/cacheproxy/raft/PolicySocket.java
@@ -1,6 +1,6 @@
 package cacheproxy.raft;
 
-import cacheproxy.epoch.Message.Ending;
+import cacheproxy.epoch.Message.ProposalStatus;
 import cacheproxy.gossip.LocalSocket;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
@@ -28,18 +28,18 @@
      */
     static final int REFUSED = 1;
 
-    static final int BAD = 2;
+    static final int INVALID_POLICY = 2;
     private static final int NO_MAJORITY = 3;
     private static final int UNKNOWN = 4;
-    private static final int MOST_BYTES = 1 << 18;
+    private static final int MAX_REQUEST_BYTES = 1 << 18;
 
     /** A proposal is answered within its own patience. */
-    private static final int SILENT_S = 20;
+    private static final int READ_TIMEOUT_S = 20;
 
     private PolicySocket() {}
 
     static LocalSocket open(
-            Path path, EventLoop loop, BiConsumer<JsonObject, Consumer<JsonObject>> operator)
+            Path path, EventLoop loop, BiConsumer<JsonObject, Consumer<JsonObject>> handler)
             throws IOException, InterruptedException {
         return LocalSocket.open(
                 path,
@@ -47,24 +47,24 @@
                 channel ->
                         channel.pipeline()
                                 .addLast(
-                                        new ReadTimeoutHandler(SILENT_S),
-                                        new LineBasedFrameDecoder(MOST_BYTES),
+                                        new ReadTimeoutHandler(READ_TIMEOUT_S),
+                                        new LineBasedFrameDecoder(MAX_REQUEST_BYTES),
                                         new SimpleChannelInboundHandler<ByteBuf>() {
                                             @Override
                                             protected void channelRead0(
                                                     ChannelHandlerContext ctx, ByteBuf line) {
                                                 try {
-                                                    operator.accept(
+                                                    handler.accept(
                                                             JsonParser.parseString(
                                                                             line.toString(
                                                                                     StandardCharsets
                                                                                             .UTF_8))
                                                                     .getAsJsonObject(),
-                                                            a -> tell(ctx, a));
+                                                            a -> reply(ctx, a));
                                                 } catch (JsonParseException
                                                         | IllegalStateException
                                                         | NullPointerException e) {
-                                                    tell(ctx, answer(REFUSED, "no question"));
+                                                    reply(ctx, answer(REFUSED, "no question"));
                                                 }
                                             }
 
@@ -76,19 +76,19 @@
                                         }));
     }
 
-    private static void tell(ChannelHandlerContext ctx, JsonObject answer) {
+    private static void reply(ChannelHandlerContext ctx, JsonObject answer) {
         ctx.writeAndFlush(Unpooled.copiedBuffer(answer.toString(), StandardCharsets.UTF_8))
                 .addListener(ChannelFutureListener.CLOSE);
     }
 
     static JsonObject answer(int exit, String text) {
-        JsonObject o = new JsonObject();
-        o.addProperty("exit", exit);
-        o.addProperty("text", text);
-        return o;
+        JsonObject json = new JsonObject();
+        json.addProperty("exit", exit);
+        json.addProperty("text", text);
+        return json;
     }
 
-    static int exit(Ending ending) {
+    static int exit(ProposalStatus ending) {
         return switch (ending) {
             case IN_FORCE -> 0;
             case REFUSED -> REFUSED;
@@ -98,15 +98,15 @@
     }
 
     /** What came back: the exit code and what to print. */
-    public record Told(int exit, String text) {
+    public record Answer(int exit, String text) {
 
         /** How a proposal ended; a bad policy is refused. */
-        public Ending ending() {
+        public ProposalStatus ending() {
             return switch (exit) {
-                case 0 -> Ending.IN_FORCE;
-                case NO_MAJORITY -> Ending.NO_MAJORITY;
-                case UNKNOWN -> Ending.UNKNOWN;
-                default -> Ending.REFUSED;
+                case 0 -> ProposalStatus.IN_FORCE;
+                case NO_MAJORITY -> ProposalStatus.NO_MAJORITY;
+                case UNKNOWN -> ProposalStatus.UNKNOWN;
+                default -> ProposalStatus.REFUSED;
             };
         }
     }
@@ -115,16 +115,16 @@
      * Asks the proxy behind a socket; for the command line and the laboratory. {@code content} and
      * {@code epoch} as the question needs.
      */
-    public static Told ask(Path path, String question, String content, long epoch)
+    public static Answer ask(Path path, String question, String content, long epoch)
             throws IOException {
-        JsonObject asked = new JsonObject();
-        asked.addProperty("ask", question);
-        asked.addProperty("content", content);
-        asked.addProperty("epoch", epoch);
+        JsonObject request = new JsonObject();
+        request.addProperty("ask", question);
+        request.addProperty("content", content);
+        request.addProperty("epoch", epoch);
         try {
-            JsonObject told =
-                    JsonParser.parseString(LocalSocket.ask(path, asked + "\n")).getAsJsonObject();
-            return new Told(told.get("exit").getAsInt(), told.get("text").getAsString());
+            JsonObject answer =
+                    JsonParser.parseString(LocalSocket.ask(path, request + "\n")).getAsJsonObject();
+            return new Answer(answer.get("exit").getAsInt(), answer.get("text").getAsString());
         } catch (JsonParseException | IllegalStateException e) {
             throw new IOException("no whole answer");
         }
--- a/src/main/java/cacheproxy/raft/RaftLog.java
+++ b/src/main/java/cacheproxy/raft/RaftLog.java
@@ -24,15 +24,15 @@
      * A snapshot would be taken at so many entries; changes are refused well before, as none are
      * kept.
      */
-    private static final int MOST_ENTRIES = 20_000;
+    private static final int MAX_ENTRIES = 20_000;
 
-    private static final int ROOM = 1000;
-    private static final long ELECTION_MS = 500;
-    private static final double CONFIRM_EVERY_MS = 500;
+    private static final int RESERVED_ENTRIES = 1000;
+    private static final long ELECTION_TIMEOUT_MS = 500;
+    private static final double LEADERSHIP_CONFIRM_INTERVAL_MS = 500;
 
     private final Voter voter;
     private final Epochs epochs;
-    private final Runnable committed;
+    private final Runnable onCommitted;
     private long applied;
 
     /**
@@ -53,9 +53,9 @@
      * @param send takes what goes to another voter
      * @param committed runs after entries have been applied to the epochs
      */
-    public RaftLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable committed) {
+    public RaftLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable onCommitted) {
         this.epochs = parts.epochs();
-        this.committed = committed;
+        this.onCommitted = onCommitted;
         voter =
                 new Voter(
                         new Voter.Parts(
@@ -66,10 +66,10 @@
                                 parts.seed(),
                                 parts.store(),
                                 parts.restored(),
-                                MOST_ENTRIES,
+                                MAX_ENTRIES,
                                 1,
-                                ELECTION_MS),
-                        new Machine(),
+                                ELECTION_TIMEOUT_MS),
+                        new EpochStateMachine(),
                         send);
     }
 
@@ -82,8 +82,8 @@
     }
 
     /** Whether it has ended by itself, as where its file can't be written. */
-    public boolean broken() {
-        return voter.broken();
+    public boolean isTerminated() {
+        return voter.isTerminated();
     }
 
     /** A message from another voter; false where it is none of Raft's. */
@@ -93,19 +93,19 @@
 
     /** Confirms now and then that it leads; called every few ms. */
     public void tick(double now) {
-        if (voter.due(now, CONFIRM_EVERY_MS)) {
-            voter.confirm(yes -> {});
+        if (voter.confirmationDue(now, LEADERSHIP_CONFIRM_INTERVAL_MS)) {
+            voter.confirm(confirmed -> {});
         }
     }
 
     @Override
-    public boolean leads() {
-        return voter.leads();
+    public boolean isLeader() {
+        return voter.isLeader();
     }
 
     @Override
-    public boolean led() {
-        return voter.led();
+    public boolean isLeadershipConfirmed() {
+        return voter.isLeadershipConfirmed();
     }
 
     @Override
@@ -119,33 +119,33 @@
     }
 
     @Override
-    public long applied() {
+    public long appliedIndex() {
         return applied;
     }
 
     @Override
-    public void confirm(Consumer<Boolean> then) {
-        voter.confirm(then);
+    public void confirmLeadership(Consumer<Boolean> callback) {
+        voter.confirm(callback);
     }
 
     @Override
-    public void append(Change change, Consumer<Outcome> then) {
-        if (applied > MOST_ENTRIES - ROOM) {
-            then.accept(
+    public void append(Change change, Consumer<Outcome> callback) {
+        if (applied > MAX_ENTRIES - RESERVED_ENTRIES) {
+            callback.accept(
                     new Outcome(
                             0,
                             "the log is full after " + applied + " entries; nothing was changed"));
             return;
         }
-        voter.append(change, then);
+        voter.append(change, callback);
     }
 
-    private final class Machine implements StateMachine {
+    private final class EpochStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
             Outcome outcome = epochs.apply((Change) operation);
             applied = Math.max(applied, index);
-            committed.run();
+            onCommitted.run();
             return outcome;
         }
 
@@ -161,7 +161,7 @@
 
         @Override
         public Object getNewTermOperation() {
-            return new Epochs.Begin();
+            return new Epochs.NewTermEntry();
         }
     }
 }
