--- a/src/main/java/cacheproxy/raft/StorageRecovery.java
+++ b/src/main/java/cacheproxy/raft/StorageRecovery.java
@@ -10,8 +10,8 @@
  */
 final class StorageRecovery {
 
-    static final double FIRST_WAIT_MS = 250;
-    static final double LONGEST_WAIT_MS = 8000;
+    static final double INITIAL_BACKOFF_MS = 250;
+    static final double MAX_BACKOFF_MS = 8000;
 
     /** What makes the folder useful again. */
     interface Attempt {
@@ -28,10 +28,10 @@
     private final Events events;
     private boolean failed;
     private boolean corrupt;
-    private double failedAt;
-    private double recoveredAt = Double.NEGATIVE_INFINITY;
-    private double waitMs = FIRST_WAIT_MS;
-    private double nextAt;
+    private double failedAtMs;
+    private double recoveredAtMs = Double.NEGATIVE_INFINITY;
+    private double backoffMs = INITIAL_BACKOFF_MS;
+    private double nextAttemptAtMs;
 
     StorageRecovery(Path folder, Events events) {
         this.folder = folder;
@@ -54,15 +54,15 @@
             return;
         }
         failed = true;
-        failedAt = nowMs;
-        if (nowMs - recoveredAt > LONGEST_WAIT_MS) {
-            waitMs = FIRST_WAIT_MS;
+        failedAtMs = nowMs;
+        if (nowMs - recoveredAtMs > MAX_BACKOFF_MS) {
+            backoffMs = INITIAL_BACKOFF_MS;
         }
-        nextAt = nowMs + waitMs;
-        tell(cause);
+        nextAttemptAtMs = nowMs + backoffMs;
+        reportFailure(cause);
     }
 
-    private void tell(IOException cause) {
+    private void reportFailure(IOException cause) {
         corrupt = cause instanceof CorruptLogException;
         String message = String.valueOf(cause.getMessage());
         events.event("storage_failed", "cause", message, "folder", folder, "tries_again", !corrupt);
@@ -70,21 +70,21 @@
 
     /** Makes an attempt where it is due; none any more after damage, which does not mend itself. */
     void tick(double nowMs, Attempt attempt) {
-        if (!failed || corrupt || nowMs < nextAt) {
+        if (!failed || corrupt || nowMs < nextAttemptAtMs) {
             return;
         }
         try {
             attempt.run();
         } catch (CorruptLogException e) {
-            tell(e);
+            reportFailure(e);
             return;
         } catch (IOException e) {
-            waitMs = Math.min(LONGEST_WAIT_MS, 2 * waitMs);
-            nextAt = nowMs + waitMs;
+            backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+            nextAttemptAtMs = nowMs + backoffMs;
             return;
         }
         failed = false;
-        recoveredAt = nowMs;
-        events.event("storage_recovered", "folder", folder, "ms", Math.round(nowMs - failedAt));
+        recoveredAtMs = nowMs;
+        events.event("storage_recovered", "folder", folder, "ms", Math.round(nowMs - failedAtMs));
     }
 }
--- a/src/main/java/cacheproxy/raft/StreamLog.java
+++ b/src/main/java/cacheproxy/raft/StreamLog.java
@@ -3,9 +3,9 @@
 import cacheproxy.epoch.Epochs;
 import cacheproxy.stream.Change;
 import cacheproxy.stream.Entry;
-import cacheproxy.stream.Frames;
+import cacheproxy.stream.FrameCodec;
 import cacheproxy.stream.Message;
-import cacheproxy.stream.Window;
+import cacheproxy.stream.RetainedLog;
 import com.google.gson.JsonObject;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.RaftStore;
@@ -27,33 +27,33 @@
 public final class StreamLog {
 
     /** Entries until the next snapshot: 43 minutes at 3.9 a second. */
-    public static final int SNAPSHOT_EVERY = 10_000;
+    public static final int SNAPSHOT_INTERVAL_ENTRIES = 10_000;
 
     /**
      * A second of the library's passes in a quarter of one: a leader that falls silent is missed
      * after half a second.
      */
-    private static final int SPEED = 4;
+    private static final int TIME_SCALE = 4;
 
     /**
      * Of the library's time: a quarter of a second, and each control machine a tenth more than the
      * one before. Three of three have to agree when one is lost, so two who stand at once undo each
      * other.
      */
-    private static final long ELECTION_MS = 1000;
+    private static final long ELECTION_TIMEOUT_MS = 1000;
 
-    private static final long STEP_MS = 400;
+    private static final long ELECTION_TIMEOUT_STEP_MS = 400;
 
     /** A part of a snapshot stays well below what one frame between control machines may hold. */
-    private static final int PART_BYTES = 48 << 10;
+    private static final int SNAPSHOT_CHUNK_BYTES = 48 << 10;
 
-    private static final double CONFIRM_EVERY_MS = 200;
+    private static final double LEADERSHIP_CONFIRM_INTERVAL_MS = 200;
 
     /** The first entry of all: the stream's name, drawn by the first leader. */
-    record Found(long lineage) {}
+    record CreateStream(long lineage) {}
 
     /** A new leader's first entry. */
-    private static final Object BEGIN = new Epochs.Begin();
+    private static final Object NEW_TERM_ENTRY = new Epochs.NewTermEntry();
 
     /**
      * What a control machine's copy is made of; {@code nowMs} never runs back, {@code restored} is
@@ -62,7 +62,7 @@
     public record Parts(
             String name,
             List<String> voters,
-            Window window,
+            RetainedLog retainedLog,
             RaftNodeExecutor executor,
             DoubleSupplier nowMs,
             long seed,
@@ -71,19 +71,19 @@
             int snapshotEvery) {}
 
     private final Voter voter;
-    private final Window window;
-    private final Runnable advanced;
-    private final long drawn;
-    private boolean founding;
+    private final RetainedLog retainedLog;
+    private final Runnable onAdvanced;
+    private final long newLineage;
+    private boolean creatingStream;
 
     /**
      * @param send takes what goes to another control machine
      * @param advanced runs after the window has grown or begun anew
      */
-    public StreamLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable advanced) {
-        window = parts.window();
-        this.advanced = advanced;
-        drawn = new Random(parts.seed()).nextLong() | 1;
+    public StreamLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable onAdvanced) {
+        retainedLog = parts.retainedLog();
+        this.onAdvanced = onAdvanced;
+        newLineage = new Random(parts.seed()).nextLong() | 1;
         voter =
                 new Voter(
                         new Voter.Parts(
@@ -95,9 +95,11 @@
                                 parts.store(),
                                 parts.restored(),
                                 parts.snapshotEvery(),
-                                SPEED,
-                                ELECTION_MS + STEP_MS * parts.voters().indexOf(parts.name())),
-                        new Machine(),
+                                TIME_SCALE,
+                                ELECTION_TIMEOUT_MS
+                                        + ELECTION_TIMEOUT_STEP_MS
+                                                * parts.voters().indexOf(parts.name())),
+                        new RetainedLogStateMachine(),
                         send);
     }
 
@@ -111,8 +113,8 @@
     }
 
     /** Whether it has ended by itself, as where its file can't be written. */
-    public boolean broken() {
-        return voter.broken();
+    public boolean isTerminated() {
+        return voter.isTerminated();
     }
 
     /** A message from another control machine; false where it is none of Raft's. */
@@ -126,30 +128,30 @@
     }
 
     /** Whether this one leads. */
-    public boolean leads() {
-        return voter.leads();
+    public boolean isLeader() {
+        return voter.isLeader();
     }
 
     /**
      * Asks a majority whether this one leads, five times a second while it does; {@code then} is
      * told when it has said yes, for the time of asking.
      */
-    public void tick(double now, Consumer<Double> then) {
-        if (voter.due(now, CONFIRM_EVERY_MS)) {
+    public void tick(double now, Consumer<Double> callback) {
+        if (voter.confirmationDue(now, LEADERSHIP_CONFIRM_INTERVAL_MS)) {
             voter.confirm(
-                    yes -> {
-                        if (yes) {
-                            found();
-                            then.accept(now);
+                    confirmed -> {
+                        if (confirmed) {
+                            createStreamIfAbsent();
+                            callback.accept(now);
                         }
                     });
         }
     }
 
-    private void found() {
-        if (window.lineage() == 0 && !founding) {
-            founding = true;
-            voter.append(new Found(drawn), o -> founding = false);
+    private void createStreamIfAbsent() {
+        if (retainedLog.lineage() == 0 && !creatingStream) {
+            creatingStream = true;
+            voter.append(new CreateStream(newLineage), o -> creatingStream = false);
         }
     }
 
@@ -158,46 +160,49 @@
      * refused, and null where that is not known: the leader was lost meanwhile, and the same change
      * may be asked for again.
      */
-    public void append(Change change, Consumer<Long> then) {
-        if (!voter.leads() || window.lineage() == 0 || !Frames.fits(change)) {
-            then.accept(-1L);
+    public void append(Change change, Consumer<Long> callback) {
+        if (!voter.isLeader() || retainedLog.lineage() == 0 || !FrameCodec.isEncodable(change)) {
+            callback.accept(-1L);
         } else {
-            voter.append(change, then);
+            voter.append(change, callback);
         }
     }
 
-    private final class Machine implements StateMachine {
+    private final class RetainedLogStateMachine implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
             long seq = 0;
-            if (operation instanceof Found f && window.lineage() == 0) {
-                window.reset(new Message.Snapshot(f.lineage(), 0, Change.Epoch.NONE));
-            } else if (operation instanceof Change c
-                    && !(c instanceof Change.Epoch e
-                            && e.number() <= window.end().epoch().number())) {
+            if (operation instanceof CreateStream creation && retainedLog.lineage() == 0) {
+                retainedLog.reset(new Message.Snapshot(creation.lineage(), 0, Change.Epoch.NONE));
+            } else if (operation instanceof Change change
+                    && !(change instanceof Change.Epoch epoch
+                            && epoch.number() <= retainedLog.endSnapshot().epoch().number())) {
                 // An epoch that is there was asked for again, as its author did not hear; a purge
                 // may be there twice.
-                seq = window.head() + 1;
-                window.append(new Entry(seq, c));
+                seq = retainedLog.head() + 1;
+                retainedLog.append(new Entry(seq, change));
             }
-            advanced.run();
+            onAdvanced.run();
             return seq;
         }
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            window.messages(PART_BYTES).forEach(m -> chunks.accept(Frames.encode(m)));
+            retainedLog
+                    .toMessages(SNAPSHOT_CHUNK_BYTES)
+                    .forEach(m -> chunks.accept(FrameCodec.encode(m)));
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
-            chunks.forEach(c -> window.take(Frames.decode(ByteBuffer.wrap((byte[]) c))));
-            advanced.run();
+            chunks.forEach(
+                    c -> retainedLog.restore(FrameCodec.decode(ByteBuffer.wrap((byte[]) c))));
+            onAdvanced.run();
         }
 
         @Override
         public Object getNewTermOperation() {
-            return BEGIN;
+            return NEW_TERM_ENTRY;
         }
     }
 }
--- a/src/main/java/cacheproxy/raft/StreamService.java
+++ b/src/main/java/cacheproxy/raft/StreamService.java
@@ -1,9 +1,9 @@
 package cacheproxy.raft;
 
 import cacheproxy.membership.Identity;
-import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Acknowledgements.FullyAcknowledged;
 import cacheproxy.stream.Message;
-import cacheproxy.stream.Window;
+import cacheproxy.stream.RetainedLog;
 import cacheproxy.stream.wire.StreamServer;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
@@ -37,45 +37,46 @@
     public record Parts(
             Identity identity,
             Map<String, InetSocketAddress> controls,
-            InetSocketAddress links,
+            InetSocketAddress peerListenAddress,
             Path folder,
-            Window.Bounds bounds,
+            RetainedLog.Bounds bounds,
             EventLoop loop,
             long seed,
             int snapshotEvery) {}
 
     private final Parts parts;
     private final StreamServer server;
-    private final Links links;
-    private final StorageRecovery storage;
+    private final PeerConnections peerConnections;
+    private final StorageRecovery storageRecovery;
     private LogFile file;
     private ControlMachine machine;
-    private int lives;
-    private final Consumer<Everywhere> everywhere;
-    private ScheduledFuture<?> ticking;
+    private int incarnation;
+    private final Consumer<FullyAcknowledged> onFullyAcknowledged;
+    private ScheduledFuture<?> tickTask;
 
     /**
      * Reads what it kept; throws where that is damaged, or its folder can't be written.
      *
      * @param everywhere told, where this one leads, of entries that have come to be everywhere
      */
-    public StreamService(Parts parts, Consumer<Everywhere> everywhere) throws IOException {
-        this(parts, everywhere, new DurableFiles());
+    public StreamService(Parts parts, Consumer<FullyAcknowledged> onFullyAcknowledged)
+            throws IOException {
+        this(parts, onFullyAcknowledged, new DurableFiles());
     }
 
     /** As above, with the calls to the file system that the log is written by. */
-    StreamService(Parts parts, Consumer<Everywhere> everywhere, DurableFiles files)
+    StreamService(Parts parts, Consumer<FullyAcknowledged> onFullyAcknowledged, DurableFiles files)
             throws IOException {
         this.parts = parts;
-        this.everywhere = everywhere;
-        links =
-                new Links(
+        this.onFullyAcknowledged = onFullyAcknowledged;
+        peerConnections =
+                new PeerConnections(
                         parts.loop(),
                         parts.identity(),
                         parts.controls(),
                         connection -> {},
                         this::received);
-        storage = new StorageRecovery(parts.folder(), this::log);
+        storageRecovery = new StorageRecovery(parts.folder(), this::logWarning);
         file = LogFile.open(parts.folder(), files);
         machine = newMachine();
         server = new StreamServer(parts.loop(), machine.publisher(), StreamService::now);
@@ -87,16 +88,16 @@
                         parts.identity().name(),
                         List.copyOf(parts.controls().keySet()),
                         parts.bounds(),
-                        new OnLoop(parts.loop()),
+                        new EventLoopExecutor(parts.loop()),
                         StreamService::now,
-                        parts.seed() + lives++,
+                        parts.seed() + incarnation++,
                         file,
                         file.restored(),
                         parts.snapshotEvery()),
                 this);
     }
 
-    private void log(String event, Object... fields) {
+    private void logWarning(String event, Object... fields) {
         LOG.warn("{} name={} {}", event, parts.identity().name(), Arrays.toString(fields));
     }
 
@@ -105,15 +106,16 @@
     }
 
     /** Begins; the address is the one bound for those it serves, where port 0 was asked for. */
-    public InetSocketAddress listen(InetSocketAddress at) throws IOException, InterruptedException {
-        links.listen(parts.links());
-        InetSocketAddress bound = server.listen(at);
+    public InetSocketAddress listen(InetSocketAddress address)
+            throws IOException, InterruptedException {
+        peerConnections.listen(parts.peerListenAddress());
+        InetSocketAddress bound = server.listen(address);
         parts.loop()
                 .submit(
                         () -> {
-                            links.start();
+                            peerConnections.start();
                             machine.start();
-                            ticking =
+                            tickTask =
                                     parts.loop()
                                             .scheduleAtFixedRate(
                                                     this::tick,
@@ -126,21 +128,22 @@
     }
 
     private void tick() {
-        if (!storage.failed() && (file.failed() || machine.broken())) {
-            storage.failed(
-                    now(), file.failed() ? file.fault() : PolicyService.nodeEnded(parts.folder()));
+        if (!storageRecovery.failed() && (file.failed() || machine.isTerminated())) {
+            storageRecovery.failed(
+                    now(),
+                    file.failed() ? file.fault() : PolicyService.nodeTerminated(parts.folder()));
             machine.stop();
-            file.discard();
+            file.closeQuietly();
         }
-        storage.tick(now(), this::takePartAgain);
+        storageRecovery.tick(now(), this::rejoin);
         machine.tick(now());
     }
 
     /** Begins anew from what is on the disk; its readers connect again and go on. */
-    private void takePartAgain() throws IOException {
+    private void rejoin() throws IOException {
         file = file.reopen();
         machine = newMachine();
-        server.serve(machine.publisher());
+        server.replacePublisher(machine.publisher());
         machine.start();
     }
 
@@ -164,22 +167,22 @@
     }
 
     @Override
-    public void tell(String control, JsonObject message) {
+    public void sendToControl(String control, JsonObject message) {
         if (!file.failed()) {
-            links.ask(control, message);
+            peerConnections.sendToVoter(control, message);
         }
     }
 
     @Override
-    public void everywhere(Everywhere entry) {
-        everywhere.accept(entry);
+    public void fullyAcknowledged(FullyAcknowledged entry) {
+        onFullyAcknowledged.accept(entry);
     }
 
     /** Ends it; on the loop. */
     public void close() {
-        ticking.cancel(false);
+        tickTask.cancel(false);
         server.close();
-        links.close();
+        peerConnections.close();
         machine.stop()
                 .whenComplete(
                         (o, fault) -> {
--- a/src/main/java/cacheproxy/raft/Voter.java
+++ b/src/main/java/cacheproxy/raft/Voter.java
@@ -32,20 +32,20 @@
  */
 final class Voter {
 
-    private static final long HEARTBEAT_S = 1;
-    private static final long SILENT_S = 2;
+    private static final long HEARTBEAT_PERIOD_S = 1;
+    private static final long HEARTBEAT_TIMEOUT_S = 2;
 
     /** A question that has no answer by then is asked again. */
-    private static final double UNANSWERED_MS = 2000;
+    private static final double CONFIRMATION_TIMEOUT_MS = 2000;
 
     /** What is asked so that a majority confirms the leader; it is no entry. */
-    private static final Object QUESTION = new Object();
+    private static final Object LEADERSHIP_QUERY = new Object();
 
     private final RaftNode node;
     private final Endpoint self;
     private final int restoredTerm;
-    private int ledTerm = -1;
-    private double confirmedAt = Double.NEGATIVE_INFINITY;
+    private int confirmedTerm = -1;
+    private double lastConfirmationAtMs = Double.NEGATIVE_INFINITY;
     private boolean confirming;
 
     /**
@@ -62,17 +62,17 @@
             RaftStore store,
             RestoredRaftState restored,
             int snapshotEvery,
-            int speed,
-            long electionMs) {}
+            int timeScale,
+            long electionTimeoutMs) {}
 
     /** For the library's timeouts: the machine's clock may be set, this one may not. */
-    private static final class Monotonic extends Clock {
+    private static final class MonotonicClock extends Clock {
         private final DoubleSupplier nowMs;
-        private final int speed;
+        private final int timeScale;
 
-        Monotonic(DoubleSupplier nowMs, int speed) {
+        MonotonicClock(DoubleSupplier nowMs, int timeScale) {
             this.nowMs = nowMs;
-            this.speed = speed;
+            this.timeScale = timeScale;
         }
 
         @Override
@@ -87,11 +87,12 @@
 
         @Override
         public Instant instant() {
-            return Instant.ofEpochMilli((long) (nowMs.getAsDouble() * speed));
+            return Instant.ofEpochMilli((long) (nowMs.getAsDouble() * timeScale));
         }
     }
 
-    private record Faster(RaftNodeExecutor executor, int speed) implements RaftNodeExecutor {
+    private record TimeScalingExecutor(RaftNodeExecutor executor, int timeScale)
+            implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
             executor.execute(task);
@@ -104,16 +105,16 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            executor.schedule(task, unit.toMicros(delay) / speed, TimeUnit.MICROSECONDS);
+            executor.schedule(task, unit.toMicros(delay) / timeScale, TimeUnit.MICROSECONDS);
         }
     }
 
-    private record Wires(BiConsumer<String, JsonObject> out) implements Transport {
+    private record JsonTransport(BiConsumer<String, JsonObject> sender) implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
-            JsonObject json = Codec.raft(message);
+            JsonObject json = Codec.raftMessage(message);
             if (json != null) {
-                out.accept((String) to.getId(), json);
+                sender.accept((String) to.getId(), json);
             }
         }
 
@@ -124,10 +125,10 @@
     }
 
     /** Keeps questions from the machine. */
-    private record Entries(StateMachine machine) implements StateMachine {
+    private record QueryFilter(StateMachine machine) implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
-            return operation == QUESTION ? null : machine.runOperation(index, operation);
+            return operation == LEADERSHIP_QUERY ? null : machine.runOperation(index, operation);
         }
 
         @Override
@@ -155,23 +156,24 @@
                 parts.restored() == null ? 0 : parts.restored().getTermPersistentState().getTerm();
         RaftConfig config =
                 RaftConfig.newBuilder()
-                        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                        .setLeaderHeartbeatTimeoutSecs(SILENT_S)
-                        .setLeaderElectionTimeoutMillis(parts.electionMs())
+                        .setLeaderHeartbeatPeriodSecs(HEARTBEAT_PERIOD_S)
+                        .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_S)
+                        .setLeaderElectionTimeoutMillis(parts.electionTimeoutMs())
                         .setCommitCountToTakeSnapshot(parts.snapshotEvery())
                         .build();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId(Codec.GROUP)
+                        .setGroupId(Codec.GROUP_ID)
                         .setConfig(config)
                         .setExecutor(
-                                parts.speed() == 1
+                                parts.timeScale() == 1
                                         ? parts.executor()
-                                        : new Faster(parts.executor(), parts.speed()))
-                        .setTransport(new Wires(send))
-                        .setStateMachine(new Entries(machine))
-                        .setModelFactory(Codec.MODELS)
-                        .setClock(new Monotonic(parts.nowMs(), parts.speed()))
+                                        : new TimeScalingExecutor(
+                                                parts.executor(), parts.timeScale()))
+                        .setTransport(new JsonTransport(send))
+                        .setStateMachine(new QueryFilter(machine))
+                        .setModelFactory(Codec.MODEL_FACTORY)
+                        .setClock(new MonotonicClock(parts.nowMs(), parts.timeScale()))
                         .setRandom(new Random(parts.seed()))
                         .setStore(parts.store());
         if (parts.restored() == null) {
@@ -200,42 +202,44 @@
     }
 
     /** Whether it has ended by itself, as where its file can't be written. */
-    boolean broken() {
+    boolean isTerminated() {
         return RaftNodeStatus.isTerminal(node.getStatus());
     }
 
     /** A message from another voter; false where it is none of Raft's. */
     boolean received(String from, JsonObject json) {
-        RaftMessage message = Codec.raft(from, json);
-        if (message != null && !broken()) {
+        RaftMessage message = Codec.raftMessage(from, json);
+        if (message != null && !isTerminated()) {
             node.handle(message);
         }
         return message != null;
     }
 
     /** Whether it is time to confirm again that it leads. */
-    boolean due(double now, double everyMs) {
+    boolean confirmationDue(double now, double intervalMs) {
         boolean due =
-                leads()
-                        && now - confirmedAt
-                                >= (confirming ? Math.max(everyMs, UNANSWERED_MS) : everyMs);
+                isLeader()
+                        && now - lastConfirmationAtMs
+                                >= (confirming
+                                        ? Math.max(intervalMs, CONFIRMATION_TIMEOUT_MS)
+                                        : intervalMs);
         if (due) {
-            confirmedAt = now;
+            lastConfirmationAtMs = now;
         }
         return due;
     }
 
-    boolean leads() {
-        return !broken() && self.equals(node.getTerm().getLeaderEndpoint());
+    boolean isLeader() {
+        return !isTerminated() && self.equals(node.getTerm().getLeaderEndpoint());
     }
 
     /** Whether a majority has confirmed in this term that it leads. */
-    boolean led() {
-        return leads() && ledTerm == term();
+    boolean isLeadershipConfirmed() {
+        return isLeader() && confirmedTerm == term();
     }
 
     String leader() {
-        RaftEndpoint leader = broken() ? null : node.getTerm().getLeaderEndpoint();
+        RaftEndpoint leader = isTerminated() ? null : node.getTerm().getLeaderEndpoint();
         return leader == null ? "" : (String) leader.getId();
     }
 
@@ -244,18 +248,18 @@
     }
 
     /** Asks a majority whether it still leads. */
-    void confirm(Consumer<Boolean> then) {
+    void confirm(Consumer<Boolean> callback) {
         int term = term();
         confirming = true;
-        node.query(QUESTION, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
+        node.query(LEADERSHIP_QUERY, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                 .whenComplete(
                         (o, fault) -> {
                             confirming = false;
-                            boolean leads = fault == null && leads() && term == term();
-                            if (leads) {
-                                ledTerm = term;
+                            boolean confirmed = fault == null && isLeader() && term == term();
+                            if (confirmed) {
+                                confirmedTerm = term;
                             }
-                            then.accept(leads);
+                            callback.accept(confirmed);
                         });
     }
 
@@ -263,8 +267,8 @@
      * Adds an entry; {@code then} is told what the machine made of it, or null where that is not
      * known.
      */
-    <T> void append(Object operation, Consumer<T> then) {
+    <T> void append(Object operation, Consumer<T> callback) {
         node.<T>replicate(operation)
-                .whenComplete((o, fault) -> then.accept(fault == null ? o.getResult() : null));
+                .whenComplete((o, fault) -> callback.accept(fault == null ? o.getResult() : null));
     }
 }
--- a/src/main/java/cacheproxy/raft/Backlog.java
+++ b/src/main/java/cacheproxy/raft/VoterLogGenerator.java
@@ -11,9 +11,9 @@
 import java.util.function.IntFunction;
 
 /** A voter's log as long service leaves it, for scale tests: what a start has to read and apply. */
-public final class Backlog {
+public final class VoterLogGenerator {
 
-    private Backlog() {}
+    private VoterLogGenerator() {}
 
     /**
      * Writes so many epochs, two entries each, in force all of them, into a voter's folder; {@code
@@ -23,26 +23,26 @@
             Path folder, String self, List<String> voters, int epochs, IntFunction<String> content)
             throws IOException {
         try (LogFile file = LogFile.open(folder)) {
-            List<RaftEndpoint> all =
+            List<RaftEndpoint> members =
                     voters.stream().map(v -> (RaftEndpoint) new Endpoint(v)).toList();
             file.persistAndFlushLocalEndpoint(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftEndpointPersistentStateBuilder()
                             .setLocalEndpoint(new Endpoint(self))
                             .setVoting(true)
                             .build());
             file.persistAndFlushInitialGroupMembers(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
-                            .setMembers(all)
-                            .setVotingMembers(all)
+                            .setMembers(members)
+                            .setVotingMembers(members)
                             .build());
             file.persistAndFlushTerm(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftTermPersistentStateBuilder()
                             .setTerm(1)
-                            .setVotedFor(all.get(0))
+                            .setVotedFor(members.get(0))
                             .build());
             List<LogEntry> entries = new ArrayList<>();
             for (int epoch = 1; epoch <= epochs; epoch++) {
@@ -58,7 +58,7 @@
     }
 
     private static LogEntry entry(long index, Object change) {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(1)
--- a/src/main/java/cacheproxy/store/CallMarkers.java
+++ b/src/main/java/cacheproxy/store/CallMarkers.java
@@ -18,44 +18,44 @@
  */
 final class CallMarkers {
 
-    private static final Pattern NAME =
+    private static final Pattern NAME_PATTERN =
             Pattern.compile("call-(?<state>.+)-(?<boot>[0-9a-f]{32})-(?<nanos>-?[0-9]{1,19})");
 
     /** A longer state has a digest in its place: a file's name has 255 bytes at most. */
-    private static final int LONGEST_STATE = 190;
+    private static final int MAX_STATE_CHARS = 190;
 
-    private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
-    private static final String UNKNOWN_BOOT = "0".repeat(32);
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
+    private static final String UNKNOWN_BOOT_ID = "0".repeat(32);
 
-    private final Path folder;
-    private final String boot = boot();
+    private final Path directory;
+    private final String bootId = readBootId();
 
-    CallMarkers(Path folder) {
-        this.folder = folder;
+    CallMarkers(Path directory) {
+        this.directory = directory;
     }
 
-    private static String boot() {
+    private static String readBootId() {
         try {
-            return Files.readString(BOOT_ID).strip().replace("-", "");
+            return Files.readString(BOOT_ID_FILE).strip().replace("-", "");
         } catch (IOException e) {
-            return UNKNOWN_BOOT;
+            return UNKNOWN_BOOT_ID;
         }
     }
 
     /** Whether a later call on a state than this one has been written, among the folder's names. */
     boolean isSuperseded(Set<String> names, String state, CallTime call) {
         return names.stream()
-                .map(NAME::matcher)
-                .filter(name -> isOf(state, name) && name.group("boot").equals(boot))
+                .map(NAME_PATTERN::matcher)
+                .filter(name -> isMarkerOf(state, name) && name.group("boot").equals(bootId))
                 .anyMatch(name -> timeIn(name).isAfter(call));
     }
 
-    private static boolean isOf(String state, Matcher name) {
-        return name.matches() && name.group("state").equals(shortened(state));
+    private static boolean isMarkerOf(String state, Matcher marker) {
+        return marker.matches() && marker.group("state").equals(shortened(state));
     }
 
-    private static CallTime timeIn(Matcher name) {
-        return new CallTime(Long.parseLong(name.group("nanos")));
+    private static CallTime timeIn(Matcher marker) {
+        return new CallTime(Long.parseLong(marker.group("nanos")));
     }
 
     /**
@@ -64,17 +64,19 @@
      */
     void record(DurableFiles files, Set<String> names, String state, CallTime call)
             throws IOException {
-        Path marker = folder.resolve("call-" + shortened(state) + "-" + boot + "-" + call.nanos());
-        Optional<String> older = names.stream().filter(n -> isOf(state, NAME.matcher(n))).findAny();
+        Path marker =
+                directory.resolve("call-" + shortened(state) + "-" + bootId + "-" + call.nanos());
+        Optional<String> older =
+                names.stream().filter(n -> isMarkerOf(state, NAME_PATTERN.matcher(n))).findAny();
         if (older.isPresent()) {
-            files.renameUnsynced(folder.resolve(older.get()), marker);
+            files.renameUnsynced(directory.resolve(older.get()), marker);
         } else {
             files.createUnsynced(marker);
         }
     }
 
     private static String shortened(String state) {
-        return state.length() <= LONGEST_STATE
+        return state.length() <= MAX_STATE_CHARS
                 ? state
                 : UUID.nameUUIDFromBytes(state.getBytes(StandardCharsets.UTF_8)).toString();
     }
--- a/src/main/java/cacheproxy/store/FolderLock.java
+++ b/src/main/java/cacheproxy/store/DirectoryLock.java
@@ -11,30 +11,30 @@
  * Keeps other processes from changing a folder until it is closed, or until this process ends. It
  * blocks, and binds only those who acquire it too.
  */
-final class FolderLock implements Closeable {
+final class DirectoryLock implements Closeable {
 
     private static final String LOCK_FILE = "lock";
 
     /** A file lock holds between processes, not between the threads of one. */
-    private static final ReentrantLock THREADS = new ReentrantLock();
+    private static final ReentrantLock THREAD_LOCK = new ReentrantLock();
 
     private final FileChannel channel;
 
-    private FolderLock(FileChannel channel) {
+    private DirectoryLock(FileChannel channel) {
         this.channel = channel;
     }
 
-    static FolderLock acquire(Path folder) throws IOException {
-        THREADS.lock();
+    static DirectoryLock acquire(Path directory) throws IOException {
+        THREAD_LOCK.lock();
         try {
-            return new FolderLock(locked(folder.resolve(LOCK_FILE)));
+            return new DirectoryLock(openLocked(directory.resolve(LOCK_FILE)));
         } catch (IOException | RuntimeException e) {
-            THREADS.unlock();
+            THREAD_LOCK.unlock();
             throw e;
         }
     }
 
-    private static FileChannel locked(Path file) throws IOException {
+    private static FileChannel openLocked(Path file) throws IOException {
         FileChannel channel =
                 FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
@@ -52,7 +52,7 @@
         try {
             channel.close();
         } finally {
-            THREADS.unlock();
+            THREAD_LOCK.unlock();
         }
     }
 }
--- a/src/main/java/cacheproxy/store/DurableFiles.java
+++ b/src/main/java/cacheproxy/store/DurableFiles.java
@@ -17,7 +17,7 @@
      * Ends the name that new content has until it is whole; what a crash leaves there is never
      * read.
      */
-    private static final String UNFINISHED = ".new";
+    private static final String UNFINISHED_SUFFIX = ".new";
 
     private final FileOperations operations;
 
@@ -32,19 +32,19 @@
      */
     public void replace(Path file, byte[] content, Set<PosixFilePermission> permissions)
             throws FileWriteException {
-        Path unfinished = file.resolveSibling(file.getFileName() + UNFINISHED);
+        Path unfinished = file.resolveSibling(file.getFileName() + UNFINISHED_SUFFIX);
         try {
             operations.delete(unfinished);
             operations.create(unfinished, permissions);
             operations.write(unfinished, content);
-            operations.force(unfinished);
+            operations.sync(unfinished);
             operations.rename(unfinished, file);
         } catch (IOException e) {
             deleteUnfinished(unfinished, e);
             throw new FileWriteException(file, false, e);
         }
         try {
-            operations.forceFolder(folderOf(file));
+            operations.syncDirectory(directoryOf(file));
         } catch (IOException e) {
             throw new FileWriteException(file, true, e);
         }
@@ -80,23 +80,23 @@
     }
 
     /** Syncs what an earlier call has changed in a folder. */
-    public void sync(Path folder) throws IOException {
-        operations.forceFolder(folder);
+    public void sync(Path directory) throws IOException {
+        operations.syncDirectory(directory);
     }
 
     /** Deletes a file; where it is not there the folder is synced all the same. */
     public void delete(Path file) throws IOException {
         operations.delete(file);
-        operations.forceFolder(folderOf(file));
+        operations.syncDirectory(directoryOf(file));
     }
 
     /** Creates a folder with its name synced into the one above it. */
-    public void createFolder(Path folder) throws IOException {
-        operations.createFolder(folder);
-        operations.forceFolder(folderOf(folder));
+    public void createDirectory(Path directory) throws IOException {
+        operations.createDirectory(directory);
+        operations.syncDirectory(directoryOf(directory));
     }
 
-    private static Path folderOf(Path path) {
+    private static Path directoryOf(Path path) {
         return path.toAbsolutePath().getParent();
     }
 }
--- a/src/main/java/cacheproxy/store/FileOperations.java
+++ b/src/main/java/cacheproxy/store/FileOperations.java
@@ -12,7 +12,7 @@
     FileOperations SYSTEM = new SystemFileOperations();
 
     /** Creates a folder and those above it; one that is there is left as it is. */
-    void createFolder(Path folder) throws IOException;
+    void createDirectory(Path directory) throws IOException;
 
     /** Creates an empty file with the usual permissions; fails where the name is taken. */
     void create(Path file) throws IOException;
@@ -27,10 +27,10 @@
     void write(Path file, byte[] content) throws IOException;
 
     /** Syncs a file's content to the disk. */
-    void force(Path file) throws IOException;
+    void sync(Path file) throws IOException;
 
     /** Syncs a folder's names to the disk: what was created, renamed or deleted in it. */
-    void forceFolder(Path folder) throws IOException;
+    void syncDirectory(Path directory) throws IOException;
 
     /** Gives a file another name in one step, in place of a file that has it. */
     void rename(Path file, Path to) throws IOException;
--- a/src/main/java/cacheproxy/store/OutageFiles.java
+++ b/src/main/java/cacheproxy/store/MaintenanceFiles.java
@@ -20,15 +20,15 @@
  * time, off the event loop. A change that is made late, as its write failed at first, gives way to
  * a later call that any process has written meanwhile ({@link CallMarkers}).
  */
-public final class OutageFiles {
+public final class MaintenanceFiles {
 
-    private static final String PREFIX = "out-";
+    private static final String NODE_PREFIX = "out-";
     private static final String DRAINED = "drained";
 
     /** What is kept: the nodes that are out, and whether the proxy is drained. */
-    public record Kept(Set<String> out, boolean drained) {}
+    public record MaintenanceState(Set<String> nodes, boolean drained) {}
 
-    private final Path folder;
+    private final Path directory;
 
     /** Null for the machine's own. */
     private final FileOperations operations;
@@ -40,15 +40,15 @@
     private CallMarkers markers;
 
     /** Whether the folder's own name is known to be on the disk. */
-    private boolean folderSynced;
+    private boolean directorySynced;
 
-    public OutageFiles(Path folder) {
-        this(folder, null);
+    public MaintenanceFiles(Path directory) {
+        this(directory, null);
     }
 
     /** With file operations that a test lets fail. */
-    public OutageFiles(Path folder, FileOperations operations) {
-        this.folder = folder;
+    public MaintenanceFiles(Path directory, FileOperations operations) {
+        this.directory = directory;
         this.operations = operations;
     }
 
@@ -56,24 +56,26 @@
      * What is kept now; throws where that can't be told, as without a free descriptor: nobody may
      * take it for nothing.
      */
-    public Kept read() throws IOException {
-        Set<String> names = names();
-        Set<String> out = new HashSet<>();
-        names.stream().filter(n -> n.startsWith(PREFIX)).forEach(n -> add(out, n));
-        return new Kept(out, names.contains(DRAINED));
+    public MaintenanceState read() throws IOException {
+        Set<String> names = fileNames();
+        Set<String> nodes = new HashSet<>();
+        names.stream().filter(n -> n.startsWith(NODE_PREFIX)).forEach(n -> addNode(nodes, n));
+        return new MaintenanceState(nodes, names.contains(DRAINED));
     }
 
-    private Set<String> names() throws IOException {
-        try (Stream<Path> listed = Files.list(folder)) {
+    private Set<String> fileNames() throws IOException {
+        try (Stream<Path> listed = Files.list(directory)) {
             return listed.map(f -> f.getFileName().toString()).collect(Collectors.toSet());
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
     }
 
-    private static void add(Set<String> out, String name) {
+    private static void addNode(Set<String> nodes, String name) {
         try {
-            out.add(URLDecoder.decode(name.substring(PREFIX.length()), StandardCharsets.UTF_8));
+            nodes.add(
+                    URLDecoder.decode(
+                            name.substring(NODE_PREFIX.length()), StandardCharsets.UTF_8));
         } catch (IllegalArgumentException e) {
             // Another's file: it names no node.
             return;
@@ -85,84 +87,84 @@
      * here. Without a sync; the first change syncs its name.
      */
     public void create() throws IOException {
-        Files.createDirectories(folder);
+        Files.createDirectories(directory);
     }
 
     /** Keeps that a node is out, by a call made now. */
-    public void begin(String node) throws IOException {
-        begin(node, CallTime.now());
+    public void startMaintenance(String node) throws IOException {
+        startMaintenance(node, CallTime.now());
     }
 
     /** Keeps that a node is out; throws where it can't be kept or a later call has been written. */
-    public void begin(String node, CallTime call) throws IOException {
-        keep(file(node), true, call);
+    public void startMaintenance(String node, CallTime call) throws IOException {
+        writeState(nodeFile(node), true, call);
     }
 
     /** Forgets that a node is out, by a call made now. */
-    public void end(String node) throws IOException {
-        end(node, CallTime.now());
+    public void endMaintenance(String node) throws IOException {
+        endMaintenance(node, CallTime.now());
     }
 
     /**
      * Forgets that a node is out; throws where it would be read again or a later call has been
      * written.
      */
-    public void end(String node, CallTime call) throws IOException {
-        keep(file(node), false, call);
+    public void endMaintenance(String node, CallTime call) throws IOException {
+        writeState(nodeFile(node), false, call);
     }
 
     /** Keeps that the operators empty the proxy, or that this is over, by a call made now. */
-    public void drain(boolean begins) throws IOException {
-        drain(begins, CallTime.now());
+    public void setDraining(boolean start) throws IOException {
+        setDraining(start, CallTime.now());
     }
 
     /**
      * Keeps that the operators empty the proxy, or that this is over; throws where it can't be kept
      * or a later call has been written.
      */
-    public void drain(boolean begins, CallTime call) throws IOException {
-        keep(folder.resolve(DRAINED), begins, call);
+    public void setDraining(boolean start, CallTime call) throws IOException {
+        writeState(directory.resolve(DRAINED), start, call);
     }
 
     /** No other process may write between the look for a later call and the end of this one. */
-    private void keep(Path file, boolean there, CallTime call) throws IOException {
-        DurableFiles durable = inFolder();
-        try (FolderLock lock = FolderLock.acquire(folder)) {
+    private void writeState(Path file, boolean present, CallTime call) throws IOException {
+        DurableFiles durable = prepareDirectory();
+        try (DirectoryLock lock = DirectoryLock.acquire(directory)) {
             String state = file.getFileName().toString();
-            Set<String> names = names();
+            Set<String> names = fileNames();
             if (markers.isSuperseded(names, state, call)) {
                 throw new SupersededException(state);
             }
-            change(durable, names, file, there);
+            change(durable, names, file, present);
             markers.record(durable, names, state, call);
-            durable.sync(folder);
+            durable.sync(directory);
         }
     }
 
-    private static void change(DurableFiles durable, Set<String> names, Path file, boolean there)
+    private static void change(DurableFiles durable, Set<String> names, Path file, boolean present)
             throws IOException {
         // A name that the system would never take must not fail a call that wants it gone.
-        if (there) {
+        if (present) {
             durable.createUnsynced(file);
         } else if (names.contains(file.getFileName().toString())) {
             durable.deleteUnsynced(file);
         }
     }
 
-    private DurableFiles inFolder() throws IOException {
+    private DurableFiles prepareDirectory() throws IOException {
         if (files == null) {
             files = new DurableFiles(operations == null ? FileOperations.SYSTEM : operations);
-            markers = new CallMarkers(folder);
+            markers = new CallMarkers(directory);
         }
-        if (!folderSynced || !Files.isDirectory(folder)) {
-            folderSynced = false;
-            files.createFolder(folder);
-            folderSynced = true;
+        if (!directorySynced || !Files.isDirectory(directory)) {
+            directorySynced = false;
+            files.createDirectory(directory);
+            directorySynced = true;
         }
         return files;
     }
 
-    private Path file(String node) {
-        return folder.resolve(PREFIX + URLEncoder.encode(node, StandardCharsets.UTF_8));
+    private Path nodeFile(String node) {
+        return directory.resolve(NODE_PREFIX + URLEncoder.encode(node, StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/cacheproxy/store/SystemFileOperations.java
+++ b/src/main/java/cacheproxy/store/SystemFileOperations.java
@@ -14,8 +14,8 @@
 final class SystemFileOperations implements FileOperations {
 
     @Override
-    public void createFolder(Path folder) throws IOException {
-        Files.createDirectories(folder);
+    public void createDirectory(Path directory) throws IOException {
+        Files.createDirectories(directory);
     }
 
     @Override
@@ -34,16 +34,16 @@
     }
 
     @Override
-    public void force(Path file) throws IOException {
-        force(file, StandardOpenOption.WRITE);
+    public void sync(Path file) throws IOException {
+        sync(file, StandardOpenOption.WRITE);
     }
 
     @Override
-    public void forceFolder(Path folder) throws IOException {
-        force(folder, StandardOpenOption.READ);
+    public void syncDirectory(Path directory) throws IOException {
+        sync(directory, StandardOpenOption.READ);
     }
 
-    private static void force(Path path, StandardOpenOption option) throws IOException {
+    private static void sync(Path path, StandardOpenOption option) throws IOException {
         try (FileChannel channel = FileChannel.open(path, option)) {
             channel.force(true);
         }
--- a/src/main/java/cacheproxy/stream/Frames.java
+++ b/src/main/java/cacheproxy/stream/FrameCodec.java
@@ -4,7 +4,7 @@
 import cacheproxy.stream.Change.Purge;
 import cacheproxy.stream.Message.Ack;
 import cacheproxy.stream.Message.Batch;
-import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Heartbeat;
 import cacheproxy.stream.Message.Hello;
 import cacheproxy.stream.Message.Row;
 import cacheproxy.stream.Message.Snapshot;
@@ -20,37 +20,37 @@
  * ones first, as in Protocol Buffers) and texts with their length before them. A purge of a key of
  * 32 bytes takes 34. Whatever is malformed throws an IllegalArgumentException.
  */
-public final class Frames {
+public final class FrameCodec {
 
     /** Longest change, encoded; a configuration of 16,384 characters fits where they are ASCII. */
-    public static final int MOST_CHANGE_BYTES = 20_000;
+    public static final int MAX_CHANGE_BYTES = 20_000;
 
     /**
      * A frame's share beside its changes: its length, version, kind and numbers, and the headers of
      * TCP and IP.
      */
-    static final int FRAME_BYTES = 80;
+    static final int FRAME_OVERHEAD_BYTES = 80;
 
     private static final byte VERSION = 1;
-    private static final int MOST_ROWS = 100_000;
+    private static final int MAX_TALLY_ROWS = 100_000;
 
     private enum Kind {
         HELLO,
         ACK,
         BATCH,
         SNAPSHOT,
-        BEAT,
+        HEARTBEAT,
         TALLY
     }
 
-    private static final int KEY = 0;
-    private static final int PREFIX = 1;
+    private static final int KEY_PURGE = 0;
+    private static final int PREFIX_PURGE = 1;
     private static final int EPOCH = 2;
 
-    private Frames() {}
+    private FrameCodec() {}
 
     /** Bytes that a change takes in a frame or file. */
-    public static int bytes(Change change) {
+    public static int encodedBytes(Change change) {
         if (change instanceof Epoch e) {
             return 1 + varintBytes(e.number()) + textBytes(e.content());
         }
@@ -58,41 +58,44 @@
     }
 
     /** Whether a change can be carried at all. */
-    public static boolean fits(Change change) {
-        return bytes(change) <= MOST_CHANGE_BYTES;
+    public static boolean isEncodable(Change change) {
+        return encodedBytes(change) <= MAX_CHANGE_BYTES;
     }
 
     /**
      * What a frame with entries costs its receiver's pace, in bytes; both ends reckon it by this.
      */
-    public static int costBytes(Message m) {
-        if (m instanceof Batch b) {
-            return FRAME_BYTES + b.changes().stream().mapToInt(Frames::bytes).sum();
+    public static int costBytes(Message message) {
+        if (message instanceof Batch b) {
+            return FRAME_OVERHEAD_BYTES
+                    + b.changes().stream().mapToInt(FrameCodec::encodedBytes).sum();
         }
-        return m instanceof Snapshot s ? FRAME_BYTES + bytes(s.epoch()) : 0;
+        return message instanceof Snapshot s ? FRAME_OVERHEAD_BYTES + encodedBytes(s.epoch()) : 0;
     }
 
-    private static int varintBytes(long v) {
-        return Math.max(1, (Long.SIZE - Long.numberOfLeadingZeros(v) + 6) / 7);
+    private static int varintBytes(long value) {
+        return Math.max(1, (Long.SIZE - Long.numberOfLeadingZeros(value) + 6) / 7);
     }
 
     private static int textBytes(String text) {
-        int n = 0;
+        int length = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             // Half of a pair takes two of its four bytes; one that stands alone becomes a question
             // mark.
-            n +=
+            length +=
                     c < 0x80
                             ? 1
                             : c < 0x800
                                     ? 2
-                                    : !Character.isSurrogate(c) ? 3 : paired(text, i) ? 2 : 1;
+                                    : !Character.isSurrogate(c)
+                                            ? 3
+                                            : isPairedSurrogate(text, i) ? 2 : 1;
         }
-        return varintBytes(n) + n;
+        return varintBytes(length) + length;
     }
 
-    private static boolean paired(String text, int i) {
+    private static boolean isPairedSurrogate(String text, int i) {
         char c = text.charAt(i);
         return Character.isHighSurrogate(c)
                 ? i + 1 < text.length() && Character.isLowSurrogate(text.charAt(i + 1))
@@ -100,36 +103,36 @@
     }
 
     /** A message as one frame, without its length. */
-    public static byte[] encode(Message m) {
-        ByteBuffer to = ByteBuffer.allocate(bound(m)).put(VERSION);
-        if (m instanceof Hello h) {
-            kind(to, Kind.HELLO);
+    public static byte[] encode(Message message) {
+        ByteBuffer to = ByteBuffer.allocate(maxEncodedBytes(message)).put(VERSION);
+        if (message instanceof Hello h) {
+            writeKind(to, Kind.HELLO);
             text(to, h.name());
             to.putLong(h.lineage());
             varint(to, h.cursor());
             varint(to, h.allowedBytes());
-        } else if (m instanceof Ack a) {
-            kind(to, Kind.ACK);
+        } else if (message instanceof Ack a) {
+            writeKind(to, Kind.ACK);
             varint(to, a.applied());
             varint(to, a.allowedBytes());
             varint(to, a.stamp() + 1);
-        } else if (m instanceof Batch b) {
-            kind(to, Kind.BATCH);
-            varint(to, b.first());
+        } else if (message instanceof Batch b) {
+            writeKind(to, Kind.BATCH);
+            varint(to, b.firstSeq());
             varint(to, b.changes().size());
-            b.changes().forEach(c -> write(to, c));
-        } else if (m instanceof Snapshot s) {
-            kind(to, Kind.SNAPSHOT);
+            b.changes().forEach(c -> writeChange(to, c));
+        } else if (message instanceof Snapshot s) {
+            writeKind(to, Kind.SNAPSHOT);
             to.putLong(s.lineage());
             varint(to, s.seq());
-            write(to, s.epoch());
-        } else if (m instanceof Beat b) {
-            kind(to, Kind.BEAT);
+            writeChange(to, s.epoch());
+        } else if (message instanceof Heartbeat b) {
+            writeKind(to, Kind.HEARTBEAT);
             varint(to, b.stamp() + 1);
             varint(to, b.head());
             varint(to, b.ageMs());
-        } else if (m instanceof Tally t) {
-            kind(to, Kind.TALLY);
+        } else if (message instanceof Tally t) {
+            writeKind(to, Kind.TALLY);
             varint(to, t.rows().size());
             t.rows()
                     .forEach(
@@ -143,38 +146,38 @@
         return frame;
     }
 
-    private static int bound(Message m) {
+    private static int maxEncodedBytes(Message message) {
         int fixed = 48;
-        if (m instanceof Hello h) {
+        if (message instanceof Hello h) {
             return fixed + textBytes(h.name());
         }
-        return m instanceof Tally t
+        return message instanceof Tally t
                 ? fixed + t.rows().stream().mapToInt(r -> textBytes(r.name()) + 10).sum()
-                : fixed + costBytes(m);
+                : fixed + costBytes(message);
     }
 
-    private static void kind(ByteBuffer to, Kind kind) {
+    private static void writeKind(ByteBuffer to, Kind kind) {
         to.put((byte) kind.ordinal());
     }
 
     /** Writes a change. */
-    public static void write(ByteBuffer to, Change change) {
+    public static void writeChange(ByteBuffer to, Change change) {
         if (change instanceof Epoch e) {
             to.put((byte) EPOCH);
             varint(to, e.number());
             text(to, e.content());
         } else if (change instanceof Purge p) {
-            to.put((byte) (p.prefix() ? PREFIX : KEY));
+            to.put((byte) (p.prefix() ? PREFIX_PURGE : KEY_PURGE));
             text(to, p.key());
         }
     }
 
     /** Reads a change. */
-    public static Change read(ByteBuffer from) {
+    public static Change readChange(ByteBuffer from) {
         try {
             int kind = from.get();
             return switch (kind) {
-                case KEY, PREFIX -> new Purge(text(from), kind == PREFIX);
+                case KEY_PURGE, PREFIX_PURGE -> new Purge(text(from), kind == PREFIX_PURGE);
                 case EPOCH -> new Epoch(varint(from), text(from));
                 default -> throw new IllegalArgumentException("no such change: " + kind);
             };
@@ -193,17 +196,17 @@
             if (kind < 0 || kind >= Kind.values().length) {
                 throw new IllegalArgumentException("no such frame: " + kind);
             }
-            Message m = body(Kind.values()[kind], from);
+            Message message = decodeBody(Kind.values()[kind], from);
             if (from.hasRemaining()) {
                 throw new IllegalArgumentException(from.remaining() + " bytes too many");
             }
-            return m;
+            return message;
         } catch (BufferUnderflowException e) {
             throw new IllegalArgumentException("a frame that ends too early", e);
         }
     }
 
-    private static Message body(Kind kind, ByteBuffer from) {
+    private static Message decodeBody(Kind kind, ByteBuffer from) {
         return switch (kind) {
             case HELLO -> new Hello(text(from), from.getLong(), varint(from), varint(from));
             case ACK -> new Ack(varint(from), varint(from), varint(from) - 1);
@@ -212,24 +215,24 @@
                 // Two bytes at least each: a count beyond that is a lie, and no reason to reserve
                 // room for it.
                 long count = varint(from);
-                List<Change> changes = new ArrayList<>(room(count, from.remaining() / 2));
+                List<Change> changes = new ArrayList<>(checkedCount(count, from.remaining() / 2));
                 for (long i = 0; i < count; i++) {
-                    changes.add(read(from));
+                    changes.add(readChange(from));
                 }
                 yield new Batch(first, changes);
             }
             case SNAPSHOT -> {
                 long lineage = from.getLong();
                 long seq = varint(from);
-                if (read(from) instanceof Epoch e) {
+                if (readChange(from) instanceof Epoch e) {
                     yield new Snapshot(lineage, seq, e);
                 }
                 throw new IllegalArgumentException("a snapshot without an epoch");
             }
-            case BEAT -> new Beat(varint(from) - 1, varint(from), varint(from));
+            case HEARTBEAT -> new Heartbeat(varint(from) - 1, varint(from), varint(from));
             case TALLY -> {
                 long count = varint(from);
-                List<Row> rows = new ArrayList<>(room(count, MOST_ROWS));
+                List<Row> rows = new ArrayList<>(checkedCount(count, MAX_TALLY_ROWS));
                 for (long i = 0; i < count; i++) {
                     rows.add(new Row(text(from), varint(from)));
                 }
@@ -238,29 +241,29 @@
         };
     }
 
-    private static int room(long count, int most) {
-        if (count < 0 || count > most) {
+    private static int checkedCount(long count, int max) {
+        if (count < 0 || count > max) {
             throw new IllegalArgumentException("a count of " + count);
         }
         return (int) count;
     }
 
     private static void varint(ByteBuffer to, long value) {
-        long v = value;
-        while ((v & ~0x7fL) != 0) {
-            to.put((byte) (v & 0x7f | 0x80));
-            v >>>= 7;
+        long bits = value;
+        while ((bits & ~0x7fL) != 0) {
+            to.put((byte) (bits & 0x7f | 0x80));
+            bits >>>= 7;
         }
-        to.put((byte) v);
+        to.put((byte) bits);
     }
 
     private static long varint(ByteBuffer from) {
-        long v = 0;
+        long bits = 0;
         for (int shift = 0; shift < Long.SIZE; shift += 7) {
             byte b = from.get();
-            v |= (long) (b & 0x7f) << shift;
+            bits |= (long) (b & 0x7f) << shift;
             if (b >= 0) {
-                return v;
+                return bits;
             }
         }
         throw new IllegalArgumentException("a number without end");
--- a/src/main/java/cacheproxy/stream/Message.java
+++ b/src/main/java/cacheproxy/stream/Message.java
@@ -12,7 +12,7 @@
                 Message.Ack,
                 Message.Batch,
                 Message.Snapshot,
-                Message.Beat,
+                Message.Heartbeat,
                 Message.Tally {
 
     /**
@@ -23,13 +23,13 @@
 
     /**
      * All up to {@code applied} is in force here. {@code allowedBytes} counts from the connection's
-     * start, as {@link Frames#costBytes} does, and never shrinks. A {@code stamp} of the sender's
-     * own clock asks for a beat; a negative one asks for nothing.
+     * start, as {@link FrameCodec#costBytes} does, and never shrinks. A {@code stamp} of the
+     * sender's own clock asks for a beat; a negative one asks for nothing.
      */
     record Ack(long applied, long allowedBytes, long stamp) implements Message {}
 
     /** Entries without a gap; {@code first} is the place of the first one. */
-    record Batch(long first, List<Change> changes) implements Message {}
+    record Batch(long firstSeq, List<Change> changes) implements Message {}
 
     /**
      * Whoever takes it is at {@code seq}: all that was kept from before counts as purged, and
@@ -41,7 +41,7 @@
      * The sender's last entry, and how old its own knowledge of that is; {@code stamp} is the one
      * that was asked with.
      */
-    record Beat(long stamp, long head, long ageMs) implements Message {}
+    record Heartbeat(long stamp, long head, long ageMs) implements Message {}
 
     /** How far those have come whom the sender serves: what has changed since its last tally. */
     record Tally(List<Row> rows) implements Message {}
--- a/src/main/java/cacheproxy/stream/Publisher.java
+++ b/src/main/java/cacheproxy/stream/Publisher.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.stream.Message.Ack;
 import cacheproxy.stream.Message.Batch;
-import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Heartbeat;
 import cacheproxy.stream.Message.Hello;
 import cacheproxy.stream.Message.Snapshot;
 import java.util.LinkedHashMap;
@@ -18,167 +18,174 @@
 public final class Publisher {
 
     /** Bytes of entries that one frame should hold. */
-    static final int FRAME_SOFT_BYTES = 4096;
+    static final int TARGET_FRAME_BYTES = 4096;
 
-    static final double SILENT_MS = 3000;
+    static final double IDLE_TIMEOUT_MS = 3000;
 
     /** What it asks for. */
-    public interface Out {
+    public interface PublisherActions {
         /** Sends on a connection. */
         void send(long connection, Message message);
 
         /** Ends a connection; {@link #closed} need not be called for it. */
-        void close(long connection, String why);
+        void close(long connection, String reason);
     }
 
-    private static final class Reader {
+    private static final class SubscriberConnection {
         private final String name;
         private long cursor;
-        private boolean foreign;
+        private boolean otherLineage;
         private long allowedBytes;
-        private long spentBytes;
-        private double heardAt;
+        private long sentBytes;
+        private double lastReceivedAtMs;
         private boolean writable = true;
 
-        Reader(String name) {
+        SubscriberConnection(String name) {
             this.name = name;
         }
     }
 
-    private final Window window;
-    private final Deliveries deliveries;
-    private final Map<Long, Reader> readers = new LinkedHashMap<>();
-    private final Map<String, Long> byName = new LinkedHashMap<>();
-    private double freshAt = Double.NEGATIVE_INFINITY;
+    private final RetainedLog retainedLog;
+    private final Acknowledgements acknowledgements;
+    private final Map<Long, SubscriberConnection> subscribers = new LinkedHashMap<>();
+    private final Map<String, Long> connectionsByName = new LinkedHashMap<>();
+    private double freshAsOfMs = Double.NEGATIVE_INFINITY;
 
-    public Publisher(Window window, Deliveries deliveries) {
-        this.window = window;
-        this.deliveries = deliveries;
+    public Publisher(RetainedLog retainedLog, Acknowledgements acknowledgements) {
+        this.retainedLog = retainedLog;
+        this.acknowledgements = acknowledgements;
     }
 
     /**
      * The window holds all that was committed at this time; whoever asks is told how old that is.
      */
-    public void fresh(double at) {
-        freshAt = Math.max(freshAt, at);
+    public void setFreshAsOf(double asOfMs) {
+        freshAsOfMs = Math.max(freshAsOfMs, asOfMs);
     }
 
     /** The window has grown, or begun anew. */
-    public void advanced(Out out) {
-        for (Map.Entry<Long, Reader> e : List.copyOf(readers.entrySet())) {
-            fill(e.getKey(), e.getValue(), out);
+    public void onLogAdvanced(PublisherActions actions) {
+        for (Map.Entry<Long, SubscriberConnection> e : List.copyOf(subscribers.entrySet())) {
+            sendMissingEntries(e.getKey(), e.getValue(), actions);
         }
     }
 
     /** A message on a connection. */
-    public void received(double now, long connection, Message m, Out out) {
-        Reader reader = readers.get(connection);
-        if (m instanceof Hello h && reader == null) {
-            hello(now, connection, h, out);
-        } else if (m instanceof Ack a && reader != null) {
-            reader.heardAt = now;
-            reader.allowedBytes = Math.max(reader.allowedBytes, a.allowedBytes());
-            deliveries.acked(now, reader.name, a.applied());
+    public void received(double now, long connection, Message message, PublisherActions actions) {
+        SubscriberConnection subscriber = subscribers.get(connection);
+        if (message instanceof Hello h && subscriber == null) {
+            subscribe(now, connection, h, actions);
+        } else if (message instanceof Ack a && subscriber != null) {
+            subscriber.lastReceivedAtMs = now;
+            subscriber.allowedBytes = Math.max(subscriber.allowedBytes, a.allowedBytes());
+            acknowledgements.acknowledged(now, subscriber.name, a.applied());
             if (a.stamp() >= 0) {
-                beat(now, connection, a.stamp(), out);
+                sendHeartbeat(now, connection, a.stamp(), actions);
             }
-            fill(connection, reader, out);
+            sendMissingEntries(connection, subscriber, actions);
         } else {
-            refuse(connection, "not expected here: " + m.getClass().getSimpleName(), out);
+            closeConnection(
+                    connection,
+                    "not expected here: " + message.getClass().getSimpleName(),
+                    actions);
         }
     }
 
-    private void hello(double now, long connection, Hello h, Out out) {
-        if (window.lineage() == 0) {
-            refuse(connection, "nothing to serve yet", out);
+    private void subscribe(double now, long connection, Hello hello, PublisherActions actions) {
+        if (retainedLog.lineage() == 0) {
+            closeConnection(connection, "nothing to serve yet", actions);
             return;
         }
-        Long earlier = byName.put(h.name(), connection);
-        if (earlier != null) {
-            readers.remove(earlier);
-            out.close(earlier, "its owner has come again");
+        Long previousConnection = connectionsByName.put(hello.name(), connection);
+        if (previousConnection != null) {
+            subscribers.remove(previousConnection);
+            actions.close(previousConnection, "its owner has come again");
         }
-        Reader reader = new Reader(h.name());
-        reader.cursor = h.cursor();
-        reader.foreign = h.lineage() != window.lineage();
-        reader.allowedBytes = h.allowedBytes();
-        reader.heardAt = now;
-        readers.put(connection, reader);
-        if (!reader.foreign) {
-            deliveries.acked(now, h.name(), h.cursor());
+        SubscriberConnection subscriber = new SubscriberConnection(hello.name());
+        subscriber.cursor = hello.cursor();
+        subscriber.otherLineage = hello.lineage() != retainedLog.lineage();
+        subscriber.allowedBytes = hello.allowedBytes();
+        subscriber.lastReceivedAtMs = now;
+        subscribers.put(connection, subscriber);
+        if (!subscriber.otherLineage) {
+            acknowledgements.acknowledged(now, hello.name(), hello.cursor());
         }
-        beat(now, connection, -1, out);
-        fill(connection, reader, out);
+        sendHeartbeat(now, connection, -1, actions);
+        sendMissingEntries(connection, subscriber, actions);
     }
 
-    private void beat(double now, long connection, long stamp, Out out) {
+    private void sendHeartbeat(double now, long connection, long stamp, PublisherActions actions) {
         long ageMs =
-                freshAt == Double.NEGATIVE_INFINITY
+                freshAsOfMs == Double.NEGATIVE_INFINITY
                         ? Integer.MAX_VALUE
-                        : Math.max(0, Math.round(now - freshAt));
-        out.send(connection, new Beat(stamp, window.head(), ageMs));
+                        : Math.max(0, Math.round(now - freshAsOfMs));
+        actions.send(connection, new Heartbeat(stamp, retainedLog.head(), ageMs));
     }
 
     /** Sends what a reader lacks, as far as it allows. */
-    private void fill(long connection, Reader reader, Out out) {
-        while (reader.writable && readers.get(connection) == reader) {
-            long room = reader.allowedBytes - reader.spentBytes;
+    private void sendMissingEntries(
+            long connection, SubscriberConnection subscriber, PublisherActions actions) {
+        while (subscriber.writable && subscribers.get(connection) == subscriber) {
+            long remainingBytes = subscriber.allowedBytes - subscriber.sentBytes;
             Message next;
-            if (reader.foreign || !window.holds(reader.cursor)) {
-                Snapshot end = window.end();
-                if (Frames.costBytes(end) > room) {
+            if (subscriber.otherLineage || !retainedLog.canContinueFrom(subscriber.cursor)) {
+                Snapshot snapshot = retainedLog.endSnapshot();
+                if (FrameCodec.costBytes(snapshot) > remainingBytes) {
                     return;
                 }
-                reader.foreign = false;
-                reader.cursor = end.seq();
-                next = end;
+                subscriber.otherLineage = false;
+                subscriber.cursor = snapshot.seq();
+                next = snapshot;
             } else {
                 List<Change> changes =
-                        window.after(reader.cursor, FRAME_SOFT_BYTES, room - Frames.FRAME_BYTES);
+                        retainedLog.changesAfter(
+                                subscriber.cursor,
+                                TARGET_FRAME_BYTES,
+                                remainingBytes - FrameCodec.FRAME_OVERHEAD_BYTES);
                 if (changes.isEmpty()) {
                     return;
                 }
-                next = new Batch(reader.cursor + 1, changes);
-                reader.cursor += changes.size();
+                next = new Batch(subscriber.cursor + 1, changes);
+                subscriber.cursor += changes.size();
             }
-            reader.spentBytes += Frames.costBytes(next);
-            out.send(connection, next);
+            subscriber.sentBytes += FrameCodec.costBytes(next);
+            actions.send(connection, next);
         }
     }
 
     /** Whether a connection takes more now. */
-    public void writable(long connection, boolean writable, Out out) {
-        Reader reader = readers.get(connection);
-        if (reader != null) {
-            reader.writable = writable;
-            fill(connection, reader, out);
+    public void writabilityChanged(long connection, boolean writable, PublisherActions actions) {
+        SubscriberConnection subscriber = subscribers.get(connection);
+        if (subscriber != null) {
+            subscriber.writable = writable;
+            sendMissingEntries(connection, subscriber, actions);
         }
     }
 
     /** A connection has ended. */
     public void closed(long connection) {
-        Reader reader = readers.remove(connection);
-        if (reader != null) {
-            byName.remove(reader.name, connection);
+        SubscriberConnection subscriber = subscribers.remove(connection);
+        if (subscriber != null) {
+            connectionsByName.remove(subscriber.name, connection);
         }
     }
 
-    private void refuse(long connection, String why, Out out) {
+    private void closeConnection(long connection, String reason, PublisherActions actions) {
         closed(connection);
-        out.close(connection, why);
+        actions.close(connection, reason);
     }
 
     /** Called some times a second. */
-    public void tick(double now, Out out) {
-        for (Map.Entry<Long, Reader> e : List.copyOf(readers.entrySet())) {
-            if (now - e.getValue().heardAt > SILENT_MS) {
-                refuse(e.getKey(), "silent", out);
+    public void tick(double now, PublisherActions actions) {
+        for (Map.Entry<Long, SubscriberConnection> e : List.copyOf(subscribers.entrySet())) {
+            if (now - e.getValue().lastReceivedAtMs > IDLE_TIMEOUT_MS) {
+                closeConnection(e.getKey(), "silent", actions);
             }
         }
     }
 
     /** How many it serves. */
-    public int readers() {
-        return readers.size();
+    public int subscriberCount() {
+        return subscribers.size();
     }
 }
--- a/src/main/java/cacheproxy/stream/Window.java
+++ b/src/main/java/cacheproxy/stream/RetainedLog.java
@@ -11,63 +11,63 @@
  * and the epoch that was in force before the first of them. Whoever lacks more than it holds takes
  * a {@link Snapshot} of its end. One copy serves all readers; each is a number.
  */
-public final class Window {
+public final class RetainedLog {
 
     /** How much is kept: when either is passed the older half goes. */
-    public record Bounds(int mostEntries, long mostBytes) {}
+    public record Bounds(int maxEntries, long maxBytes) {}
 
     private final Bounds bounds;
     private final ArrayList<Entry> entries = new ArrayList<>();
     private long lineage;
     private long base;
-    private Epoch epochBefore = Epoch.NONE;
+    private Epoch baseEpoch = Epoch.NONE;
     private Epoch epoch = Epoch.NONE;
     private long bytes;
 
     /** An empty one, which belongs to no stream yet. */
-    public Window(Bounds bounds) {
+    public RetainedLog(Bounds bounds) {
         this.bounds = bounds;
     }
 
     /** Begins at a snapshot: what was held is gone, and so is the stream that it belonged to. */
-    public void reset(Snapshot s) {
+    public void reset(Snapshot snapshot) {
         entries.clear();
         bytes = 0;
-        lineage = s.lineage();
-        base = s.seq();
-        epochBefore = s.epoch();
-        epoch = s.epoch();
+        lineage = snapshot.lineage();
+        base = snapshot.seq();
+        baseEpoch = snapshot.epoch();
+        epoch = snapshot.epoch();
     }
 
     /**
      * Adds the next entry; one that is not the next throws, as nobody may be told of a gap as if
      * there were none.
      */
-    public void append(Entry e) {
-        if (lineage == 0 || e.seq() != head() + 1) {
+    public void append(Entry entry) {
+        if (lineage == 0 || entry.seq() != head() + 1) {
             throw new IllegalArgumentException(
                     "entry "
-                            + e.seq()
+                            + entry.seq()
                             + " after "
                             + head()
                             + (lineage == 0 ? " of no stream" : ""));
         }
-        entries.add(e);
-        bytes += Frames.bytes(e.change());
-        if (e.change() instanceof Epoch next) {
+        entries.add(entry);
+        bytes += FrameCodec.encodedBytes(entry.change());
+        if (entry.change() instanceof Epoch next) {
             epoch = next;
         }
-        if (entries.size() > bounds.mostEntries() || bytes > bounds.mostBytes()) {
-            cut();
+        if (entries.size() > bounds.maxEntries() || bytes > bounds.maxBytes()) {
+            evictOlderHalf();
         }
     }
 
-    private void cut() {
+    private void evictOlderHalf() {
         List<Entry> old = entries.subList(0, (entries.size() + 1) / 2);
-        for (Entry e : old) {
-            bytes -= Frames.bytes(e.change());
-            if (e.change() instanceof Epoch past) {
-                epochBefore = past;
+        for (Entry entry : old) {
+            bytes -= FrameCodec.encodedBytes(entry.change());
+            if (entry.change() instanceof Epoch evicted) {
+                baseEpoch = evicted;
             }
         }
         base += old.size();
@@ -93,17 +93,17 @@
     }
 
     /** What was in force before the first entry that is held. */
-    public Snapshot start() {
-        return new Snapshot(lineage, base, epochBefore);
+    public Snapshot startSnapshot() {
+        return new Snapshot(lineage, base, baseEpoch);
     }
 
     /** Where whoever is too far behind goes on from. */
-    public Snapshot end() {
+    public Snapshot endSnapshot() {
         return new Snapshot(lineage, head(), epoch);
     }
 
     /** Whether all entries after this one are held, or it lies ahead. */
-    public boolean holds(long cursor) {
+    public boolean canContinueFrom(long cursor) {
         return cursor >= base;
     }
 
@@ -111,45 +111,46 @@
      * The changes that follow a cursor, so many bytes of them at most; the first comes also where
      * it alone is longer than {@code softBytes}, but not than {@code mostBytes}.
      */
-    List<Change> after(long cursor, long softBytes, long mostBytes) {
-        List<Change> found = new ArrayList<>();
-        long room = mostBytes;
+    List<Change> changesAfter(long cursor, long targetBytes, long maxBytes) {
+        List<Change> changes = new ArrayList<>();
+        long remainingBytes = maxBytes;
         for (long i = Math.max(0, cursor - base); i < entries.size(); i++) {
             Change next = entries.get((int) i).change();
-            room -= Frames.bytes(next);
-            if (room < 0 || !found.isEmpty() && mostBytes - room > softBytes) {
+            remainingBytes -= FrameCodec.encodedBytes(next);
+            if (remainingBytes < 0
+                    || !changes.isEmpty() && maxBytes - remainingBytes > targetBytes) {
                 break;
             }
-            found.add(next);
+            changes.add(next);
         }
-        return found;
+        return changes;
     }
 
     /**
      * All that is held, as messages of so many bytes at most, but for one longer change: a snapshot
      * of its start, then batches.
      */
-    public List<Message> messages(int softBytes) {
-        List<Message> all = new ArrayList<>();
-        all.add(start());
+    public List<Message> toMessages(int targetBytes) {
+        List<Message> messages = new ArrayList<>();
+        messages.add(startSnapshot());
         for (long cursor = base; cursor < head(); ) {
-            Batch next = new Batch(cursor + 1, after(cursor, softBytes, Long.MAX_VALUE));
-            all.add(next);
+            Batch next = new Batch(cursor + 1, changesAfter(cursor, targetBytes, Long.MAX_VALUE));
+            messages.add(next);
             cursor += next.changes().size();
         }
-        return all;
+        return messages;
     }
 
     /** Takes one of these; in their order they make the same window. */
-    public void take(Message m) {
-        if (m instanceof Snapshot s) {
+    public void restore(Message message) {
+        if (message instanceof Snapshot s) {
             reset(s);
-        } else if (m instanceof Batch b) {
+        } else if (message instanceof Batch b) {
             for (int i = 0; i < b.changes().size(); i++) {
-                append(new Entry(b.first() + i, b.changes().get(i)));
+                append(new Entry(b.firstSeq() + i, b.changes().get(i)));
             }
         } else {
-            throw new IllegalArgumentException("no part of a window: " + m);
+            throw new IllegalArgumentException("no part of a window: " + message);
         }
     }
 
--- a/src/main/java/cacheproxy/stream/Subscriber.java
+++ b/src/main/java/cacheproxy/stream/Subscriber.java
@@ -3,7 +3,7 @@
 import cacheproxy.measure.Hash;
 import cacheproxy.stream.Message.Ack;
 import cacheproxy.stream.Message.Batch;
-import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Heartbeat;
 import cacheproxy.stream.Message.Hello;
 import cacheproxy.stream.Message.Snapshot;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
 public final class Subscriber {
 
     /** What it does with its connection and with what comes. */
-    public interface Out {
+    public interface SubscriberActions {
         /**
          * Connects, and ends any earlier connection; all events of this one carry {@code attempt}.
          */
@@ -46,25 +46,25 @@
         boolean reset(Snapshot snapshot);
 
         /** For the log. */
-        void event(What what, String server);
+        void event(SubscriberEvent event, String server);
     }
 
     /** What a log tells. */
-    public enum What {
+    public enum SubscriberEvent {
         CONNECTED,
-        LOST,
-        REFUSED,
-        GAP,
-        UNKEPT,
-        STALE,
-        HOME
+        CONNECTION_LOST,
+        CONNECT_FAILED,
+        SEQUENCE_GAP,
+        NOT_STORED,
+        SERVER_STALE,
+        RETURNING_TO_PREFERRED
     }
 
     /** Who it is, whom it may ask, and its pace; {@code random} spreads its reconnects. */
     public record Parts(
             String name,
             List<String> servers,
-            double paceBytesPerS,
+            double rateBytesPerS,
             double burstBytes,
             Random random) {}
 
@@ -72,28 +72,28 @@
      * A pace that leaves room for the largest change at once, and stays under 5,000 bytes a second
      * in any minute with all else on the connection.
      */
-    public static final double PACE_BYTES_PER_S = 3000;
+    public static final double RATE_BYTES_PER_S = 3000;
 
     public static final double BURST_BYTES = 24_576;
 
-    static final double PING_MS = 500;
-    static final double SILENT_MS = 1100;
-    private static final double ACK_MS = 250;
-    private static final double CONNECT_MS = 500;
+    static final double PING_INTERVAL_MS = 500;
+    static final double SERVER_TIMEOUT_MS = 1100;
+    private static final double ACK_INTERVAL_MS = 250;
+    private static final double CONNECT_TIMEOUT_MS = 500;
 
     /** What moves at once comes to the others within this. */
-    static final double SPREAD_MS = 200;
+    static final double MAX_CONNECT_JITTER_MS = 200;
 
-    private static final double AVOID_MS = 500;
-    private static final double MOST_AVOID_MS = 8000;
-    private static final int MOST_STALE_MOVES = 7;
-    private static final double HOME_MS = 20_000;
-    private static final double MOST_HOME_MS = 600_000;
+    private static final double INITIAL_BACKOFF_MS = 500;
+    private static final double MAX_BACKOFF_MS = 8000;
+    private static final int MAX_STALE_SWITCH_DOUBLINGS = 7;
+    private static final double INITIAL_RETURN_DELAY_MS = 20_000;
+    private static final double MAX_RETURN_DELAY_MS = 600_000;
 
     /** A control machine that has not heard of the log for so long is left for another. */
-    private static final long STALE_MS = 2000;
+    private static final long MAX_SERVER_AGE_MS = 2000;
 
-    private static final double ALLOW_AGAIN = 0.125;
+    private static final double ALLOWANCE_UPDATE_FRACTION = 0.125;
 
     private enum State {
         WAITING,
@@ -101,43 +101,43 @@
         OPEN
     }
 
-    private static final class Avoided {
-        private double until = Double.NEGATIVE_INFINITY;
+    private static final class ServerBackoff {
+        private double untilMs = Double.NEGATIVE_INFINITY;
         private int failures;
     }
 
     private final Parts parts;
-    private final Pace pace;
-    private final Map<String, Avoided> avoided = new HashMap<>();
-    private final List<String> ranked;
+    private final ByteTokenBucket tokenBucket;
+    private final Map<String, ServerBackoff> backoffs = new HashMap<>();
+    private final List<String> rankedServers;
 
     private State state = State.WAITING;
     private String server;
     private int attempt;
 
     /** When the state is given up, or a wait is over. */
-    private double until;
+    private double stateEndsAtMs;
 
-    private double homeAt = Double.POSITIVE_INFINITY;
-    private double homeMs = HOME_MS;
-    private int staleMoves;
-    private double staleMoveAt = Double.NEGATIVE_INFINITY;
+    private double returnAtMs = Double.POSITIVE_INFINITY;
+    private double returnDelayMs = INITIAL_RETURN_DELAY_MS;
+    private int staleSwitches;
+    private double nextStaleSwitchAtMs = Double.NEGATIVE_INFINITY;
 
     private long lineage;
     private long applied;
     private double asOf = Double.NEGATIVE_INFINITY;
 
     /** The beat that waits for its entries: its last one, and the time that it speaks for. */
-    private long awaited = -1;
+    private long awaitedSeq = -1;
 
     private double awaitedAsOf;
 
-    private long takenBytes;
-    private long toldAllowed;
-    private long toldApplied;
-    private double toldAt;
-    private double pingedAt;
-    private double heardAt;
+    private long receivedBytes;
+    private long lastAckAllowedBytes;
+    private long lastAckApplied;
+    private double lastAckAtMs;
+    private double lastPingAtMs;
+    private double lastReceivedAtMs;
 
     /**
      * @param lineage 0 for one that begins anew, as a process without a memory does; else it goes
@@ -147,18 +147,21 @@
         this.parts = parts;
         this.lineage = lineage;
         this.applied = lineage == 0 ? -1 : applied;
-        pace = new Pace(parts.paceBytesPerS(), parts.burstBytes(), now);
-        parts.servers().forEach(s -> avoided.put(s, new Avoided()));
-        long self = Hash.hashText(parts.name());
-        ranked =
+        tokenBucket = new ByteTokenBucket(parts.rateBytesPerS(), parts.burstBytes(), now);
+        parts.servers().forEach(s -> backoffs.put(s, new ServerBackoff()));
+        long ownHash = Hash.hashText(parts.name());
+        rankedServers =
                 parts.servers().stream()
-                        .sorted((a, b) -> Long.compareUnsigned(weight(self, b), weight(self, a)))
+                        .sorted(
+                                (a, b) ->
+                                        Long.compareUnsigned(
+                                                weight(ownHash, b), weight(ownHash, a)))
                         .toList();
-        until = now + parts.random().nextDouble() * SPREAD_MS;
+        stateEndsAtMs = now + parts.random().nextDouble() * MAX_CONNECT_JITTER_MS;
     }
 
-    private static long weight(long self, String server) {
-        return Hash.mix(self ^ Hash.mix(Hash.hashText(server)));
+    private static long weight(long ownHash, String server) {
+        return Hash.mix(ownHash ^ Hash.mix(Hash.hashText(server)));
     }
 
     /** The last entry that is applied here; -1 before the first snapshot. */
@@ -185,190 +188,208 @@
     }
 
     /** Called every some ten milliseconds. */
-    public void tick(double now, Out out) {
+    public void tick(double now, SubscriberActions actions) {
         switch (state) {
             case WAITING -> {
-                if (now >= until) {
-                    connect(now, out);
+                if (now >= stateEndsAtMs) {
+                    connectToNextServer(now, actions);
                 }
             }
             case CONNECTING -> {
-                if (now >= until) {
-                    leave(now, What.REFUSED, out);
+                if (now >= stateEndsAtMs) {
+                    abandonConnection(now, SubscriberEvent.CONNECT_FAILED, actions);
                 }
             }
-            case OPEN -> open(now, out);
+            case OPEN -> tickOpen(now, actions);
             default -> throw new IllegalStateException();
         }
     }
 
-    private void open(double now, Out out) {
-        if (now - heardAt > SILENT_MS) {
-            leave(now, What.LOST, out);
-        } else if (now >= homeAt) {
-            homeMs = Math.min(MOST_HOME_MS, homeMs * 2);
+    private void tickOpen(double now, SubscriberActions actions) {
+        if (now - lastReceivedAtMs > SERVER_TIMEOUT_MS) {
+            abandonConnection(now, SubscriberEvent.CONNECTION_LOST, actions);
+        } else if (now >= returnAtMs) {
+            returnDelayMs = Math.min(MAX_RETURN_DELAY_MS, returnDelayMs * 2);
             state = State.WAITING;
-            until = now;
-            out.disconnect(attempt);
-            out.event(What.HOME, server);
-        } else if (now - pingedAt >= PING_MS) {
-            pingedAt = now;
-            ack(now, Math.round(now), out);
-        } else if (now - toldAt >= ACK_MS
-                && (applied > toldApplied
-                        || allowed(now) - toldAllowed >= parts.burstBytes() * ALLOW_AGAIN)) {
-            ack(now, -1, out);
+            stateEndsAtMs = now;
+            actions.disconnect(attempt);
+            actions.event(SubscriberEvent.RETURNING_TO_PREFERRED, server);
+        } else if (now - lastPingAtMs >= PING_INTERVAL_MS) {
+            lastPingAtMs = now;
+            sendAck(now, Math.round(now), actions);
+        } else if (now - lastAckAtMs >= ACK_INTERVAL_MS
+                && (applied > lastAckApplied
+                        || allowedBytes(now) - lastAckAllowedBytes
+                                >= parts.burstBytes() * ALLOWANCE_UPDATE_FRACTION)) {
+            sendAck(now, -1, actions);
         }
     }
 
-    private void connect(double now, Out out) {
+    private void connectToNextServer(double now, SubscriberActions actions) {
         String next =
-                ranked.stream().filter(s -> avoided.get(s).until <= now).findFirst().orElse(null);
+                rankedServers.stream()
+                        .filter(s -> backoffs.get(s).untilMs <= now)
+                        .findFirst()
+                        .orElse(null);
         if (next == null) {
-            until =
-                    ranked.stream()
-                            .mapToDouble(s -> avoided.get(s).until)
+            stateEndsAtMs =
+                    rankedServers.stream()
+                            .mapToDouble(s -> backoffs.get(s).untilMs)
                             .min()
-                            .orElse(now + AVOID_MS);
+                            .orElse(now + INITIAL_BACKOFF_MS);
             return;
         }
         server = next;
         state = State.CONNECTING;
-        until = now + CONNECT_MS;
-        out.connect(server, ++attempt);
+        stateEndsAtMs = now + CONNECT_TIMEOUT_MS;
+        actions.connect(server, ++attempt);
     }
 
-    private long allowed(double now) {
-        return takenBytes + pace.held(now);
+    private long allowedBytes(double now) {
+        return receivedBytes + tokenBucket.available(now);
     }
 
-    private void ack(double now, long stamp, Out out) {
-        toldAt = now;
-        toldApplied = applied;
-        toldAllowed = allowed(now);
-        out.send(new Ack(applied, toldAllowed, stamp));
+    private void sendAck(double now, long stamp, SubscriberActions actions) {
+        lastAckAtMs = now;
+        lastAckApplied = applied;
+        lastAckAllowedBytes = allowedBytes(now);
+        actions.send(new Ack(applied, lastAckAllowedBytes, stamp));
     }
 
     /** The connection has come up. */
-    public void connected(double now, int attempt, Out out) {
+    public void connected(double now, int attempt, SubscriberActions actions) {
         if (attempt != this.attempt || state != State.CONNECTING) {
             return;
         }
         state = State.OPEN;
-        heardAt = now;
-        takenBytes = 0;
-        toldAllowed = allowed(now);
-        toldApplied = applied;
-        toldAt = now;
+        lastReceivedAtMs = now;
+        receivedBytes = 0;
+        lastAckAllowedBytes = allowedBytes(now);
+        lastAckApplied = applied;
+        lastAckAtMs = now;
         // Drawn, so that those who came together do not ask together.
-        pingedAt = now - parts.random().nextDouble() * PING_MS;
-        if (server.equals(ranked.get(0))) {
-            homeAt = Double.POSITIVE_INFINITY;
-            homeMs = HOME_MS;
+        lastPingAtMs = now - parts.random().nextDouble() * PING_INTERVAL_MS;
+        if (server.equals(rankedServers.get(0))) {
+            returnAtMs = Double.POSITIVE_INFINITY;
+            returnDelayMs = INITIAL_RETURN_DELAY_MS;
         } else {
-            homeAt = now + homeMs * (1 + parts.random().nextDouble());
+            returnAtMs = now + returnDelayMs * (1 + parts.random().nextDouble());
         }
-        out.send(new Hello(parts.name(), lineage, applied, toldAllowed));
-        out.event(What.CONNECTED, server);
+        actions.send(new Hello(parts.name(), lineage, applied, lastAckAllowedBytes));
+        actions.event(SubscriberEvent.CONNECTED, server);
     }
 
     /** The connection has ended, or has never come up. */
-    public void closed(double now, int attempt, Out out) {
+    public void closed(double now, int attempt, SubscriberActions actions) {
         if (attempt == this.attempt && state != State.WAITING) {
-            lost(now, state == State.OPEN ? What.LOST : What.REFUSED, out);
+            scheduleReconnect(
+                    now,
+                    state == State.OPEN
+                            ? SubscriberEvent.CONNECTION_LOST
+                            : SubscriberEvent.CONNECT_FAILED,
+                    actions);
         }
     }
 
-    private void leave(double now, What why, Out out) {
+    private void abandonConnection(double now, SubscriberEvent reason, SubscriberActions actions) {
         // First, as the end of a connection may be told from within.
-        lost(now, why, out);
-        out.disconnect(attempt);
+        scheduleReconnect(now, reason, actions);
+        actions.disconnect(attempt);
     }
 
     /** For a while it goes elsewhere; the while grows with each time in a row. */
-    private void lost(double now, What why, Out out) {
-        Avoided a = avoided.get(server);
-        double ms = Math.min(MOST_AVOID_MS, AVOID_MS * (1L << Math.min(a.failures, 8)));
-        a.failures++;
-        a.until = now + ms * (1 + parts.random().nextDouble()) / 2;
+    private void scheduleReconnect(double now, SubscriberEvent reason, SubscriberActions actions) {
+        ServerBackoff backoff = backoffs.get(server);
+        double backoffMs =
+                Math.min(
+                        MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * (1L << Math.min(backoff.failures, 8)));
+        backoff.failures++;
+        backoff.untilMs = now + backoffMs * (1 + parts.random().nextDouble()) / 2;
         state = State.WAITING;
-        awaited = -1;
-        until = now + (why == What.LOST ? parts.random().nextDouble() * SPREAD_MS : 0);
-        out.event(why, server);
+        awaitedSeq = -1;
+        stateEndsAtMs =
+                now
+                        + (reason == SubscriberEvent.CONNECTION_LOST
+                                ? parts.random().nextDouble() * MAX_CONNECT_JITTER_MS
+                                : 0);
+        actions.event(reason, server);
     }
 
     /** A message on the connection. */
-    public void received(double now, int attempt, Message m, Out out) {
+    public void received(double now, int attempt, Message message, SubscriberActions actions) {
         if (attempt != this.attempt || state != State.OPEN) {
             return;
         }
-        heardAt = now;
-        int cost = Frames.costBytes(m);
-        takenBytes += cost;
-        pace.take(now, cost);
-        if (m instanceof Batch b) {
-            batch(now, b, out);
-        } else if (m instanceof Snapshot s) {
-            snapshot(now, s, out);
-        } else if (m instanceof Beat b) {
-            beat(now, b, out);
+        lastReceivedAtMs = now;
+        int cost = FrameCodec.costBytes(message);
+        receivedBytes += cost;
+        tokenBucket.take(now, cost);
+        if (message instanceof Batch b) {
+            applyBatch(now, b, actions);
+        } else if (message instanceof Snapshot s) {
+            applySnapshot(now, s, actions);
+        } else if (message instanceof Heartbeat b) {
+            heartbeatReceived(now, b, actions);
         } else {
-            leave(now, What.GAP, out);
+            abandonConnection(now, SubscriberEvent.SEQUENCE_GAP, actions);
             return;
         }
-        if (awaited >= 0 && applied >= awaited) {
+        if (awaitedSeq >= 0 && applied >= awaitedSeq) {
             asOf = Math.max(asOf, awaitedAsOf);
-            awaited = -1;
+            awaitedSeq = -1;
         }
     }
 
-    private void snapshot(double now, Snapshot s, Out out) {
-        if (s.lineage() == lineage && s.seq() <= applied) {
+    private void applySnapshot(double now, Snapshot snapshot, SubscriberActions actions) {
+        if (snapshot.lineage() == lineage && snapshot.seq() <= applied) {
             return;
         }
-        if (!out.reset(s)) {
-            leave(now, What.UNKEPT, out);
+        if (!actions.reset(snapshot)) {
+            abandonConnection(now, SubscriberEvent.NOT_STORED, actions);
             return;
         }
-        lineage = s.lineage();
-        applied = s.seq();
+        lineage = snapshot.lineage();
+        applied = snapshot.seq();
     }
 
-    private void batch(double now, Batch b, Out out) {
-        if (lineage == 0 || b.first() > applied + 1) {
-            leave(now, What.GAP, out);
+    private void applyBatch(double now, Batch batch, SubscriberActions actions) {
+        if (lineage == 0 || batch.firstSeq() > applied + 1) {
+            abandonConnection(now, SubscriberEvent.SEQUENCE_GAP, actions);
             return;
         }
-        List<Entry> news = new ArrayList<>();
-        for (int i = 0; i < b.changes().size(); i++) {
-            long seq = b.first() + i;
+        List<Entry> newEntries = new ArrayList<>();
+        for (int i = 0; i < batch.changes().size(); i++) {
+            long seq = batch.firstSeq() + i;
             if (seq > applied) {
-                news.add(new Entry(seq, b.changes().get(i)));
+                newEntries.add(new Entry(seq, batch.changes().get(i)));
             }
         }
-        if (!news.isEmpty() && out.apply(news)) {
-            applied = news.get(news.size() - 1).seq();
-        } else if (!news.isEmpty()) {
-            leave(now, What.UNKEPT, out);
+        if (!newEntries.isEmpty() && actions.apply(newEntries)) {
+            applied = newEntries.get(newEntries.size() - 1).seq();
+        } else if (!newEntries.isEmpty()) {
+            abandonConnection(now, SubscriberEvent.NOT_STORED, actions);
         }
     }
 
-    private void beat(double now, Beat b, Out out) {
-        if (b.ageMs() <= STALE_MS) {
-            avoided.get(server).failures = 0;
-            staleMoves = 0;
-            staleMoveAt = Double.NEGATIVE_INFINITY;
-        } else if (now >= staleMoveAt
-                && ranked.stream()
-                        .anyMatch(s -> !s.equals(server) && avoided.get(s).until <= now)) {
+    private void heartbeatReceived(double now, Heartbeat heartbeat, SubscriberActions actions) {
+        if (heartbeat.ageMs() <= MAX_SERVER_AGE_MS) {
+            backoffs.get(server).failures = 0;
+            staleSwitches = 0;
+            nextStaleSwitchAtMs = Double.NEGATIVE_INFINITY;
+        } else if (now >= nextStaleSwitchAtMs
+                && rankedServers.stream()
+                        .anyMatch(s -> !s.equals(server) && backoffs.get(s).untilMs <= now)) {
             // Where all are behind nobody may go in circles.
-            staleMoveAt = now + AVOID_MS * (1L << Math.min(++staleMoves, MOST_STALE_MOVES));
-            leave(now, What.STALE, out);
+            nextStaleSwitchAtMs =
+                    now
+                            + INITIAL_BACKOFF_MS
+                                    * (1L << Math.min(++staleSwitches, MAX_STALE_SWITCH_DOUBLINGS));
+            abandonConnection(now, SubscriberEvent.SERVER_STALE, actions);
             return;
         }
-        if (b.stamp() >= 0 && awaited < 0) {
-            awaited = b.head();
-            awaitedAsOf = b.stamp() - b.ageMs();
+        if (heartbeat.stamp() >= 0 && awaitedSeq < 0) {
+            awaitedSeq = heartbeat.head();
+            awaitedAsOf = heartbeat.stamp() - heartbeat.ageMs();
         }
     }
 }
--- a/src/main/java/cacheproxy/stream/wire/StreamClient.java
+++ b/src/main/java/cacheproxy/stream/wire/StreamClient.java
@@ -1,7 +1,7 @@
 package cacheproxy.stream.wire;
 
 import cacheproxy.stream.Entry;
-import cacheproxy.stream.Frames;
+import cacheproxy.stream.FrameCodec;
 import cacheproxy.stream.Message;
 import cacheproxy.stream.Message.Snapshot;
 import cacheproxy.stream.Subscriber;
@@ -28,7 +28,7 @@
  * A {@link Subscriber}'s one connection, on one loop; all calls and all of its sink's are made on
  * that loop.
  */
-public final class StreamClient implements Subscriber.Out {
+public final class StreamClient implements Subscriber.SubscriberActions {
 
     /** Takes what comes; false where it could not be kept. */
     public interface Sink {
@@ -39,25 +39,25 @@
         boolean reset(Snapshot snapshot);
 
         /** For the log. */
-        default void event(Subscriber.What what, String server) {}
+        default void event(Subscriber.SubscriberEvent event, String server) {}
     }
 
-    private static final long TICK_MS = 50;
+    private static final long TICK_INTERVAL_MS = 50;
 
     /** The longest is a batch of one change that is as long as any. */
-    private static final int MOST_FRAME = Frames.MOST_CHANGE_BYTES + 4096;
+    private static final int MAX_FRAME_BYTES = FrameCodec.MAX_CHANGE_BYTES + 4096;
 
     private final EventLoop loop;
     private final Map<String, InetSocketAddress> servers;
     private final Subscriber subscriber;
     private final DoubleSupplier nowMs;
     private final Sink sink;
-    private final ChannelFactory<Channel> channels;
+    private final ChannelFactory<Channel> channelFactory;
 
     /** Null before the first connection, and where the latest could not be begun. */
     private Channel channel;
 
-    private ScheduledFuture<?> ticking;
+    private ScheduledFuture<?> tickTask;
     private long bytesIn;
     private long bytesOut;
 
@@ -82,28 +82,28 @@
             Subscriber subscriber,
             DoubleSupplier nowMs,
             Sink sink,
-            ChannelFactory<Channel> channels) {
+            ChannelFactory<Channel> channelFactory) {
         this.loop = loop;
         this.servers = servers;
         this.subscriber = subscriber;
         this.nowMs = nowMs;
         this.sink = sink;
-        this.channels = channels;
+        this.channelFactory = channelFactory;
     }
 
     /** Begins. */
     public void start() {
-        ticking =
+        tickTask =
                 loop.scheduleAtFixedRate(
                         () -> subscriber.tick(nowMs.getAsDouble(), this),
                         0,
-                        TICK_MS,
+                        TICK_INTERVAL_MS,
                         TimeUnit.MILLISECONDS);
     }
 
     /** Ends; on the loop. */
     public void close() {
-        ticking.cancel(false);
+        tickTask.cancel(false);
         if (channel != null) {
             channel.close();
         }
@@ -127,7 +127,7 @@
         ChannelFuture connecting =
                 new Bootstrap()
                         .group(loop)
-                        .channelFactory(channels)
+                        .channelFactory(channelFactory)
                         .option(ChannelOption.TCP_NODELAY, true)
                         .handler(
                                 new ChannelInitializer<>() {
@@ -136,7 +136,7 @@
                                         made.pipeline()
                                                 .addLast(
                                                         new LengthFieldBasedFrameDecoder(
-                                                                MOST_FRAME,
+                                                                MAX_FRAME_BYTES,
                                                                 0,
                                                                 StreamServer.LENGTH_BYTES,
                                                                 0,
@@ -149,14 +149,14 @@
             // No socket could be made, as descriptors are out: there is no channel whose end would
             // be told.
             channel = null;
-            loop.execute(() -> closed(attempt));
+            loop.execute(() -> connectionClosed(attempt));
             return;
         }
         channel = connecting.channel();
-        channel.closeFuture().addListener(f -> closed(attempt));
+        channel.closeFuture().addListener(f -> connectionClosed(attempt));
     }
 
-    private void closed(int attempt) {
+    private void connectionClosed(int attempt) {
         subscriber.closed(nowMs.getAsDouble(), attempt, this);
     }
 
@@ -185,8 +185,8 @@
     }
 
     @Override
-    public void event(Subscriber.What what, String server) {
-        sink.event(what, server);
+    public void event(Subscriber.SubscriberEvent event, String server) {
+        sink.event(event, server);
     }
 
     private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
@@ -207,7 +207,7 @@
             subscriber.received(
                     nowMs.getAsDouble(),
                     attempt,
-                    Frames.decode(frame.nioBuffer()),
+                    FrameCodec.decode(frame.nioBuffer()),
                     StreamClient.this);
         }
 
--- a/src/main/java/cacheproxy/stream/wire/StreamServer.java
+++ b/src/main/java/cacheproxy/stream/wire/StreamServer.java
@@ -1,6 +1,6 @@
 package cacheproxy.stream.wire;
 
-import cacheproxy.stream.Frames;
+import cacheproxy.stream.FrameCodec;
 import cacheproxy.stream.Message;
 import cacheproxy.stream.Publisher;
 import io.netty.bootstrap.ServerBootstrap;
@@ -29,24 +29,24 @@
  * loop. A connection whose socket takes no more is told to the publisher, which then sends nothing
  * on it; so each holds some ten kilobytes here at most.
  */
-public final class StreamServer implements Publisher.Out {
+public final class StreamServer implements Publisher.PublisherActions {
 
     static final int LENGTH_BYTES = 4;
-    private static final int MOST_FRAME = 1 << 16;
-    private static final int MOST_CONNECTIONS = 4096;
+    private static final int MAX_FRAME_BYTES = 1 << 16;
+    private static final int MAX_CONNECTIONS = 4096;
 
     /** A reader asks twice a second. */
-    private static final long SILENT_MS = 3500;
+    private static final long READ_TIMEOUT_MS = 3500;
 
-    private static final int LOW_BYTES = 8 << 10;
-    private static final int HIGH_BYTES = 32 << 10;
+    private static final int WRITE_LOW_WATER_BYTES = 8 << 10;
+    private static final int WRITE_HIGH_WATER_BYTES = 32 << 10;
 
     private final EventLoop loop;
     private Publisher publisher;
     private final DoubleSupplier nowMs;
     private final Map<Long, Connection> connections = new HashMap<>();
     private Channel listener;
-    private long made;
+    private long lastConnectionId;
 
     /**
      * @param nowMs the clock that the publisher is told
@@ -58,8 +58,9 @@
     }
 
     /** Takes connections; the address is the one bound, where port 0 was asked for. */
-    public InetSocketAddress listen(InetSocketAddress at) throws IOException, InterruptedException {
-        ChannelFuture bound =
+    public InetSocketAddress listen(InetSocketAddress address)
+            throws IOException, InterruptedException {
+        ChannelFuture bindFuture =
                 new ServerBootstrap()
                         .group(loop)
                         .channel(NioServerSocketChannel.class)
@@ -67,7 +68,8 @@
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                new WriteBufferWaterMark(LOW_BYTES, HIGH_BYTES))
+                                new WriteBufferWaterMark(
+                                        WRITE_LOW_WATER_BYTES, WRITE_HIGH_WATER_BYTES))
                         .childHandler(
                                 new ChannelInitializer<>() {
                                     @Override
@@ -75,9 +77,10 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new ReadTimeoutHandler(
-                                                                SILENT_MS, TimeUnit.MILLISECONDS),
+                                                                READ_TIMEOUT_MS,
+                                                                TimeUnit.MILLISECONDS),
                                                         new LengthFieldBasedFrameDecoder(
-                                                                MOST_FRAME,
+                                                                MAX_FRAME_BYTES,
                                                                 0,
                                                                 LENGTH_BYTES,
                                                                 0,
@@ -85,16 +88,16 @@
                                                         new Connection(channel));
                                     }
                                 })
-                        .bind(at)
+                        .bind(address)
                         .await();
-        if (!bound.isSuccess()) {
+        if (!bindFuture.isSuccess()) {
             throw new IOException(
                     "cannot listen on "
-                            + at
+                            + address
                             + " for the change stream: "
-                            + bound.cause().getMessage());
+                            + bindFuture.cause().getMessage());
         }
-        listener = bound.channel();
+        listener = bindFuture.channel();
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -102,7 +105,7 @@
      * On the loop: puts another publisher in the place of the first; all its readers' connections
      * end.
      */
-    public void serve(Publisher next) {
+    public void replacePublisher(Publisher next) {
         publisher = next;
         Map.copyOf(connections).values().forEach(connection -> connection.channel.close());
     }
@@ -112,28 +115,28 @@
         if (listener != null) {
             listener.close();
         }
-        Map.copyOf(connections).values().forEach(c -> c.channel.close());
+        Map.copyOf(connections).values().forEach(subscriber -> subscriber.channel.close());
     }
 
     @Override
     public void send(long connection, Message message) {
-        Connection c = connections.get(connection);
-        if (c != null) {
-            c.channel.writeAndFlush(frame(message), c.channel.voidPromise());
+        Connection subscriber = connections.get(connection);
+        if (subscriber != null) {
+            subscriber.channel.writeAndFlush(frame(message), subscriber.channel.voidPromise());
         }
     }
 
     @Override
-    public void close(long connection, String why) {
-        Connection c = connections.get(connection);
-        if (c != null) {
-            c.channel.close();
+    public void close(long connection, String reason) {
+        Connection subscriber = connections.get(connection);
+        if (subscriber != null) {
+            subscriber.channel.close();
         }
     }
 
     /** A message with its length before it. */
     static ByteBuf frame(Message message) {
-        byte[] bytes = Frames.encode(message);
+        byte[] bytes = FrameCodec.encode(message);
         return Unpooled.buffer(LENGTH_BYTES + bytes.length)
                 .writeInt(bytes.length)
                 .writeBytes(bytes);
@@ -141,7 +144,7 @@
 
     private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
         private final Channel channel;
-        private final long id = ++made;
+        private final long id = ++lastConnectionId;
 
         Connection(Channel channel) {
             this.channel = channel;
@@ -149,7 +152,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (connections.size() >= MOST_CONNECTIONS) {
+            if (connections.size() >= MAX_CONNECTIONS) {
                 ctx.close();
             } else {
                 connections.put(id, this);
@@ -159,12 +162,15 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
             publisher.received(
-                    nowMs.getAsDouble(), id, Frames.decode(frame.nioBuffer()), StreamServer.this);
+                    nowMs.getAsDouble(),
+                    id,
+                    FrameCodec.decode(frame.nioBuffer()),
+                    StreamServer.this);
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            publisher.writable(id, channel.isWritable(), StreamServer.this);
+            publisher.writabilityChanged(id, channel.isWritable(), StreamServer.this);
         }
 
         @Override
--- a/src/test/java/cacheproxy/AdmissionTest.java
+++ b/src/test/java/cacheproxy/AdmissionTest.java
@@ -11,232 +11,236 @@
 /** The level, the base, the bank. */
 class AdmissionTest {
 
-    private static HysteresisController stepped(int good, int bad, int startLevel) {
-        var control = new HysteresisController();
-        control.level = startLevel;
+    private static HysteresisController afterInterval(int good, int bad, int startLevel) {
+        var controller = new HysteresisController();
+        controller.level = startLevel;
         for (int i = 0; i < good; i++) {
-            control.count(true);
+            controller.count(true);
         }
         for (int i = 0; i < bad; i++) {
-            control.count(false);
+            controller.count(false);
         }
-        control.step(1000, 0);
-        return control;
+        controller.endInterval(1000, 0);
+        return controller;
     }
 
     @Test
-    void levelRisesOnlyAboveTenInAHundredBad() {
-        assertEquals(1, stepped(90, 10, 1).level);
-        assertEquals(2, stepped(89, 11, 1).level);
+    void levelRisesOnlyAboveTenPercentBadFetches() {
+        assertEquals(1, afterInterval(90, 10, 1).level);
+        assertEquals(2, afterInterval(89, 11, 1).level);
     }
 
     @Test
-    void levelFallsOnlyBelowFiveInAHundredBad() {
-        assertEquals(1, stepped(95, 5, 1).level);
-        assertEquals(0, stepped(96, 4, 1).level);
+    void levelFallsOnlyBelowFivePercentBadFetches() {
+        assertEquals(1, afterInterval(95, 5, 1).level);
+        assertEquals(0, afterInterval(96, 4, 1).level);
     }
 
     @Test
-    void levelFallsOnAThinSampleAndStaysInBounds() {
-        assertEquals(1, stepped(3, 0, 2).level);
-        assertEquals(0, stepped(0, 0, 0).level);
+    void levelFallsOnSmallSampleAndStaysInBounds() {
+        assertEquals(1, afterInterval(3, 0, 2).level);
+        assertEquals(0, afterInterval(0, 0, 0).level);
         assertEquals(
-                HysteresisController.LADDER.length,
-                stepped(0, 50, HysteresisController.LADDER.length).level);
+                HysteresisController.RATE_MULTIPLES.length,
+                afterInterval(0, 50, HysteresisController.RATE_MULTIPLES.length).level);
     }
 
-    private static HysteresisController outnumbering() {
-        var control = new HysteresisController();
-        control.floor = HysteresisController.BASE_FLOOR / 2;
-        control.level = 1;
-        control.count(false);
-        control.count(false);
-        control.step(1000, 0);
-        return control;
+    private static HysteresisController afterSmallBadSample() {
+        var controller = new HysteresisController();
+        controller.minBaseRate = HysteresisController.MIN_BASE_RATE / 2;
+        controller.level = 1;
+        controller.count(false);
+        controller.count(false);
+        controller.endInterval(1000, 0);
+        return controller;
     }
 
     @Test
-    void aThinSampleWithABadFetchWaitsToGrowAndThenCounts() {
-        var control = outnumbering();
-        assertEquals(1, control.level);
-        control.count(false);
-        control.count(false);
-        control.step(1000, 0);
-        assertEquals(2, control.level);
-        var alone = outnumbering();
-        for (int i = 1; i < HysteresisController.SPAN; i++) {
-            alone.step(1000, 0);
+    void smallSampleWithBadFetchAccumulatesOverIntervals() {
+        var controller = afterSmallBadSample();
+        assertEquals(1, controller.level);
+        controller.count(false);
+        controller.count(false);
+        controller.endInterval(1000, 0);
+        assertEquals(2, controller.level);
+        var expired = afterSmallBadSample();
+        for (int i = 1; i < HysteresisController.MAX_ACCUMULATED_INTERVALS; i++) {
+            expired.endInterval(1000, 0);
         }
-        assertEquals(0, alone.level, "too old to wait for more");
+        assertEquals(0, expired.level, "too old to wait for more");
     }
 
     @Test
-    void ladderStartsAboveTheBaseAndEndsBelow() {
-        assertTrue(HysteresisController.LADDER[0] > 1);
-        for (int i = 1; i < HysteresisController.LADDER.length; i++) {
-            assertTrue(HysteresisController.LADDER[i] < HysteresisController.LADDER[i - 1]);
+    void rateMultiplesDescendFromAboveOneToBelowOne() {
+        assertTrue(HysteresisController.RATE_MULTIPLES[0] > 1);
+        for (int i = 1; i < HysteresisController.RATE_MULTIPLES.length; i++) {
+            assertTrue(
+                    HysteresisController.RATE_MULTIPLES[i]
+                            < HysteresisController.RATE_MULTIPLES[i - 1]);
         }
-        assertTrue(HysteresisController.LADDER[HysteresisController.LADDER.length - 1] < 1);
+        assertTrue(
+                HysteresisController.RATE_MULTIPLES[HysteresisController.RATE_MULTIPLES.length - 1]
+                        < 1);
     }
 
     @Test
-    void baseFollowsThePeakDecaysSlowlyAndIsHeldWhileThrottled() {
-        var control = stepped(40, 0, 0);
-        assertEquals(40, control.base);
-        control.step(1000, 0);
-        assertEquals(40 * HysteresisController.BASE_DECAY, control.base, 1e-9);
-        control.level = 3;
-        control.step(1000, 0);
-        assertEquals(40 * HysteresisController.BASE_DECAY, control.base, 1e-9);
-        assertEquals(1, stepped(0, 0, 0).base);
+    void baseRateFollowsPeakDecaysSlowlyAndIsFrozenWhileThrottled() {
+        var controller = afterInterval(40, 0, 0);
+        assertEquals(40, controller.baseRate);
+        controller.endInterval(1000, 0);
+        assertEquals(40 * HysteresisController.BASE_DECAY, controller.baseRate, 1e-9);
+        controller.level = 3;
+        controller.endInterval(1000, 0);
+        assertEquals(40 * HysteresisController.BASE_DECAY, controller.baseRate, 1e-9);
+        assertEquals(1, afterInterval(0, 0, 0).baseRate);
     }
 
     @Test
-    void theLevelWaitsUntilTheBaseIsLearned() {
-        var control = new HysteresisController();
-        for (int i = 0; i < HysteresisController.LEARNED; i++) {
-            assertEquals(0, control.level);
-            for (int j = 0; j < HysteresisController.THIN; j++) {
-                control.count(false);
+    void levelDoesNotRiseBeforeBaseRateIsLearned() {
+        var controller = new HysteresisController();
+        for (int i = 0; i < HysteresisController.MIN_LEARNING_INTERVALS; i++) {
+            assertEquals(0, controller.level);
+            for (int j = 0; j < HysteresisController.MIN_SAMPLE_SIZE; j++) {
+                controller.count(false);
             }
-            control.step(1000, 0);
+            controller.endInterval(1000, 0);
         }
-        assertTrue(control.level > 0);
+        assertTrue(controller.level > 0);
     }
 
     @Test
-    void bankRefillsEvenlyAndHoldsAFewTokens() {
-        var bank = new TokenBucket(Decide.BANK);
-        bank.rate(0, 10);
-        for (int i = 0; i < Decide.BANK; i++) {
-            assertTrue(bank.draw(0, false));
+    void tokenBucketRefillsEvenlyUpToItsCapacity() {
+        var tokenBucket = new TokenBucket(DecisionModule.TOKEN_BUCKET_CAPACITY);
+        tokenBucket.setRate(0, 10);
+        for (int i = 0; i < DecisionModule.TOKEN_BUCKET_CAPACITY; i++) {
+            assertTrue(tokenBucket.tryTake(0, false));
         }
-        assertFalse(bank.draw(0, false));
-        assertFalse(bank.draw(99, false));
-        assertTrue(bank.draw(100, false));
-        bank.draw(1_000_000, false);
-        assertEquals(Decide.BANK - 1, bank.tokens, 1e-9);
+        assertFalse(tokenBucket.tryTake(0, false));
+        assertFalse(tokenBucket.tryTake(99, false));
+        assertTrue(tokenBucket.tryTake(100, false));
+        tokenBucket.tryTake(1_000_000, false);
+        assertEquals(DecisionModule.TOKEN_BUCKET_CAPACITY - 1, tokenBucket.tokens, 1e-9);
     }
 
     @Test
-    void theLastTokenIsKeptForHigherWorth() {
-        var bank = new TokenBucket(Decide.BANK);
-        bank.rate(0, 1);
-        bank.tokens = 1;
-        assertFalse(bank.draw(0, true));
-        assertTrue(bank.draw(0, false));
+    void lastTokenIsReservedForHigherPriority() {
+        var tokenBucket = new TokenBucket(DecisionModule.TOKEN_BUCKET_CAPACITY);
+        tokenBucket.setRate(0, 1);
+        tokenBucket.tokens = 1;
+        assertFalse(tokenBucket.tryTake(0, true));
+        assertTrue(tokenBucket.tryTake(0, false));
     }
 
     @Test
-    void anEmptyBankRefusesAtOnceWithAdviceAndLowWorthGoesFirst() {
-        Bench b = Bench.withCaches(4);
-        for (int i = 1; i < HysteresisController.LEARNED; i++) {
-            b.interval(5, 0);
+    void emptyTokenBucketRejectsWithRetryAfterAndLowPriorityFirst() {
+        RouterHarness harness = RouterHarness.withCaches(4);
+        for (int i = 1; i < HysteresisController.MIN_LEARNING_INTERVALS; i++) {
+            harness.runInterval(5, 0);
         }
-        b.interval(3, 4);
-        int before = b.out.refused.size();
+        harness.runInterval(3, 4);
+        int before = harness.actions.rejected.size();
         int cheapFetches = 0;
         int dearFetches = 0;
         for (int i = 0; i < 40; i++) {
             boolean cheap = i % 2 == 0;
-            String id = b.ask(cheap ? "cheap" : "dear", 5000 + i);
-            while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
-                b.end(id, Outcome.MISS);
+            String id = harness.request(cheap ? "cheap" : "dear", 5000 + i);
+            while (harness.actions.finalAnswers(id) == 0 && !harness.lastNodeOf(id).equals("db")) {
+                harness.endAttempt(id, Outcome.MISS);
             }
-            if (b.out.answers(id) == 0) {
-                b.end(id, Outcome.OK);
+            if (harness.actions.finalAnswers(id) == 0) {
+                harness.endAttempt(id, Outcome.OK);
                 cheapFetches += cheap ? 1 : 0;
                 dearFetches += cheap ? 0 : 1;
             }
-            b.advance(10);
+            harness.advance(10);
         }
-        assertTrue(b.out.refused.size() > before);
+        assertTrue(harness.actions.rejected.size() > before);
         assertTrue(dearFetches > cheapFetches, dearFetches + " dear, " + cheapFetches + " cheap");
-        assertTrue(b.out.log.stream().anyMatch(l -> l.matches("refuse q\\d+ [1-9].*")));
+        assertTrue(harness.actions.log.stream().anyMatch(l -> l.matches("refuse q\\d+ [1-9].*")));
     }
 
     @Test
-    void aRefusedReadThatComesBackCostsNoFurtherMissWhileThrottled() {
-        Bench b = Bench.withCaches(4);
-        for (int i = 1; i < HysteresisController.LEARNED; i++) {
-            b.interval(5, 0);
+    void retryOfRejectedReadCausesNoLookUpWhileThrottled() {
+        RouterHarness harness = RouterHarness.withCaches(4);
+        for (int i = 1; i < HysteresisController.MIN_LEARNING_INTERVALS; i++) {
+            harness.runInterval(5, 0);
         }
-        b.interval(3, 4);
+        harness.runInterval(3, 4);
         String refused = null;
         long key = 8000;
         while (refused == null) {
-            String id = b.ask("dear", ++key);
-            while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
-                b.end(id, Outcome.MISS);
+            String id = harness.request("dear", ++key);
+            while (harness.actions.finalAnswers(id) == 0 && !harness.lastNodeOf(id).equals("db")) {
+                harness.endAttempt(id, Outcome.MISS);
             }
-            refused = b.out.answers(id) > 0 ? id : null;
+            refused = harness.actions.finalAnswers(id) > 0 ? id : null;
         }
-        String retry = b.ask("dear", key);
-        assertEquals(1, b.out.answers(retry));
-        assertEquals(0, b.sendsOf(retry));
-        b.advance(500);
-        assertEquals(1, b.sendsOf(b.ask("dear", key)));
+        String retry = harness.request("dear", key);
+        assertEquals(1, harness.actions.finalAnswers(retry));
+        assertEquals(0, harness.attemptCount(retry));
+        harness.advance(500);
+        assertEquals(1, harness.attemptCount(harness.request("dear", key)));
     }
 
     @Test
-    void theLastLevelIsLeftOnlyOnceTheBankRefusesNoMore() {
-        var control = new HysteresisController();
-        for (int i = 0; i < HysteresisController.LEARNED; i++) {
+    void levelOneEndsOnlyWhenTokenBucketNoLongerRejects() {
+        var controller = new HysteresisController();
+        for (int i = 0; i < HysteresisController.MIN_LEARNING_INTERVALS; i++) {
             for (int j = 0; j < 40; j++) {
-                control.count(true);
+                controller.count(true);
             }
-            control.step(1000, 0);
+            controller.endInterval(1000, 0);
         }
-        assertEquals(40, control.base, 1e-9);
-        control.level = 1;
-        control.step(1000, 3);
-        assertEquals(1, control.level);
-        assertEquals(40 * HysteresisController.BASE_GROWTH, control.base, 1e-9);
-        control.step(1000, 0);
-        assertEquals(0, control.level);
+        assertEquals(40, controller.baseRate, 1e-9);
+        controller.level = 1;
+        controller.endInterval(1000, 3);
+        assertEquals(1, controller.level);
+        assertEquals(40 * HysteresisController.BASE_GROWTH, controller.baseRate, 1e-9);
+        controller.endInterval(1000, 0);
+        assertEquals(0, controller.level);
     }
 
     @Test
-    void aTenantPastItsQuotaIsTurnedAwayBeforeOneWithinIt() {
-        var s = Bench.settings(true, false);
+    void tenantOverItsQuotaIsRejectedBeforeTenantWithinIt() {
+        var settings = RouterHarness.settings(true, false);
         var tenants = List.of(new Router.Tenant("greedy", 10), new Router.Tenant("modest", 1000));
-        Bench b =
-                new Bench(
+        RouterHarness harness =
+                new RouterHarness(
                         new Router.Settings(
                                 0,
                                 2,
                                 "z",
                                 5,
-                                s.classes(),
+                                settings.classes(),
                                 tenants,
                                 0.05,
                                 false,
-                                s.limits(),
-                                s.rules(),
+                                settings.limits(),
+                                settings.rules(),
                                 false,
                                 Router.Weights.NONE,
                                 "origin"));
-        b.list(4);
-        for (int i = 1; i < HysteresisController.LEARNED; i++) {
-            b.interval(5, 0);
+        harness.sendSnapshot(4);
+        for (int i = 1; i < HysteresisController.MIN_LEARNING_INTERVALS; i++) {
+            harness.runInterval(5, 0);
         }
-        b.interval(3, 4);
+        harness.runInterval(3, 4);
         int[] fetched = new int[2];
         for (int i = 0; i < 200; i++) {
             String tenant = i % 2 == 0 ? "greedy" : "modest";
             String id = tenant + i;
-            b.router.request(
-                    b.now,
+            harness.router.requestReceived(
+                    harness.now,
                     new Router.Request(id, "dear", tenant, 70_000 + i, 0, 800, false, false),
-                    b.out);
-            while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
-                b.end(id, Outcome.MISS);
+                    harness.actions);
+            while (harness.actions.finalAnswers(id) == 0 && !harness.lastNodeOf(id).equals("db")) {
+                harness.endAttempt(id, Outcome.MISS);
             }
-            if (b.out.answers(id) == 0) {
-                b.end(id, Outcome.OK);
+            if (harness.actions.finalAnswers(id) == 0) {
+                harness.endAttempt(id, Outcome.OK);
                 fetched[i % 2]++;
             }
-            b.advance(5);
+            harness.advance(5);
         }
         assertTrue(
                 fetched[1] > 2 * fetched[0],
@@ -247,41 +251,43 @@
      * Asks for a key that no cache has, with so much time left, and returns how many attempts went
      * to the origin.
      */
-    private static long fetched(Bench b, String id, double budgetMs) {
-        b.router.request(
-                b.now,
+    private static long fetchAttempts(RouterHarness harness, String id, double budgetMs) {
+        harness.router.requestReceived(
+                harness.now,
                 new Router.Request(id, "dear", null, id.hashCode(), 0, budgetMs, false, false),
-                b.out);
-        for (int i = 0; i < 2 && !b.nodeOf(id).equals("db"); i++) {
-            b.end(id, Outcome.MISS, 1);
+                harness.actions);
+        for (int i = 0; i < 2 && !harness.lastNodeOf(id).equals("db"); i++) {
+            harness.endAttempt(id, Outcome.MISS, 1);
         }
-        return b.out.sent.stream()
+        return harness.actions.sent.stream()
                 .filter(s -> s.request().equals(id) && s.node().equals("db"))
                 .count();
     }
 
     @Test
-    void aFetchThatWouldEndAfterItsClientHasGoneIsRefusedAtOnceButForAFew() {
-        Bench b = Bench.withCaches(4);
+    void rejectsMostFetchesThatWouldMissTheirDeadline() {
+        RouterHarness harness = RouterHarness.withCaches(4);
         for (int i = 0; i < 40; i++) {
-            assertEquals(1, fetched(b, "usual" + i, Bench.BUDGET));
-            b.end("usual" + i, Outcome.OK, 280);
-            b.advance(20);
+            assertEquals(1, fetchAttempts(harness, "usual" + i, RouterHarness.BUDGET_MS));
+            harness.endAttempt("usual" + i, Outcome.OK, 280);
+            harness.advance(20);
         }
         long late = 0;
         long inTime = 0;
         for (int i = 0; i < 200; i++) {
-            long before = b.out.refused.size();
-            long sent = fetched(b, "late" + i, 300);
+            long before = harness.actions.rejected.size();
+            long sent = fetchAttempts(harness, "late" + i, 300);
             assertEquals(
-                    1, sent + b.out.refused.size() - before, "neither sent nor refused at once");
+                    1,
+                    sent + harness.actions.rejected.size() - before,
+                    "neither sent nor refused at once");
             late += sent;
             if (sent > 0) {
-                b.end("late" + i, Outcome.CANCELLED, 20);
+                harness.endAttempt("late" + i, Outcome.CANCELLED, 20);
             }
-            inTime += fetched(b, "in-time" + i, Bench.BUDGET);
-            b.end("in-time" + i, Outcome.OK, 280);
-            b.advance(20);
+            inTime += fetchAttempts(harness, "in-time" + i, RouterHarness.BUDGET_MS);
+            harness.endAttempt("in-time" + i, Outcome.OK, 280);
+            harness.advance(20);
         }
         assertEquals(200, inTime);
         assertTrue(late > 0 && late < 30, late + " of 200 went all the same");
@@ -291,27 +297,28 @@
      * Of two clients one leaves after so long, and the nodes answer the other: how much is turned
      * away untried.
      */
-    private static int turnedAway(double leavesAfterMs) {
-        Bench b = Bench.withCaches(6);
+    private static int rejectionsIfClientsLeaveAfter(double leavesAfterMs) {
+        RouterHarness harness = RouterHarness.withCaches(6);
         for (int i = 0; i < 1000; i++) {
-            String stays = b.ask("dear", i % 50);
-            if (b.out.answers(stays) == 0) {
-                b.end(stays, Outcome.OK);
+            String stays = harness.request("dear", i % 50);
+            if (harness.actions.finalAnswers(stays) == 0) {
+                harness.endAttempt(stays, Outcome.OK);
             }
-            String leaves = b.ask("dear", 50 + i % 50);
-            if (b.out.answers(leaves) == 0) {
-                b.router.clientGone(b.now, leaves, b.out);
-                b.end(leaves, Outcome.CANCELLED, leavesAfterMs);
+            String leaves = harness.request("dear", 50 + i % 50);
+            if (harness.actions.finalAnswers(leaves) == 0) {
+                harness.router.clientDisconnected(harness.now, leaves, harness.actions);
+                harness.endAttempt(leaves, Outcome.CANCELLED, leavesAfterMs);
             }
-            b.advance(20);
+            harness.advance(20);
         }
-        return b.out.refused.size();
+        return harness.actions.rejected.size();
     }
 
     @Test
-    void clientsThatLeaveEarlyAreNoSilenceOfTheNodesAndThoseThatWaitedAre() {
-        assertEquals(0, turnedAway(20));
+    void onlyAttemptsCancelledLateCountAsUnanswered() {
+        assertEquals(0, rejectionsIfClientsLeaveAfter(20));
         assertTrue(
-                turnedAway(290) > 200, "half of all sends came to nothing in nearly the whole aim");
+                rejectionsIfClientsLeaveAfter(290) > 200,
+                "half of all sends came to nothing in nearly the whole aim");
     }
 }
--- a/src/test/java/cacheproxy/HouseRulesTest.java
+++ b/src/test/java/cacheproxy/ArchitectureRulesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who may use whom; a wrong import fails the build. */
-class HouseRulesTest {
+class ArchitectureRulesTest {
 
     private static final JavaClasses CLASSES =
             new ClassFileImporter()
@@ -47,13 +47,13 @@
         return WALL_CLOCK.contains(access.getTargetOwner().getName() + "." + access.getName());
     }
 
-    private static void holds(ArchRule rule) {
+    private static void check(ArchRule rule) {
         rule.check(CLASSES);
     }
 
     @Test
-    void decisionsUseTheJdkAlone() {
-        holds(
+    void decisionModuleUsesOnlyTheJdk() {
+        check(
                 noClasses()
                         .that()
                         .haveNameMatching(
@@ -61,7 +61,7 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .haveSimpleName("Router")
@@ -73,7 +73,7 @@
                                 "cacheproxy.lab..",
                                 "cacheproxy.cli..",
                                 "io.netty.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .haveNameMatching(
@@ -85,18 +85,18 @@
     }
 
     @Test
-    void decisionPackagesUseTheJdkAlone() {
+    void decisionPackagesUseOnlyTheJdk() {
         String[] packages = {
             "cacheproxy.measure..", "cacheproxy.maintenance..", "cacheproxy.epoch.."
         };
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAnyPackage(packages)
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAnyPackage(packages)
@@ -110,7 +110,7 @@
                                 "cacheproxy.store..",
                                 "cacheproxy.raft..",
                                 "io.microraft.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAnyPackage(packages)
@@ -125,8 +125,8 @@
      * a proxy.
      */
     @Test
-    void noSpanIsTakenFromTheWallClock() {
-        holds(
+    void durationsAreNotTakenFromTheWallClock() {
+        check(
                 noClasses()
                         .that()
                         .resideOutsideOfPackage("cacheproxy.lab..")
@@ -135,12 +135,13 @@
                         .should()
                         .accessTargetWhere(
                                 describe(
-                                        "the wall clock is read", HouseRulesTest::readsWallClock)));
+                                        "the wall clock is read",
+                                        ArchitectureRulesTest::readsWallClock)));
     }
 
     @Test
-    void theOperatorsAddressAndTheirFilesDecideNothing() {
-        holds(
+    void adminAndStoreDoNotDependOnDecisions() {
+        check(
                 noClasses()
                         .that()
                         .resideInAnyPackage("cacheproxy.admin..", "cacheproxy.store..")
@@ -154,8 +155,8 @@
     }
 
     @Test
-    void serveKnowsNothingOfTools() {
-        holds(
+    void serveDoesNotDependOnTools() {
+        check(
                 noClasses()
                         .that()
                         .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.benchlink..")
@@ -173,15 +174,15 @@
     }
 
     @Test
-    void gossipDecidesWithoutIoAndIsReachedByOneClass() {
-        holds(
+    void gossipLogicDoesNoIoAndIsUsedByOneClass() {
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.membership..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.membership..")
@@ -192,7 +193,7 @@
                                 "cacheproxy.gossip..",
                                 "cacheproxy.lab..",
                                 "cacheproxy.config.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.membership..")
@@ -200,7 +201,7 @@
                         .callMethod(System.class, "nanoTime")
                         .orShould()
                         .callMethod(System.class, "currentTimeMillis"));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.gossip..")
@@ -210,7 +211,7 @@
                                 "cacheproxy.proxy..", "cacheproxy.lab..", "cacheproxy.cli.."));
         // Where gossip is off nothing of it may be loaded, and what the proxy's other classes name
         // is.
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.proxy..")
@@ -219,7 +220,7 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage("cacheproxy.gossip..", "cacheproxy.membership.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.proxy..")
@@ -232,15 +233,15 @@
     }
 
     @Test
-    void theChangeStreamDecidesWithoutIoAndNothingOfTheProgramLoadsIt() {
-        holds(
+    void changeStreamLogicDoesNoIoAndIsNotLoadedByTheProxy() {
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.stream")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.stream")
@@ -255,7 +256,7 @@
                                 "cacheproxy.config..",
                                 "cacheproxy.store..",
                                 "io.microraft.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.stream")
@@ -263,7 +264,7 @@
                         .callMethod(System.class, "nanoTime")
                         .orShould()
                         .callMethod(System.class, "currentTimeMillis"));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.stream.wire..")
@@ -274,7 +275,7 @@
                                 "cacheproxy.proxy..",
                                 "cacheproxy.lab..",
                                 "cacheproxy.cli.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideOutsideOfPackages(
@@ -286,7 +287,7 @@
                         .dependOnClassesThat()
                         .resideInAPackage("cacheproxy.stream.."));
         // The policy, where it is on, needs the log alone.
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.raft")
@@ -298,8 +299,8 @@
     }
 
     @Test
-    void configurationKnowsNothingOfSocketsOrDecisions() {
-        holds(
+    void configurationDoesNotDependOnSocketsOrDecisions() {
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.config..")
@@ -314,10 +315,10 @@
     }
 
     @Test
-    void hollowPlanesAreWhatAProxyRunsAndNoTwins() {
+    void hollowControlPlanesUseProductionClasses() {
         // It joins gossip and raft as they are: nothing below them, and nothing that stands in for
         // them.
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.lab.hollow..")
@@ -330,7 +331,7 @@
                                 "cacheproxy.membership..",
                                 "cacheproxy.epoch..",
                                 "io.microraft.."));
-        holds(
+        check(
                 noClasses()
                         .that()
                         .resideOutsideOfPackages("cacheproxy.lab.hollow..", "cacheproxy.cli..")
--- a/src/test/java/cacheproxy/HeavyRequestTest.java
+++ b/src/test/java/cacheproxy/HeavyRequestTest.java
@@ -9,34 +9,40 @@
 /** A request that is known to be heavy is not taken for lost while it is being worked on. */
 class HeavyRequestTest {
 
-    private static final double USUAL_MS = 10;
+    private static final double USUAL_WORK_MS = 10;
 
-    private static double waitFor(Bench b, String id, double workMs) {
-        b.router.request(
-                b.now,
+    private static double attemptTimeoutMs(RouterHarness harness, String id, double workMs) {
+        harness.router.requestReceived(
+                harness.now,
                 new Request(
                         id,
                         "dear",
                         null,
                         70_000 + id.hashCode(),
                         workMs,
-                        Bench.BUDGET,
+                        RouterHarness.BUDGET_MS,
                         false,
                         false),
-                b.out);
-        double wait = b.out.last().timeoutMs();
-        b.end(id, Outcome.OK);
-        return wait;
+                harness.actions);
+        double timeoutMs = harness.actions.lastSent().timeoutMs();
+        harness.endAttempt(id, Outcome.OK);
+        return timeoutMs;
     }
 
     @Test
-    void itHasAllItsTimeForOneAttemptWhileOthersKeepSomeForAnother() {
-        Bench b = Bench.withCaches(6);
+    void heavyRequestMayUseItsWholeBudgetForOneAttempt() {
+        RouterHarness harness = RouterHarness.withCaches(6);
         for (int i = 0; i < 300; i++) {
-            waitFor(b, "usual" + i, USUAL_MS);
-            b.advance(3);
+            attemptTimeoutMs(harness, "usual" + i, USUAL_WORK_MS);
+            harness.advance(3);
         }
-        assertTrue(waitFor(b, "light", USUAL_MS) < 0.7 * Bench.BUDGET);
-        assertTrue(waitFor(b, "heavy", 2 * Decide.HEAVY * USUAL_MS) > 0.9 * Bench.BUDGET);
+        assertTrue(
+                attemptTimeoutMs(harness, "light", USUAL_WORK_MS) < 0.7 * RouterHarness.BUDGET_MS);
+        assertTrue(
+                attemptTimeoutMs(
+                                harness,
+                                "heavy",
+                                2 * DecisionModule.HEAVY_WORK_MULTIPLE * USUAL_WORK_MS)
+                        > 0.9 * RouterHarness.BUDGET_MS);
     }
 }
--- a/src/test/java/cacheproxy/HotKeyTest.java
+++ b/src/test/java/cacheproxy/HotKeyTest.java
@@ -14,40 +14,50 @@
 class HotKeyTest {
 
     private static final int CACHES = 400;
-    private static final long HOT = 7;
-    private static final long TWICE = 99;
+    private static final long HOT_KEY = 7;
+    private static final long RECURRING_KEY = 99;
 
-    private static String serve(Bench b, long key) {
-        String id = b.ask("dear", key);
-        String node = b.nodeOf(id);
-        b.end(id, Outcome.OK);
-        b.advance(1);
+    private static String serve(RouterHarness harness, long key) {
+        String id = harness.request("dear", key);
+        String node = harness.lastNodeOf(id);
+        harness.endAttempt(id, Outcome.OK);
+        harness.advance(1);
         return node;
     }
 
     @Test
-    void aTwentiethOfAllRequestsIsSpreadOverItsShareOfTheNodes() {
-        Bench b = Bench.withCaches(CACHES);
-        Set<String> hot = new HashSet<>();
-        Set<String> twice = new HashSet<>();
+    void hotKeyIsSpreadInProportionToItsFrequency() {
+        RouterHarness harness = RouterHarness.withCaches(CACHES);
+        Set<String> hotKeyNodes = new HashSet<>();
+        Set<String> recurringKeyNodes = new HashSet<>();
         for (int i = 0; i < 6000; i++) {
             if (i % 20 == 0) {
-                String node = serve(b, HOT);
+                String node = serve(harness, HOT_KEY);
                 if (i >= 3000) {
-                    hot.add(node);
+                    hotKeyNodes.add(node);
                 }
             } else if (i > 3000 && i % 500 == 1) {
-                twice.add(serve(b, TWICE));
+                recurringKeyNodes.add(serve(harness, RECURRING_KEY));
             } else {
-                serve(b, 1000 + i);
+                serve(harness, 1000 + i);
             }
         }
         assertTrue(
-                hot.size() >= CACHES / 40,
-                "a twentieth of the requests at " + hot.size() + " of " + CACHES + " nodes");
+                hotKeyNodes.size() >= CACHES / 40,
+                "a twentieth of the requests at "
+                        + hotKeyNodes.size()
+                        + " of "
+                        + CACHES
+                        + " nodes");
         assertTrue(
-                hot.size() <= CACHES / 8,
-                "a twentieth of the requests at " + hot.size() + " of " + CACHES + " nodes");
-        assertTrue(twice.size() <= 2, "a key that came a few times went to " + twice);
+                hotKeyNodes.size() <= CACHES / 8,
+                "a twentieth of the requests at "
+                        + hotKeyNodes.size()
+                        + " of "
+                        + CACHES
+                        + " nodes");
+        assertTrue(
+                recurringKeyNodes.size() <= 2,
+                "a key that came a few times went to " + recurringKeyNodes);
     }
 }
--- a/src/test/java/cacheproxy/IncarnationAgeTest.java
+++ b/src/test/java/cacheproxy/IncarnationAgeTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.measure.Incarnation;
@@ -18,184 +18,184 @@
     private static final double TEN_MINUTES_MS = 600_000;
     private static final int NODES = 4;
     private static final int READS = 400;
-    private static final double GAP_MS = 5;
+    private static final double READ_INTERVAL_MS = 5;
 
     /** A node's part of the reads if all are warm. */
-    private static final double USUAL = READS / (double) NODES;
+    private static final double READS_PER_WARM_NODE = READS / (double) NODES;
 
     private long nextKey;
 
     /** A proxy that has no list yet; by its clock a time of an hour ago is not negative. */
-    private static Bench proxy() {
-        Bench b = new Bench(Bench.settings(true, false));
-        b.advance(3 * HOUR_MS);
-        return b;
+    private static RouterHarness proxyWithoutNodes() {
+        RouterHarness harness = new RouterHarness(RouterHarness.settings(true, false));
+        harness.advance(3 * HOUR_MS);
+        return harness;
     }
 
-    private static Node started(double statedMs) {
-        return Bench.node("c0", statedMs, Availability.UP);
+    private static Node c0StartedAt(double statedMs) {
+        return RouterHarness.node("c0", statedMs, Availability.UP);
     }
 
     /** The whole list: c0 with its stated start, and others that are warm. */
-    private static void list(Bench b, ListKind kind, double statedMs) {
+    private static void sendList(RouterHarness harness, EndpointListKind kind, double statedMs) {
         List<Node> nodes =
                 List.of(
-                        started(statedMs),
-                        Bench.node("c1", 0, Availability.UP),
-                        Bench.node("c2", 0, Availability.UP),
-                        Bench.node("c3", 0, Availability.UP),
-                        Bench.origin());
-        b.router.nodes(b.now, kind, 1, nodes, b.out);
+                        c0StartedAt(statedMs),
+                        RouterHarness.node("c1", 0, Availability.UP),
+                        RouterHarness.node("c2", 0, Availability.UP),
+                        RouterHarness.node("c3", 0, Availability.UP),
+                        RouterHarness.origin());
+        harness.router.endpointListReceived(harness.now, kind, 1, nodes, harness.actions);
     }
 
-    private static Bench proxyThatKnows(double statedAgeMs) {
-        Bench b = proxy();
-        list(b, ListKind.FULL, b.now - statedAgeMs);
-        return b;
+    private static RouterHarness proxyWithC0OfAge(double statedAgeMs) {
+        RouterHarness harness = proxyWithoutNodes();
+        sendList(harness, EndpointListKind.SNAPSHOT, harness.now - statedAgeMs);
+        return harness;
     }
 
     /** How many of some reads go to c0; they take two of the ten seconds of slow start. */
-    private long sentToC0(Bench b) {
-        long before = b.out.sentTo("c0");
+    private long sentToC0(RouterHarness harness) {
+        long before = harness.actions.sentTo("c0");
         for (int i = 0; i < READS; i++) {
-            b.end(b.ask("dear", nextKey++), Outcome.OK);
-            b.advance(GAP_MS);
+            harness.endAttempt(harness.request("dear", nextKey++), Outcome.OK);
+            harness.advance(READ_INTERVAL_MS);
         }
-        return b.out.sentTo("c0") - before;
+        return harness.actions.sentTo("c0") - before;
     }
 
-    private void assertCold(Bench b) {
-        long sent = sentToC0(b);
-        assertTrue(sent > 0 && sent < 0.5 * USUAL, "cold: " + sent + " of " + READS);
+    private void assertInSlowStart(RouterHarness harness) {
+        long sent = sentToC0(harness);
+        assertTrue(sent > 0 && sent < 0.5 * READS_PER_WARM_NODE, "cold: " + sent + " of " + READS);
     }
 
-    private void assertWarm(Bench b) {
-        long sent = sentToC0(b);
-        assertTrue(sent > 0.8 * USUAL, "warm: " + sent + " of " + READS);
+    private void assertWarm(RouterHarness harness) {
+        long sent = sentToC0(harness);
+        assertTrue(sent > 0.8 * READS_PER_WARM_NODE, "warm: " + sent + " of " + READS);
     }
 
-    private static void passSlowStart(Bench b) {
-        b.advance(Bench.RULES.coldMs());
+    private static void passSlowStart(RouterHarness harness) {
+        harness.advance(RouterHarness.RULES.slowStartMs());
     }
 
-    private void assertColdThenWarm(Bench b) {
-        assertCold(b);
-        passSlowStart(b);
-        assertWarm(b);
+    private void assertInSlowStartThenWarm(RouterHarness harness) {
+        assertInSlowStart(harness);
+        passSlowStart(harness);
+        assertWarm(harness);
     }
 
     @Test
-    void aRestartAfterAStepBackOfAnHourIsCold() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS);
-        assertWarm(b);
-        b.change(started(b.now - HOUR_MS));
-        assertColdThenWarm(b);
+    void restartAfterClockStepBackGetsSlowStart() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS);
+        assertWarm(harness);
+        harness.sendDelta(c0StartedAt(harness.now - HOUR_MS));
+        assertInSlowStartThenWarm(harness);
     }
 
     @Test
-    void aRestartAfterAStepForwardOfAnHourIsWarmOnceItsSlowStartHasPassed() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS);
-        b.change(started(b.now + HOUR_MS));
-        assertColdThenWarm(b);
+    void restartAfterClockStepForwardIsWarmAfterSlowStart() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS);
+        harness.sendDelta(c0StartedAt(harness.now + HOUR_MS));
+        assertInSlowStartThenWarm(harness);
     }
 
     @Test
-    void aProxyWhoseClockIsAnHourFastTakesARestartForCold() {
-        Bench b = proxyThatKnows(HOUR_MS + TEN_MINUTES_MS);
-        assertWarm(b);
-        b.change(started(b.now - HOUR_MS));
-        assertColdThenWarm(b);
+    void proxyWithFastClockGivesRestartedNodeSlowStart() {
+        RouterHarness harness = proxyWithC0OfAge(HOUR_MS + TEN_MINUTES_MS);
+        assertWarm(harness);
+        harness.sendDelta(c0StartedAt(harness.now - HOUR_MS));
+        assertInSlowStartThenWarm(harness);
     }
 
     @Test
-    void aProxyWhoseClockIsAnHourSlowTakesNodesOfItsFirstListForColdOnlyOnce() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS - HOUR_MS);
-        assertColdThenWarm(b);
-        b.change(started(b.now + HOUR_MS));
-        assertColdThenWarm(b);
+    void proxyWithSlowClockGivesEachIncarnationOneSlowStart() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS - HOUR_MS);
+        assertInSlowStartThenWarm(harness);
+        harness.sendDelta(c0StartedAt(harness.now + HOUR_MS));
+        assertInSlowStartThenWarm(harness);
     }
 
     @Test
-    void theSameStatedStartIsTheSameIncarnationAlsoAfterItHasLeftTheList() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS);
-        double stated = b.now + HOUR_MS;
-        b.change(started(stated));
-        passSlowStart(b);
-        list(b, ListKind.FULL, stated);
-        assertWarm(b);
-        b.change(Bench.node("c0", stated, Availability.GONE));
-        b.advance(60_000);
-        b.change(started(stated));
-        assertWarm(b);
+    void sameStatedStartIsSameIncarnationAfterNodeLeftTheList() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS);
+        double stated = harness.now + HOUR_MS;
+        harness.sendDelta(c0StartedAt(stated));
+        passSlowStart(harness);
+        sendList(harness, EndpointListKind.SNAPSHOT, stated);
+        assertWarm(harness);
+        harness.sendDelta(RouterHarness.node("c0", stated, Availability.GONE));
+        harness.advance(60_000);
+        harness.sendDelta(c0StartedAt(stated));
+        assertWarm(harness);
     }
 
     @Test
-    void aStartToldLaterThanTheTermAllowsIsNoOlderThanThat() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS);
-        b.change(started(b.now - 5 * Incarnation.LATEST_NOTICE_MS));
-        Bench atTheTerm = proxyThatKnows(TEN_MINUTES_MS);
-        atTheTerm.change(started(atTheTerm.now - Incarnation.LATEST_NOTICE_MS));
-        long sent = sentToC0(b);
+    void ageOfLateNotifiedStartIsCappedAtMaxNotificationDelay() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS);
+        harness.sendDelta(c0StartedAt(harness.now - 5 * Incarnation.MAX_NOTIFICATION_DELAY_MS));
+        RouterHarness atMaxDelay = proxyWithC0OfAge(TEN_MINUTES_MS);
+        atMaxDelay.sendDelta(c0StartedAt(atMaxDelay.now - Incarnation.MAX_NOTIFICATION_DELAY_MS));
+        long sent = sentToC0(harness);
         nextKey = 0;
-        assertEquals(sentToC0(atTheTerm), sent);
-        assertTrue(sent < 0.6 * USUAL, "in slow start: " + sent + " of " + READS);
+        assertEquals(sentToC0(atMaxDelay), sent);
+        assertTrue(sent < 0.6 * READS_PER_WARM_NODE, "in slow start: " + sent + " of " + READS);
     }
 
     /** The whole of the router's actions is compared, so the age is the same to the last digit. */
     @Test
-    void aStartToldTwoSecondsLateHasTheAgeOfOneToldAtOnce() {
-        Bench atOnce = proxyThatKnows(TEN_MINUTES_MS);
-        Bench late = proxyThatKnows(TEN_MINUTES_MS);
+    void notificationDelayDoesNotChangeAge() {
+        RouterHarness atOnce = proxyWithC0OfAge(TEN_MINUTES_MS);
+        RouterHarness late = proxyWithC0OfAge(TEN_MINUTES_MS);
         double start = atOnce.now;
-        atOnce.change(started(start));
+        atOnce.sendDelta(c0StartedAt(start));
         atOnce.advance(2000);
         late.advance(2000);
-        late.change(started(start));
+        late.sendDelta(c0StartedAt(start));
         sentToC0(atOnce);
         nextKey = 0;
         sentToC0(late);
-        assertEquals(atOnce.out.log, late.out.log);
+        assertEquals(atOnce.actions.log, late.actions.log);
     }
 
     @Test
-    void aNodeBackFromMaintenanceIsColdFromThenAlsoIfItsStatedStartIsInOurFuture() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS);
-        b.change(started(b.now + HOUR_MS));
-        passSlowStart(b);
-        b.router.maintain(b.now, "c0", true, b.out);
-        b.advance(5000);
-        b.router.maintain(b.now, "c0", false, b.out);
-        assertColdThenWarm(b);
+    void slowStartAfterMaintenanceBeginsAtItsEndIfStatedStartIsInFuture() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS);
+        harness.sendDelta(c0StartedAt(harness.now + HOUR_MS));
+        passSlowStart(harness);
+        harness.router.setMaintenance(harness.now, "c0", true, harness.actions);
+        harness.advance(5000);
+        harness.router.setMaintenance(harness.now, "c0", false, harness.actions);
+        assertInSlowStartThenWarm(harness);
     }
 
     @Test
-    void aRestartDuringMaintenanceCountsFromItsNotificationAlsoAfterAStepBack() {
-        Bench b = proxyThatKnows(TEN_MINUTES_MS);
-        b.router.maintain(b.now, "c0", true, b.out);
-        b.advance(5000);
-        b.change(started(b.now - HOUR_MS));
-        passSlowStart(b);
-        b.router.maintain(b.now, "c0", false, b.out);
-        assertWarm(b);
+    void ageOfRestartDuringMaintenanceCountsFromNotification() {
+        RouterHarness harness = proxyWithC0OfAge(TEN_MINUTES_MS);
+        harness.router.setMaintenance(harness.now, "c0", true, harness.actions);
+        harness.advance(5000);
+        harness.sendDelta(c0StartedAt(harness.now - HOUR_MS));
+        passSlowStart(harness);
+        harness.router.setMaintenance(harness.now, "c0", false, harness.actions);
+        assertWarm(harness);
     }
 
     @Test
-    void whatDiscoverySaysFirstOfNodesThatTheSavedListDidNotNameMayBeLongAgo() {
-        Bench b = new Bench(Bench.settings(true, false));
-        b.now += HOUR_MS;
-        b.router.started(b.now, b.out);
-        list(b, ListKind.REMEMBERED, b.now - 3 * TEN_MINUTES_MS);
-        b.advance(500);
-        b.change(started(b.now - TEN_MINUTES_MS));
-        assertWarm(b);
+    void firstUpdateAfterStoredSnapshotMayStateEarlierStart() {
+        RouterHarness harness = new RouterHarness(RouterHarness.settings(true, false));
+        harness.now += HOUR_MS;
+        harness.router.started(harness.now, harness.actions);
+        sendList(harness, EndpointListKind.STORED_SNAPSHOT, harness.now - 3 * TEN_MINUTES_MS);
+        harness.advance(500);
+        harness.sendDelta(c0StartedAt(harness.now - TEN_MINUTES_MS));
+        assertWarm(harness);
     }
 
     @Test
-    void aRestartAfterTheTimeForFirstNewsIsColdThoughDiscoveryHadNothingToTellBefore() {
-        Bench b = proxy();
-        list(b, ListKind.REMEMBERED, b.now - HOUR_MS - TEN_MINUTES_MS);
-        b.advance(Incarnation.LATEST_NOTICE_MS + 500);
-        b.change(started(b.now - HOUR_MS));
-        assertColdThenWarm(b);
+    void restartNotifiedAfterFirstListPeriodGetsSlowStart() {
+        RouterHarness harness = proxyWithoutNodes();
+        sendList(harness, EndpointListKind.STORED_SNAPSHOT, harness.now - HOUR_MS - TEN_MINUTES_MS);
+        harness.advance(Incarnation.MAX_NOTIFICATION_DELAY_MS + 500);
+        harness.sendDelta(c0StartedAt(harness.now - HOUR_MS));
+        assertInSlowStartThenWarm(harness);
     }
 }
--- a/src/test/java/cacheproxy/MaintenanceTest.java
+++ b/src/test/java/cacheproxy/MaintenanceTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import java.util.ArrayList;
@@ -25,10 +25,12 @@
 
     private static final int NODES = 6;
 
-    private static void ask(Bench b, Random random) {
+    private static void sendRandomRequest(RouterHarness harness, Random random) {
         boolean write = random.nextInt(10) == 0;
-        String id = b.ask(write ? "keyed" : "dear", random.nextInt(200), write);
-        for (int i = 0; i < 4 && b.out.answers(id) == 0 && b.sendsOf(id) > i; i++) {
+        String id = harness.request(write ? "keyed" : "dear", random.nextInt(200), write);
+        for (int i = 0;
+                i < 4 && harness.actions.finalAnswers(id) == 0 && harness.attemptCount(id) > i;
+                i++) {
             Outcome outcome =
                     List.of(
                                     Outcome.OK,
@@ -38,16 +40,16 @@
                                     Outcome.CONNECT_FAILED,
                                     Outcome.TIMEOUT)
                             .get(random.nextInt(6));
-            b.end(id, b.nodeOf(id).equals("db") ? Outcome.OK : outcome);
+            harness.endAttempt(id, harness.lastNodeOf(id).equals("db") ? Outcome.OK : outcome);
         }
     }
 
     @Test
-    void whateverListsAndOperatorsDoNothingGoesToANodeThatIsOut() {
+    void nodeInMaintenanceGetsNoRequests() {
         for (int seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            Bench b = Bench.withCaches(NODES);
-            Set<String> out = new HashSet<>();
+            RouterHarness harness = RouterHarness.withCaches(NODES);
+            Set<String> inMaintenance = new HashSet<>();
             Set<String> used = new HashSet<>();
             Map<String, Availability> listed = new HashMap<>();
             for (int i = 0; i < NODES; i++) {
@@ -57,31 +59,39 @@
                 String node = "c" + random.nextInt(NODES);
                 switch (random.nextInt(12)) {
                     case 0 -> {
-                        assertTrue(b.router.maintain(b.now, node, true, b.out));
-                        out.add(node);
+                        assertTrue(
+                                harness.router.setMaintenance(
+                                        harness.now, node, true, harness.actions));
+                        inMaintenance.add(node);
                     }
                     case 1 -> {
-                        assertTrue(b.router.maintain(b.now, node, false, b.out));
-                        out.remove(node);
+                        assertTrue(
+                                harness.router.setMaintenance(
+                                        harness.now, node, false, harness.actions));
+                        inMaintenance.remove(node);
                     }
                     case 2 -> {
                         Availability next = Availability.values()[random.nextInt(3)];
-                        b.change(Bench.node(node, random.nextBoolean() ? 0 : b.now, next));
+                        harness.sendDelta(
+                                RouterHarness.node(
+                                        node, random.nextBoolean() ? 0 : harness.now, next));
                         listed.put(node, next);
                     }
-                    case 3 -> relist(b, listed, node);
-                    default -> b.advance(50);
+                    case 3 -> sendSnapshotWithout(harness, listed, node);
+                    default -> harness.advance(50);
                 }
-                int before = b.out.sent.size();
-                ask(b, random);
-                for (Sink.Sent s : b.out.sent.subList(before, b.out.sent.size())) {
+                int before = harness.actions.sent.size();
+                sendRandomRequest(harness, random);
+                for (RecordingActions.SentAttempt attempt :
+                        harness.actions.sent.subList(before, harness.actions.sent.size())) {
                     assertFalse(
-                            out.contains(s.node()),
-                            "seed " + seed + " step " + step + " to " + s.node());
+                            inMaintenance.contains(attempt.node()),
+                            "seed " + seed + " step " + step + " to " + attempt.node());
                     assertTrue(
-                            s.node().equals("db") || listed.get(s.node()) == Availability.UP,
+                            attempt.node().equals("db")
+                                    || listed.get(attempt.node()) == Availability.UP,
                             "seed " + seed + " step " + step);
-                    used.add(s.node());
+                    used.add(attempt.node());
                 }
             }
             assertTrue(used.size() > NODES / 2, "the others serve");
@@ -89,83 +99,90 @@
     }
 
     /** The whole list, of which one node may be missing. */
-    private static void relist(Bench b, Map<String, Availability> listed, String missing) {
-        List<Node> entries = new ArrayList<>(List.of(Bench.origin()));
-        listed.replaceAll((id, a) -> id.equals(missing) ? Availability.GONE : a);
+    private static void sendSnapshotWithout(
+            RouterHarness harness, Map<String, Availability> listed, String missing) {
+        List<Node> entries = new ArrayList<>(List.of(RouterHarness.origin()));
+        listed.replaceAll(
+                (id, availability) -> id.equals(missing) ? Availability.GONE : availability);
         listed.forEach(
-                (id, a) -> {
-                    if (a != Availability.GONE) {
-                        entries.add(Bench.node(id, 0, a));
+                (id, availability) -> {
+                    if (availability != Availability.GONE) {
+                        entries.add(RouterHarness.node(id, 0, availability));
                     }
                 });
-        b.router.nodes(b.now, ListKind.FULL, 3, entries, b.out);
+        harness.router.endpointListReceived(
+                harness.now, EndpointListKind.SNAPSHOT, 3, entries, harness.actions);
     }
 
     @Test
-    void idsThatNoListNamedAndTheOriginAreRefused() {
-        Bench b = Bench.withCaches(3);
-        assertFalse(b.router.maintain(b.now, "c9", true, b.out));
-        assertFalse(b.router.maintain(b.now, "db", true, b.out));
-        b.change(Bench.node("c2", 0, Availability.GONE));
-        assertTrue(b.router.maintain(b.now, "c2", true, b.out), "it was listed once");
-        assertTrue(b.router.knows("c2"));
-        assertFalse(b.router.knows("c9") || b.router.knows("db"));
+    void maintenanceOfUnlistedIdsAndTheOriginIsRejected() {
+        RouterHarness harness = RouterHarness.withCaches(3);
+        assertFalse(harness.router.setMaintenance(harness.now, "c9", true, harness.actions));
+        assertFalse(harness.router.setMaintenance(harness.now, "db", true, harness.actions));
+        harness.sendDelta(RouterHarness.node("c2", 0, Availability.GONE));
+        assertTrue(
+                harness.router.setMaintenance(harness.now, "c2", true, harness.actions),
+                "it was listed once");
+        assertTrue(harness.router.isKnownCacheNode("c2"));
+        assertFalse(harness.router.isKnownCacheNode("c9") || harness.router.isKnownCacheNode("db"));
     }
 
     @Test
-    void withAllNodesOutReadsGoToNoneAndAreAnsweredAtOnce() {
-        Bench b = Bench.withCaches(3);
+    void readsAreAnsweredSoonIfAllNodesAreInMaintenance() {
+        RouterHarness harness = RouterHarness.withCaches(3);
         for (int i = 0; i < 3; i++) {
-            b.router.maintain(b.now, "c" + i, true, b.out);
+            harness.router.setMaintenance(harness.now, "c" + i, true, harness.actions);
         }
-        String id = b.ask("dear", 1);
-        b.advance(PendingRequest.PATIENCE * 300 + 20);
-        assertEquals(0, b.sendsOf(id));
-        assertEquals(1, b.out.answers(id));
+        String id = harness.request("dear", 1);
+        harness.advance(PendingRequest.CAPACITY_WAIT_FRACTION * 300 + 20);
+        assertEquals(0, harness.attemptCount(id));
+        assertEquals(1, harness.actions.finalAnswers(id));
     }
 
     /**
      * How many of some reads are sent while none is answered, in a fleet of 15, of which one is out
      * or gone.
      */
-    private static int sent(long firstKey, boolean out) {
-        Bench b = Bench.withCaches(15);
-        if (out) {
-            b.router.maintain(b.now, "c5", true, b.out);
+    private static int sentWithoutC5(long firstKey, boolean inMaintenance) {
+        RouterHarness harness = RouterHarness.withCaches(15);
+        if (inMaintenance) {
+            harness.router.setMaintenance(harness.now, "c5", true, harness.actions);
         } else {
-            b.change(Bench.node("c5", 0, Availability.GONE));
+            harness.sendDelta(RouterHarness.node("c5", 0, Availability.GONE));
         }
-        b.advance(Decide.INTERVAL_MS);
+        harness.advance(DecisionModule.CONTROL_INTERVAL_MS);
         for (int i = 0; i < 27; i++) {
-            b.ask("dear", firstKey + i);
+            harness.request("dear", firstKey + i);
         }
-        return b.out.sent.size();
+        return harness.actions.sent.size();
     }
 
     @Test
-    void whileANodeIsOutAReadWhosePairIsCrowdedGoesToAnIdleOne() {
-        int missing = 0;
-        int gone = 0;
+    void readWithBusyPairGoesToIdleNodeDuringMaintenance() {
+        int sentDuringMaintenance = 0;
+        int sentAfterRemoval = 0;
         for (int seed = 0; seed < 20; seed++) {
-            missing += sent(1000 * seed, true);
-            gone += sent(1000 * seed, false);
+            sentDuringMaintenance += sentWithoutC5(1000 * seed, true);
+            sentAfterRemoval += sentWithoutC5(1000 * seed, false);
         }
-        assertTrue(missing > gone, missing + " and " + gone + " without the outage");
+        assertTrue(
+                sentDuringMaintenance > sentAfterRemoval,
+                sentDuringMaintenance + " and " + sentAfterRemoval + " without the outage");
     }
 
     @Test
-    void aNodeThatIsPutBackIsColdAndInUseWithinFiveSecondsAlsoWithFewRequests() {
-        Bench b = Bench.withCaches(40);
-        b.router.maintain(b.now, "c0", true, b.out);
-        b.router.maintain(b.now, "c0", true, b.out);
-        b.advance(3000);
-        b.router.maintain(b.now, "c0", false, b.out);
+    void nodeAfterMaintenanceIsInSlowStartAndUsedWithinFiveSeconds() {
+        RouterHarness harness = RouterHarness.withCaches(40);
+        harness.router.setMaintenance(harness.now, "c0", true, harness.actions);
+        harness.router.setMaintenance(harness.now, "c0", true, harness.actions);
+        harness.advance(3000);
+        harness.router.setMaintenance(harness.now, "c0", false, harness.actions);
         int used = 0;
         for (int i = 0; i < 8; i++) {
-            b.advance(500);
-            String id = b.ask("dear", 7_000 + i);
-            used += b.nodeOf(id).equals("c0") ? 1 : 0;
-            b.end(id, Outcome.OK);
+            harness.advance(500);
+            String id = harness.request("dear", 7_000 + i);
+            used += harness.lastNodeOf(id).equals("c0") ? 1 : 0;
+            harness.endAttempt(id, Outcome.OK);
         }
         assertTrue(used >= 1, "used " + used);
         assertTrue(used <= 2, "a cold node is not crowded: " + used);
--- a/src/test/java/cacheproxy/ManyNodesTest.java
+++ b/src/test/java/cacheproxy/ManyNodesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import com.sun.management.ThreadMXBean;
@@ -23,56 +23,62 @@
 class ManyNodesTest {
 
     private static final int NODES = 3200;
-    private static final int CHANGES = 1000;
+    private static final int DELTAS = 1000;
 
     /**
      * Of a change: its entry's own and a little; an array of all nodes takes 12,800 bytes at least.
      */
-    private static final long MOST_BYTES = 2000;
+    private static final long MAX_BYTES_PER_DELTA = 2000;
 
     @Test
-    void aChangeOfOneNodeAllocatesNothingForTheOthers() {
-        Bench bench = Bench.withCaches(NODES);
+    void deltaOfOneNodeAllocatesNothingForTheOthers() {
+        RouterHarness harness = RouterHarness.withCaches(NODES);
         List<Node> entries = new ArrayList<>();
-        for (int i = 0; i < CHANGES; i++) {
+        for (int i = 0; i < DELTAS; i++) {
             entries.add(
-                    Bench.node("c" + i, 0, i % 2 == 0 ? Availability.DRAINING : Availability.UP));
+                    RouterHarness.node(
+                            "c" + i, 0, i % 2 == 0 ? Availability.DRAINING : Availability.UP));
         }
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long before = threads.getCurrentThreadAllocatedBytes();
-        entries.forEach(entry -> bench.change(entry));
-        long each = (threads.getCurrentThreadAllocatedBytes() - before) / CHANGES;
-        assertTrue(each < MOST_BYTES, each + " bytes a change");
+        entries.forEach(entry -> harness.sendDelta(entry));
+        long bytesPerDelta = (threads.getCurrentThreadAllocatedBytes() - before) / DELTAS;
+        assertTrue(bytesPerDelta < MAX_BYTES_PER_DELTA, bytesPerDelta + " bytes a change");
     }
 
     /** The same fleet, told by changes and by whole lists, is sent the same requests. */
     @Test
-    void changesLeaveWhatWholeListsLeave() {
-        Bench changed = Bench.withCaches(40);
-        Bench listed = Bench.withCaches(40);
+    void deltasAndSnapshotsLeadToTheSameActions() {
+        RouterHarness withDeltas = RouterHarness.withCaches(40);
+        RouterHarness withSnapshots = RouterHarness.withCaches(40);
         Map<String, Node> fleet = new LinkedHashMap<>();
         for (int i = 0; i < 40; i++) {
-            fleet.put("c" + i, Bench.node("c" + i, 0, Availability.UP));
+            fleet.put("c" + i, RouterHarness.node("c" + i, 0, Availability.UP));
         }
-        fleet.put("db", Bench.origin());
+        fleet.put("db", RouterHarness.origin());
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 3000; i++) {
-            Node entry = drawn(random, changed.now);
+            Node entry = randomEntry(random, withDeltas.now);
             fleet.put(entry.id(), entry);
-            changed.change(entry);
-            listed.router.nodes(
-                    listed.now, ListKind.FULL, 2, List.copyOf(fleet.values()), listed.out);
+            withDeltas.sendDelta(entry);
+            withSnapshots.router.endpointListReceived(
+                    withSnapshots.now,
+                    EndpointListKind.SNAPSHOT,
+                    2,
+                    List.copyOf(fleet.values()),
+                    withSnapshots.actions);
             long key = random.nextInt(500);
-            double waits = random.nextInt(30);
+            double responseMs = random.nextInt(30);
             Outcome outcome = random.nextInt(10) == 0 ? Outcome.MISS : Outcome.OK;
-            serve(changed, key, outcome, waits);
-            serve(listed, key, outcome, waits);
+            serve(withDeltas, key, outcome, responseMs);
+            serve(withSnapshots, key, outcome, responseMs);
         }
-        assertEquals(listed.out.log, changed.out.log);
-        assertTrue(changed.out.sent.size() > 2000, changed.out.sent.size() + " sends");
+        assertEquals(withSnapshots.actions.log, withDeltas.actions.log);
+        assertTrue(
+                withDeltas.actions.sent.size() > 2000, withDeltas.actions.sent.size() + " sends");
     }
 
-    private static Node drawn(SplittableRandom random, double now) {
+    private static Node randomEntry(SplittableRandom random, double now) {
         Availability availability =
                 Availability.values()[random.nextInt(Availability.values().length)];
         if (random.nextInt(20) == 0) {
@@ -86,18 +92,18 @@
                     random.nextBoolean() ? Availability.UP : availability);
         }
         double startedAt = random.nextInt(4) == 0 ? now : 0;
-        return Bench.node(
+        return RouterHarness.node(
                 "c" + random.nextInt(60),
                 startedAt,
                 random.nextBoolean() ? Availability.UP : availability);
     }
 
-    private static void serve(Bench bench, long key, Outcome outcome, double waits) {
-        int before = bench.out.sent.size();
-        String id = bench.ask("dear", key);
-        bench.advance(waits);
-        if (bench.out.sent.size() > before) {
-            bench.end(id, outcome);
+    private static void serve(RouterHarness harness, long key, Outcome outcome, double responseMs) {
+        int before = harness.actions.sent.size();
+        String id = harness.request("dear", key);
+        harness.advance(responseMs);
+        if (harness.actions.sent.size() > before) {
+            harness.endAttempt(id, outcome);
         }
     }
 }
--- a/src/test/java/cacheproxy/Sink.java
+++ b/src/test/java/cacheproxy/RecordingActions.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /** A fake sink that writes down every action, and a small harness around one router. */
-final class Sink implements Router.Actions {
+final class RecordingActions implements Router.Actions {
 
-    record Sent(String request, String node, double timeoutMs) {}
+    record SentAttempt(String request, String node, double timeoutMs) {}
 
-    record Due(double atMs, String token) {}
+    record ScheduledTimer(double atMs, String token) {}
 
     final List<String> log = new ArrayList<>();
-    final List<Sent> sent = new ArrayList<>();
-    final List<Due> timers = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    final List<ScheduledTimer> timers = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
     int subscriptions;
 
     @Override
     public void send(String request, String node, double timeoutMs) {
         log.add("send " + request + " " + node + " " + timeoutMs);
-        sent.add(new Sent(request, node, timeoutMs));
+        sent.add(new SentAttempt(request, node, timeoutMs));
     }
 
     @Override
@@ -34,9 +34,9 @@
     }
 
     @Override
-    public void refuse(String request, double retryAfterMs) {
+    public void reject(String request, double retryAfterMs) {
         log.add("refuse " + request + " " + retryAfterMs);
-        refused.add(request);
+        rejected.add(request);
     }
 
     @Override
@@ -46,9 +46,9 @@
     }
 
     @Override
-    public void timer(double atMs, String token) {
+    public void scheduleTimer(double atMs, String token) {
         log.add("timer " + atMs + " " + token);
-        timers.add(new Due(atMs, token));
+        timers.add(new ScheduledTimer(atMs, token));
     }
 
     @Override
@@ -63,18 +63,18 @@
     }
 
     @Override
-    public void tell(byte[] contents) {
+    public void sendToPeers(byte[] contents) {
         log.add("tell " + Arrays.toString(contents));
-        told.add(contents);
+        peerMessages.add(contents);
     }
 
     @Override
-    public void close(String node) {
+    public void closeIdleConnections(String node) {
         log.add("close " + node);
         closed.add(node);
     }
 
-    Sent last() {
+    SentAttempt lastSent() {
         return sent.get(sent.size() - 1);
     }
 
@@ -82,8 +82,8 @@
         return sent.stream().filter(s -> s.node().equals(node)).count();
     }
 
-    long answers(String request) {
-        return refused.stream().filter(request::equals).count()
+    long finalAnswers(String request) {
+        return rejected.stream().filter(request::equals).count()
                 + failed.stream().filter(request::equals).count();
     }
 }
--- a/src/test/java/cacheproxy/Bench.java
+++ b/src/test/java/cacheproxy/RouterHarness.java
@@ -3,8 +3,8 @@
 import cacheproxy.Router.AttemptEnd;
 import cacheproxy.Router.Availability;
 import cacheproxy.Router.Effect;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Group;
-import cacheproxy.Router.ListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.Request;
@@ -16,33 +16,33 @@
 import java.util.Map;
 
 /** One router with a fake sink, told events one by one; time moves only when a test says so. */
-final class Bench {
+final class RouterHarness {
 
-    static final double BUDGET = 1000;
+    static final double BUDGET_MS = 1000;
     static final Router.Rules RULES = new Router.Rules(1000, 0.25, 10_000, 2.5, 2000, 20, 10_000);
 
-    final Sink out = new Sink();
+    final RecordingActions actions = new RecordingActions();
     final Router router;
     double now = 100_000;
-    private final Map<String, Integer> attempts = new HashMap<>();
-    private int next;
+    private final Map<String, Integer> endedAttempts = new HashMap<>();
+    private int nextId;
 
-    Bench(Settings settings) {
-        router = new Decide(settings, 7);
-        router.started(now, out);
+    RouterHarness(Settings settings) {
+        router = new DecisionModule(settings, 7);
+        router.started(now, actions);
     }
 
-    static ServiceClass service(String name, double gain, Effect effect, Group group) {
-        return new ServiceClass(name, 300, 0, BUDGET, gain, 0.2, effect, group, 500, false);
+    static ServiceClass serviceClass(String name, double gain, Effect effect, Group group) {
+        return new ServiceClass(name, 300, 0, BUDGET_MS, gain, 0.2, effect, group, 500, false);
     }
 
-    static List<ServiceClass> services() {
+    static List<ServiceClass> serviceClasses() {
         return List.of(
-                service("cheap", 1, Effect.SAFE, Group.ALL),
-                service("dear", 5, Effect.SAFE, Group.ALL),
-                service("keyed", 2, Effect.KEYED, Group.ALL),
-                service("zoned", 2, Effect.KEYED, Group.ZONE),
-                service("unsafe", 2, Effect.UNSAFE, Group.ALL));
+                serviceClass("cheap", 1, Effect.SAFE, Group.ALL),
+                serviceClass("dear", 5, Effect.SAFE, Group.ALL),
+                serviceClass("keyed", 2, Effect.KEYED, Group.ALL),
+                serviceClass("zoned", 2, Effect.KEYED, Group.ZONE),
+                serviceClass("unsafe", 2, Effect.UNSAFE, Group.ALL));
     }
 
     static Settings settings(boolean withOrigin, boolean subscribe) {
@@ -56,7 +56,7 @@
                 2,
                 "z",
                 5,
-                services(),
+                serviceClasses(),
                 List.of(),
                 1,
                 false,
@@ -68,19 +68,19 @@
     }
 
     /** A bench with an origin "db" and {@code caches} warm nodes c0, c1, ... */
-    static Bench withCaches(int caches) {
-        Bench b = new Bench(settings(true, false));
-        b.list(caches);
-        return b;
+    static RouterHarness withCaches(int caches) {
+        RouterHarness harness = new RouterHarness(settings(true, false));
+        harness.sendSnapshot(caches);
+        return harness;
     }
 
-    void list(int caches) {
+    void sendSnapshot(int caches) {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < caches; i++) {
             nodes.add(node("c" + i, 0, Availability.UP));
         }
         nodes.add(origin());
-        router.nodes(now, ListKind.FULL, 1, nodes, out);
+        router.endpointListReceived(now, EndpointListKind.SNAPSHOT, 1, nodes, actions);
     }
 
     static Node node(String id, double startedAt, Availability availability) {
@@ -91,75 +91,76 @@
         return new Node("db", "origin", "z", 0, 1, 0, Availability.UP);
     }
 
-    void change(Node... entries) {
-        router.nodes(now, ListKind.CHANGES, 2, List.of(entries), out);
+    void sendDelta(Node... entries) {
+        router.endpointListReceived(now, EndpointListKind.DELTA, 2, List.of(entries), actions);
     }
 
-    String ask(String service, long key) {
-        return ask(service, key, false);
+    String request(String service, long key) {
+        return request(service, key, false);
     }
 
-    String ask(String service, long key, boolean write) {
-        String id = "q" + next++;
-        router.request(now, new Request(id, service, null, key, 0, BUDGET, write, false), out);
+    String request(String service, long key, boolean write) {
+        String id = "q" + nextId++;
+        router.requestReceived(
+                now, new Request(id, service, null, key, 0, BUDGET_MS, write, false), actions);
         return id;
     }
 
     /** Ends the request's attempt that is out at the node it was last sent to. */
-    void end(String id, Outcome outcome) {
-        end(id, outcome, 10);
+    void endAttempt(String id, Outcome outcome) {
+        endAttempt(id, outcome, 10);
     }
 
-    void end(String id, Outcome outcome, double elapsed) {
-        String node = nodeOf(id);
-        int attempt = attempts.merge(id, 1, Integer::sum) - 1;
+    void endAttempt(String id, Outcome outcome, double elapsedMs) {
+        String node = lastNodeOf(id);
+        int attempt = endedAttempts.merge(id, 1, Integer::sum) - 1;
         router.attemptEnded(
                 now,
                 new AttemptEnd(
-                        id, attempt, node, outcome, elapsed, outcome == Outcome.OK, 0, Map.of()),
-                out);
+                        id, attempt, node, outcome, elapsedMs, outcome == Outcome.OK, 0, Map.of()),
+                actions);
     }
 
-    String nodeOf(String id) {
-        return out.sent.stream()
+    String lastNodeOf(String id) {
+        return actions.sent.stream()
                 .filter(s -> s.request().equals(id))
                 .reduce((a, b) -> b)
                 .orElseThrow()
                 .node();
     }
 
-    long sendsOf(String id) {
-        return out.sent.stream().filter(s -> s.request().equals(id)).count();
+    long attemptCount(String id) {
+        return actions.sent.stream().filter(s -> s.request().equals(id)).count();
     }
 
     /** Moves the clock, firing the timers that fall due on the way. */
     void advance(double ms) {
         double until = now + ms;
         while (true) {
-            Sink.Due due =
-                    out.timers.stream()
+            RecordingActions.ScheduledTimer due =
+                    actions.timers.stream()
                             .filter(t -> t.atMs() <= until)
                             .min((a, b) -> Double.compare(a.atMs(), b.atMs()))
                             .orElse(null);
             if (due == null) {
                 break;
             }
-            out.timers.remove(due);
+            actions.timers.remove(due);
             now = Math.max(now, due.atMs());
-            router.timer(now, due.token(), out);
+            router.timerFired(now, due.token(), actions);
         }
         now = until;
     }
 
     /** Drives fetches with the given outcomes through one control interval. */
-    void interval(int good, int bad) {
+    void runInterval(int good, int bad) {
         for (int i = 0; i < good + bad; i++) {
-            String id = ask("dear", 1_000_000 + next);
-            while (out.answers(id) == 0 && !nodeOf(id).equals("db")) {
-                end(id, Outcome.MISS);
+            String id = request("dear", 1_000_000 + nextId);
+            while (actions.finalAnswers(id) == 0 && !lastNodeOf(id).equals("db")) {
+                endAttempt(id, Outcome.MISS);
             }
-            if (out.answers(id) == 0) {
-                end(id, i < good ? Outcome.OK : Outcome.REJECTED);
+            if (actions.finalAnswers(id) == 0) {
+                endAttempt(id, i < good ? Outcome.OK : Outcome.REJECTED);
             }
         }
         advance(1000);
--- a/src/test/java/cacheproxy/LimitsTest.java
+++ b/src/test/java/cacheproxy/SourceLimitsTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Whoever is on call must be able to read the module at night. */
-class LimitsTest {
+class SourceLimitsTest {
 
     private static final Path MODULE = Path.of("src/main/java/cacheproxy/Decide.java");
     private static final Path DEPLOY = Path.of("deploy/balancer.toml");
     private static final int MOST_MODULE_TOKENS = 9_327;
-    private static final int MOST_FILE_LINES = 400;
+    private static final int MAX_FILE_LINES = 400;
 
     /** A comment, or one token of code. */
     private static final Pattern COMMENT_OR_TOKEN =
@@ -48,7 +48,7 @@
         for (Path file : files) {
             long lines = nonBlankLines(file);
             assertTrue(
-                    file.equals(MODULE) || lines <= MOST_FILE_LINES,
+                    file.equals(MODULE) || lines <= MAX_FILE_LINES,
                     lines + " non-blank lines in " + file);
         }
     }
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void moduleNamesItsInterfaceAndUsesTheJdkAlone() throws IOException {
+    void moduleNamesItsInterfaceAndUsesOnlyTheJdk() throws IOException {
         String text = Files.readString(MODULE);
         assertTrue(text.indexOf("Router.java") < text.indexOf("class Decide"));
         assertTrue(
--- a/src/test/java/cacheproxy/UnassignedPort.java
+++ b/src/test/java/cacheproxy/UnassignedPort.java
@@ -13,17 +13,18 @@
  */
 public final class UnassignedPort {
 
-    private static final int FIRST = 20_000;
-    private static final int COUNT = 10_000;
+    private static final int FIRST_PORT = 20_000;
+    private static final int PORT_COUNT = 10_000;
 
     private UnassignedPort() {}
 
     /** An address that nobody listens at. */
     public static InetSocketAddress address() {
-        for (int attempt = 0; attempt < COUNT; attempt++) {
-            int port = ThreadLocalRandom.current().nextInt(FIRST, FIRST + COUNT);
-            try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return (InetSocketAddress) free.getLocalSocketAddress();
+        for (int attempt = 0; attempt < PORT_COUNT; attempt++) {
+            int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, FIRST_PORT + PORT_COUNT);
+            try (ServerSocket socket =
+                    new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return (InetSocketAddress) socket.getLocalSocketAddress();
             } catch (IOException e) {
                 // In use; another is tried.
             }
