--- a/src/test/java/cacheproxy/benchlink/LinkTest.java
+++ b/src/test/java/cacheproxy/benchlink/SimulatorSessionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The wire, as short dialogues. */
-class LinkTest {
+class SimulatorSessionTest {
 
     private static final String SETTINGS =
             "{\"balancers\":2,\"rank\":0,\"tick_ms\":5.0,\"zone\":\"a\",\"unheard_of\":[1],"
@@ -26,14 +26,14 @@
                     + SETTINGS
                     + "\nTOPOLOGY 3 remembered 1 2\nNODE 1 a - IN c1 std 0\nNODE 1 a - IN db origin 0\nYOUR_TURN\n";
 
-    private static String talk(String input) throws IOException {
+    private static String exchange(String input) throws IOException {
         StringWriter out = new StringWriter();
-        new Link(new BufferedReader(new StringReader(input)), out).run();
+        new SimulatorSession(new BufferedReader(new StringReader(input)), out).run();
         return out.toString();
     }
 
     private static String lastBatch(String input) throws IOException {
-        String all = talk(input);
+        String all = exchange(input);
         int end = all.lastIndexOf("READY");
         int begin = all.lastIndexOf("READY", end - 1);
         return all.substring(all.indexOf('\n', begin) + 1);
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
-        assertEquals("READY 1\n", talk("ROUND 8412.25 1\nYOUR_TURN\n"));
+    void answersEmptyBatchWithEmptyReply() throws IOException {
+        assertEquals("READY 1\n", exchange("ROUND 8412.25 1\nYOUR_TURN\n"));
     }
 
     @Test
-    void startArmsTimersAndLeadsToASubscription() throws IOException {
-        String reply = talk(START);
+    void startSchedulesTimersAndSubscribes() throws IOException {
+        String reply = exchange(START);
         assertTrue(reply.matches("ARM 3 2000.500 step\nARM 3 [0-9.]+ subscribe\nREADY 0\n"), reply);
         assertEquals(
                 "SUBSCRIBE 3 1\nREADY 1\n",
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void readMissFetchAndAnswer() throws IOException {
+    void fetchesFromOriginAfterCacheMiss() throws IOException {
         String ask = START + batch(1100, 1, "ORDER 3 00000000000000aa - 800 - 0 77 read -\n");
         String sent = lastBatch(ask);
         assertTrue(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aDeadlineCancelsAndAnswersOnce() throws IOException {
+    void cancelsAndAnswersOnceAtDeadline() throws IOException {
         String ask =
                 START
                         + batch(
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void theOtherEventsAreUnderstood() throws IOException {
+    void acceptsAllOtherEvents() throws IOException {
         String all =
                 START
                         + batch(
@@ -119,17 +119,18 @@
     }
 
     @Test
-    void aKilledInstanceIsForgottenAndMayStartAgain() throws IOException {
+    void removesStoppedInstanceAndAllowsRestart() throws IOException {
         String down = START + batch(1100, 1, "DOWN 3\n");
         assertEquals("READY 1\n", lastBatch(down));
-        assertThrows(WireException.class, () -> talk(down + batch(1101, 2, "WAKE 3 step\n")));
+        assertThrows(
+                WireFormatException.class, () -> exchange(down + batch(1101, 2, "WAKE 3 step\n")));
         assertTrue(
                 lastBatch(down + batch(1101, 2, "INIT 3 43 " + SETTINGS + "\n")).contains("step"));
     }
 
     @Test
-    void malformedInputIsNamedAndNothingIsSaidOnTheWire() {
-        String[] bad = {
+    void reportsMalformedInputWithoutReplying() {
+        String[] malformed = {
             "NOISE 3\n",
             "WAKE 9 step\n",
             "WAKE 3\n",
@@ -144,18 +145,22 @@
             "CLIENT_LEFT 3 aa bb\n",
             "DOWN 8\n"
         };
-        for (String line : bad) {
+        for (String line : malformed) {
             StringWriter out = new StringWriter();
-            Link link =
-                    new Link(
+            SimulatorSession session =
+                    new SimulatorSession(
                             new BufferedReader(new StringReader(START + batch(1100, 1, line))),
                             out);
             assertTrue(
-                    assertThrows(WireException.class, link::run, line).getMessage().length() > 5);
+                    assertThrows(WireFormatException.class, session::run, line)
+                                    .getMessage()
+                                    .length()
+                            > 5);
             assertEquals(1, out.toString().split("READY", -1).length - 1, line);
         }
-        assertThrows(WireException.class, () -> talk("ROUND 5 1\nYOUR"));
+        assertThrows(WireFormatException.class, () -> exchange("ROUND 5 1\nYOUR"));
         assertThrows(
-                WireException.class, () -> talk("ROUND 5 1\nYOUR_TURN\nROUND 4 2\nYOUR_TURN\n"));
+                WireFormatException.class,
+                () -> exchange("ROUND 5 1\nYOUR_TURN\nROUND 4 2\nYOUR_TURN\n"));
     }
 }
--- a/src/test/java/cacheproxy/config/MistakesTest.java
+++ b/src/test/java/cacheproxy/config/FileErrorMessagesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Every mistake is one line that says where it is, what was found and what is allowed. */
-class MistakesTest {
+class FileErrorMessagesTest {
 
     @ParameterizedTest
     @CsvSource(
@@ -41,11 +41,11 @@
             [gossip];bytes_per_s = 100           | f:2: gossip.bytes_per_s: found 100, allowed is a whole number from 4096 to 1048576
             [log];tally_s = 5;[extra];a = 1      | f:3: extra: unknown key, allowed is log, gossip, policy, nodes
             """)
-    void inTheOptions(String text, String message) {
+    void reportsOptionsErrors(String text, String message) {
         BadFileException e =
                 assertThrows(
                         BadFileException.class,
-                        () -> OptionsFile.options(Toml.parse("f", text.replace(';', '\n'))));
+                        () -> OptionsFile.fromToml(Toml.parse("f", text.replace(';', '\n'))));
         assertEquals(message, e.getMessage());
     }
 
@@ -91,11 +91,11 @@
             name = "x                                           | f:1: not TOML:
             name = "x";[fault];what = "node-kill"               | f:2: fault: found a table, allowed is a list of tables [[fault]]
             """)
-    void inAnExperiment(String text, String message) {
+    void reportsExperimentErrors(String text, String message) {
         BadFileException e =
                 assertThrows(
                         BadFileException.class,
-                        () -> ExperimentFile.of(Toml.parse("f", text.replace(';', '\n'))));
+                        () -> ExperimentFile.parse(Toml.parse("f", text.replace(';', '\n'))));
         assertTrue(
                 e.getMessage().contains(message),
                 () -> "expected: " + message + "\nfound: " + e.getMessage());
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aFileThatIsNotThereOrTooLargeIsNamed(@TempDir Path directory) throws Exception {
+    void reportsMissingAndTooLargeFiles(@TempDir Path directory) throws Exception {
         Path absent = directory.resolve("absent.toml");
         assertEquals(
                 absent + ": cannot be read: no such file",
@@ -116,10 +116,10 @@
     }
 
     @Test
-    void everyEffectiveValueTellsWhereItCameFrom() throws Exception {
+    void reportsOriginOfEachEffectiveValue() throws Exception {
         Toml toml = Toml.parse("f", "# first\n[log]\ntally_s = 7\n");
         toml.set("log.odd_lines", "5");
-        assertEquals(5, OptionsFile.options(toml).log().oddLines());
+        assertEquals(5, OptionsFile.fromToml(toml).log().oddLines());
         assertEquals(
                 List.of(
                         "log.format text default",
@@ -128,12 +128,12 @@
                         "log.odd_window_s 10 default"),
                 toml.effective().stream()
                         .filter(e -> e.key().startsWith("log."))
-                        .map(e -> e.key() + " " + e.value() + " " + e.from())
+                        .map(e -> e.key() + " " + e.value() + " " + e.origin())
                         .toList());
     }
 
     @Test
-    void theCommittedFilesAreGood() throws Exception {
+    void acceptsCommittedFiles() throws Exception {
         Options options = OptionsFile.read(Path.of("deploy/flintmill.toml"));
         assertEquals(Options.DEFAULTS, options);
         try (var files = Files.list(Path.of("experiments"))) {
--- a/src/test/java/cacheproxy/gossip/HeldUpSocketsTest.java
+++ b/src/test/java/cacheproxy/gossip/BlockedEventLoopSocketsTest.java
@@ -23,9 +23,9 @@
  * by a step whenever a member looks at it, which is once for each datagram that it reads and each
  * tick, and the loop is blocked for a part of that step.
  */
-class HeldUpSocketsTest {
+class BlockedEventLoopSocketsTest {
 
-    private static final long PATIENCE_S = 180;
+    private static final long TIMEOUT_S = 180;
     private static final List<String> NAMES = List.of("uno", "dos", "tres");
     private static final double FAST_STEP_MS = 0.5;
 
@@ -33,18 +33,18 @@
     private static final double RUN_MS = 40_000;
 
     /** Long enough that a turn of the loop outlasts a tick, so that reads and ticks queue up. */
-    private static final long BLOCK_OF_REAL_TIME_MS = 10;
+    private static final long REAL_BLOCK_MS = 10;
 
     private static final double MICROSECONDS_PER_MS = 1000;
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final AtomicLong clockMicroseconds = new AtomicLong();
     private volatile double stepMs = FAST_STEP_MS;
     private volatile long blockMs;
     private final List<GossipSocket> sockets = new ArrayList<>();
-    private final Queue<String> accusations = new ConcurrentLinkedQueue<>();
+    private final Queue<String> suspicions = new ConcurrentLinkedQueue<>();
 
     @AfterEach
     void stop() {
@@ -58,13 +58,13 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {60, 100})
-    void slowReadsAndTicksAccuseNobody(double milliseconds) throws Exception {
+    void slowReadsAndTicksCauseNoSuspicions(double milliseconds) throws Exception {
         startAll();
         stepMs = milliseconds;
-        blockMs = BLOCK_OF_REAL_TIME_MS;
+        blockMs = REAL_BLOCK_MS;
         double end = clockMs() + RUN_MS;
         await("the clock has gone on", () -> clockMs() >= end);
-        assertTrue(accusations.isEmpty(), accusations.toString());
+        assertTrue(suspicions.isEmpty(), suspicions.toString());
     }
 
     private double clockMs() {
@@ -79,7 +79,7 @@
         }
     }
 
-    private double look() {
+    private double readClock() {
         double before = clockMs();
         block();
         clockMicroseconds.addAndGet((long) (stepMs * MICROSECONDS_PER_MS));
@@ -88,17 +88,19 @@
 
     private void startAll() throws Exception {
         for (String name : NAMES) {
-            KeyFiles.generate(name, key(name), folder.resolve("ring"));
+            KeyFiles.generate(name, key(name), directory.resolve("ring"));
         }
         for (String name : NAMES) {
             sockets.add(
-                    open(name, sockets.isEmpty() ? List.of() : List.of(sockets.get(0).address())));
+                    open(
+                            name,
+                            sockets.isEmpty() ? List.of() : List.of(sockets.get(0).addressText())));
         }
-        await("all know all", () -> sockets.stream().allMatch(this::knowsAll));
+        await("all know all", () -> sockets.stream().allMatch(this::seesAllAlive));
     }
 
-    private boolean knowsAll(GossipSocket socket) {
-        String view = group.next().submit(socket::view).syncUninterruptibly().getNow();
+    private boolean seesAllAlive(GossipSocket socket) {
+        String view = group.next().submit(socket::describeMembers).syncUninterruptibly().getNow();
         return NAMES.stream()
                 .allMatch(
                         name ->
@@ -110,7 +112,7 @@
     }
 
     private Path key(String name) {
-        return folder.resolve(name + ".key");
+        return directory.resolve(name + ".key");
     }
 
     private GossipSocket open(String name, List<String> seeds) throws Exception {
@@ -121,37 +123,42 @@
                         "",
                         seeds,
                         key(name).toString(),
-                        folder.resolve("ring").toString(),
+                        directory.resolve("ring").toString(),
                         65_536,
                         1000,
                         "",
                         8);
         return GossipSocket.open(
-                group.next(), this::look, name.hashCode(), options, new Accusations(name));
+                group.next(),
+                this::readClock,
+                name.hashCode(),
+                options,
+                new SuspicionRecorder(name));
     }
 
-    private static void await(String what, BooleanSupplier done) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!done.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, what);
+    private static void await(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, description);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    private final class Accusations implements GossipSocket.Hooks {
+    private final class SuspicionRecorder implements GossipSocket.Hooks {
         private final String by;
 
-        Accusations(String by) {
+        SuspicionRecorder(String by) {
             this.by = by;
         }
 
         @Override
-        public void standing(String node, boolean doubted) {}
+        public void nodeSuspicionChanged(String node, boolean suspected) {}
 
         @Override
         public void event(String name, Object... fields) {
             if (name.equals("gossip_suspected") || name.equals("gossip_died")) {
-                accusations.add(by + " " + name + " " + List.of(fields));
+                suspicions.add(by + " " + name + " " + List.of(fields));
             }
         }
     }
--- a/src/test/java/cacheproxy/gossip/GossipSocketFailuresTest.java
+++ b/src/test/java/cacheproxy/gossip/GossipSocketFailuresTest.java
@@ -5,7 +5,7 @@
 import cacheproxy.config.Options;
 import cacheproxy.syscalls.Errno;
 import cacheproxy.syscalls.FaultSchedule;
-import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.FaultySelectorProvider;
 import cacheproxy.syscalls.SystemCall;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -24,15 +24,15 @@
  */
 class GossipSocketFailuresTest {
 
-    private static final long PATIENCE_S = 30;
+    private static final long TIMEOUT_S = 30;
     private static final int FAILING_CALLS = 3;
     private static final long MORE_PACKETS = 3;
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
-                    1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
-    private final FaultSchedule calls = new FaultSchedule();
+                    1, NioIoHandler.newFactory(new FaultySelectorProvider(new FaultSchedule())));
+    private final FaultSchedule faultyCalls = new FaultSchedule();
 
     @AfterEach
     void stop() {
@@ -40,19 +40,19 @@
     }
 
     @Test
-    void afterEachErrorOfItsCallsItSendsAndReceivesAgain() throws Exception {
+    void sendsAndReceivesAgainAfterEachSystemCallError() throws Exception {
         // Both before either begins, as each reads the ring at its start.
         for (String name : List.of("steady", "faulty")) {
             KeyFiles.generate(name, key(name), ring());
         }
         GossipSocket steady = open("steady", List.of(), new FaultSchedule());
-        GossipSocket faulty = open("faulty", List.of(steady.address()), calls);
+        GossipSocket faulty = open("faulty", List.of(steady.addressText()), faultyCalls);
         for (Errno errno : Errno.values()) {
             for (SystemCall call : List.of(SystemCall.RECVFROM, SystemCall.SENDTO)) {
-                int before = calls.failed(call);
-                calls.fail(call, errno, FAILING_CALLS);
-                await(call + " fails with " + errno, () -> calls.failed(call) > before);
-                calls.heal();
+                int before = faultyCalls.failureCount(call);
+                faultyCalls.fail(call, errno, FAILING_CALLS);
+                await(call + " fails with " + errno, () -> faultyCalls.failureCount(call) > before);
+                faultyCalls.clearFaults();
                 long received = received(faulty);
                 long answered = received(steady);
                 await(
@@ -66,11 +66,11 @@
     }
 
     private Path key(String name) {
-        return folder.resolve(name + ".key");
+        return directory.resolve(name + ".key");
     }
 
     private Path ring() {
-        return folder.resolve("ring");
+        return directory.resolve("ring");
     }
 
     private GossipSocket open(String name, List<String> seeds, FaultSchedule schedule)
@@ -93,8 +93,8 @@
                 () -> (System.nanoTime() - from) / 1e6,
                 name.hashCode(),
                 options,
-                new Unheard(),
-                () -> new NioDatagramChannel(new FaultyProvider(schedule)));
+                new NoopHooks(),
+                () -> new NioDatagramChannel(new FaultySelectorProvider(schedule)));
     }
 
     /** Read on the loop, where they are counted. */
@@ -102,17 +102,18 @@
         return group.next().submit(() -> socket.counts().received()).syncUninterruptibly().getNow();
     }
 
-    private static void await(String what, BooleanSupplier done) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        while (!done.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, what);
+    private static void await(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, description);
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    private static final class Unheard implements GossipSocket.Hooks {
+    private static final class NoopHooks implements GossipSocket.Hooks {
         @Override
-        public void standing(String node, boolean doubted) {}
+        public void nodeSuspicionChanged(String node, boolean suspected) {}
 
         @Override
         public void event(String name, Object... fields) {}
--- a/src/test/java/cacheproxy/gossip/KeysTest.java
+++ b/src/test/java/cacheproxy/gossip/KeysTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.cli.Cli;
@@ -42,28 +42,28 @@
 /** Key files, and proxies that know one another by them, on true sockets. */
 class KeysTest {
 
-    private static final long PATIENCE_S = 30;
+    private static final long TIMEOUT_S = 30;
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Member> members = new ArrayList<>();
 
     private final class Member implements GossipSocket.Hooks {
         final String name;
-        final Set<String> doubted = ConcurrentHashMap.newKeySet();
+        final Set<String> suspectedNodes = ConcurrentHashMap.newKeySet();
         final ConcurrentLinkedQueue<String> events = new ConcurrentLinkedQueue<>();
         final GossipSocket socket;
-        final long from = System.nanoTime();
+        final long startedNs = System.nanoTime();
 
         Member(String name, String membersSocket) throws Exception {
             this.name = name;
             List<String> seeds =
-                    members.isEmpty() ? List.of() : List.of(members.get(0).socket.address());
+                    members.isEmpty() ? List.of() : List.of(members.get(0).socket.addressText());
             socket =
                     GossipSocket.open(
                             group.next(),
-                            () -> (System.nanoTime() - from) / 1e6,
+                            () -> (System.nanoTime() - startedNs) / 1e6,
                             name.hashCode(),
                             new Options.Gossip(
                                     true,
@@ -78,12 +78,12 @@
                                     8),
                             this);
             Node node = new Node("node-0", "std", "a", 0, 1, 0, Availability.UP);
-            on(() -> socket.listed(ListKind.FULL, List.of(node)));
+            runOnLoop(() -> socket.updateNodes(EndpointListKind.SNAPSHOT, List.of(node)));
             members.add(this);
         }
 
-        private void on(Runnable act) throws Exception {
-            group.next().submit(act).sync();
+        private void runOnLoop(Runnable task) throws Exception {
+            group.next().submit(task).sync();
         }
 
         void reload() throws Exception {
@@ -93,23 +93,23 @@
                                 socket.reload();
                                 return null;
                             })
-                    .get(PATIENCE_S, TimeUnit.SECONDS);
+                    .get(TIMEOUT_S, TimeUnit.SECONDS);
         }
 
-        void accuses() throws Exception {
-            on(
+        void recordTimeouts() throws Exception {
+            runOnLoop(
                     () -> {
                         for (int i = 0; i < 3; i++) {
-                            socket.ended("node-0", Outcome.TIMEOUT, 10);
+                            socket.attemptEnded("node-0", Outcome.TIMEOUT, 10);
                         }
                     });
         }
 
         String view() throws Exception {
-            return group.next().submit(socket::view).get(PATIENCE_S, TimeUnit.SECONDS);
+            return group.next().submit(socket::describeMembers).get(TIMEOUT_S, TimeUnit.SECONDS);
         }
 
-        boolean knows(String other, String state) {
+        boolean seesInState(String other, String state) {
             try {
                 return view().lines()
                         .anyMatch(l -> l.startsWith(other + " ") && l.contains(" " + state + " "));
@@ -119,11 +119,11 @@
         }
 
         @Override
-        public void standing(String node, boolean doubt) {
-            if (doubt) {
-                doubted.add(node);
+        public void nodeSuspicionChanged(String node, boolean suspected) {
+            if (suspected) {
+                suspectedNodes.add(node);
             } else {
-                doubted.remove(node);
+                suspectedNodes.remove(node);
             }
         }
 
@@ -134,37 +134,38 @@
     }
 
     private Path key(String name) {
-        return folder.resolve(name + ".key");
+        return directory.resolve(name + ".key");
     }
 
     private Path ring() {
-        return folder.resolve("ring");
+        return directory.resolve("ring");
     }
 
-    private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private static void await(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, what);
+            assertTrue(System.nanoTime() < end, description);
             Thread.sleep(10);
         }
     }
 
-    private int flintmill(String... words) {
+    private int runCli(String... words) {
         return Cli.run(words);
     }
 
-    private int keys(String step, String name, String... more) {
+    private int runKeysCommand(String subcommand, String name, String... more) {
         List<String> words =
                 new ArrayList<>(
                         List.of(
                                 "keys",
-                                step,
+                                subcommand,
                                 "--key",
                                 key(name).toString(),
                                 "--ring",
                                 ring().toString()));
         words.addAll(List.of(more));
-        return flintmill(words.toArray(String[]::new));
+        return runCli(words.toArray(String[]::new));
     }
 
     @AfterEach
@@ -174,14 +175,16 @@
     }
 
     @Test
-    void aKeyIsChangedWithoutAGapAndARemovedOneIsNobodys() throws Exception {
+    void keyRotationCausesNoGapAndRemovedKeyIsRejected() throws Exception {
         for (String name : List.of("uno", "dos", "tres")) {
-            assertEquals(0, keys("generate", name, name));
+            assertEquals(0, runKeysCommand("generate", name, name));
             assertEquals(
-                    2, keys("generate", name, name), "a key that is there is not written over");
+                    2,
+                    runKeysCommand("generate", name, name),
+                    "a key that is there is not written over");
         }
         for (String name : List.of("uno", "dos", "tres")) {
-            new Member(name, name.equals("uno") ? folder.resolve("members").toString() : "");
+            new Member(name, name.equals("uno") ? directory.resolve("members").toString() : "");
         }
         Member uno = members.get(0);
         Member tres = members.get(2);
@@ -190,34 +193,37 @@
                 () ->
                         members.stream()
                                 .allMatch(
-                                        m ->
+                                        member ->
                                                 List.of("uno", "dos", "tres").stream()
-                                                        .allMatch(n -> m.knows(n, "alive"))));
-        assertEquals(0, flintmill("members", folder.resolve("members").toString()));
+                                                        .allMatch(
+                                                                n ->
+                                                                        member.seesInState(
+                                                                                n, "alive"))));
+        assertEquals(0, runCli("members", directory.resolve("members").toString()));
         assertEquals(
                 4,
-                MembersSocket.ask(folder.resolve("members")).lines().count(),
+                MembersSocket.ask(directory.resolve("members")).lines().count(),
                 "a head and a line for each");
         assertEquals(
                 "rw-------",
                 PosixFilePermissions.toString(
-                        Files.getPosixFilePermissions(folder.resolve("members"))));
+                        Files.getPosixFilePermissions(directory.resolve("members"))));
         // Step by step, with a suspicion sent in between: it must arrive under the old key, both,
         // and the new one.
         for (String[] step : new String[][] {{}, {"--use"}, {"--drop"}}) {
-            assertEquals(0, keys("rotate", "dos", step));
-            for (Member m : members) {
-                m.reload();
+            assertEquals(0, runKeysCommand("rotate", "dos", step));
+            for (Member member : members) {
+                member.reload();
             }
-            members.get(1).accuses();
-            tres.accuses();
+            members.get(1).recordTimeouts();
+            tres.recordTimeouts();
             await(
                     "a suspicion arrives after " + List.of(step),
-                    () -> uno.doubted.contains("node-0"));
-            for (Member m : members) {
-                m.on(() -> m.socket.ended("node-0", Outcome.OK, 10));
+                    () -> uno.suspectedNodes.contains("node-0"));
+            for (Member member : members) {
+                member.runOnLoop(() -> member.socket.attemptEnded("node-0", Outcome.OK, 10));
             }
-            await("it is taken back", () -> uno.doubted.isEmpty());
+            await("it is taken back", () -> uno.suspectedNodes.isEmpty());
         }
         assertTrue(
                 uno.events.stream()
@@ -227,14 +233,14 @@
         Files.write(
                 ring(),
                 Files.readAllLines(ring()).stream().filter(l -> !l.startsWith("tres ")).toList());
-        for (Member m : members.subList(0, 2)) {
-            m.reload();
+        for (Member member : members.subList(0, 2)) {
+            member.reload();
         }
-        await("it is taken for dead", () -> uno.knows("tres", "dead"));
+        await("it is taken for dead", () -> uno.seesInState("tres", "dead"));
         assertThrows(KeyException.class, tres.socket::reload, "it is told why");
         // Rubbish, short and long, changes nothing.
         try (DatagramSocket stranger = new DatagramSocket()) {
-            String address = uno.socket.address();
+            String address = uno.socket.addressText();
             int port = Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
             for (int i = 0; i < 200; i++) {
                 stranger.send(
@@ -245,19 +251,19 @@
                                 port));
             }
         }
-        await("rubbish is counted", () -> uno.socket.counts().rubbish() > 50);
-        assertTrue(uno.knows("dos", "alive"));
+        await("rubbish is counted", () -> uno.socket.counts().invalid() > 50);
+        assertTrue(uno.seesInState("dos", "alive"));
     }
 
     @Test
-    void filesThatOthersMayTouchAreRefused() throws Exception {
-        assertEquals(0, keys("generate", "uno", "uno"));
-        assertEquals(0, keys("check", "uno"));
+    void filesWithTooWidePermissionsAreRejected() throws Exception {
+        assertEquals(0, runKeysCommand("generate", "uno", "uno"));
+        assertEquals(0, runKeysCommand("check", "uno"));
         assertEquals(
                 "rw-------",
                 PosixFilePermissions.toString(Files.getPosixFilePermissions(key("uno"))));
         Files.setPosixFilePermissions(key("uno"), PosixFilePermissions.fromString("rw-r-----"));
-        assertEquals(2, keys("check", "uno"));
+        assertEquals(2, runKeysCommand("check", "uno"));
         Options.Gossip options =
                 new Options.Gossip(
                         true,
@@ -281,7 +287,8 @@
                                         options,
                                         new GossipSocket.Hooks() {
                                             @Override
-                                            public void standing(String node, boolean doubted) {}
+                                            public void nodeSuspicionChanged(
+                                                    String node, boolean doubted) {}
 
                                             @Override
                                             public void event(String name, Object... fields) {}
@@ -289,44 +296,44 @@
         assertTrue(refused.getMessage().contains("chmod 600"), refused.getMessage());
         Files.setPosixFilePermissions(key("uno"), PosixFilePermissions.fromString("rw-------"));
         Files.setPosixFilePermissions(ring(), PosixFilePermissions.fromString("rw-rw-r--"));
-        assertEquals(2, keys("check", "uno"));
+        assertEquals(2, runKeysCommand("check", "uno"));
         Files.setPosixFilePermissions(ring(), PosixFilePermissions.fromString("rw-r--r--"));
         Files.writeString(ring(), "dos AAAA\n");
-        assertEquals(2, keys("check", "uno"));
-        assertEquals(2, keys("rotate", "uno", "--use"));
-        assertEquals(1, flintmill("members", folder.resolve("none").toString()));
-        assertFalse(Files.exists(folder.resolve("none")));
-        assertThrows(IOException.class, () -> MembersSocket.ask(folder.resolve("none")));
+        assertEquals(2, runKeysCommand("check", "uno"));
+        assertEquals(2, runKeysCommand("rotate", "uno", "--use"));
+        assertEquals(1, runCli("members", directory.resolve("none").toString()));
+        assertFalse(Files.exists(directory.resolve("none")));
+        assertThrows(IOException.class, () -> MembersSocket.ask(directory.resolve("none")));
     }
 
     /** One of the three steps by which a key is changed. */
-    private interface Change {
-        void make(FaultyFiles files) throws KeyException, IOException;
+    private interface KeyChange {
+        void apply(FaultyFiles files) throws KeyException, IOException;
     }
 
-    private List<Change> changesOfAKey() {
+    private List<KeyChange> keyChanges() {
         return List.of(
                 files -> KeyFiles.generate("dos", key("dos"), ring(), files),
-                files -> KeyFiles.use(key("dos"), files),
-                files -> KeyFiles.drop(key("dos"), ring(), files));
+                files -> KeyFiles.activateNewKey(key("dos"), files),
+                files -> KeyFiles.removeUnusedKeys(key("dos"), ring(), files));
     }
 
-    private List<String> bothFiles() throws IOException {
+    private List<String> readBothFiles() throws IOException {
         return List.of(Files.readString(key("dos")), Files.readString(ring()));
     }
 
     @Test
-    void aKillOrACrashAtAnyStepLosesNoKeyThatSigns() throws Exception {
-        assertEquals(0, keys("generate", "uno", "uno"));
-        assertEquals(0, keys("generate", "dos", "dos"));
-        for (Change change : changesOfAKey()) {
+    void killOrCrashAtAnyStepLosesNoSigningKey() throws Exception {
+        assertEquals(0, runKeysCommand("generate", "uno", "uno"));
+        assertEquals(0, runKeysCommand("generate", "dos", "dos"));
+        for (KeyChange change : keyChanges()) {
             FaultyFiles files = new FaultyFiles();
             for (int steps = 0; steps == 0 || files.isKilled(); steps++) {
-                List<String> before = bothFiles();
+                List<String> before = readBothFiles();
                 files = new FaultyFiles();
                 files.killAfter(steps);
                 try {
-                    change.make(files);
+                    change.apply(files);
                 } catch (Killed e) {
                     files.crash(steps % 2 == 0);
                 }
@@ -340,46 +347,47 @@
             files.crash(true);
             assertEquals("dos", new KeyRing(key("dos"), ring()).name());
         }
-        assertEquals(1, KeyFiles.own(key("dos")).size(), "what returned has outlasted a crash");
-        assertEquals(2, KeyFiles.ring(ring()).size());
+        assertEquals(
+                1, KeyFiles.readOwnKeys(key("dos")).size(), "what returned has outlasted a crash");
+        assertEquals(2, KeyFiles.readRing(ring()).size());
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
             names = {"CREATE", "WRITE", "FORCE", "RENAME"})
-    void aWriteThatFailsChangesNeitherFile(Step step) throws Exception {
-        assertEquals(0, keys("generate", "dos", "dos"));
-        for (Change change : changesOfAKey()) {
-            List<String> before = bothFiles();
+    void failedWriteChangesNeitherFile(Step step) throws Exception {
+        assertEquals(0, runKeysCommand("generate", "dos", "dos"));
+        for (KeyChange change : keyChanges()) {
+            List<String> before = readBothFiles();
             FaultyFiles files = new FaultyFiles();
             files.fail(step, 1);
-            assertThrows(FileWriteException.class, () -> change.make(files));
-            assertEquals(before, bothFiles());
-            change.make(files);
+            assertThrows(FileWriteException.class, () -> change.apply(files));
+            assertEquals(before, readBothFiles());
+            change.apply(files);
         }
-        assertEquals(0, keys("check", "dos"));
+        assertEquals(0, runKeysCommand("check", "dos"));
     }
 
     @Test
-    void aKeyFileThatCannotBeWrittenTakesItsKeyOutOfTheRingAgain() throws Exception {
-        Files.createDirectories(folder.resolve("dos.key.new").resolve("in the way"));
-        assertEquals(0, keys("generate", "uno", "uno"));
+    void failedKeyFileWriteRemovesItsKeyFromTheRing() throws Exception {
+        Files.createDirectories(directory.resolve("dos.key.new").resolve("in the way"));
+        assertEquals(0, runKeysCommand("generate", "uno", "uno"));
         String before = Files.readString(ring());
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
         PrintStream standardError = System.err;
-        System.setErr(new PrintStream(said, true));
+        System.setErr(new PrintStream(errorOutput, true));
         try {
-            assertEquals(1, keys("generate", "dos", "dos"));
+            assertEquals(1, runKeysCommand("generate", "dos", "dos"));
         } finally {
             System.setErr(standardError);
         }
         String expected = "flintmill: " + key("dos") + ": could not be written";
-        assertTrue(said.toString().startsWith(expected), said.toString());
-        assertEquals(1, said.toString().lines().count(), said.toString());
+        assertTrue(errorOutput.toString().startsWith(expected), errorOutput.toString());
+        assertEquals(1, errorOutput.toString().lines().count(), errorOutput.toString());
         assertEquals(before, Files.readString(ring()));
         assertFalse(Files.exists(key("dos")));
-        Files.delete(folder.resolve("dos.key.new").resolve("in the way"));
-        assertEquals(0, keys("generate", "dos", "dos"), "the name is not taken");
+        Files.delete(directory.resolve("dos.key.new").resolve("in the way"));
+        assertEquals(0, runKeysCommand("generate", "dos", "dos"), "the name is not taken");
     }
 }
--- a/src/test/java/cacheproxy/lab/LabTest.java
+++ b/src/test/java/cacheproxy/lab/LabTest.java
@@ -58,13 +58,13 @@
     @TempDir Path directory;
 
     private Results play(String toml, String program) throws Exception {
-        Experiment experiment = ExperimentFile.of(Toml.parse("test.toml", toml));
+        Experiment experiment = ExperimentFile.parse(Toml.parse("test.toml", toml));
         return new SocketRun(experiment, directory, directory, "exec " + JAVA + program)
-                .play(p -> {});
+                .run(p -> {});
     }
 
     @Test
-    void realProxiesKeepEveryRuleThroughFaults() throws Exception {
+    void realProxiesBreakNoRuleDuringFaults() throws Exception {
         Results results =
                 play(
                         SMALL.formatted(8)
@@ -122,7 +122,7 @@
         "HOLDS_REFUSALS,REFUSAL,50",
         "OVERLOADS_COLD,COLD_NODE,70"
     })
-    void brokenRoutersAreCaughtAndNamed(BrokenServe.Fault fault, Rule rule, int slackMs)
+    void reportsRuleBrokenByFaultyRouter(BrokenServe.Fault fault, Rule rule, int slackMs)
             throws Exception {
         String toml =
                 SMALL.formatted(6).replace("slack_ms = 2000", "slack_ms = " + slackMs)
@@ -150,22 +150,25 @@
                 results.violations().stream()
                         .anyMatch(v -> v.startsWith(word.replace('_', '-') + " ")),
                 results.violations().toString());
-        assertFalse(results.good());
+        assertFalse(results.passed());
     }
 
     @Test
-    void theSameSeedGivesTheSameLoadByteForByte() throws Exception {
+    void sameSeedGivesIdenticalLoad() throws Exception {
         String toml = SMALL.formatted(30);
-        LoadPlan plan = LoadPlan.of(ExperimentFile.of(Toml.parse("a", toml)));
-        assertEquals(plan.digest(), LoadPlan.of(ExperimentFile.of(Toml.parse("b", toml))).digest());
-        assertEquals(plan.firsts(), LoadPlan.of(ExperimentFile.of(Toml.parse("c", toml))).firsts());
+        LoadPlan plan = LoadPlan.of(ExperimentFile.parse(Toml.parse("a", toml)));
+        assertEquals(
+                plan.digest(), LoadPlan.of(ExperimentFile.parse(Toml.parse("b", toml))).digest());
+        assertEquals(
+                plan.requests(),
+                LoadPlan.of(ExperimentFile.parse(Toml.parse("c", toml))).requests());
         assertNotEquals(
                 plan.digest(),
-                LoadPlan.of(ExperimentFile.of(Toml.parse("d", "seed = 2\n" + toml))).digest());
+                LoadPlan.of(ExperimentFile.parse(Toml.parse("d", "seed = 2\n" + toml))).digest());
     }
 
     @Test
-    void proxiesEndWhenTheLaboratoryIsKilled() throws Exception {
+    void proxiesExitWhenTestbedIsKilled() throws Exception {
         Path file = directory.resolve("long.toml");
         Files.writeString(file, SMALL.formatted(120) + "");
         Files.writeString(
@@ -192,9 +195,11 @@
                         .start();
         try {
             Path config = directory.resolve("out").resolve("proxy-1.json");
-            await("a proxy that listens", () -> Files.exists(config) && listens(address(config)));
+            await(
+                    "a proxy that listens",
+                    () -> Files.exists(config) && isListening(address(config)));
             lab.destroyForcibly().waitFor();
-            await("its end", () -> !listens(address(config)));
+            await("its end", () -> !isListening(address(config)));
         } finally {
             lab.destroyForcibly();
         }
@@ -222,7 +227,7 @@
         return new InetSocketAddress(listen.split(":")[0], Integer.parseInt(listen.split(":")[1]));
     }
 
-    private static boolean listens(InetSocketAddress address) {
+    private static boolean isListening(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
             socket.connect(address, 500);
             return true;
--- a/src/test/java/cacheproxy/lab/ProcessesTest.java
+++ b/src/test/java/cacheproxy/lab/ProcessesTest.java
@@ -41,14 +41,14 @@
 
     private Map<String, Double> play(double durationS, String faults) throws Exception {
         Experiment experiment =
-                ExperimentFile.of(Toml.parse("test.toml", FIVE.formatted(durationS) + faults));
-        Results results = new SocketRun(experiment, directory, directory, RUN).play(p -> {});
+                ExperimentFile.parse(Toml.parse("test.toml", FIVE.formatted(durationS) + faults));
+        Results results = new SocketRun(experiment, directory, directory, RUN).run(p -> {});
         assertEquals(List.of(), results.violations());
         return results.figures();
     }
 
     @Test
-    void aPausedProcessIsTakenBackAndAccusesNobodyForItsOwnPause() throws Exception {
+    void pausedProcessRejoinsAndCausesNoFalseDowns() throws Exception {
         Map<String, Double> figures =
                 play(
                         18,
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aLinkThatIsCutOneWayKillsNobodyAndACrashBesideItIsSeen() throws Exception {
+    void oneWayCutCausesNoDownAndCrashIsDetected() throws Exception {
         Map<String, Double> figures =
                 play(
                         18,
--- a/src/test/java/cacheproxy/lab/SizesTest.java
+++ b/src/test/java/cacheproxy/lab/SizeSweepTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The sizes that an experiment is played at, and what is taken of each run. */
-class SizesTest {
+class SizeSweepTest {
 
     private static final String GOOD =
             "name = \"x\"\nduration_s = 10\n[proxies]\ncount = 4\n[sizes]\ndriver = \"virtual\"\nfactor = 2\nagainst = \"requests/s\"\n"
@@ -22,16 +22,16 @@
                     + "[[measure]]\nrole = \"cache-node\"\nfigure = \"f\"\nof = \"a.b\"\nunit = \"u\"\nper_s = true\nper_proxy = true\n";
 
     @Test
-    void keysGrowTogetherAndFiguresAreTakenASecondAndAProxy() throws Exception {
-        Sizes sizes = Sizes.read(Toml.parse("f", GOOD).root());
-        assertEquals(Sizes.Driver.VIRTUAL, sizes.driver());
+    void setsKeysTogetherAndDividesFiguresPerSecondAndProxy() throws Exception {
+        SizeSweep sizes = SizeSweep.read(Toml.parse("f", GOOD).root());
+        assertEquals(SizeSweep.Driver.VIRTUAL, sizes.driver());
         assertEquals(3, sizes.steps().size());
         assertEquals(
-                new Sizes.Step(40, Map.of("load.rate", "20", "fleet.nodes", "2")),
+                new SizeSweep.Step(40, Map.of("load.rate", "20", "fleet.nodes", "2")),
                 sizes.steps().get(1));
-        Sizes.Measure measure = sizes.measures().get(0);
+        SizeSweep.Measure measure = sizes.measures().get(0);
         assertEquals(Slope.Role.CACHE_NODE, measure.role());
-        Experiment experiment = ExperimentFile.of(Toml.parse("f", GOOD));
+        Experiment experiment = ExperimentFile.parse(Toml.parse("f", GOOD));
         assertEquals(2, measure.value(Map.of("a.b", 80.0), experiment));
         assertTrue(Double.isNaN(measure.value(Map.of(), experiment)));
     }
@@ -48,19 +48,19 @@
                 "driver = \"dice\"                   | f:2: sizes.driver: found \"dice\"",
                 "size = 1                            | f:2: sizes.size: unknown key"
             })
-    void mistakesAreNamedWithTheirLine(String line, String message) {
+    void reportsInvalidSizesWithLine(String line, String message) {
         BadFileException e =
                 assertThrows(
                         BadFileException.class,
-                        () -> Sizes.read(Toml.parse("f", "[sizes]\n" + line + "\n").root()));
+                        () -> SizeSweep.read(Toml.parse("f", "[sizes]\n" + line + "\n").root()));
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 
     @Test
-    void theModulesCostTellsWhatItHolds() throws Exception {
+    void moduleCostReportsRetainedBytes() throws Exception {
         ModuleCost.Cost cost =
                 ModuleCost.measure(
-                        ExperimentFile.of(
+                        ExperimentFile.parse(
                                 Toml.parse("f", "name = \"x\"\n[fleet]\nnodes = 4\nkeys = 500\n")));
         assertEquals(cost.retainedBytes(), cost.figures().get("module.retained_bytes"));
         assertTrue(cost.cpuUs() > 0 && cost.allocatedBytes() > 0);
--- a/src/test/java/cacheproxy/lab/capacity/PlanTest.java
+++ b/src/test/java/cacheproxy/lab/capacity/CapacityPlanTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.config.BadFileException;
-import cacheproxy.lab.capacity.Plan.Entry;
-import cacheproxy.lab.capacity.Plan.State;
+import cacheproxy.lab.capacity.CapacityPlan.PlanEntry;
+import cacheproxy.lab.capacity.CapacityPlan.State;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What is worked out from slopes, and that nothing is where there is none. */
-class PlanTest {
+class CapacityPlanTest {
 
     private static final Path COMMITTED = Path.of("deploy/target.toml");
 
@@ -36,7 +36,7 @@
             measured.add(List.of(points[i + 1]));
         }
         return Slope.fit(
-                new Slope.Head(
+                new Slope.SlopeMetadata(
                         Slope.Role.PROXY,
                         figure,
                         "bytes/s",
@@ -47,62 +47,63 @@
                 measured);
     }
 
-    private static Row row(
+    private static PlanRow row(
             List<String> slopes, String at, String quantity, String budget, String carriedBy) {
-        return new Row(
+        return new PlanRow(
                 Slope.Role.PROXY, "it", "bytes/s", slopes, at, quantity, budget, carriedBy, "");
     }
 
-    private Entry only(Row row, Slope... slopes) {
-        List<Entry> entries = new Plan(target, List.of(row), List.of(slopes)).entries();
+    private PlanEntry evaluate(PlanRow row, Slope... slopes) {
+        List<PlanEntry> entries = new CapacityPlan(target, List.of(row), List.of(slopes)).entries();
         assertEquals(1, entries.size());
         return entries.get(0);
     }
 
     @Test
-    void aSlopeIsTakenAtTheTargetAndSaysHowFarItWasMeasured() {
-        Row row = row(List.of("rest"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
-        Entry measured = only(row, slope("rest", "proxies", 0, 100, 780, 880));
+    void evaluatesSlopeAtTargetAndReportsExtrapolation() {
+        PlanRow row = row(List.of("rest"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
+        PlanEntry measured = evaluate(row, slope("rest", "proxies", 0, 100, 780, 880));
         assertEquals(880, measured.value(), 1e-6);
         assertEquals(State.MEASURED, measured.state());
-        assertEquals(5000.0 / 880, measured.factorLeft(), 1e-6);
-        Entry beyond = only(row, slope("rest", "proxies", 0, 100, 390, 490));
+        assertEquals(5000.0 / 880, measured.budgetFactor(), 1e-6);
+        PlanEntry beyond = evaluate(row, slope("rest", "proxies", 0, 100, 390, 490));
         assertEquals(880, beyond.value(), 1e-6);
         assertEquals(State.EXTRAPOLATED, beyond.state());
-        Entry busy =
-                only(
+        PlanEntry busy =
+                evaluate(
                         row(List.of("cpu"), "requests/s a busy proxy", "", "", "cacheproxy.proxy"),
                         slope("cpu", "requests/s a proxy", 0, 0, 2000, 2000));
         assertEquals(3 * 400_000 / 780.0, busy.value(), 1e-6);
     }
 
     @Test
-    void whereASlopeIsLackingNoFigureIsMadeUp() {
-        Row two =
+    void givesNoValueWithoutMeasuredSlope() {
+        PlanRow two =
                 row(List.of("rest", "leases"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
-        assertEquals(State.NOT_MEASURED, only(two).state());
-        assertTrue(Double.isNaN(only(two).value()));
-        Plan part =
-                new Plan(target, List.of(two), List.of(slope("rest", "proxies", 0, 100, 780, 880)));
+        assertEquals(State.NOT_MEASURED, evaluate(two).state());
+        assertTrue(Double.isNaN(evaluate(two).value()));
+        CapacityPlan part =
+                new CapacityPlan(
+                        target, List.of(two), List.of(slope("rest", "proxies", 0, 100, 780, 880)));
         assertEquals(State.PARTLY_MEASURED, part.entries().get(0).state());
         assertTrue(part.markdown().contains("at least 880 bytes/s"), part.markdown());
         // A quantity that the target does not have can be no place to read a line at.
         assertEquals(
                 State.NOT_MEASURED,
-                only(
+                evaluate(
                                 row(List.of("moons"), "", "", "", "cacheproxy.gossip"),
                                 slope("moons", "moons", 1, 1, 2, 2))
                         .state());
         assertTrue(
-                new Plan(target, List.of(two), List.of())
+                new CapacityPlan(target, List.of(two), List.of())
                         .markdown()
                         .contains("| - | - | - | - | 5000 | - |"));
     }
 
     @Test
-    void noiseIsNotReadAsASlopeFarBeyondWhatWasMeasured() {
-        Plan plan =
-                new Plan(
+    void doesNotExtrapolateNoiseAsSlope() {
+        CapacityPlan plan =
+                new CapacityPlan(
                         target,
                         List.of(row(List.of("held"), "", "", "", "cacheproxy.gossip")),
                         List.of(slope("held", "objects", 10_000, 98, 100_000, 104, 1_000_000, 98)));
@@ -114,24 +115,24 @@
     }
 
     @Test
-    void whereThereIsNoStraightLineItIsReadBetweenWhatWasMeasuredAndNowhereElse() {
+    void interpolatesNonLinearSlopeAndDoesNotExtrapolateIt() {
         Slope bent = slope("bent", "proxies", 60, 100, 390, 900, 780, 200);
-        Row row = row(List.of("bent"), "", "", "", "cacheproxy.gossip");
-        assertEquals(200, only(row, bent).value(), 1e-6);
-        assertEquals(State.MEASURED, only(row, bent).state());
-        Entry beyond = only(row, slope("bent", "proxies", 60, 100, 195, 900, 390, 200));
+        PlanRow row = row(List.of("bent"), "", "", "", "cacheproxy.gossip");
+        assertEquals(200, evaluate(row, bent).value(), 1e-6);
+        assertEquals(State.MEASURED, evaluate(row, bent).state());
+        PlanEntry beyond = evaluate(row, slope("bent", "proxies", 60, 100, 195, 900, 390, 200));
         assertTrue(Double.isNaN(beyond.value()));
         assertEquals(State.NO_LINE, beyond.state());
     }
 
     @Test
-    void whatNothingCarriesComesFirstAndThenWhatIsOverBudgetByMost() {
-        Row missing = row(List.of(), "", "", "purges.everywhere_ms", "");
-        Row little = row(List.of("little"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
-        Row much = row(List.of("much"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
-        Row fits = row(List.of("fits"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
-        Plan plan =
-                new Plan(
+    void listsUnhandledRowsBeforeRowsFurthestOverBudget() {
+        PlanRow missing = row(List.of(), "", "", "purges.everywhere_ms", "");
+        PlanRow little = row(List.of("little"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
+        PlanRow much = row(List.of("much"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
+        PlanRow fits = row(List.of("fits"), "", "", "control.bytes_per_s", "cacheproxy.gossip");
+        CapacityPlan plan =
+                new CapacityPlan(
                         target,
                         List.of(little, fits, much, missing),
                         List.of(
@@ -140,7 +141,7 @@
                                 slope("fits", "proxies", 0, 0, 780, 600)));
         assertEquals(
                 List.of(missing, much, little),
-                plan.firstMissing().stream().map(Entry::row).toList());
+                plan.missingThenOverBudget().stream().map(PlanEntry::row).toList());
         assertTrue(
                 plan.markdown()
                         .contains(
@@ -149,10 +150,13 @@
     }
 
     @Test
-    void anotherSizeGivesOtherFiguresAndSlopesThatNoRowNamesAreShown() throws Exception {
+    void evaluatesOtherSizesAndListsSlopesWithoutRow() throws Exception {
         target = Target.read(COMMITTED, Map.of("fleet.proxies", "390"));
-        Entry entry =
-                new Plan(target, List.of(), List.of(slope("rest", "proxies", 0, 100, 780, 880)))
+        PlanEntry entry =
+                new CapacityPlan(
+                                target,
+                                List.of(),
+                                List.of(slope("rest", "proxies", 0, 100, 780, 880)))
                         .entries()
                         .get(0);
         assertEquals(490, entry.value(), 1e-6);
@@ -160,7 +164,7 @@
         Slope first = slope("rest", "proxies", 0, 100, 780, 880);
         Slope second =
                 Slope.fit(
-                        new Slope.Head(
+                        new Slope.SlopeMetadata(
                                 Slope.Role.PROXY,
                                 "rest",
                                 "bytes/s",
@@ -171,7 +175,7 @@
                         List.of(List.of(100.0), List.of(1660.0)));
         assertEquals(
                 List.of(880.0, 490.0),
-                new Plan(
+                new CapacityPlan(
                                 target,
                                 List.of(row(List.of("y/rest"), "", "", "", "cacheproxy.gossip")),
                                 List.of(first, second))
@@ -180,13 +184,13 @@
     }
 
     @Test
-    void theTargetIsTheUsers() {
-        Map<String, Double> q = target.quantities();
-        assertEquals(512.8, q.get("requests/s a proxy"), 0.1);
-        assertEquals(6.7e9 / 8, q.get("bytes/s a proxy"), 0.1e9 / 8);
-        assertEquals(14_040, q.get("purges while regions are apart"), 0.1);
-        assertEquals(91.7, q.get("changes while regions are apart"), 0.1);
-        assertEquals(195, q.get("proxies a control machine"));
+    void committedTargetMatchesUserRequirements() {
+        Map<String, Double> quantities = target.quantities();
+        assertEquals(512.8, quantities.get("requests/s a proxy"), 0.1);
+        assertEquals(6.7e9 / 8, quantities.get("bytes/s a proxy"), 0.1e9 / 8);
+        assertEquals(14_040, quantities.get("purges while regions are apart"), 0.1);
+        assertEquals(91.7, quantities.get("changes while regions are apart"), 0.1);
+        assertEquals(195, quantities.get("proxies a control machine"));
         assertEquals(
                 Map.of(
                         "purges.everywhere_ms",
@@ -204,7 +208,7 @@
                 target.budgets());
     }
 
-    private String mistake(String from, String to) throws Exception {
+    private String errorMessage(String from, String to) throws Exception {
         Path file = directory.resolve("t.toml");
         String text = Files.readString(COMMITTED);
         assertTrue(text.contains(from));
@@ -215,18 +219,18 @@
     }
 
     @Test
-    void badInputIsNamedWithFileLineAndKey() throws Exception {
+    void rejectsInvalidInputWithFileLineAndKey() throws Exception {
         assertEquals(
                 "t:5: fleet.proxies: found 0, allowed is a whole number from 1 to 2147483647",
-                mistake("proxies = 780", "proxies = 0"));
+                errorMessage("proxies = 780", "proxies = 0"));
         assertEquals(
                 "t:5: fleet.proxies: found \"many\", allowed is a number from 0 to 1.0E15",
-                mistake("proxies = 780", "proxies = \"many\""));
-        assertTrue(mistake("sites = 36\n", "").startsWith("t:4: fleet.sites: found nothing"));
+                errorMessage("proxies = 780", "proxies = \"many\""));
+        assertTrue(errorMessage("sites = 36\n", "").startsWith("t:4: fleet.sites: found nothing"));
         assertTrue(
-                mistake("sites = 36", "sites = 36\nsights = 1")
+                errorMessage("sites = 36", "sites = 36\nsights = 1")
                         .startsWith("t:7: fleet.sights: unknown key"));
-        assertTrue(mistake("per_s = 3.9", "per_s = -1").contains(": purges.per_s: found -1"));
+        assertTrue(errorMessage("per_s = 3.9", "per_s = -1").contains(": purges.per_s: found -1"));
         Path rows = directory.resolve("r.toml");
         for (String[] bad :
                 new String[][] {
@@ -237,7 +241,8 @@
                 }) {
             Files.writeString(rows, "[[row]]\nrole = \"proxy\"\n" + bad[0] + "\n");
             String message =
-                    assertThrows(BadFileException.class, () -> Row.read(rows, target)).getMessage();
+                    assertThrows(BadFileException.class, () -> PlanRow.read(rows, target))
+                            .getMessage();
             assertTrue(message.startsWith(rows + ":3: row[0]." + bad[1] + ": "), message);
         }
     }
--- a/src/test/java/cacheproxy/lab/capacity/SlopeTest.java
+++ b/src/test/java/cacheproxy/lab/capacity/SlopeTest.java
@@ -15,8 +15,8 @@
 
 class SlopeTest {
 
-    private static final Slope.Head REST =
-            new Slope.Head(
+    private static final Slope.SlopeMetadata GOSSIP_AT_REST =
+            new Slope.SlopeMetadata(
                     Slope.Role.PROXY,
                     "gossip-rest-bytes-s",
                     "bytes/s",
@@ -26,9 +26,9 @@
 
     @TempDir Path folder;
 
-    private static Slope lineOf(String experiment) {
+    private static Slope probeSlope(String experiment) {
         return Slope.fit(
-                new Slope.Head(
+                new Slope.SlopeMetadata(
                         Slope.Role.CACHE_NODE, "probes", "1/s", "proxies", experiment, "nothing"),
                 List.of(60.0, 195.0, 390.0, 780.0),
                 List.of(
@@ -39,67 +39,68 @@
     }
 
     @Test
-    void theLineAndItsSpreadAreThoseOfTheMeans() {
-        Slope slope = lineOf("a.toml");
+    void fitsLineThroughMeans() {
+        Slope slope = probeSlope("a.toml");
         assertEquals(50, slope.fixed(), 1e-6);
         assertEquals(2, slope.perUnit(), 1e-9);
         assertEquals(1, slope.r2(), 1e-9);
         assertEquals(Math.sqrt(2), slope.spreads().get(0), 1e-9);
         assertEquals(2, slope.runs());
-        assertEquals(3050, slope.at(1500), 1e-6);
-        assertEquals(780, slope.measuredTo());
-        assertTrue(slope.straight());
+        assertEquals(3050, slope.valueAt(1500), 1e-6);
+        assertEquals(780, slope.largestMeasuredSize());
+        assertTrue(slope.isLinear());
     }
 
     @Test
-    void whatBendsIsNotCalledStraightAndWhatStaysIs() {
+    void distinguishesLinearFromNonLinearMeans() {
         assertFalse(
                 Slope.fit(
-                                REST,
+                                GOSSIP_AT_REST,
                                 List.of(1.0, 2.0, 3.0, 4.0),
                                 List.of(List.of(1.0), List.of(100.0), List.of(2.0), List.of(90.0)))
-                        .straight());
-        Slope level =
+                        .isLinear());
+        Slope constant =
                 Slope.fit(
-                        REST,
+                        GOSSIP_AT_REST,
                         List.of(1.0, 2.0, 3.0),
                         List.of(List.of(7.0), List.of(7.0), List.of(7.0)));
-        assertTrue(level.straight());
-        assertEquals(7, level.at(780), 1e-9);
-        assertEquals(0, level.spreads().get(0));
+        assertTrue(constant.isLinear());
+        assertEquals(7, constant.valueAt(780), 1e-9);
+        assertEquals(0, constant.spreads().get(0));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Slope.fit(REST, List.of(1.0), List.of(List.of(1.0))));
+                () -> Slope.fit(GOSSIP_AT_REST, List.of(1.0), List.of(List.of(1.0))));
     }
 
     @Test
-    void anExperimentReplacesItsOwnSlopesAlone() throws BadFileException, IOException {
+    void replacesOnlySlopesOfSameExperiment() throws BadFileException, IOException {
         Path file = folder.resolve("slopes.toml");
-        SlopeFile.put(file, "a.toml", List.of(lineOf("a.toml"), lineOf("a.toml")));
-        SlopeFile.put(
+        SlopeFile.replaceSlopes(
+                file, "a.toml", List.of(probeSlope("a.toml"), probeSlope("a.toml")));
+        SlopeFile.replaceSlopes(
                 file,
                 "experiments/capacity/a.toml",
                 List.of(
                         Slope.fit(
-                                REST,
+                                GOSSIP_AT_REST,
                                 List.of(1.0, 2.0),
                                 List.of(List.of(1e-9 / 3), List.of(-2e12 / 3)))));
-        SlopeFile.put(file, "a.toml", List.of(lineOf("a.toml")));
+        SlopeFile.replaceSlopes(file, "a.toml", List.of(probeSlope("a.toml")));
         List<Slope> read = SlopeFile.read(file);
         assertEquals(2, read.size());
         assertEquals("a \"bench\"", read.get(0).beside());
         assertEquals(-666_667_000_000.0, read.get(0).means().get(1));
         assertEquals(Slope.Role.CACHE_NODE, read.get(1).role());
-        assertEquals(lineOf("a.toml").sizes(), read.get(1).sizes());
+        assertEquals(probeSlope("a.toml").sizes(), read.get(1).sizes());
         assertEquals(2, read.get(1).perUnit(), 1e-9);
     }
 
     @Test
-    void whatIsWrongIsNamedWithFileLineAndKey() throws BadFileException, IOException {
+    void rejectsInvalidFileWithLineAndKey() throws BadFileException, IOException {
         Path file = folder.resolve("slopes.toml");
-        SlopeFile.put(file, "a.toml", List.of(lineOf("a.toml")));
+        SlopeFile.replaceSlopes(file, "a.toml", List.of(probeSlope("a.toml")));
         String good = Files.readString(file);
-        String[][] wrong = {
+        String[][] cases = {
             {"role = \"cache-node\"", "role = \"cash\"", ":4: slope[0].role: found \"cash\""},
             {"780]", "\"780\"]", ":8: slope[0].sizes"},
             {
@@ -111,12 +112,13 @@
             {"fixed = 50", "fixt = 50", "slope[0].fixed: found nothing"},
             {"figure = \"probes\"\n", "", "slope[0].figure: found nothing"}
         };
-        for (String[] w : wrong) {
-            assertTrue(good.contains(w[0]), good);
-            Files.writeString(file, good.replace(w[0], w[1]));
-            String told =
+        for (String[] testCase : cases) {
+            assertTrue(good.contains(testCase[0]), good);
+            Files.writeString(file, good.replace(testCase[0], testCase[1]));
+            String message =
                     assertThrows(BadFileException.class, () -> SlopeFile.read(file)).getMessage();
-            assertTrue(told.startsWith(file.toString()) && told.contains(w[2]), told);
+            assertTrue(
+                    message.startsWith(file.toString()) && message.contains(testCase[2]), message);
         }
     }
 }
--- a/src/test/java/cacheproxy/lab/hollow/HollowTest.java
+++ b/src/test/java/cacheproxy/lab/hollow/ScaleExperimentTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class HollowTest {
+class ScaleExperimentTest {
 
     private static final String SMALL =
             """
@@ -59,7 +59,7 @@
 
     @TempDir Path folder;
 
-    private ScaleTest test(String toml) throws IOException, BadFileException {
+    private ScaleTest scaleTest(String toml) throws IOException, BadFileException {
         Path file = folder.resolve("small.toml");
         Files.writeString(file, toml);
         return new ScaleTest(file, Map.of(), "a build");
@@ -70,25 +70,31 @@
      * of three is killed.
      */
     @Test
-    void aChangeComesEverywhereThoughAControlMachineIsKilled()
+    void changesReachAllProxiesWhenControlMachineIsKilled()
             throws IOException, InterruptedException, BadFileException, KeyException {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
         Path slopes = folder.resolve("slopes.toml");
-        boolean good =
-                test(SMALL).play(folder.resolve("out"), slopes, false, new PrintStream(told, true));
-        assertTrue(good, told::toString);
+        boolean passed =
+                scaleTest(SMALL)
+                        .run(folder.resolve("out"), slopes, false, new PrintStream(output, true));
+        assertTrue(passed, output::toString);
         assertEquals(List.of(4.0, 12.0), SlopeFile.read(slopes).get(0).sizes());
         assertEquals("a build", SlopeFile.read(slopes).get(0).beside());
-        assertTrue(SlopeFile.read(slopes).get(0).perUnit() > 0, told::toString);
-        Path again = folder.resolve("again.toml");
+        assertTrue(SlopeFile.read(slopes).get(0).perUnit() > 0, output::toString);
+        Path refittedSlopes = folder.resolve("again.toml");
         assertTrue(
-                test(SMALL).play(folder.resolve("out"), again, true, new PrintStream(told, true)));
-        assertEquals(SlopeFile.read(slopes), SlopeFile.read(again));
+                scaleTest(SMALL)
+                        .run(
+                                folder.resolve("out"),
+                                refittedSlopes,
+                                true,
+                                new PrintStream(output, true)));
+        assertEquals(SlopeFile.read(slopes), SlopeFile.read(refittedSlopes));
     }
 
     @Test
-    void aFileThatIsWrongStartsNothingAndIsNamedWithLineAndKey() {
-        String[][] wrong = {
+    void rejectsInvalidFileWithLineAndKey() {
+        String[][] cases = {
             {"proxies = [4, 12]", "proxies = [12, 4]", ":5: fleet.proxies"},
             {"changes = 4", "changes = -1", ":14: policy.changes"},
             {"loss = [0, 0, 0, 0.001]", "loss = [0, 0]", ":17: links.loss"},
@@ -101,45 +107,46 @@
             },
             {"regions = 2", "region = 2", "fleet.region: unknown key"}
         };
-        for (String[] w : wrong) {
-            assertTrue(SMALL.contains(w[0]));
-            String told =
+        for (String[] testCase : cases) {
+            assertTrue(SMALL.contains(testCase[0]));
+            String message =
                     assertThrows(
                                     BadFileException.class,
                                     () ->
-                                            test(
+                                            scaleTest(
                                                     SMALL.replaceFirst(
-                                                            java.util.regex.Pattern.quote(w[0]),
-                                                            w[1])))
+                                                            java.util.regex.Pattern.quote(
+                                                                    testCase[0]),
+                                                            testCase[1])))
                             .getMessage();
-            assertTrue(told.contains(w[2]), told);
+            assertTrue(message.contains(testCase[2]), message);
         }
     }
 
     @Test
-    void aCutHoldsOneWayUntilItHeals() {
-        HollowExperiment.Fleet fleet = new HollowExperiment.Fleet(List.of(8), 1, 0, 8, 4, 2);
-        List<Place> places =
+    void cutBlocksOneDirectionUntilHealed() {
+        ScaleExperiment.Fleet fleet = new ScaleExperiment.Fleet(List.of(8), 1, 0, 8, 4, 2);
+        List<PlaneLocation> locations =
                 java.util.stream.IntStream.range(0, 8)
-                        .mapToObj(i -> Place.of(i, fleet, 8))
+                        .mapToObj(i -> PlaneLocation.of(i, fleet, 8))
                         .toList();
-        LinkTable links =
-                new LinkTable(
-                        places,
-                        new HollowExperiment.Links(
+        LinkConditions links =
+                new LinkConditions(
+                        locations,
+                        new ScaleExperiment.Links(
                                 List.of(1.0, 2.0, 3.0, 4.0), List.of(0.0, 0.0, 0.0, 1.0)),
                         new SplittableRandom(1));
         assertEquals(
                 List.of(1.0, 4.0, 3.0, 4.0, 2.0),
                 java.util.stream.IntStream.range(0, 5).mapToObj(i -> links.delayMs(0, i)).toList());
-        assertTrue(links.loses(0, 1) && !links.loses(0, 2));
+        assertTrue(links.losesPacket(0, 1) && !links.losesPacket(0, 2));
         links.cut("region-0", "proxy-2");
-        assertTrue(links.cut(0, 2) && !links.cut(2, 0) && links.loses(0, 2));
+        assertTrue(links.cut(0, 2) && !links.cut(2, 0) && links.losesPacket(0, 2));
         links.heal("region-0", "proxy-2");
         assertTrue(!links.cut(0, 2));
         for (int plane = 0; plane < 2007; plane++) {
-            String host = LinkTable.host(70, plane);
-            assertEquals(plane, LinkTable.plane(new java.net.InetSocketAddress(host, 1)));
+            String host = LinkConditions.hostOf(70, plane);
+            assertEquals(plane, LinkConditions.planeOf(new java.net.InetSocketAddress(host, 1)));
             assertTrue(!host.endsWith(".0") && !host.endsWith(".255"), host);
         }
     }
--- a/src/test/java/cacheproxy/lab/hunt/MutantsTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/MutantsTest.java
@@ -26,7 +26,7 @@
      * What the unchanged module is let off without a find; each mutant's own budget is at most
      * that.
      */
-    private static final int DAYS = 60;
+    private static final int SCENARIOS = 60;
 
     @TempDir private Path scratch;
 
@@ -89,13 +89,14 @@
                         20));
     }
 
-    private static int found(VirtualRun.Maker maker, String kind, int days) {
+    private static int firstFailingScenario(
+            VirtualRun.RouterFactory maker, String kind, int scenarios) {
         AtomicInteger played = new AtomicInteger();
         int[] first = new int[1];
-        Hunt hunt = new Hunt(SEED, e -> new VirtualRun(e, maker).play());
-        for (int n = 1; n <= days && first[0] == 0; n++) {
+        FaultSearch search = new FaultSearch(SEED, e -> new VirtualRun(e, maker).run());
+        for (int n = 1; n <= scenarios && first[0] == 0; n++) {
             played.incrementAndGet();
-            if (hunt.wrong(hunt.day(n)).startsWith(kind)) {
+            if (search.failureOf(search.scenario(n)).startsWith(kind)) {
                 first[0] = n;
             }
         }
@@ -104,15 +105,17 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("mutants")
-    void thePlantedFaultIsFound(String what, String original, String changed, String kind, int days)
+    void findsMutationWithinBudget(
+            String what, String original, String changed, String kind, int scenarios)
             throws Exception {
-        assertTrue(days <= DAYS);
-        long begun = System.nanoTime();
-        int day = found(Mutant.of(scratch, original, changed), kind, days);
+        assertTrue(scenarios <= SCENARIOS);
+        long startedAt = System.nanoTime();
+        int scenario =
+                firstFailingScenario(MutatedModule.of(scratch, original, changed), kind, scenarios);
         System.out.printf(
                 "found on day %d after %d ms: %s%n",
-                day, (System.nanoTime() - begun) / 1_000_000, what);
-        assertTrue(day > 0, what + " is not found in " + days + " days");
+                scenario, (System.nanoTime() - startedAt) / 1_000_000, what);
+        assertTrue(scenario > 0, what + " is not found in " + scenarios + " days");
     }
 
     /**
@@ -120,19 +123,22 @@
      * found.
      */
     @Test
-    void theModuleItselfIsLetOffOfAllButColdNodes() {
-        Hunt hunt = new Hunt(SEED);
-        for (int day = 1; day <= DAYS; day++) {
-            String wrong = hunt.wrong(hunt.day(day));
+    void unchangedModuleBreaksOnlyColdNodeRule() {
+        FaultSearch search = new FaultSearch(SEED);
+        for (int scenario = 1; scenario <= SCENARIOS; scenario++) {
+            String failure = search.failureOf(search.scenario(scenario));
             assertTrue(
-                    wrong.isEmpty() || wrong.startsWith("cold-node"), "day " + day + ": " + wrong);
+                    failure.isEmpty() || failure.startsWith("cold-node"),
+                    "day " + scenario + ": " + failure);
         }
     }
 
     @Test
     void theModuleItselfIsLetOff() {
-        Hunt hunt = new Hunt(SEED);
-        AtomicInteger day = new AtomicInteger();
-        assertEquals(List.of(), hunt.search(() -> day.incrementAndGet() <= DAYS, (n, wrong) -> {}));
+        FaultSearch search = new FaultSearch(SEED);
+        AtomicInteger scenario = new AtomicInteger();
+        assertEquals(
+                List.of(),
+                search.search(() -> scenario.incrementAndGet() <= SCENARIOS, (n, wrong) -> {}));
     }
 }
--- a/src/test/java/cacheproxy/lab/hunt/Mutant.java
+++ b/src/test/java/cacheproxy/lab/hunt/MutatedModule.java
@@ -1,6 +1,6 @@
 package cacheproxy.lab.hunt;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import cacheproxy.Router.Settings;
 import cacheproxy.lab.virtual.VirtualRun;
@@ -24,7 +24,7 @@
 /**
  * The module with one line of its sources changed, compiled anew and loaded beside the real one.
  */
-final class Mutant {
+final class MutatedModule {
 
     /**
      * The module's classes in the package of its interface; they see one another's package-private
@@ -40,10 +40,10 @@
 
     private static final String PACKAGE = "cacheproxy";
 
-    private Mutant() {}
+    private MutatedModule() {}
 
     /** {@code original} must stand in the module's sources once, or the mutant would be none. */
-    static VirtualRun.Maker of(Path scratch, String original, String changed)
+    static VirtualRun.RouterFactory of(Path scratch, String original, String changed)
             throws IOException, ReflectiveOperationException {
         List<JavaFileObject> units = new ArrayList<>();
         int occurrences = 0;
@@ -52,7 +52,7 @@
             String source = Files.readString(Path.of("src/main/java", PACKAGE, name + ".java"));
             Matcher found = lines.matcher(source);
             occurrences += (int) found.results().count();
-            units.add(unit(name, found.replaceAll(Matcher.quoteReplacement(changed))));
+            units.add(sourceUnit(name, found.replaceAll(Matcher.quoteReplacement(changed))));
         }
         if (occurrences != 1) {
             throw new IllegalArgumentException("stands not once in the module: " + original);
@@ -76,12 +76,13 @@
         if (!compiled) {
             throw new IllegalArgumentException("does not compile: " + changed);
         }
-        ClassLoader loader = new Beside(classes.toUri().toURL());
-        var made =
-                loader.loadClass(Decide.class.getName()).getConstructor(Settings.class, long.class);
+        ClassLoader loader = new MutationClassLoader(classes.toUri().toURL());
+        var constructor =
+                loader.loadClass(DecisionModule.class.getName())
+                        .getConstructor(Settings.class, long.class);
         return (settings, seed) -> {
             try {
-                return (Router) made.newInstance(settings, seed);
+                return (Router) constructor.newInstance(settings, seed);
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException("a mutant has the module's constructor", e);
             }
@@ -96,7 +97,7 @@
                         .collect(Collectors.joining("\\s+")));
     }
 
-    private static JavaFileObject unit(String name, String source) {
+    private static JavaFileObject sourceUnit(String name, String source) {
         return new SimpleJavaFileObject(
                 URI.create("string:///" + PACKAGE + "/" + name + ".java"),
                 JavaFileObject.Kind.SOURCE) {
@@ -108,10 +109,10 @@
     }
 
     /** Takes the module's own classes from the mutant and all else from the program. */
-    private static final class Beside extends URLClassLoader {
+    private static final class MutationClassLoader extends URLClassLoader {
 
-        Beside(URL classes) {
-            super(new URL[] {classes}, Decide.class.getClassLoader());
+        MutationClassLoader(URL classes) {
+            super(new URL[] {classes}, DecisionModule.class.getClassLoader());
         }
 
         @Override
--- a/src/test/java/cacheproxy/lab/hunt/SameDayTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/ScenarioReproducibilityTest.java
@@ -17,9 +17,9 @@
  * A drawn day gives the same bytes in a program with another heap, another number of cores and
  * other identity hashes.
  */
-class SameDayTest {
+class ScenarioReproducibilityTest {
 
-    private static final int DAYS = 20;
+    private static final int SCENARIOS = 20;
     private static final long SEED = 77;
 
     /** Prints a digest of each day's results; what the child processes run. */
@@ -28,14 +28,16 @@
     }
 
     private static List<String> digests() throws Exception {
-        Hunt hunt = new Hunt(SEED);
+        FaultSearch search = new FaultSearch(SEED);
         List<String> digests = new ArrayList<>();
-        for (int n = 1; n <= DAYS; n++) {
+        for (int n = 1; n <= SCENARIOS; n++) {
             String results =
                     new VirtualRun(
-                                    ExperimentFile.of(
-                                            Toml.parse("day", hunt.day(n).toml("day", "drawn"))))
-                            .play()
+                                    ExperimentFile.parse(
+                                            Toml.parse(
+                                                    "day",
+                                                    search.scenario(n).toml("day", "drawn"))))
+                            .run()
                             .json();
             digests.add(
                     HexFormat.of()
@@ -47,15 +49,18 @@
     }
 
     private static Process child(String... options) throws Exception {
-        List<String> line =
+        List<String> command =
                 new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString()));
-        line.addAll(List.of(options));
-        line.addAll(
-                List.of("-cp", System.getProperty("java.class.path"), SameDayTest.class.getName()));
-        return new ProcessBuilder(line).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        command.addAll(List.of(options));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        ScenarioReproducibilityTest.class.getName()));
+        return new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
     }
 
     private static List<String> lines(Process child) throws Exception {
@@ -68,9 +73,9 @@
     }
 
     @Test
-    void twentyDaysAreTheSameByteForByteElsewhere() throws Exception {
-        Process small = child("-Xmx200m", "-XX:+UseSerialGC", "-XX:ActiveProcessorCount=1");
-        Process other =
+    void givesIdenticalResultsInOtherJvms() throws Exception {
+        Process smallHeap = child("-Xmx200m", "-XX:+UseSerialGC", "-XX:ActiveProcessorCount=1");
+        Process otherHashes =
                 child(
                         "-Xmx1g",
                         "-XX:+UseParallelGC",
@@ -78,8 +83,8 @@
                         "-XX:+UnlockExperimentalVMOptions",
                         "-XX:hashCode=2");
         List<String> here = digests();
-        assertEquals(DAYS, here.stream().distinct().count());
-        assertEquals(here, lines(small));
-        assertEquals(here, lines(other));
+        assertEquals(SCENARIOS, here.stream().distinct().count());
+        assertEquals(here, lines(smallHeap));
+        assertEquals(here, lines(otherHashes));
     }
 }
--- a/src/test/java/cacheproxy/lab/ledger/ColdStartsTest.java
+++ b/src/test/java/cacheproxy/lab/ledger/SlowStartLoadTest.java
@@ -5,11 +5,11 @@
 import cacheproxy.config.Toml;
 import cacheproxy.lab.ExperimentFile;
 import cacheproxy.lab.ledger.Ledger.Attempt;
-import cacheproxy.lab.ledger.Ledger.Started;
-import cacheproxy.lab.ledger.Ledger.Told;
+import cacheproxy.lab.ledger.Ledger.ListNotification;
+import cacheproxy.lab.ledger.Ledger.MachineStart;
 import cacheproxy.lab.ledger.Rules.Rule;
 import cacheproxy.lab.ledger.Rules.Violation;
-import cacheproxy.lab.world.ColdAllowance;
+import cacheproxy.lab.world.SlowStartAllowance;
 import cacheproxy.lab.world.World.Health;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,29 +19,32 @@
  * The rule on cold nodes, by hand. N of nine calls allows 3 x 3 + 3 more by chance in a window, as
  * it is under 30; N of 36 allows 2 x 6 + 2 more.
  */
-class ColdStartsTest {
+class SlowStartLoadTest {
 
     private static final double START = 10_000;
 
     /** Warm so late that the allowance stays; 3 x 0.2 x capacity 1 x 1500 ms over 100 ms. */
-    private static final ColdAllowance NINE = new ColdAllowance(3, 1500, 0.2, 1e12, 100);
+    private static final SlowStartAllowance ALLOWANCE_OF_NINE =
+            new SlowStartAllowance(3, 1500, 0.2, 1e12, 100);
 
-    private static List<Violation> judged(
-            double capacity, int calls, int told, double callMs, double apartMs) throws Exception {
+    private static List<Violation> coldNodeViolations(
+            double capacity, int calls, int notified, double requestWorkMs, double spacingMs)
+            throws Exception {
         Ledger ledger = new Ledger();
-        ledger.started(new Started("node-0", START, capacity, NINE));
+        ledger.started(new MachineStart("node-0", START, capacity, ALLOWANCE_OF_NINE));
         for (int i = 0; i < calls; i++) {
-            double at = START + 1 + i * apartMs;
-            if (i < told) {
-                ledger.told(new Told(i, "node-0", Health.UP, START, START));
+            double at = START + 1 + i * spacingMs;
+            if (i < notified) {
+                ledger.notified(new ListNotification(i, "node-0", Health.UP, START, START));
             }
             // Of no client: that breaks another rule, which is not looked at here.
             ledger.attempt(
-                    new Attempt(i + 1, "call-" + i, "node-0", false, i, at, at, 0.5, callMs));
+                    new Attempt(
+                            i + 1, "call-" + i, "node-0", false, i, at, at, 0.5, requestWorkMs));
         }
         return Rules.check(
                         ledger,
-                        ExperimentFile.of(
+                        ExperimentFile.parse(
                                 Toml.parse("t", "name = \"t\"\n[proxies]\ncount = 100\n")))
                 .stream()
                 .filter(v -> v.rule() == Rule.COLD_NODE)
@@ -60,14 +63,17 @@
         "22, 13, 100, 10, 0",
         "60, 0, 100, 10, 0"
     })
-    void theSumOfAllProxiesIsHeldToTheAllowance(
-            int calls, int told, double callMs, double apartMs, int broken) throws Exception {
-        assertEquals(broken, judged(1, calls, told, callMs, apartMs).size());
+    void limitsTotalLoadOfAllProxies(
+            int calls, int notified, double requestWorkMs, double spacingMs, int violations)
+            throws Exception {
+        assertEquals(
+                violations,
+                coldNodeViolations(1, calls, notified, requestWorkMs, spacingMs).size());
     }
 
     @ParameterizedTest(name = "{0} calls where N is 36: {1}")
     @CsvSource({"50, 0", "51, 1"})
-    void whereManyAreAllowedChanceIsTwoDeviations(int calls, int broken) throws Exception {
-        assertEquals(broken, judged(4, calls, calls, 100, 10).size());
+    void allowsTwoDeviationsForLargeCounts(int calls, int violations) throws Exception {
+        assertEquals(violations, coldNodeViolations(4, calls, calls, 100, 10).size());
     }
 }
--- a/src/test/java/cacheproxy/lab/stream/StreamPlanTest.java
+++ b/src/test/java/cacheproxy/lab/stream/StreamLoadPlanTest.java
@@ -12,34 +12,34 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The committed plan is good, and a bad one is refused with file, line and key. */
-class StreamPlanTest {
+class StreamLoadPlanTest {
 
     @TempDir Path folder;
 
-    private String refused(String text) throws Exception {
+    private String errorMessage(String text) throws Exception {
         Path file = folder.resolve("plan.toml");
         Files.writeString(file, text);
-        return assertThrows(BadFileException.class, () -> StreamPlan.read(file, Map.of()))
+        return assertThrows(BadFileException.class, () -> StreamLoadPlan.read(file, Map.of()))
                 .getMessage()
                 .substring(folder.toString().length() + 1);
     }
 
     @Test
-    void theCommittedPlanIsGoodAndABadOneIsNamed() throws Exception {
-        StreamPlan plan =
-                StreamPlan.read(
+    void acceptsCommittedPlanAndRejectsInvalidOnes() throws Exception {
+        StreamLoadPlan plan =
+                StreamLoadPlan.read(
                         Path.of("experiments/capacity/stream-780.toml"),
                         Map.of("fleet.proxies", "390"));
         assertEquals(390, plan.proxies());
         assertEquals(2600, plan.bounds().everywhereMs());
         assertTrue(
-                refused("[fleet]\nproxies = 0\n")
+                errorMessage("[fleet]\nproxies = 0\n")
                         .startsWith("plan.toml:2: fleet.proxies: found 0"));
         assertTrue(
-                refused("[fleet]\nproxys = 7\n")
+                errorMessage("[fleet]\nproxys = 7\n")
                         .startsWith("plan.toml:2: fleet.proxys: unknown key"));
         assertTrue(
-                refused("[fault]\nkill_s = \"soon\"\n")
+                errorMessage("[fault]\nkill_s = \"soon\"\n")
                         .startsWith("plan.toml:2: fault.kill_s: found"));
     }
 }
--- a/src/test/java/cacheproxy/lab/virtual/ColdFleetTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/ColdFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import cacheproxy.Router.Node;
 import cacheproxy.lab.ExperimentFile;
@@ -20,30 +20,31 @@
  */
 class ColdFleetTest {
 
-    private static Map<String, Double> play(int proxies, int seed, VirtualRun.Maker maker)
-            throws Exception {
-        return play("cold-fleet", proxies, seed, maker);
+    private static Map<String, Double> run(
+            int proxies, int seed, VirtualRun.RouterFactory routerFactory) throws Exception {
+        return run("cold-fleet", proxies, seed, routerFactory);
     }
 
-    private static Map<String, Double> play(
-            String day, int proxies, int seed, VirtualRun.Maker maker) throws Exception {
+    private static Map<String, Double> run(
+            String experiment, int proxies, int seed, VirtualRun.RouterFactory routerFactory)
+            throws Exception {
         return new VirtualRun(
                         ExperimentFile.read(
-                                Path.of("experiments/scale/" + day + ".toml"),
+                                Path.of("experiments/scale/" + experiment + ".toml"),
                                 Map.of(
                                         "proxies.count",
                                         String.valueOf(proxies),
                                         "seed",
                                         String.valueOf(seed))),
-                        maker)
-                .play()
+                        routerFactory)
+                .run()
                 .figures();
     }
 
     @ParameterizedTest
     @CsvSource({"3, 2", "6, 11", "20, 20", "30, 16", "100, 4"})
-    void noColdNodeGetsMoreThanItsAllowance(int proxies, int seed) throws Exception {
-        Map<String, Double> figures = play(proxies, seed, Decide::new);
+    void noWarmingNodeGetsMoreThanItsAllowance(int proxies, int seed) throws Exception {
+        Map<String, Double> figures = run(proxies, seed, DecisionModule::new);
         assertTrue(figures.get("cold.starts") >= 24, figures.toString());
         assertTrue(figures.get("cold.work_over_allowed_max") <= 1, figures.toString());
         assertTrue(figures.get("violations.cold_node") == 0, figures.toString());
@@ -53,9 +54,8 @@
      * Cold nodes back from maintenance are used up to their allowance, so that little is refused.
      */
     @Test
-    void nodesThatReturnFromMaintenanceOneAfterTheOtherAreUsedWithinTheirAllowance()
-            throws Exception {
-        Map<String, Double> figures = play("maintenance", 4, 3, Decide::new);
+    void nodesReturningFromMaintenanceStayWithinTheirAllowance() throws Exception {
+        Map<String, Double> figures = run("maintenance", 4, 3, DecisionModule::new);
         assertTrue(figures.get("cold.starts") == 6, figures.toString());
         assertTrue(figures.get("cold.work_over_allowed_max") <= 1, figures.toString());
         assertTrue(figures.get("refused.share") <= 0.05, figures.toString());
@@ -63,13 +63,13 @@
 
     /** A module that is told of no start gives a cold node its full share at once. */
     @Test
-    void aFullShareAtOnceIsMoreThanTheAllowance() throws Exception {
-        Map<String, Double> figures = play(30, 2, ColdFleetTest::withoutRamp);
+    void fullShareWithoutSlowStartExceedsTheAllowance() throws Exception {
+        Map<String, Double> figures = run(30, 2, ColdFleetTest::withoutSlowStart);
         assertTrue(figures.get("violations.cold_node") > 0, figures.toString());
     }
 
-    private static Router withoutRamp(Router.Settings settings, long seed) {
-        Decide inner = new Decide(settings, seed);
+    private static Router withoutSlowStart(Router.Settings settings, long seed) {
+        DecisionModule inner = new DecisionModule(settings, seed);
         return (Router)
                 java.lang.reflect.Proxy.newProxyInstance(
                         Router.class.getClassLoader(),
@@ -81,15 +81,16 @@
                                                 .stream()
                                                         .map(Node.class::cast)
                                                         .map(
-                                                                n ->
+                                                                node ->
                                                                         new Node(
-                                                                                n.id(),
-                                                                                n.model(),
-                                                                                n.zone(),
-                                                                                n.cell(),
-                                                                                n.weight(),
+                                                                                node.id(),
+                                                                                node.model(),
+                                                                                node.zone(),
+                                                                                node.cell(),
+                                                                                node.weight(),
                                                                                 0,
-                                                                                n.availability()))
+                                                                                node
+                                                                                        .availability()))
                                                         .toList();
                             }
                             try {
--- a/src/test/java/cacheproxy/lab/virtual/FleetDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/FleetScenariosTest.java
@@ -1,6 +1,6 @@
 package cacheproxy.lab.virtual;
 
-import static cacheproxy.lab.virtual.VirtualTest.fault;
+import static cacheproxy.lab.virtual.VirtualRunTest.fault;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,7 +18,7 @@
 /**
  * The shapes of a large fleet's days and the hard cases of each, scaled down; the ledger judges.
  */
-class FleetDaysTest {
+class FleetScenariosTest {
 
     private static final String FLEET =
             """
@@ -40,20 +40,21 @@
             rate = %d
             """;
 
-    private static Map<String, Double> kept(Results results) {
+    private static Map<String, Double> figuresWithoutViolations(Results results) {
         assertEquals(List.of(), results.violations());
         return results.figures();
     }
 
-    private static Map<String, Double> kept(String lists, int proxies, int rate, String faults)
-            throws Exception {
-        return kept(
+    private static Map<String, Double> figuresWithoutViolations(
+            String listsPerS, int proxies, int rate, String faults) throws Exception {
+        return figuresWithoutViolations(
                 new VirtualRun(
-                                ExperimentFile.of(
+                                ExperimentFile.parse(
                                         Toml.parse(
                                                 "test",
-                                                FLEET.formatted(lists, proxies, rate) + faults)))
-                        .play());
+                                                FLEET.formatted(listsPerS, proxies, rate)
+                                                        + faults)))
+                        .run());
     }
 
     /**
@@ -62,12 +63,16 @@
      */
     @ParameterizedTest
     @CsvSource({"release, 0.955", "zone, 0.98", "replace, 0.975"})
-    void aSmallerFleetWithASmallerTableHoldsTheDay(String day, double worth) throws Exception {
+    void smallFleetWithSmallConnectionTablesServesItsLoad(String experiment, double minServedWeight)
+            throws Exception {
         Map<String, Double> figures =
-                kept(
+                figuresWithoutViolations(
                         new VirtualRun(
                                         ExperimentFile.read(
-                                                Path.of("experiments/scale/fleet-" + day + ".toml"),
+                                                Path.of(
+                                                        "experiments/scale/fleet-"
+                                                                + experiment
+                                                                + ".toml"),
                                                 Map.of(
                                                         "fleet.nodes",
                                                         "30",
@@ -85,15 +90,15 @@
                                                         "650",
                                                         "duration_s",
                                                         "32")))
-                                .play());
+                                .run());
         assertTrue(figures.get("machines.connections_turned_away") > 20, figures.toString());
-        assertTrue(figures.get("served.worth") > worth, figures.toString());
+        assertTrue(figures.get("served.worth") > minServedWeight, figures.toString());
     }
 
     @Test
-    void everyProxyRestartsWhileDiscoveryIsSilent() throws Exception {
+    void recoversWhenEveryProxyRestartsDuringDiscoveryOutage() throws Exception {
         Map<String, Double> figures =
-                kept(
+                figuresWithoutViolations(
                         "2",
                         6,
                         400,
@@ -107,9 +112,9 @@
      * gone by 12 s.
      */
     @Test
-    void aProxyRemembersAListOfNodesThatAreGone() throws Exception {
+    void restartedProxiesCopeWithStoredListOfRemovedNodes() throws Exception {
         Map<String, Double> figures =
-                kept(
+                figuresWithoutViolations(
                         "2",
                         6,
                         300,
@@ -125,9 +130,9 @@
      * of no use to many.
      */
     @Test
-    void noHomeOfAKeyIsOfUse() throws Exception {
+    void recoversWhenBothNodesOfManyKeysAreUnusable() throws Exception {
         Map<String, Double> figures =
-                kept(
+                figuresWithoutViolations(
                         "20",
                         6,
                         300,
@@ -138,9 +143,9 @@
     }
 
     @Test
-    void aZoneIsBackWhileItsSilentConnectionsAreHeld() throws Exception {
+    void recoversFromZoneCutWithStaleConnections() throws Exception {
         Map<String, Double> figures =
-                kept(
+                figuresWithoutViolations(
                         "20",
                         6,
                         400,
@@ -152,9 +157,13 @@
     /** One proxy alone, three, and as many as see less than one fetch a second each. */
     @ParameterizedTest
     @CsvSource({"1, 60", "3, 180", "14, 30"})
-    void aListThatChangesWhollyAtOnce(int proxies, int rate) throws Exception {
+    void recoversWhenMostNodesAreReplacedAtOnce(int proxies, int rate) throws Exception {
         Map<String, Double> figures =
-                kept("20", proxies, rate, fault("node-replace", 8, "node = \"75%\";for_s = 0.01"));
+                figuresWithoutViolations(
+                        "20",
+                        proxies,
+                        rate,
+                        fault("node-replace", 8, "node = \"75%\";for_s = 0.01"));
         assertTrue(figures.get("served.worth") > 0.85, figures.toString());
         assertTrue(figures.get("recovery.s") < 5, figures.toString());
     }
@@ -164,13 +173,13 @@
      * 0.03 of the worth and not 0.01.
      */
     @Test
-    void everyNodesTableIsFull() throws Exception {
+    void fullConnectionTablesAreNotTakenForOverload() throws Exception {
         String faults = fault("burst", 8, "for_s = 4;factor = 2");
-        Map<String, Double> roomy = kept("20", 14, 400, faults);
+        Map<String, Double> roomy = figuresWithoutViolations("20", 14, 400, faults);
         Map<String, Double> full =
-                kept(
+                figuresWithoutViolations(
                         new VirtualRun(
-                                        ExperimentFile.of(
+                                        ExperimentFile.parse(
                                                 Toml.parse(
                                                         "test",
                                                         FLEET.formatted("20", 14, 400)
@@ -178,7 +187,7 @@
                                                                                 "connections = 40",
                                                                                 "connections = 9")
                                                                 + faults)))
-                                .play());
+                                .run());
         assertTrue(
                 full.get("machines.connections_turned_away")
                         > roomy.get("machines.connections_turned_away") + 20,
@@ -192,9 +201,9 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"node-replace", "node-restart"})
-    void bookingsAreOutWhileTheirNodesGoAndProxiesDrain(String going) throws Exception {
+    void nonRepeatableWritesSurviveNodeRemovalAndProxyDrain(String nodeFault) throws Exception {
         Map<String, Double> figures =
-                kept(
+                figuresWithoutViolations(
                         "2",
                         6,
                         100,
@@ -208,7 +217,7 @@
                 effect = "unsafe"
                 write = true
                 """
-                                + fault(going, 6, "node = \"60%\";for_s = 4")
+                                + fault(nodeFault, 6, "node = \"60%\";for_s = 4")
                                 + fault("proxy-term", 7, "proxy = \"50%\";for_s = 0.5")
                                 + fault("reset-after", 8, "node = \"*\";for_s = 2;share = 0.3"));
         assertTrue(figures.get("served.worth") > 0.6, figures.toString());
--- a/src/test/java/cacheproxy/lab/virtual/GossipDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/GossipScenariosTest.java
@@ -12,24 +12,26 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole days of fleets that gossip, beside the same days of fleets that don't. */
-class GossipDaysTest {
+class GossipScenariosTest {
 
-    private static Results play(String name, Map<String, String> set) throws Exception {
-        return new VirtualRun(ExperimentFile.read(Path.of("experiments", name + ".toml"), set))
-                .play();
+    private static Results run(String name, Map<String, String> overrides) throws Exception {
+        return new VirtualRun(
+                        ExperimentFile.read(Path.of("experiments", name + ".toml"), overrides))
+                .run();
     }
 
-    private static Results without(String name, Map<String, String> set) throws Exception {
-        Map<String, String> off = new HashMap<>(set);
+    private static Results runWithoutGossip(String name, Map<String, String> overrides)
+            throws Exception {
+        Map<String, String> off = new HashMap<>(overrides);
         off.put("gossip.enabled", "false");
-        return play(name, off);
+        return run(name, off);
     }
 
     @Test
-    void healthyNodesKeepTheirShareUnderALiarAndABlindPeer() throws Exception {
+    void healthyNodesKeepTheirShareDespiteLyingAndBlindPeers() throws Exception {
         for (String seed : List.of("1", "2")) {
-            Results with = play("gossip-liars", Map.of("seed", seed));
-            Results off = without("gossip-liars", Map.of("seed", seed));
+            Results with = run("gossip-liars", Map.of("seed", seed));
+            Results off = runWithoutGossip("gossip-liars", Map.of("seed", seed));
             assertEquals(List.of(), with.violations());
             off.figures()
                     .forEach(
@@ -49,11 +51,11 @@
     }
 
     @Test
-    void aNodeThatFallsSilentCostsFarFewerRequests() throws Exception {
+    void gossipReducesRequestsLostToSilentNodes() throws Exception {
         Results with =
-                play("gossip-silent", Map.of("duration_s", "40", "seed", "3", "fault", faults()));
+                run("gossip-silent", Map.of("duration_s", "40", "seed", "3", "fault", faults()));
         Results off =
-                without(
+                runWithoutGossip(
                         "gossip-silent",
                         Map.of("duration_s", "40", "seed", "3", "fault", faults()));
         assertEquals(List.of(), with.violations());
@@ -65,21 +67,21 @@
     }
 
     @Test
-    void liarsThatPraiseOrFlipHideNothingAndAFleetWhoseGossipIsCutServesAsWithout()
-            throws Exception {
+    void liarsHideNoFaultAndCutGossipEqualsNoGossip() throws Exception {
         String silent = faults().substring(1);
         String lies =
                 "[{what = \"liar-praises\", proxy = \"proxy-3\", at_s = 5, for_s = 34}, {what = \"liar-flips\", proxy = \"proxy-7\", at_s = 5, "
                         + "for_s = 34}, ";
-        Results off = without("gossip-silent", Map.of("duration_s", "40", "fault", faults()));
-        Results lied = play("gossip-silent", Map.of("duration_s", "40", "fault", lies + silent));
+        Results off =
+                runWithoutGossip("gossip-silent", Map.of("duration_s", "40", "fault", faults()));
+        Results lied = run("gossip-silent", Map.of("duration_s", "40", "fault", lies + silent));
         double before = off.figures().get("served.late_or_not_share");
         assertEquals(List.of(), lied.violations());
         assertTrue(
                 lied.figures().get("served.late_or_not_share") <= 0.6 * before,
                 lied.figures().toString());
         String cut = "[{what = \"gossip-cut\", proxy = \"*\", at_s = 0.1, for_s = 60}, ";
-        Results alone = play("gossip-silent", Map.of("duration_s", "40", "fault", cut + silent));
+        Results alone = run("gossip-silent", Map.of("duration_s", "40", "fault", cut + silent));
         assertEquals(List.of(), alone.violations());
         assertEquals(0.0, alone.figures().get("gossip.doubts"));
         assertEquals(before, alone.figures().get("served.late_or_not_share"), 0.001);
@@ -90,17 +92,17 @@
     }
 
     @Test
-    void aDayOfGossipIsTheSameByteForByteAndLeavesNothingBehind() throws Exception {
+    void gossipRunIsReproducibleAndEndsWithCompleteMembership() throws Exception {
         for (String name : List.of("gossip-five", "gossip-split", "gossip-loss", "gossip-clock")) {
-            Results day = play(name, Map.of());
-            assertEquals(day.json(), play(name, Map.of()).json(), name);
-            assertEquals(List.of(), day.violations(), name);
-            assertEquals(1.0, day.figures().get("gossip.known_share"), name);
-            assertEquals(0.0, day.figures().get("gossip.ghosts"), name);
-            assertTrue(day.figures().get("gossip.learned_ms_max") <= 2000, name);
+            Results results = run(name, Map.of());
+            assertEquals(results.json(), run(name, Map.of()).json(), name);
+            assertEquals(List.of(), results.violations(), name);
+            assertEquals(1.0, results.figures().get("gossip.known_share"), name);
+            assertEquals(0.0, results.figures().get("gossip.ghosts"), name);
+            assertTrue(results.figures().get("gossip.learned_ms_max") <= 2000, name);
             // The ceiling is by each one's own clock, and one of them runs at double pace.
             assertTrue(
-                    day.figures().get("gossip.bytes_per_s_peak")
+                    results.figures().get("gossip.bytes_per_s_peak")
                             <= (name.equals("gossip-clock") ? 8192 : 4096),
                     name);
         }
--- a/src/test/java/cacheproxy/lab/virtual/PolicyDaysTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/PolicyScenariosTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.config.Toml;
-import cacheproxy.epoch.Message.Ending;
-import cacheproxy.lab.Draw;
+import cacheproxy.epoch.Message.ProposalStatus;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.ExperimentFile;
-import cacheproxy.lab.faults.PeerLinks;
+import cacheproxy.lab.ScenarioGenerator;
+import cacheproxy.lab.faults.PeerLinkFaults;
 import cacheproxy.lab.ledger.PolicyLedger;
 import cacheproxy.lab.report.Results;
 import java.util.Locale;
@@ -20,7 +20,7 @@
  * Changes of policy while proxies die, stand still and are cut off, in virtual time: days drawn
  * from seeds, and the hard cases.
  */
-class PolicyDaysTest {
+class PolicyScenariosTest {
 
     private static final String FLEET =
             """
@@ -43,14 +43,14 @@
             slack_ms = 5000
             """;
 
-    private static Results play(long seed, int durationS, int voters, String faults)
+    private static Results run(long seed, int durationS, int voters, String faults)
             throws Exception {
         return new VirtualRun(
-                        ExperimentFile.of(
+                        ExperimentFile.parse(
                                 Toml.parse(
                                         "test.toml",
                                         FLEET.formatted(seed, durationS, voters) + faults)))
-                .play();
+                .run();
     }
 
     private static String fault(String what, double atS, String more) {
@@ -63,7 +63,7 @@
      * all must become current; {@code -Dpolicy.seeds=100} plays more.
      */
     @Test
-    void onDrawnDaysNoTwoAreCurrentAtDifferentEpochsAndAllAreInTheEnd() throws Exception {
+    void randomFaultsLeaveAllCurrentAndNoTwoCurrentAtDifferentEpochs() throws Exception {
         String[] kinds = {
             "gossip-split",
             "gossip-cut",
@@ -97,11 +97,13 @@
                                 at + 0.02 + random.nextDouble() * 0.9,
                                 "proxy = \"proxy-" + random.nextInt(7) + "\""));
             }
-            Results results = play(seed, 50, seed % 2 == 0 ? 3 : 5, faults.toString());
-            String day = "seed " + seed + ": " + results.violations() + results.figures();
-            assertTrue(results.violations().stream().noneMatch(v -> v.startsWith("policy")), day);
-            assertEquals(0, results.figures().get("policy.behind_at_end"), day);
-            assertEquals(0, results.figures().get("policy.not_current_at_end"), day);
+            Results results = run(seed, 50, seed % 2 == 0 ? 3 : 5, faults.toString());
+            String description = "seed " + seed + ": " + results.violations() + results.figures();
+            assertTrue(
+                    results.violations().stream().noneMatch(v -> v.startsWith("policy")),
+                    description);
+            assertEquals(0, results.figures().get("policy.behind_at_end"), description);
+            assertEquals(0, results.figures().get("policy.not_current_at_end"), description);
             epochs += results.figures().get("policy.epochs").intValue();
         }
         assertTrue(
@@ -111,11 +113,11 @@
 
     /** Who hears nothing of a change still relies on what it was granted, for a lease. */
     @Test
-    void aChangeTakesHoldOnlyOnceNobodyCountsOnTheOldOne() throws Exception {
+    void changeTakesEffectOnlyAfterLeasesOfOldEpochExpire() throws Exception {
         for (String fault : new String[] {"gossip-cut", "proxy-stop"}) {
             for (double after : new double[] {0.02, 0.1, 0.4}) {
                 Results results =
-                        play(
+                        run(
                                 4,
                                 30,
                                 3,
@@ -135,7 +137,7 @@
         // to wait for.
         for (int third = 0; third < 3; third++) {
             Results results =
-                    play(
+                    run(
                             4,
                             30,
                             3,
@@ -155,10 +157,10 @@
     }
 
     @Test
-    void aLeaderThatDiesAroundTheCommitLeavesTheChangeEverywhereOrNowhere() throws Exception {
+    void leaderDeathAroundCommitAppliesChangeEverywhereOrNowhere() throws Exception {
         for (double after : new double[] {0.001, 0.01, 0.03, 0.08, 0.15, 0.3}) {
             Results results =
-                    play(
+                    run(
                             3,
                             30,
                             5,
@@ -176,9 +178,9 @@
     }
 
     @Test
-    void onTheSideOfTheFewAChangeIsRefusedAndNeverTakesHold() throws Exception {
+    void minoritySideRejectsChangesThatNeverTakeEffect() throws Exception {
         Results results =
-                play(
+                run(
                         2,
                         30,
                         5,
@@ -193,27 +195,28 @@
     }
 
     @Test
-    void theLedgerNamesTwoThatAreCurrentAtOnceAndARefusalThatTookHold() throws Exception {
+    void ledgerReportsConflictingEpochsAndAppliedRefusals() throws Exception {
         Experiment experiment =
-                ExperimentFile.of(Toml.parse("test.toml", FLEET.formatted(1, 10, 3)));
+                ExperimentFile.parse(Toml.parse("test.toml", FLEET.formatted(1, 10, 3)));
         PolicyLedger ledger =
                 new PolicyLedger(
                         experiment,
-                        new PeerLinks(
+                        new PeerLinkFaults(
                                 experiment.proxies().count(),
-                                Draw.generator(1, Draw.Stream.GOSSIP)));
-        ledger.proposed("x", 0);
-        ledger.answered("x", Ending.NO_MAJORITY, 10);
-        ledger.current(0, 0, 0);
-        ledger.applied(1, 1, "x", 50);
-        ledger.current(1, 1, 60);
-        ledger.notCurrent(0, 55);
+                                ScenarioGenerator.randomGenerator(
+                                        1, ScenarioGenerator.RandomStream.GOSSIP)));
+        ledger.proposalSent("x", 0);
+        ledger.proposalAnswered("x", ProposalStatus.NO_MAJORITY, 10);
+        ledger.becameCurrent(0, 0, 0);
+        ledger.epochApplied(1, 1, "x", 50);
+        ledger.becameCurrent(1, 1, 60);
+        ledger.ceasedCurrent(0, 55);
         assertEquals(
                 1, ledger.violations().size(), "the refusal alone: the first one's time had ended");
-        ledger.current(0, 0, 70);
+        ledger.becameCurrent(0, 0, 70);
         assertEquals(2, ledger.violations().size());
         assertFalse(ledger.violations().get(0).toString().isEmpty());
-        ledger.applied(2, 1, "y", 80);
+        ledger.epochApplied(2, 1, "y", 80);
         assertEquals(3, ledger.violations().size(), "other content under one number");
     }
 }
--- a/src/test/java/cacheproxy/lab/virtual/TiesTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/SimultaneousEventsTest.java
@@ -2,18 +2,18 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import cacheproxy.Router.Node;
 import cacheproxy.Router.Outcome;
 import cacheproxy.Router.Request;
 import cacheproxy.config.Toml;
-import cacheproxy.lab.Draw;
 import cacheproxy.lab.Experiment;
 import cacheproxy.lab.ExperimentFile;
 import cacheproxy.lab.ProxySettings;
+import cacheproxy.lab.ScenarioGenerator;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -25,9 +25,9 @@
  * An attempt's end, its time-out, the client's departure and a node's removal in one instant, in
  * every order.
  */
-class TiesTest {
+class SimultaneousEventsTest {
 
-    private static final double TIE = 5_000;
+    private static final double TIE_MS = 5_000;
 
     private enum Event {
         ANSWER,
@@ -41,29 +41,29 @@
         permute(new ArrayList<>(List.of(Event.values())), 0, orders);
         return orders.stream()
                 .flatMap(
-                        o ->
+                        order ->
                                 List.of(Outcome.OK, Outcome.MISS, Outcome.RESET, Outcome.ERROR)
                                         .stream()
-                                        .map(end -> Arguments.of(o, end)))
+                                        .map(end -> Arguments.of(order, end)))
                 .toList();
     }
 
-    private static void permute(List<Event> events, int from, List<List<Event>> into) {
+    private static void permute(List<Event> events, int from, List<List<Event>> result) {
         if (from == events.size()) {
-            into.add(List.copyOf(events));
+            result.add(List.copyOf(events));
             return;
         }
         for (int i = from; i < events.size(); i++) {
             Collections.swap(events, from, i);
-            permute(events, from + 1, into);
+            permute(events, from + 1, result);
             Collections.swap(events, from, i);
         }
     }
 
     /** The network of one attempt, whose end the test brings about. */
-    private static final class Wire implements VirtualProxy.Network {
+    private static final class ManualNetwork implements VirtualProxy.Network {
         final List<String> sent = new ArrayList<>();
-        int abandoned;
+        int abandonedCount;
 
         @Override
         public void send(
@@ -73,67 +73,68 @@
 
         @Override
         public void abandon(VirtualProxy from, String request, int attempt) {
-            abandoned++;
+            abandonedCount++;
         }
 
         @Override
         public void probe(VirtualProxy from, String node) {}
 
         @Override
-        public void seen(
+        public void outcomeObserved(
                 VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe) {}
     }
 
     @ParameterizedTest
     @MethodSource("orders")
-    void oneAnswerAtMostAndNothingStaysBehind(List<Event> order, Outcome end) throws Exception {
+    void givesAtMostOneAnswerAndLeavesNoState(List<Event> order, Outcome end) throws Exception {
         for (String service : List.of("view-agenda", "book-slot", "bill-plan")) {
-            play(order, end, service);
+            runOrder(order, end, service);
         }
     }
 
-    private static void play(List<Event> order, Outcome end, String service) throws Exception {
+    private static void runOrder(List<Event> order, Outcome end, String service) throws Exception {
         Experiment experiment =
-                ExperimentFile.of(Toml.parse("ties", "name = \"ties\"\nduration_s = 10\n"));
+                ExperimentFile.parse(Toml.parse("ties", "name = \"ties\"\nduration_s = 10\n"));
         Router.Settings settings =
-                ProxySettings.read(experiment, Draw.installation(experiment), 0, 10_000, 100);
-        Agenda agenda = new Agenda();
-        Wire wire = new Wire();
-        Router router = new Decide(settings, 1);
-        VirtualProxy proxy = new VirtualProxy(0, agenda, settings, router, wire);
+                ProxySettings.read(
+                        experiment, ScenarioGenerator.installation(experiment), 0, 10_000, 100);
+        EventQueue eventQueue = new EventQueue();
+        ManualNetwork network = new ManualNetwork();
+        Router router = new DecisionModule(settings, 1);
+        VirtualProxy proxy = new VirtualProxy(0, eventQueue, settings, router, network);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             nodes.add(new Node("node-" + i, "std", "bogota-1", 0, 2, 0, Availability.UP));
         }
         nodes.add(new Node("origin", "origin", "bogota-1", 0, 4, 0, Availability.UP));
         proxy.start(nodes);
-        proxy.nodes(ListKind.FULL, 1, nodes);
+        proxy.endpointListReceived(EndpointListKind.SNAPSHOT, 1, nodes);
         boolean write = !service.equals("view-agenda");
         List<Integer> answers = new ArrayList<>();
-        agenda.at(
-                TIE - 200,
+        eventQueue.scheduleAt(
+                TIE_MS - 200,
                 () ->
-                        proxy.request(
+                        proxy.requestReceived(
                                 new Request("r", service, null, 77, 30, 1000, write, false),
-                                (status, retryAfterMs, made) -> answers.add(status)));
+                                (status, retryAfterMs, bodyAttempt) -> answers.add(status)));
         // Asked for before the request, so that all four come before what the router asks for that
         // instant.
         for (Event event : order) {
-            agenda.at(
-                    TIE,
+            eventQueue.scheduleAt(
+                    TIE_MS,
                     () -> {
                         switch (event) {
-                            case ANSWER -> proxy.ended("r", 0, end, 0, 1);
-                            case TIME_OUT -> proxy.timedOut("r", 0);
-                            case GONE -> proxy.clientGone("r");
+                            case ANSWER -> proxy.attemptEnded("r", 0, end, 0, 1);
+                            case TIME_OUT -> proxy.attemptTimedOut("r", 0);
+                            case GONE -> proxy.clientDisconnected("r");
                             case REMOVED ->
-                                    proxy.nodes(
-                                            ListKind.CHANGES,
+                                    proxy.endpointListReceived(
+                                            EndpointListKind.DELTA,
                                             2,
                                             List.of(
                                                     new Node(
-                                                            wire.sent.get(0),
-                                                            wire.sent.get(0).equals("origin")
+                                                            network.sent.get(0),
+                                                            network.sent.get(0).equals("origin")
                                                                     ? "origin"
                                                                     : "std",
                                                             "bogota-1",
@@ -144,10 +145,11 @@
                         }
                     });
         }
-        while (agenda.nextAt() < TIE + 20_000) {
-            agenda.step();
+        while (eventQueue.nextEventAt() < TIE_MS + 20_000) {
+            eventQueue.runNext();
         }
-        String told = service + " " + order + " " + end + ": " + answers + ", sent to " + wire.sent;
+        String description =
+                service + " " + order + " " + end + ": " + answers + ", sent to " + network.sent;
         boolean departedFirst =
                 order.indexOf(Event.GONE) < order.indexOf(Event.ANSWER)
                         && order.indexOf(Event.GONE) < order.indexOf(Event.TIME_OUT);
@@ -155,20 +157,20 @@
                 order.indexOf(Event.ANSWER) < order.indexOf(Event.TIME_OUT)
                         && order.indexOf(Event.ANSWER) < order.indexOf(Event.GONE);
         if (departedFirst) {
-            assertEquals(List.of(), answers, told);
+            assertEquals(List.of(), answers, description);
         } else if (answeredFirst && end == Outcome.OK) {
-            assertEquals(List.of(200), answers, told);
+            assertEquals(List.of(200), answers, description);
         } else {
-            assertEquals(true, answers.size() <= 1, told);
+            assertEquals(true, answers.size() <= 1, description);
         }
-        assertEquals(0, proxy.owed(), told);
-        assertEquals(0, proxy.table(), told);
-        assertEquals(0, router.entries(), told);
-        assertEquals(0, proxy.backstops(), told);
+        assertEquals(0, proxy.unansweredCount(), description);
+        assertEquals(0, proxy.activeRequestCount(), description);
+        assertEquals(0, router.entryCount(), description);
+        assertEquals(0, proxy.backstopCount(), description);
         // After time-out or reset a booking may have run: it is never sent a second time.
         if (service.equals("book-slot")
                 && (end == Outcome.RESET || end == Outcome.ERROR || !answeredFirst)) {
-            assertEquals(1, wire.sent.size(), told);
+            assertEquals(1, network.sent.size(), description);
         }
     }
 }
--- a/src/test/java/cacheproxy/lab/virtual/VirtualTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/VirtualRunTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole days in virtual time, judged by the same ledger as those on sockets. */
-class VirtualTest {
+class VirtualRunTest {
 
-    private static final String EVERYTHING =
+    private static final String EXPERIMENT =
             """
             name = "everything"
             seed = %d
@@ -28,18 +28,18 @@
             %s
             """;
 
-    static String fault(String what, double at, String more) {
+    static String fault(String what, double atS, String more) {
         return "[[fault]]\nwhat = \""
                 + what
                 + "\"\nat_s = "
-                + at
+                + atS
                 + "\n"
                 + more.replace(';', '\n')
                 + "\n";
     }
 
-    private static Results play(String toml) throws Exception {
-        return new VirtualRun(ExperimentFile.of(Toml.parse("test", toml))).play();
+    private static Results run(String toml) throws Exception {
+        return new VirtualRun(ExperimentFile.parse(Toml.parse("test", toml))).run();
     }
 
     private static String everyFault() {
@@ -68,29 +68,29 @@
     }
 
     @Test
-    void aDayWithEveryFaultKeepsTheRulesAndIsTheSameByteForByte() throws Exception {
-        String toml = EVERYTHING.formatted(1, everyFault());
-        Results first = play(toml);
+    void runWithEveryFaultBreaksNoRuleAndIsReproducible() throws Exception {
+        String toml = EXPERIMENT.formatted(1, everyFault());
+        Results first = run(toml);
         assertEquals(java.util.List.of(), first.violations());
-        assertEquals(first.json(), play(toml).json());
-        assertNotEquals(first.json(), play(EVERYTHING.formatted(2, everyFault())).json());
+        assertEquals(first.json(), run(toml).json());
+        assertNotEquals(first.json(), run(EXPERIMENT.formatted(2, everyFault())).json());
         assertTrue(first.figures().get("load.requests") > 4000);
         assertTrue(first.figures().get("served.worth") > 0.6, first.figures().toString());
     }
 
     @Test
-    void aStallOfAProxyStandsInThePercentilesInFull() throws Exception {
-        Results calm = play(EVERYTHING.formatted(1, ""));
+    void proxyPauseIsFullyCountedInLatency() throws Exception {
+        Results calm = run(EXPERIMENT.formatted(1, ""));
         Results stopped =
-                play(EVERYTHING.formatted(1, fault("proxy-stop", 20, "proxy = \"*\";for_s = 0.2")));
+                run(EXPERIMENT.formatted(1, fault("proxy-stop", 20, "proxy = \"*\";for_s = 0.2")));
         assertTrue(stopped.figures().get("latency.max_ms") >= 200, stopped.figures().toString());
         assertEquals(calm.load(), stopped.load());
     }
 
     @Test
-    void anOverloadedFleetServesLessThanItIsAskedAndMoreThanNothing() throws Exception {
+    void overloadedFleetServesPartOfItsLoad() throws Exception {
         Map<String, Double> over =
-                play(EVERYTHING
+                run(EXPERIMENT
                                 .formatted(1, "")
                                 .replace("rate = 120", "rate = 1500")
                                 .replace("duration_s = 40", "duration_s = 10"))
@@ -102,9 +102,9 @@
     }
 
     @Test
-    void aThousandNodesAndAHundredProxiesCanBePlayed() throws Exception {
+    void simulatesThousandNodesAndThirtyProxies() throws Exception {
         Experiment large =
-                ExperimentFile.of(
+                ExperimentFile.parse(
                         Toml.parse(
                                 "large",
                                 """
@@ -117,18 +117,18 @@
                 [load]
                 rate = 1000
                 """));
-        Results results = new VirtualRun(large).play();
+        Results results = new VirtualRun(large).run();
         assertEquals(java.util.List.of(), results.violations());
         assertTrue(results.figures().get("load.requests") > 2500);
     }
 
     @Test
-    void theCommittedFirstLookHoldsItsBoundsHereToo() throws Exception {
+    void firstLookExperimentMeetsItsBounds() throws Exception {
         Results results =
                 new VirtualRun(
                                 ExperimentFile.read(
                                         Path.of("experiments/first-look.toml"), Map.of()))
-                        .play();
-        assertTrue(results.good(), results.violations() + " " + results.missed());
+                        .run();
+        assertTrue(results.passed(), results.violations() + " " + results.missed());
     }
 }
--- a/src/test/java/cacheproxy/measure/GroupedRatioTest.java
+++ b/src/test/java/cacheproxy/measure/GroupedRatioTest.java
@@ -10,7 +10,7 @@
     private final GroupedRatio ratios = new GroupedRatio();
 
     @Test
-    void countsAnAdditionInItsGroupAndInAll() {
+    void additionCountsInItsGroupAndInTotal() {
         ratios.add("small", 2, 1);
         ratios.add("small", 4, 2);
         ratios.add("large", 12, 3);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void isNotANumberWhereNothingWasAdded() {
+    void isNaNIfNothingWasAdded() {
         ratios.add("small", 2, 1);
         assertEquals(Double.NaN, ratios.of("large"));
         ratios.clear();
--- a/src/test/java/cacheproxy/measure/IncarnationTest.java
+++ b/src/test/java/cacheproxy/measure/IncarnationTest.java
@@ -9,113 +9,114 @@
 
 class IncarnationTest {
 
-    private static final double NOW = 50_000_000;
-    private static final double LATEST = Incarnation.LATEST_NOTICE_MS;
+    private static final double NOW_MS = 50_000_000;
+    private static final double MAX_DELAY_MS = Incarnation.MAX_NOTIFICATION_DELAY_MS;
 
     private final Incarnation incarnation = new Incarnation();
 
     private double ageOf(double statedMs, boolean firstList) {
-        assertTrue(incarnation.notified(NOW, statedMs, firstList));
-        return incarnation.ageMs(NOW);
+        assertTrue(incarnation.recordStatedStart(NOW_MS, statedMs, firstList));
+        return incarnation.ageMs(NOW_MS);
     }
 
     @Test
-    void aStartThatIsToldWithinTheTermHasTheStatedAge() {
-        assertEquals(LATEST, ageOf(NOW - LATEST, false));
+    void startNotifiedWithinMaxDelayHasStatedAge() {
+        assertEquals(MAX_DELAY_MS, ageOf(NOW_MS - MAX_DELAY_MS, false));
     }
 
     @Test
-    void aStartThatIsToldLaterThanTheTermIsAsOldAsTheTermAllows() {
-        assertEquals(LATEST, ageOf(NOW - LATEST - 1, false));
-        double furthest = NOW - Incarnation.LONGEST_OUTAGE_MS;
-        assertEquals(LATEST, new IncarnationTest().ageOf(furthest, false));
+    void ageOfLateNotifiedStartIsCappedAtMaxDelay() {
+        assertEquals(MAX_DELAY_MS, ageOf(NOW_MS - MAX_DELAY_MS - 1, false));
+        double earliest = NOW_MS - Incarnation.MAX_DISCOVERY_OUTAGE_MS;
+        assertEquals(MAX_DELAY_MS, new IncarnationTest().ageOf(earliest, false));
     }
 
     @Test
-    void aStartFurtherBackThanAnyOutageCountsFromTheNotification() {
-        assertEquals(0, ageOf(NOW - Incarnation.LONGEST_OUTAGE_MS - 1, false));
+    void startBeforeLongestDiscoveryOutageCountsFromNotification() {
+        assertEquals(0, ageOf(NOW_MS - Incarnation.MAX_DISCOVERY_OUTAGE_MS - 1, false));
     }
 
     @Test
-    void aStartInOurFutureCountsFromTheNotification() {
-        assertEquals(0, ageOf(NOW + 1, true));
-        assertEquals(1000, incarnation.ageMs(NOW + 1000));
+    void startInTheFutureCountsFromNotification() {
+        assertEquals(0, ageOf(NOW_MS + 1, true));
+        assertEquals(1000, incarnation.ageMs(NOW_MS + 1000));
     }
 
     @Test
-    void aFirstListMayTellOfAnyAge() {
-        assertEquals(1e6, ageOf(NOW - 1e6, true));
+    void firstListMayStateAnyAge() {
+        assertEquals(1e6, ageOf(NOW_MS - 1e6, true));
     }
 
     @Test
-    void aStatedTimeThatIsNoNumberCountsFromTheNotification() {
+    void startStatedAsNaNCountsFromNotification() {
         assertEquals(0, ageOf(Double.NaN, true));
-        assertFalse(incarnation.notified(NOW, Double.NaN, true));
+        assertFalse(incarnation.recordStatedStart(NOW_MS, Double.NaN, true));
     }
 
     @Test
-    void anEarlierStatedStartIsAnotherIncarnation() {
-        ageOf(NOW, false);
-        assertTrue(incarnation.notified(NOW + 9000, NOW - 3_600_000, false));
-        assertEquals(0, incarnation.ageMs(NOW + 9000));
+    void earlierStatedStartIsNewIncarnation() {
+        ageOf(NOW_MS, false);
+        assertTrue(incarnation.recordStatedStart(NOW_MS + 9000, NOW_MS - 3_600_000, false));
+        assertEquals(0, incarnation.ageMs(NOW_MS + 9000));
     }
 
     @Test
-    void anIncarnationDoesNotBeginBeforeTheOneThatItFollows() {
-        ageOf(NOW, false);
-        assertTrue(incarnation.notified(NOW + 2000, NOW - 1000, false));
-        assertEquals(2000, incarnation.ageMs(NOW + 2000));
+    void incarnationStartsNoEarlierThanItsPredecessor() {
+        ageOf(NOW_MS, false);
+        assertTrue(incarnation.recordStatedStart(NOW_MS + 2000, NOW_MS - 1000, false));
+        assertEquals(2000, incarnation.ageMs(NOW_MS + 2000));
     }
 
     @Test
-    void theSameStartALongAgoAndTheOneBeforeAreNoNewIncarnation() {
-        ageOf(NOW - 2000, false);
-        ageOf(NOW - 1000, false);
-        for (double stated : new double[] {NOW - 1000, NOW - 2000, 0}) {
-            assertFalse(incarnation.notified(NOW + 500, stated, false), "stated " + stated);
+    void sameZeroAndPreviousStartsAreNotNewIncarnations() {
+        ageOf(NOW_MS - 2000, false);
+        ageOf(NOW_MS - 1000, false);
+        for (double stated : new double[] {NOW_MS - 1000, NOW_MS - 2000, 0}) {
+            assertFalse(
+                    incarnation.recordStatedStart(NOW_MS + 500, stated, false), "stated " + stated);
         }
-        assertEquals(1500, incarnation.ageMs(NOW + 500));
+        assertEquals(1500, incarnation.ageMs(NOW_MS + 500));
     }
 
     @Test
-    void oneThatNoListHasToldOfRunsForEver() {
-        assertEquals(Double.POSITIVE_INFINITY, incarnation.ageMs(NOW));
-        assertFalse(incarnation.notified(NOW, 0, true));
-        assertEquals(Double.POSITIVE_INFINITY, incarnation.ageMs(NOW));
+    void unlistedNodeHasInfiniteAge() {
+        assertEquals(Double.POSITIVE_INFINITY, incarnation.ageMs(NOW_MS));
+        assertFalse(incarnation.recordStatedStart(NOW_MS, 0, true));
+        assertEquals(Double.POSITIVE_INFINITY, incarnation.ageMs(NOW_MS));
     }
 
     @Test
-    void whatBeganBeforeAReplacementCountsFromNowAndWhatBeganSinceKeepsItsAge() {
-        ageOf(NOW, false);
-        incarnation.replacedSince(NOW + 5000, NOW);
-        assertEquals(5000, incarnation.ageMs(NOW + 5000));
-        incarnation.replacedSince(NOW + 5000, NOW + 1);
-        assertEquals(0, incarnation.ageMs(NOW + 5000));
+    void replacementResetsAgeOfEarlierIncarnationsOnly() {
+        ageOf(NOW_MS, false);
+        incarnation.markReplacedSince(NOW_MS + 5000, NOW_MS);
+        assertEquals(5000, incarnation.ageMs(NOW_MS + 5000));
+        incarnation.markReplacedSince(NOW_MS + 5000, NOW_MS + 1);
+        assertEquals(0, incarnation.ageMs(NOW_MS + 5000));
     }
 
     @Test
-    void aListIsTheFirstUntilDiscoveryHasSpokenOrHadItsTimeTo() {
-        Incarnations all = new Incarnations();
-        all.started(NOW);
-        assertTrue(all.isFirstList(NOW + 10 * LATEST), "none has come");
-        all.of("saved");
-        assertTrue(all.isFirstList(NOW + LATEST));
-        assertFalse(all.isFirstList(NOW + LATEST + 1));
-        all.notified();
-        assertFalse(all.isFirstList(NOW));
+    void firstListPeriodEndsWithDiscoveryUpdateOrMaxDelay() {
+        Incarnations incarnations = new Incarnations();
+        incarnations.started(NOW_MS);
+        assertTrue(incarnations.isFirstList(NOW_MS + 10 * MAX_DELAY_MS), "none has come");
+        incarnations.of("saved");
+        assertTrue(incarnations.isFirstList(NOW_MS + MAX_DELAY_MS));
+        assertFalse(incarnations.isFirstList(NOW_MS + MAX_DELAY_MS + 1));
+        incarnations.markNodesReceived();
+        assertFalse(incarnations.isFirstList(NOW_MS));
     }
 
     @Test
-    void nodesAreRememberedUpToABoundAndTheOldestGoFirst() {
-        Incarnations all = new Incarnations();
-        Incarnation first = all.of("n0");
-        for (int i = 1; i < Incarnations.REMEMBERED; i++) {
-            all.of("n" + i);
+    void oldestNodesAreForgottenBeyondTheLimit() {
+        Incarnations incarnations = new Incarnations();
+        Incarnation first = incarnations.of("n0");
+        for (int i = 1; i < Incarnations.MAX_NODES; i++) {
+            incarnations.of("n" + i);
         }
-        assertSame(first, all.of("n0"));
-        Incarnation second = all.of("n1");
-        all.of("one more");
-        assertSame(second, all.of("n1"));
-        assertFalse(first == all.of("n0"), "the oldest was forgotten");
+        assertSame(first, incarnations.of("n0"));
+        Incarnation second = incarnations.of("n1");
+        incarnations.of("one more");
+        assertSame(second, incarnations.of("n1"));
+        assertFalse(first == incarnations.of("n0"), "the oldest was forgotten");
     }
 }
--- a/src/test/java/cacheproxy/membership/HeldUpLoopTest.java
+++ b/src/test/java/cacheproxy/membership/BlockedEventLoopTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Gossip.EventType;
 import java.util.SplittableRandom;
 import java.util.function.DoubleSupplier;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -13,104 +13,105 @@
  * Members whose event loop is held up, by one long task or by many slow calls, accuse nobody for
  * it; a death is found all the same.
  */
-class HeldUpLoopTest {
+class BlockedEventLoopTest {
 
     private static final int SEEDS = 20;
     private static final int MEMBERS = 3;
-    private static final int TURNS_APART = 3;
-    private static final double JOINING_MS = 5000;
+    private static final int TURNS_BETWEEN_STARTS = 3;
+    private static final double JOIN_MS = 5000;
     private static final double RUN_MS = 60_000;
     private static final double SLOW_CALL_SHARE = 0.2;
 
     /** Each member probes each other once. */
     private static final double PROBE_ROUND_MS = MEMBERS * Swim.PERIOD_MS;
 
-    private static final double BLOCK_EVERY_MS = 130;
+    private static final double BLOCK_INTERVAL_MS = 130;
 
-    private static SharedEventLoop joined(long seed) {
+    private static SharedEventLoop startedLoop(long seed) {
         SharedEventLoop loop = new SharedEventLoop(seed);
-        loop.start(MEMBERS, TURNS_APART);
-        loop.runFor(JOINING_MS);
+        loop.start(MEMBERS, TURNS_BETWEEN_STARTS);
+        loop.runFor(JOIN_MS);
         return loop;
     }
 
-    private static void assertNobodyIsAccused(SharedEventLoop loop, String situation) {
+    private static void assertNoSuspicions(SharedEventLoop loop, String situation) {
         assertEquals(
                 0,
-                loop.count(What.SUSPECTED) + loop.count(What.DIED),
+                loop.count(EventType.SUSPECTED) + loop.count(EventType.DIED),
                 situation + ": " + loop.reports);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1, 5, 10, 20, 30, 40, 60, 80, 120, 250, 400})
-    void slowCallsAccuseNobody(double callMs) {
+    void slowCallsCauseNoSuspicions(double callMs) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SharedEventLoop loop = joined(seed);
-            loop.callsTake(() -> callMs);
+            SharedEventLoop loop = startedLoop(seed);
+            loop.setCallDuration(() -> callMs);
             loop.runFor(RUN_MS);
-            assertNobodyIsAccused(loop, "seed " + seed);
+            assertNoSuspicions(loop, "seed " + seed);
         }
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {20, 40, 60, 250})
-    void slowCallsWhileMembersJoinAccuseNobody(double callMs) {
+    void slowCallsDuringJoinCauseNoSuspicions(double callMs) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SharedEventLoop loop = new SharedEventLoop(seed);
-            loop.callsTake(() -> callMs);
-            loop.start(MEMBERS, TURNS_APART);
+            loop.setCallDuration(() -> callMs);
+            loop.start(MEMBERS, TURNS_BETWEEN_STARTS);
             loop.runFor(RUN_MS);
-            assertNobodyIsAccused(loop, "seed " + seed);
+            assertNoSuspicions(loop, "seed " + seed);
         }
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {100, 250, 290, 500, 2000})
-    void callsOfWhichSomeAreSlowAccuseNobody(double slowMs) {
+    void occasionalSlowCallsCauseNoSuspicions(double slowMs) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             DoubleSupplier callMs = () -> random.nextDouble() < SLOW_CALL_SHARE ? slowMs : 0;
-            SharedEventLoop loop = joined(seed);
-            loop.callsTake(callMs);
+            SharedEventLoop loop = startedLoop(seed);
+            loop.setCallDuration(callMs);
             loop.runFor(RUN_MS);
-            assertNobodyIsAccused(loop, "seed " + seed);
+            assertNoSuspicions(loop, "seed " + seed);
         }
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {2000, 5000, 12_000})
-    void oneLongBlockAtAnyPointOfAProbeRoundAccusesNobody(double blockMs) {
+    void oneLongBlockAtAnyPointOfAProbeRoundCausesNoSuspicions(double blockMs) {
         for (double point = 0; point < PROBE_ROUND_MS; point += Gossip.TICK_MS / 2) {
-            SharedEventLoop loop = joined(1);
+            SharedEventLoop loop = startedLoop(1);
             loop.runFor(point);
             loop.block(blockMs);
             loop.runFor(RUN_MS);
-            assertNobodyIsAccused(loop, "point " + point);
+            assertNoSuspicions(loop, "point " + point);
         }
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {2000, 5000, 12_000})
-    void longBlocksInARowAccuseNobody(double blockMs) {
-        SharedEventLoop loop = joined(1);
-        for (double ran = 0; ran < RUN_MS; ran += BLOCK_EVERY_MS) {
+    void consecutiveLongBlocksCauseNoSuspicions(double blockMs) {
+        SharedEventLoop loop = startedLoop(1);
+        for (double elapsedMs = 0; elapsedMs < RUN_MS; elapsedMs += BLOCK_INTERVAL_MS) {
             loop.block(blockMs);
-            loop.runFor(BLOCK_EVERY_MS);
+            loop.runFor(BLOCK_INTERVAL_MS);
         }
-        assertNobodyIsAccused(loop, "blocks of " + blockMs);
+        assertNoSuspicions(loop, "blocks of " + blockMs);
     }
 
     /** Time counts more slowly for members that are held up, but it counts. */
     @ParameterizedTest
     @CsvSource({"0, 3000", "20, 3000", "60, 5000"})
-    void aDeathIsFoundWhileCallsAreSlow(double callMs, double boundMs) {
+    void deathIsDetectedWhileCallsAreSlow(double callMs, double boundMs) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SharedEventLoop loop = joined(seed);
-            loop.callsTake(() -> callMs);
-            loop.runFor(JOINING_MS);
+            SharedEventLoop loop = startedLoop(seed);
+            loop.setCallDuration(() -> callMs);
+            loop.runFor(JOIN_MS);
             loop.kill("p2");
             loop.runFor(boundMs);
-            assertEquals(MEMBERS - 1, loop.count(What.DIED), "both others know it, seed " + seed);
+            assertEquals(
+                    MEMBERS - 1, loop.count(EventType.DIED), "both others know it, seed " + seed);
         }
     }
 }
--- a/src/test/java/cacheproxy/membership/GossipTest.java
+++ b/src/test/java/cacheproxy/membership/GossipTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.Router.Outcome;
-import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Gossip.EventType;
 import cacheproxy.membership.Member.Status;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,121 +20,132 @@
  */
 class GossipTest {
 
-    private static void allKnowAll(Town town) {
-        for (Town.Proxy p : town.proxies) {
-            for (Town.Proxy other : town.proxies) {
-                assertEquals(Status.ALIVE, p.knows(other.name), p.name + " of " + other.name);
+    private static void assertAllAlive(TestCluster cluster) {
+        for (TestCluster.Proxy proxy : cluster.proxies) {
+            for (TestCluster.Proxy other : cluster.proxies) {
+                assertEquals(
+                        Status.ALIVE, proxy.statusOf(other.name), proxy.name + " of " + other.name);
             }
         }
     }
 
     @Test
-    void aDeathIsKnownToAllAndTheNameComesBackAsANewLife() {
-        Town town = Town.of(12, 1);
-        allKnowAll(town);
-        Town.Proxy victim = town.proxy(5);
+    void detectsDeathAndAcceptsRestartUnderTheSameName() {
+        TestCluster cluster = TestCluster.of(12, 1);
+        assertAllAlive(cluster);
+        TestCluster.Proxy victim = cluster.proxy(5);
         // It is killed in the middle of spreading a suspicion.
-        victim.saw("node-3", Outcome.TIMEOUT, 3);
-        town.runFor(60);
-        town.kill(victim);
-        town.runFor(25_000);
-        for (Town.Proxy p : town.proxies) {
-            assertEquals(Status.DEAD, p.knows("p5"), p.name);
-            assertTrue(p.doubted.isEmpty(), "a killed peer's suspicion outlives it at " + p.name);
+        victim.recordOutcomes("node-3", Outcome.TIMEOUT, 3);
+        cluster.runFor(60);
+        cluster.kill(victim);
+        cluster.runFor(25_000);
+        for (TestCluster.Proxy proxy : cluster.proxies) {
+            assertEquals(Status.DEAD, proxy.statusOf("p5"), proxy.name);
+            assertTrue(
+                    proxy.suspectedNodes.isEmpty(),
+                    "a killed peer's suspicion outlives it at " + proxy.name);
         }
-        Town.Proxy again = town.join("p5", victim.address, 0, 1);
-        double born = town.now;
-        town.runFor(2000);
+        TestCluster.Proxy restarted = cluster.join("p5", victim.address, 0, 1);
+        double restartedAt = cluster.now;
+        cluster.runFor(2000);
         assertEquals(
                 12,
-                again.gossip.table().stream().filter(Member::present).count(),
+                restarted.gossip.table().stream().filter(Member::isPresent).count(),
                 "members it knows 2 s after its start");
-        town.runFor(8000);
-        allKnowAll(town);
-        assertTrue(again.gossip.table().get(0).incarnation() > 0);
-        assertTrue(town.mostBytesInASecond(born) <= Town.BYTES_PER_S);
-        again.gossip.leave(again.clock(), again);
-        town.kill(again);
-        town.runFor(5000);
-        assertTrue(town.proxies.stream().allMatch(p -> p.knows("p5") == Status.LEFT));
+        cluster.runFor(8000);
+        assertAllAlive(cluster);
+        assertTrue(restarted.gossip.table().get(0).incarnation() > 0);
+        assertTrue(cluster.maxBytesInASecond(restartedAt) <= TestCluster.BYTES_PER_S);
+        restarted.gossip.leave(restarted.clock(), restarted);
+        cluster.kill(restarted);
+        cluster.runFor(5000);
+        assertTrue(cluster.proxies.stream().allMatch(proxy -> proxy.statusOf("p5") == Status.LEFT));
     }
 
     @Test
-    void theHalvesOfACutFleetFindOneAnother() {
-        Town town = Town.of(10, 2);
-        List<String> left = town.proxies.subList(0, 4).stream().map(p -> p.address).toList();
-        town.cut = (from, to) -> left.contains(from) != left.contains(to);
-        town.runFor(30_000);
-        assertEquals(Status.DEAD, town.proxy(0).knows("p9"));
-        assertEquals(Status.DEAD, town.proxy(9).knows("p0"));
+    void partitionedFleetMergesAfterThePartitionHeals() {
+        TestCluster cluster = TestCluster.of(10, 2);
+        List<String> left =
+                cluster.proxies.subList(0, 4).stream().map(proxy -> proxy.address).toList();
+        cluster.linkCut = (from, to) -> left.contains(from) != left.contains(to);
+        cluster.runFor(30_000);
+        assertEquals(Status.DEAD, cluster.proxy(0).statusOf("p9"));
+        assertEquals(Status.DEAD, cluster.proxy(9).statusOf("p0"));
         // Evidence goes on within each part.
         for (int i = 0; i < 3; i++) {
-            town.proxy(i).saw("node-1", Outcome.TIMEOUT, 2);
+            cluster.proxy(i).recordOutcomes("node-1", Outcome.TIMEOUT, 2);
         }
-        town.runFor(500);
-        assertTrue(town.proxy(3).doubted.contains("node-1"));
-        assertFalse(town.proxy(9).doubted.contains("node-1"));
-        town.cut = (from, to) -> false;
-        town.runFor(30_000);
-        allKnowAll(town);
-        assertTrue(town.proxies.stream().allMatch(p -> p.doubted.isEmpty()));
+        cluster.runFor(500);
+        assertTrue(cluster.proxy(3).suspectedNodes.contains("node-1"));
+        assertFalse(cluster.proxy(9).suspectedNodes.contains("node-1"));
+        cluster.linkCut = (from, to) -> false;
+        cluster.runFor(30_000);
+        assertAllAlive(cluster);
+        assertTrue(cluster.proxies.stream().allMatch(proxy -> proxy.suspectedNodes.isEmpty()));
     }
 
     @Test
-    void aLinkThatLosesDoublesAndReordersKillsNobodyForGood() {
-        Town town = Town.of(10, 3);
-        town.loss = 0.3;
-        town.runFor(60_000);
-        long refused = town.proxies.stream().mapToLong(p -> p.gossip.counts().replayed()).sum();
-        assertTrue(refused > 0, "doubled packets are refused");
+    void packetLossDuplicationAndReorderingLeaveNoMemberDead() {
+        TestCluster cluster = TestCluster.of(10, 3);
+        cluster.lossRate = 0.3;
+        cluster.runFor(60_000);
+        long replayed =
+                cluster.proxies.stream().mapToLong(proxy -> proxy.gossip.counts().replayed()).sum();
+        assertTrue(replayed > 0, "doubled packets are refused");
         for (int i = 0; i < 4; i++) {
-            town.proxy(i).saw("node-2", Outcome.TIMEOUT, 2);
+            cluster.proxy(i).recordOutcomes("node-2", Outcome.TIMEOUT, 2);
         }
-        town.runFor(3000);
-        assertTrue(town.proxies.stream().filter(p -> p.doubted.contains("node-2")).count() >= 9);
-        town.loss = 0;
-        town.runFor(20_000);
-        allKnowAll(town);
+        cluster.runFor(3000);
+        assertTrue(
+                cluster.proxies.stream()
+                                .filter(proxy -> proxy.suspectedNodes.contains("node-2"))
+                                .count()
+                        >= 9);
+        cluster.lossRate = 0;
+        cluster.runFor(20_000);
+        assertAllAlive(cluster);
     }
 
     @Test
-    void clocksThatAreHoursApartAndRunAtOtherPacesChangeNothing() {
-        Town town = new Town(4);
+    void toleratesClockOffsetsAndRateDifferences() {
+        TestCluster cluster = new TestCluster(4);
         for (int i = 0; i < 6; i++) {
-            town.join("p" + i, i * 3_600_000.0, 0.7 + 0.12 * i);
+            cluster.join("p" + i, i * 3_600_000.0, 0.7 + 0.12 * i);
         }
-        town.runFor(10_000);
-        allKnowAll(town);
-        town.proxy(0).saw("node-4", Outcome.TIMEOUT, 2);
-        town.proxy(5).saw("node-4", Outcome.CONNECT_FAILED, 2);
-        town.runFor(600);
-        assertTrue(town.proxies.stream().allMatch(p -> p.doubted.contains("node-4")));
+        cluster.runFor(10_000);
+        assertAllAlive(cluster);
+        cluster.proxy(0).recordOutcomes("node-4", Outcome.TIMEOUT, 2);
+        cluster.proxy(5).recordOutcomes("node-4", Outcome.CONNECT_FAILED, 2);
+        cluster.runFor(600);
+        assertTrue(
+                cluster.proxies.stream()
+                        .allMatch(proxy -> proxy.suspectedNodes.contains("node-4")));
         // Nobody renews it: by the slowest clock too it has faded then.
-        town.runFor((Evidence.FADE_MS + 6000) / 0.7);
-        assertTrue(town.proxies.stream().allMatch(p -> p.doubted.isEmpty()));
+        cluster.runFor((Evidence.CLAIM_LIFETIME_MS + 6000) / 0.7);
+        assertTrue(cluster.proxies.stream().allMatch(proxy -> proxy.suspectedNodes.isEmpty()));
     }
 
     @Test
-    void packetsOfStrangersChangeNothingAndRaiseNoTraffic() {
-        Town town = Town.of(5, 5);
-        Town.Proxy target = town.proxy(2);
-        List<byte[]> true_ =
+    void forgedPacketsHaveNoEffectAndCauseNoExtraTraffic() {
+        TestCluster cluster = TestCluster.of(5, 5);
+        TestCluster.Proxy target = cluster.proxy(2);
+        List<byte[]> genuinePackets =
                 new ArrayList<>(
-                        town.carried.stream()
-                                .filter(s -> s.to().equals(target.address))
-                                .map(Town.Sent::packet)
+                        cluster.sentPackets.stream()
+                                .filter(sentPacket -> sentPacket.to().equals(target.address))
+                                .map(TestCluster.SentPacket::packet)
                                 .toList());
-        town.runFor(10_000);
-        double calm = town.mostBytesInASecond(town.now - 5000);
+        cluster.runFor(10_000);
+        double bytesBefore = cluster.maxBytesInASecond(cluster.now - 5000);
         List<Member> before = target.gossip.table();
-        long accepted = target.gossip.counts().received();
+        long receivedBefore = target.gossip.counts().received();
         SplittableRandom random = new SplittableRandom(9);
-        double flood = town.now;
+        double floodStartedAt = cluster.now;
         for (int i = 0; i < 30_000; i++) {
-            byte[] packet = true_.get(random.nextInt(true_.size())).clone();
+            byte[] packet = genuinePackets.get(random.nextInt(genuinePackets.size())).clone();
             String from =
                     random.nextBoolean()
-                            ? town.proxy(random.nextInt(2)).address
+                            ? cluster.proxy(random.nextInt(2)).address
                             : "10.9.9.9:" + (1 + random.nextInt(60_000));
             switch (i % 5) {
                 // A replay as it was, one with a bit turned, one cut short, one too long, and
@@ -143,7 +154,9 @@
                 case 2 -> packet = Arrays.copyOf(packet, random.nextInt(packet.length));
                 case 3 ->
                         packet =
-                                Arrays.copyOf(packet, Wire.MOST_BYTES + 1 + random.nextInt(60_000));
+                                Arrays.copyOf(
+                                        packet,
+                                        PacketCodec.MAX_PACKET_BYTES + 1 + random.nextInt(60_000));
                 case 4 -> {
                     packet = new byte[random.nextInt(2000)];
                     random.nextBytes(packet);
@@ -152,110 +165,125 @@
             }
             target.gossip.received(target.clock(), from, packet, target);
             if (i % 300 == 0) {
-                town.runFor(50);
+                cluster.runFor(50);
             }
         }
         Gossip.Counts counts = target.gossip.counts();
-        assertTrue(counts.received() - accepted >= 30_000);
-        assertTrue(counts.rubbish() >= 20_000, "refused: " + counts);
-        assertTrue(town.mostBytesInASecond(flood) <= Town.BYTES_PER_S);
-        assertTrue(town.mostBytesInASecond(flood) < calm + 4096, "a flood must raise no traffic");
-        assertTrue(target.doubted.isEmpty());
-        town.runFor(20_000);
+        assertTrue(counts.received() - receivedBefore >= 30_000);
+        assertTrue(counts.invalid() >= 20_000, "refused: " + counts);
+        assertTrue(cluster.maxBytesInASecond(floodStartedAt) <= TestCluster.BYTES_PER_S);
+        assertTrue(
+                cluster.maxBytesInASecond(floodStartedAt) < bytesBefore + 4096,
+                "a flood must raise no traffic");
+        assertTrue(target.suspectedNodes.isEmpty());
+        cluster.runFor(20_000);
         assertEquals(
                 before.stream().map(Member::name).toList(),
                 target.gossip.table().stream().map(Member::name).toList());
-        allKnowAll(town);
+        assertAllAlive(cluster);
     }
 
     @Test
-    void whatALifeSaidIsNoNewsInTheNext() {
-        Town town = Town.of(5, 6);
-        Town.Proxy speaker = town.proxy(3);
-        double from = town.now;
-        speaker.saw("node-0", Outcome.TIMEOUT, 3);
-        town.proxy(4).saw("node-0", Outcome.TIMEOUT, 3);
-        town.runFor(1000);
-        assertTrue(town.proxy(1).doubted.contains("node-0"));
-        List<Town.Sent> recorded = town.carried.stream().filter(s -> s.at() >= from).toList();
-        town.runFor(15_000);
-        town.kill(speaker);
-        town.runFor(15_000);
-        town.join("p3", speaker.address, 0, 1);
-        town.runFor(5000);
-        int events = town.told.size();
+    void replayedPacketsOfAnEarlierIncarnationHaveNoEffect() {
+        TestCluster cluster = TestCluster.of(5, 6);
+        TestCluster.Proxy observer = cluster.proxy(3);
+        double from = cluster.now;
+        observer.recordOutcomes("node-0", Outcome.TIMEOUT, 3);
+        cluster.proxy(4).recordOutcomes("node-0", Outcome.TIMEOUT, 3);
+        cluster.runFor(1000);
+        assertTrue(cluster.proxy(1).suspectedNodes.contains("node-0"));
+        List<TestCluster.SentPacket> recorded =
+                cluster.sentPackets.stream().filter(sentPacket -> sentPacket.at() >= from).toList();
+        cluster.runFor(15_000);
+        cluster.kill(observer);
+        cluster.runFor(15_000);
+        cluster.join("p3", observer.address, 0, 1);
+        cluster.runFor(5000);
+        int eventsBefore = cluster.events.size();
         for (int i = 0; i < 3; i++) {
-            recorded.forEach(s -> town.deliver(s.from(), s.to(), s.packet()));
-            town.runFor(2000);
+            recorded.forEach(
+                    sentPacket ->
+                            cluster.deliver(
+                                    sentPacket.from(), sentPacket.to(), sentPacket.packet()));
+            cluster.runFor(2000);
         }
         assertTrue(
-                town.proxies.stream().allMatch(p -> p.doubted.isEmpty()), "a replay made a doubt");
+                cluster.proxies.stream().allMatch(proxy -> proxy.suspectedNodes.isEmpty()),
+                "a replay made a doubt");
         assertEquals(
-                events,
-                town.told.size(),
-                () -> town.told.subList(events, town.told.size()).toString());
-        allKnowAll(town);
+                eventsBefore,
+                cluster.events.size(),
+                () -> cluster.events.subList(eventsBefore, cluster.events.size()).toString());
+        assertAllAlive(cluster);
     }
 
     @Test
-    void aProxyThatStartsKnowsWhatIsDoubtedAlsoWhereItsListComesLater() {
-        Town town = Town.of(5, 9);
+    void newMemberLearnsSuspectedNodesEvenIfItsEndpointListArrivesLater() {
+        TestCluster cluster = TestCluster.of(5, 9);
         for (int i = 0; i < 3; i++) {
-            town.proxy(i).saw("node-5", Outcome.TIMEOUT, 2);
+            cluster.proxy(i).recordOutcomes("node-5", Outcome.TIMEOUT, 2);
         }
-        town.runFor(500);
-        List<cacheproxy.Router.Node> list = List.copyOf(town.nodes);
-        assertTrue(town.join("early", 0, 1).doubted.isEmpty());
-        town.nodes.clear();
-        Town.Proxy late = town.join("late", 0, 1);
-        town.runFor(400);
-        assertTrue(town.proxy(5).doubted.contains("node-5"), "it knows within 0.4 s of its start");
-        assertTrue(late.doubted.isEmpty());
-        late.gossip.nodes(late.clock(), list, late);
-        assertTrue(late.doubted.contains("node-5"), "as soon as it has a list");
-        late.gossip.nodes(
+        cluster.runFor(500);
+        List<cacheproxy.Router.Node> endpoints = List.copyOf(cluster.nodes);
+        assertTrue(cluster.join("early", 0, 1).suspectedNodes.isEmpty());
+        cluster.nodes.clear();
+        TestCluster.Proxy late = cluster.join("late", 0, 1);
+        cluster.runFor(400);
+        assertTrue(
+                cluster.proxy(5).suspectedNodes.contains("node-5"),
+                "it knows within 0.4 s of its start");
+        assertTrue(late.suspectedNodes.isEmpty());
+        late.gossip.updateNodes(late.clock(), endpoints, late);
+        assertTrue(late.suspectedNodes.contains("node-5"), "as soon as it has a list");
+        late.gossip.updateNodes(
                 late.clock(),
-                list.stream()
+                endpoints.stream()
                         .map(
-                                n ->
-                                        n.id().equals("node-5")
+                                node ->
+                                        node.id().equals("node-5")
                                                 ? new cacheproxy.Router.Node(
                                                         "node-5",
                                                         "std",
                                                         "a",
                                                         0,
                                                         1,
-                                                        town.now,
+                                                        cluster.now,
                                                         cacheproxy.Router.Availability.UP)
-                                                : n)
+                                                : node)
                         .toList(),
                 late);
-        town.runFor(200);
+        cluster.runFor(200);
         assertTrue(late.gossip.table().size() >= 7);
     }
 
     @Test
-    void aKeyThatWasRemovedAndANameThatIsUsedTwiceShow() {
-        Town town = Town.of(4, 7);
-        Town.Proxy twin = town.join("p2", 0, 1);
-        town.runFor(10_000);
-        assertTrue(town.told(null, What.NAME_TWICE, "p2"), town.told.toString());
-        town.kill(twin);
-        town.strangers.add("p1");
-        Town.Proxy removed =
-                town.proxies.stream().filter(p -> p.name.equals("p1")).findFirst().orElseThrow();
-        town.runFor(40_000);
-        Town.Proxy other =
-                town.proxies.stream().filter(p -> p.name.equals("p3")).findFirst().orElseThrow();
+    void detectsRemovedKeyAndDuplicateName() {
+        TestCluster cluster = TestCluster.of(4, 7);
+        TestCluster.Proxy duplicate = cluster.join("p2", 0, 1);
+        cluster.runFor(10_000);
+        assertTrue(cluster.hasEvent(null, EventType.NAME_TWICE, "p2"), cluster.events.toString());
+        cluster.kill(duplicate);
+        cluster.untrustedNames.add("p1");
+        TestCluster.Proxy removed =
+                cluster.proxies.stream()
+                        .filter(proxy -> proxy.name.equals("p1"))
+                        .findFirst()
+                        .orElseThrow();
+        cluster.runFor(40_000);
+        TestCluster.Proxy other =
+                cluster.proxies.stream()
+                        .filter(proxy -> proxy.name.equals("p3"))
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(
                 Status.DEAD,
-                other.knows("p1"),
+                other.statusOf("p1"),
                 "a proxy whose key is trusted no longer is none of us");
-        removed.saw("node-1", Outcome.TIMEOUT, 9);
-        town.runFor(1000);
-        assertTrue(other.doubted.isEmpty());
+        removed.recordOutcomes("node-1", Outcome.TIMEOUT, 9);
+        cluster.runFor(1000);
+        assertTrue(other.suspectedNodes.isEmpty());
         assertNull(
-                new Town(1).join("alone", 0, 1).knows("p0"),
+                new TestCluster(1).join("alone", 0, 1).statusOf("p0"),
                 "without peers it starts all the same");
     }
 
@@ -264,49 +292,53 @@
      * nodes, which answer.
      */
     @Test
-    void liarsCostAProbeAndThenTheirWeight() {
-        Town town = Town.of(5, 8);
-        int doubts = 0;
+    void falseAccusersLoseTheirWeight() {
+        TestCluster cluster = TestCluster.of(5, 8);
+        int suspectedCount = 0;
         for (int second = 0; second < 60; second++) {
-            for (int liar = 3; liar < 5; liar++) {
-                boolean accuses = liar == 3 || second % 2 == 0;
-                for (int n = 0; n < 6; n++) {
-                    town.proxy(liar).saw("node-" + n, accuses ? Outcome.TIMEOUT : Outcome.OK, 2);
+            for (int falseAccuser = 3; falseAccuser < 5; falseAccuser++) {
+                boolean accuses = falseAccuser == 3 || second % 2 == 0;
+                for (int nodeIndex = 0; nodeIndex < 6; nodeIndex++) {
+                    cluster.proxy(falseAccuser)
+                            .recordOutcomes(
+                                    "node-" + nodeIndex, accuses ? Outcome.TIMEOUT : Outcome.OK, 2);
                 }
             }
             for (int quarter = 0; quarter < 4; quarter++) {
-                town.runFor(250);
+                cluster.runFor(250);
                 for (int honest = 0; honest < 3; honest++) {
-                    Town.Proxy p = town.proxy(honest);
-                    for (int n = 0; n < 6; n++) {
-                        p.saw("node-" + n, Outcome.OK, 2);
+                    TestCluster.Proxy proxy = cluster.proxy(honest);
+                    for (int nodeIndex = 0; nodeIndex < 6; nodeIndex++) {
+                        proxy.recordOutcomes("node-" + nodeIndex, Outcome.OK, 2);
                     }
-                    doubts += p.doubted.size();
+                    suspectedCount += proxy.suspectedNodes.size();
                     // The module probes what is doubted, and the nodes answer.
-                    for (String node : List.copyOf(p.doubted)) {
-                        p.gossip.probed(p.clock(), node, Outcome.OK, p);
+                    for (String node : List.copyOf(proxy.suspectedNodes)) {
+                        proxy.gossip.probeEnded(proxy.clock(), node, Outcome.OK, proxy);
                     }
                 }
             }
         }
         for (int honest = 0; honest < 3; honest++) {
-            Town.Proxy p = town.proxy(honest);
-            assertTrue(p.gossip.weight(p.clock(), "p3") < 0.5, "the liar's weight at " + p.name);
+            TestCluster.Proxy proxy = cluster.proxy(honest);
+            assertTrue(
+                    proxy.gossip.weight(proxy.clock(), "p3") < 0.5,
+                    "the liar's weight at " + proxy.name);
             assertTrue(
-                    p.gossip.weight(p.clock(), "p4") < 0.5,
-                    "the flipping liar's weight at " + p.name);
+                    proxy.gossip.weight(proxy.clock(), "p4") < 0.5,
+                    "the flipping liar's weight at " + proxy.name);
             assertTrue(
-                    p.gossip.weight(p.clock(), "p" + (honest + 1) % 3) > 0.9,
-                    "an honest peer's weight at " + p.name);
+                    proxy.gossip.weight(proxy.clock(), "p" + (honest + 1) % 3) > 0.9,
+                    "an honest peer's weight at " + proxy.name);
         }
         assertTrue(
-                doubts <= 3 * 6 * 2,
-                "quarter seconds in which a healthy node was doubted: " + doubts);
-        assertTrue(town.told("p0", What.DISTRUSTED, "p3"));
+                suspectedCount <= 3 * 6 * 2,
+                "quarter seconds in which a healthy node was doubted: " + suspectedCount);
+        assertTrue(cluster.hasEvent("p0", EventType.DISTRUSTED, "p3"));
         // Weight comes back, slowly.
-        double low = town.proxy(0).gossip.weight(town.proxy(0).clock(), "p3");
-        town.runFor(30_000);
-        double later = town.proxy(0).gossip.weight(town.proxy(0).clock(), "p3");
+        double low = cluster.proxy(0).gossip.weight(cluster.proxy(0).clock(), "p3");
+        cluster.runFor(30_000);
+        double later = cluster.proxy(0).gossip.weight(cluster.proxy(0).clock(), "p3");
         assertTrue(later > low && later < low + 0.4, low + " to " + later);
     }
 }
--- a/src/test/java/cacheproxy/membership/LifeguardTest.java
+++ b/src/test/java/cacheproxy/membership/LifeguardTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Gossip.EventType;
 import cacheproxy.membership.Member.Status;
 import org.junit.jupiter.api.Test;
 
@@ -14,92 +14,105 @@
  */
 class LifeguardTest {
 
-    private static long told(Town town, What what, String subject, double since) {
-        return town.told.stream()
-                .filter(t -> t.at() >= since && t.what() == what && t.subject().equals(subject))
+    private static long countEvents(
+            TestCluster cluster, EventType type, String subject, double since) {
+        return cluster.events.stream()
+                .filter(
+                        event ->
+                                event.at() >= since
+                                        && event.type() == type
+                                        && event.subject().equals(subject))
                 .count();
     }
 
-    private static boolean allKnowAlive(Town town, String name) {
-        return town.proxies.stream()
-                .allMatch(p -> p.name.equals(name) || p.knows(name) == Status.ALIVE);
+    private static boolean allSeeAlive(TestCluster cluster, String name) {
+        return cluster.proxies.stream()
+                .allMatch(proxy -> proxy.name.equals(name) || proxy.statusOf(name) == Status.ALIVE);
     }
 
     @Test
-    void aPauseBelowTheSuspicionKillsNobodyAndALongerOneIsRefutedWithinASecondOfWaking() {
-        Town town = Town.of(5, 11);
-        Town.Proxy paused = town.proxy(2);
-        double start = town.now;
-        town.pause(paused, 1000);
-        town.runFor(6000);
+    void shortPauseCausesNoDeathAndLongPauseIsRefutedWithinOneSecond() {
+        TestCluster cluster = TestCluster.of(5, 11);
+        TestCluster.Proxy paused = cluster.proxy(2);
+        double start = cluster.now;
+        cluster.pause(paused, 1000);
+        cluster.runFor(6000);
         assertEquals(
                 0,
-                told(town, What.DIED, "p2", start),
+                countEvents(cluster, EventType.DIED, "p2", start),
                 "a pause of 1 s is shorter than any suspicion");
         for (double pauseMs : new double[] {5000, 20_000}) {
-            double from = town.now;
-            town.pause(paused, pauseMs);
-            town.runFor(pauseMs);
+            double from = cluster.now;
+            cluster.pause(paused, pauseMs);
+            cluster.runFor(pauseMs);
             assertTrue(
-                    told(town, What.DIED, "p2", from) <= town.proxies.size() - 1,
+                    countEvents(cluster, EventType.DIED, "p2", from) <= cluster.proxies.size() - 1,
                     "each declares it down once at most");
-            town.runFor(1000);
+            cluster.runFor(1000);
             assertTrue(
-                    allKnowAlive(town, "p2"),
+                    allSeeAlive(cluster, "p2"),
                     "refuted within 1 s of waking, after " + pauseMs + " ms");
-            town.runFor(8000);
-            assertTrue(allKnowAlive(town, "p2"));
+            cluster.runFor(8000);
+            assertTrue(allSeeAlive(cluster, "p2"));
         }
     }
 
     @Test
-    void aCrashIsKnownWithinThreeSecondsOverSeeds() {
+    void crashIsDetectedWithinThreeSeconds() {
         for (long seed = 1; seed <= 10; seed++) {
-            Town town = Town.of(5, seed);
-            Town.Proxy victim = town.proxy(3);
-            double killed = town.now;
-            town.kill(victim);
-            town.runFor(3000);
+            TestCluster cluster = TestCluster.of(5, seed);
+            TestCluster.Proxy victim = cluster.proxy(3);
+            double killed = cluster.now;
+            cluster.kill(victim);
+            cluster.runFor(3000);
             assertTrue(
-                    told(town, What.DIED, "p3", killed) > 0, "known dead within 3 s, seed " + seed);
+                    countEvents(cluster, EventType.DIED, "p3", killed) > 0,
+                    "known dead within 3 s, seed " + seed);
         }
     }
 
     @Test
-    void aOneWayCutKillsNobodyAndOneCutOffFromAllStepsDownAndComesBack() {
-        Town town = Town.of(6, 12);
-        double from = town.now;
-        String a = town.proxy(1).address;
-        String b = town.proxy(2).address;
+    void oneWayCutCausesNoDeathAndIsolatedMemberStepsDownAndRecovers() {
+        TestCluster cluster = TestCluster.of(6, 12);
+        double from = cluster.now;
+        String firstAddress = cluster.proxy(1).address;
+        String secondAddress = cluster.proxy(2).address;
         // p2 hears nothing of p1, p1 all of p2, for 30 s; both hear the others.
-        town.cut = (f, t) -> f.equals(a) && t.equals(b);
-        town.runFor(30_000);
-        assertEquals(0, told(town, What.DIED, "p1", from) + told(town, What.DIED, "p2", from));
+        cluster.linkCut = (f, t) -> f.equals(firstAddress) && t.equals(secondAddress);
+        cluster.runFor(30_000);
+        assertEquals(
+                0,
+                countEvents(cluster, EventType.DIED, "p1", from)
+                        + countEvents(cluster, EventType.DIED, "p2", from));
         for (boolean deaf : new boolean[] {true, false}) {
-            double cutAt = town.now;
-            String lone = town.proxy(4).address;
-            town.cut = deaf ? (f, t) -> t.equals(lone) : (f, t) -> f.equals(lone);
+            double cutAt = cluster.now;
+            String isolatedAddress = cluster.proxy(4).address;
+            cluster.linkCut =
+                    deaf
+                            ? (f, t) -> t.equals(isolatedAddress)
+                            : (f, t) -> f.equals(isolatedAddress);
             // Within the time without answers and one period at the worst health.
-            town.runFor(
-                    Swim.ISOLATED_MS
-                            + Swim.PERIOD_MS * (1 + Gossip.Settings.HEALTH_MOST)
+            cluster.runFor(
+                    Swim.ISOLATION_MS
+                            + Swim.PERIOD_MS * (1 + Gossip.Settings.MAX_HEALTH)
                             + Gossip.TICK_MS);
             assertTrue(
-                    town.proxy(4).gossip.steppedDown(), deaf ? "hears nobody" : "heard by nobody");
-            town.runFor(20_000);
+                    cluster.proxy(4).gossip.isSteppedDown(),
+                    deaf ? "hears nobody" : "heard by nobody");
+            cluster.runFor(20_000);
             assertFalse(
-                    town.told.stream()
+                    cluster.events.stream()
                             .anyMatch(
                                     t ->
                                             t.at() >= cutAt
                                                     && t.by().equals("p4")
-                                                    && t.what() == What.DIED),
+                                                    && t.type() == EventType.DIED),
                     "one that is cut off declares nobody dead");
-            town.cut = (f, t) -> false;
-            town.runFor(10_000);
-            assertFalse(town.proxy(4).gossip.steppedDown());
-            for (Town.Proxy p : town.proxies) {
-                assertTrue(allKnowAlive(town, p.name), p.name);
+            cluster.linkCut = (f, t) -> false;
+            cluster.runFor(10_000);
+            assertFalse(cluster.proxy(4).gossip.isSteppedDown());
+            for (TestCluster.Proxy proxy : cluster.proxies) {
+                assertTrue(allSeeAlive(cluster, proxy.name), proxy.name);
             }
         }
     }
@@ -109,38 +122,40 @@
      * the same that it is heard.
      */
     @Test
-    void oneThatIsHeardAgainStaysUpHoweverSlowlyItProbes() {
-        Town town = Town.of(5, 3);
-        String lone = town.proxy(1).address;
-        town.cut = (f, t) -> t.equals(lone);
-        town.runFor(10_000);
-        assertTrue(town.proxy(1).gossip.steppedDown());
+    void reconnectedMemberDoesNotStepDownAgainWhileItProbesSlowly() {
+        TestCluster cluster = TestCluster.of(5, 3);
+        String isolatedAddress = cluster.proxy(1).address;
+        cluster.linkCut = (f, t) -> t.equals(isolatedAddress);
+        cluster.runFor(10_000);
+        assertTrue(cluster.proxy(1).gossip.isSteppedDown());
         assertFalse(
-                town.told.stream()
+                cluster.events.stream()
                         .anyMatch(
                                 t ->
                                         t.by().equals("p1")
-                                                && t.what() == What.SUSPECTED
+                                                && t.type() == EventType.SUSPECTED
                                                 && t.at() > 1000),
                 "silence of every relay is its own link's, and accuses nobody");
-        town.cut = (f, t) -> false;
-        town.runFor(2000);
-        double healed = town.now;
-        town.runFor(30_000);
-        assertEquals(0, told(town, What.STEPPED_DOWN, "p1", healed));
+        cluster.linkCut = (f, t) -> false;
+        cluster.runFor(2000);
+        double healed = cluster.now;
+        cluster.runFor(30_000);
+        assertEquals(0, countEvents(cluster, EventType.STEPPED_DOWN, "p1", healed));
     }
 
     @Test
-    void oneThatWakesAndRefutesIsNotAccusedForProbesFromBefore() {
+    void refutedMemberIsNotSuspectedForEarlierProbes() {
         for (long seed = 1; seed <= 5; seed++) {
-            Town town = Town.of(9, seed);
-            town.runFor(3000);
-            double from = town.now;
-            town.pause(town.proxy(2), 1000);
-            town.runFor(6000);
-            long again = told(town, What.REFUTED, "p2", from);
-            assertTrue(again <= 2, "refuted " + again + " times after one pause, seed " + seed);
-            assertEquals(0, told(town, What.DIED, "p2", from));
+            TestCluster cluster = TestCluster.of(9, seed);
+            cluster.runFor(3000);
+            double from = cluster.now;
+            cluster.pause(cluster.proxy(2), 1000);
+            cluster.runFor(6000);
+            long refutations = countEvents(cluster, EventType.REFUTED, "p2", from);
+            assertTrue(
+                    refutations <= 2,
+                    "refuted " + refutations + " times after one pause, seed " + seed);
+            assertEquals(0, countEvents(cluster, EventType.DIED, "p2", from));
         }
     }
 }
--- a/src/test/java/cacheproxy/membership/SharedEventLoop.java
+++ b/src/test/java/cacheproxy/membership/SharedEventLoop.java
@@ -1,7 +1,7 @@
 package cacheproxy.membership;
 
 import cacheproxy.lab.virtual.HashIdentity;
-import cacheproxy.membership.Gossip.What;
+import cacheproxy.membership.Gossip.EventType;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,7 +25,7 @@
     private static final int FIRST_PORT = 7000;
 
     /** What one member said of another, and when. */
-    record Report(String by, What what, String subject, double at) {}
+    record Report(String by, EventType type, String subject, double at) {}
 
     private record Datagram(String from, byte[] packet) {}
 
@@ -46,7 +46,7 @@
                             seeds,
                             BYTES_PER_S,
                             VERIFICATIONS_PER_S,
-                            Gossip.Settings.HEALTH_MOST);
+                            Gossip.Settings.MAX_HEALTH);
             gossip = new Gossip(settings, new HashIdentity(name, Set.of()), seed);
             gossip.start(now, this);
             tick();
@@ -75,11 +75,11 @@
         }
 
         @Override
-        public void standing(String node, boolean doubted) {}
+        public void nodeSuspicionChanged(String node, boolean suspected) {}
 
         @Override
-        public void event(What what, String subject, String evidence) {
-            reports.add(new Report(name, what, subject, now));
+        public void event(EventType type, String subject, String evidence) {
+            reports.add(new Report(name, type, subject, now));
         }
     }
 
@@ -102,13 +102,13 @@
         for (int index = 0; index < count; index++) {
             members.add(new MemberOnLoop(index, random.nextLong()));
             for (int turn = 0; turn < turnsApart; turn++) {
-                turn();
+                runTurn();
             }
         }
     }
 
     /** How long each call of a member takes from now on. */
-    void callsTake(DoubleSupplier milliseconds) {
+    void setCallDuration(DoubleSupplier milliseconds) {
         callMs = milliseconds;
     }
 
@@ -124,12 +124,12 @@
     void runFor(double milliseconds) {
         double end = now + milliseconds;
         while (now < end) {
-            turn();
+            runTurn();
         }
     }
 
-    long count(What what) {
-        return reports.stream().filter(r -> r.what() == what).count();
+    long count(EventType type) {
+        return reports.stream().filter(r -> r.type() == type).count();
     }
 
     private double clockBeforeCall() {
@@ -138,7 +138,7 @@
         return before;
     }
 
-    private void turn() {
+    private void runTurn() {
         List<MemberOnLoop> readable = members.stream().filter(m -> !m.socket.isEmpty()).toList();
         if (readable.isEmpty()) {
             now = Math.max(now, members.stream().mapToDouble(m -> m.nextTick).min().orElse(now));
--- a/src/test/java/cacheproxy/membership/SwimHoldUpTest.java
+++ b/src/test/java/cacheproxy/membership/SwimBlockedLoopTest.java
@@ -14,46 +14,46 @@
  * The timers of one member whose event loop is held up: what came meanwhile is read before anybody
  * is judged by them.
  */
-class SwimHoldUpTest {
+class SwimBlockedLoopTest {
 
-    private static final int HEALTH_MOST = 8;
+    private static final int MAX_HEALTH = 8;
     private static final String PEER = "peer";
 
     /** What the member sent last, and to how many it wanted more sent. */
-    private static final class LastProbe implements Swim.Out {
+    private static final class LastProbe implements Swim.Actions {
         int number;
-        int asked;
+        int pingRequests;
 
         @Override
-        public void ping(Member to, int probe) {
+        public void sendPing(Member to, int probe) {
             number = probe;
         }
 
         @Override
-        public void ask(Member via, Member about, int probe) {
-            asked++;
+        public void sendPingRequest(Member relay, Member target, int probe) {
+            pingRequests++;
         }
 
         @Override
-        public void call(String address) {}
+        public void pingAddress(String address) {}
 
         @Override
-        public void changed(Member before, Member now) {}
+        public void memberChanged(Member before, Member after) {}
 
         @Override
-        public void refuted(Member news) {}
+        public void selfRefuted(Member update) {}
 
         @Override
-        public void stepped(boolean down, String evidence) {}
+        public void isolationChanged(boolean isolated, String evidence) {}
     }
 
-    private final LastProbe out = new LastProbe();
+    private final LastProbe lastProbe = new LastProbe();
     private final Swim swim =
             new Swim(
                     member("self", 0, Status.ALIVE),
                     List.of(),
                     new SplittableRandom(1),
-                    HEALTH_MOST);
+                    MAX_HEALTH);
     private double now;
 
     private static Member member(String name, int incarnation, Status status) {
@@ -61,74 +61,74 @@
     }
 
     private void startWithPeer() {
-        swim.start(now, out);
-        swim.take(now, member(PEER, 0, Status.ALIVE), out);
+        swim.start(now, lastProbe);
+        swim.applyUpdate(now, member(PEER, 0, Status.ALIVE), lastProbe);
     }
 
     private void tickAfter(double milliseconds) {
         now += milliseconds;
-        swim.tick(now, out);
+        swim.tick(now, lastProbe);
     }
 
     private void tickUntilProbe() {
-        int before = out.number;
-        while (out.number == before) {
+        int before = lastProbe.number;
+        while (lastProbe.number == before) {
             tickAfter(Gossip.TICK_MS);
         }
     }
 
-    private Status peer() {
+    private Status peerStatus() {
         return swim.find(PEER).status();
     }
 
     @Test
-    void aLateTickAfterReadsJudgesNoProbe() {
+    void lateTickAfterReadsFailsNoProbe() {
         startWithPeer();
         tickUntilProbe();
         // Other datagrams are read in between, so that no single gap between two calls is a pause.
         for (int read = 0; read < 2; read++) {
             now += Swim.STALL_MS - 10;
-            swim.heard(now, PEER);
+            swim.packetReceived(now, PEER);
         }
         tickAfter(0);
-        assertEquals(Status.ALIVE, peer(), "its answer may lie unread in the socket");
-        swim.answered(now, out.number, PEER, out);
+        assertEquals(Status.ALIVE, peerStatus(), "its answer may lie unread in the socket");
+        swim.ackReceived(now, lastProbe.number, PEER, lastProbe);
         tickAfter(Gossip.TICK_MS);
-        assertEquals(Status.ALIVE, peer());
+        assertEquals(Status.ALIVE, peerStatus());
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {200, 2000, 5000, 12_000})
-    void aTickAfterAHoldUpEndsNoSuspicionBeforeTheRefutationIsRead(double holdUpMs) {
+    void tickAfterBlockEndsNoSuspicionBeforeTheRefutationIsRead(double blockMs) {
         startWithPeer();
-        swim.take(now, member(PEER, 0, Status.SUSPECT).suspectedBy("other"), out);
+        swim.applyUpdate(now, member(PEER, 0, Status.SUSPECT).asSuspect("other"), lastProbe);
         while (now + 2 * Gossip.TICK_MS < swim.suspicionMs(0)) {
-            swim.answered(now, out.number, PEER, out);
+            swim.ackReceived(now, lastProbe.number, PEER, lastProbe);
             tickAfter(Gossip.TICK_MS);
         }
-        assertEquals(Status.SUSPECT, peer());
-        tickAfter(holdUpMs);
-        assertEquals(Status.SUSPECT, peer(), "its refutation may lie unread in the socket");
-        swim.take(now, member(PEER, 1, Status.ALIVE), out);
+        assertEquals(Status.SUSPECT, peerStatus());
+        tickAfter(blockMs);
+        assertEquals(Status.SUSPECT, peerStatus(), "its refutation may lie unread in the socket");
+        swim.applyUpdate(now, member(PEER, 1, Status.ALIVE), lastProbe);
         tickAfter(Gossip.TICK_MS);
-        assertEquals(Status.ALIVE, peer());
+        assertEquals(Status.ALIVE, peerStatus());
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {2000, 5000, 12_000})
-    void aHoldUpCountsAgainstTheOwnHealth(double holdUpMs) {
+    void blockRaisesOwnHealthScore(double blockMs) {
         startWithPeer();
         tickUntilProbe();
-        tickAfter(holdUpMs);
+        tickAfter(blockMs);
         assertTrue(swim.health() > 0);
     }
 
     @Test
-    void aSilentPeerIsDeclaredDeadThoughEveryTickIsLate() {
+    void silentPeerIsDeclaredDeadWhileEveryTickIsLate() {
         startWithPeer();
-        for (int tick = 0; tick < 200 && peer() != Status.DEAD; tick++) {
+        for (int tick = 0; tick < 200 && peerStatus() != Status.DEAD; tick++) {
             tickAfter(Swim.STALL_MS);
         }
-        assertEquals(Status.DEAD, peer());
+        assertEquals(Status.DEAD, peerStatus());
     }
 }
--- a/src/test/java/cacheproxy/proxy/AcceptFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/AcceptFailuresTest.java
@@ -20,88 +20,88 @@
 class AcceptFailuresTest {
 
     private static final int FAILURES = 6;
-    private static final long REST_MS = 100;
-    private static final long NETTYS_REST_MS = 1000;
+    private static final long RETRY_DELAY_MS = 100;
+    private static final long NETTY_PAUSE_MS = 1000;
 
     /** Less than any limit in time of an idle client. */
     private static final int SOON_MS = 1000;
 
-    private static final String UP = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
+    private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
 
-    private FaultySite site;
+    private FaultyProxyFixture fixture;
 
     @BeforeEach
     void start() throws Exception {
-        site = new FaultySite();
+        fixture = new FaultyProxyFixture();
     }
 
     @AfterEach
     void stop() throws Exception {
-        site.close();
+        fixture.close();
     }
 
     /** What Netty tells of a failed accept; returns whether the listener accepts on. */
     private boolean acceptsAfterFailure() throws Exception {
-        return site.loop
+        return fixture.loop
                 .submit(
                         () -> {
-                            site.listener
+                            fixture.listener
                                     .pipeline()
                                     .fireExceptionCaught(new IOException("Too many open files"));
-                            return site.listener.config().isAutoRead();
+                            return fixture.listener.config().isAutoRead();
                         })
                 .get();
     }
 
-    private Peer.Wire asked() throws Exception {
-        Peer.Wire client = site.client();
-        client.write(UP);
+    private TestServer.Connection connectAndAsk() throws Exception {
+        TestServer.Connection client = fixture.client();
+        client.write(UP_REQUEST);
         return client;
     }
 
-    private Peer.Wire served() throws Exception {
-        Peer.Wire client = asked();
-        assertEquals(200, Site.status(client.read()));
+    private TestServer.Connection connectAndGetServed() throws Exception {
+        TestServer.Connection client = connectAndAsk();
+        assertEquals(200, ProxyFixture.status(client.read()));
         return client;
     }
 
     /** At once, so long before it would have gone for being idle. */
     @Test
-    void itLetsTheIdleOneGoThatWasUsedLongestAgo() throws Exception {
-        try (Peer.Wire idle = served();
-                Peer.Wire used = served()) {
+    void closesLeastRecentlyUsedIdleConnectionWhenAcceptFails() throws Exception {
+        try (TestServer.Connection idle = connectAndGetServed();
+                TestServer.Connection used = connectAndGetServed()) {
             assertFalse(acceptsAfterFailure(), "it would spin");
             idle.socket().setSoTimeout(SOON_MS);
             assertNull(idle.read(), "its descriptor is of use to another");
-            used.write(UP);
-            assertEquals(200, Site.status(used.read()), "one is enough");
+            used.write(UP_REQUEST);
+            assertEquals(200, ProxyFixture.status(used.read()), "one is enough");
         }
     }
 
     /** Netty's own rest is a second after each failure. */
     @Test
-    void itRestsForAMomentAfterEachFailureAndGoesOn() throws Exception {
-        site.clientCalls.fail(SystemCall.ACCEPT, Errno.EMFILE, FAILURES);
+    void pausesBrieflyAfterEachFailureAndResumes() throws Exception {
+        fixture.clientCalls.fail(SystemCall.ACCEPT, Errno.EMFILE, FAILURES);
         long began = System.nanoTime();
-        try (Peer.Wire next = asked()) {
-            assertEquals(200, Site.status(next.read()));
+        try (TestServer.Connection next = connectAndAsk()) {
+            assertEquals(200, ProxyFixture.status(next.read()));
         }
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-        assertEquals(FAILURES, site.clientCalls.failed(SystemCall.ACCEPT));
-        assertTrue(ms >= (FAILURES - 1) * REST_MS, "it spun: " + ms);
-        assertTrue(ms < (FAILURES - 1) * NETTYS_REST_MS, "nobody was let in for too long: " + ms);
-        assertTrue(site.listener.isOpen());
+        assertEquals(FAILURES, fixture.clientCalls.failureCount(SystemCall.ACCEPT));
+        assertTrue(ms >= (FAILURES - 1) * RETRY_DELAY_MS, "it spun: " + ms);
+        assertTrue(ms < (FAILURES - 1) * NETTY_PAUSE_MS, "nobody was let in for too long: " + ms);
+        assertTrue(fixture.listener.isOpen());
     }
 
     /** Longer than any rest of it or of Netty's own. */
     @Test
-    void oneThatHandsItsSocketOnDoesNotGoOn() throws Exception {
+    void doesNotResumeAfterSocketHandover() throws Exception {
         assertFalse(acceptsAfterFailure());
-        site.loop.submit(site.clients::drain).get();
+        fixture.loop.submit(fixture.clientServer::drain).get();
         boolean accepts =
-                site.loop
+                fixture.loop
                         .schedule(
-                                () -> site.listener.config().isAutoRead(),
+                                () -> fixture.listener.config().isAutoRead(),
                                 1500,
                                 TimeUnit.MILLISECONDS)
                         .get();
--- a/src/test/java/cacheproxy/proxy/BindFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/BindFailuresTest.java
@@ -17,27 +17,27 @@
 /** An address that can't be bound for a moment, here as another socket has it, ends no start. */
 class BindFailuresTest {
 
-    private static final long A_MOMENT_MS = 200;
+    private static final long RELEASE_DELAY_MS = 200;
     private static final String ANY = "127.0.0.1:0";
     private static final String UP = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
 
-    private Site site;
-    private ServerSocket other;
+    private ProxyFixture site;
+    private ServerSocket occupyingSocket;
 
     @BeforeEach
-    void take() throws Exception {
-        site = new Site();
-        other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    void occupyAddress() throws Exception {
+        site = new ProxyFixture();
+        occupyingSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     }
 
     @AfterEach
     void stop() throws Exception {
-        other.close();
+        occupyingSocket.close();
         site.close();
     }
 
-    private String taken() {
-        return "127.0.0.1:" + other.getLocalPort();
+    private String occupiedAddress() {
+        return "127.0.0.1:" + occupyingSocket.getLocalPort();
     }
 
     private void start(String listen, String more) throws Exception {
@@ -49,16 +49,16 @@
                         Config.parse(json, site.environment),
                         site.router,
                         0,
-                        site.times,
+                        site.discoveryTimes,
                         new CompletableFuture<>());
     }
 
-    private void freeLater() {
-        Executor later = CompletableFuture.delayedExecutor(A_MOMENT_MS, TimeUnit.MILLISECONDS);
+    private void releaseLater() {
+        Executor later = CompletableFuture.delayedExecutor(RELEASE_DELAY_MS, TimeUnit.MILLISECONDS);
         later.execute(
                 () -> {
                     try {
-                        other.close();
+                        occupyingSocket.close();
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
@@ -66,25 +66,25 @@
     }
 
     @Test
-    void theClientsAddressIsTriedAgain() throws Exception {
-        freeLater();
-        start(taken(), "");
-        try (Peer.Wire client = site.client()) {
+    void retriesToBindClientAddress() throws Exception {
+        releaseLater();
+        start(occupiedAddress(), "");
+        try (TestServer.Connection client = site.client()) {
             client.write(UP);
             assertEquals("HTTP/1.1 ", client.read().substring(0, 9));
         }
     }
 
     @Test
-    void theOperatorsAddressIsTriedAgain() throws Exception {
-        InetSocketAddress admin = (InetSocketAddress) other.getLocalSocketAddress();
-        freeLater();
-        start(ANY, "\"admin\":\"" + taken() + "\",");
-        assertEquals(admin.getPort(), site.service.adminListening().getPort());
+    void retriesToBindOperatorAddress() throws Exception {
+        InetSocketAddress admin = (InetSocketAddress) occupyingSocket.getLocalSocketAddress();
+        releaseLater();
+        start(ANY, "\"admin\":\"" + occupiedAddress() + "\",");
+        assertEquals(admin.getPort(), site.service.adminAddress().getPort());
     }
 
     @Test
-    void anAddressThatStaysTakenEndsTheStart() {
-        assertThrows(IOException.class, () -> start(taken(), ""));
+    void startFailsIfAddressStaysInUse() {
+        assertThrows(IOException.class, () -> start(occupiedAddress(), ""));
     }
 }
