--- a/src/test/java/cacheproxy/proxy/BrokenServe.java
+++ b/src/test/java/cacheproxy/proxy/BrokenServe.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import cacheproxy.Router.Effect;
 import cacheproxy.Router.Outcome;
@@ -30,30 +30,30 @@
 
     public static void main(String[] args) throws Exception {
         Config config = Config.fromEnvironment(System.getenv());
-        Service service = Service.start(config, new Broken(Fault.valueOf(args[0]), config));
-        Runtime.getRuntime().addShutdownHook(new Thread(service::drain));
-        service.awaitEnd();
+        Service service = Service.start(config, new FaultyRouter(Fault.valueOf(args[0]), config));
+        Runtime.getRuntime().addShutdownHook(new Thread(service::shutDown));
+        service.awaitTermination();
     }
 
-    private static final class Broken implements Router {
+    private static final class FaultyRouter implements Router {
         private final Fault fault;
         private final Router inner;
         private final Config config;
-        private final Map<String, Request> unsafe = new HashMap<>();
-        private final Set<String> cold = new HashSet<>();
+        private final Map<String, Request> unsafeRequests = new HashMap<>();
+        private final Set<String> sentToNewestNode = new HashSet<>();
         private String origin = "";
-        private String newest = "";
-        private double newestAt = -1;
+        private String newestNode = "";
+        private double newestStartedAtMs = -1;
 
-        Broken(Fault fault, Config config) {
+        FaultyRouter(Fault fault, Config config) {
             this.fault = fault;
             this.config = config;
-            this.inner = new Decide(config.settings(), 1);
+            this.inner = new DecisionModule(config.settings(), 1);
         }
 
         private Effect effect(Request request) {
             return config.settings().classes().stream()
-                    .filter(c -> c.name().equals(request.service()))
+                    .filter(serviceClass -> serviceClass.name().equals(request.service()))
                     .findFirst()
                     .orElseThrow()
                     .effect();
@@ -61,11 +61,11 @@
 
         /** The real actions, but for what this fault does to answers. */
         private Actions wrapped(Actions out) {
-            return new Forwarded(out) {
+            return new ForwardingActions(out) {
                 @Override
-                public void refuse(String request, double retryAfterMs) {
+                public void reject(String request, double retryAfterMs) {
                     if (fault != Fault.DROPS_ANSWERS) {
-                        out.refuse(request, retryAfterMs);
+                        out.reject(request, retryAfterMs);
                     }
                 }
 
@@ -84,48 +84,48 @@
         }
 
         @Override
-        public void nodes(
-                double now, ListKind kind, long version, List<Node> entries, Actions out) {
+        public void endpointListReceived(
+                double now, EndpointListKind kind, long version, List<Node> entries, Actions out) {
             List<Node> shown = new ArrayList<>();
-            for (Node n : entries) {
-                origin = "origin".equals(n.model()) ? n.id() : origin;
-                if (!"origin".equals(n.model())
-                        && n.startedAtMs() > newestAt
-                        && n.availability() == Availability.UP) {
-                    newest = n.id();
-                    newestAt = n.startedAtMs();
+            for (Node node : entries) {
+                origin = "origin".equals(node.model()) ? node.id() : origin;
+                if (!"origin".equals(node.model())
+                        && node.startedAtMs() > newestStartedAtMs
+                        && node.availability() == Availability.UP) {
+                    newestNode = node.id();
+                    newestStartedAtMs = node.startedAtMs();
                 }
                 boolean hidden =
-                        fault == Fault.SENDS_TO_DRAINED && n.availability() != Availability.UP;
+                        fault == Fault.SENDS_TO_DRAINED && node.availability() != Availability.UP;
                 shown.add(
                         hidden
                                 ? new Node(
-                                        n.id(),
-                                        n.model(),
-                                        n.zone(),
-                                        n.cell(),
-                                        n.weight(),
-                                        n.startedAtMs(),
+                                        node.id(),
+                                        node.model(),
+                                        node.zone(),
+                                        node.cell(),
+                                        node.weight(),
+                                        node.startedAtMs(),
                                         Availability.UP)
-                                : n);
+                                : node);
             }
-            inner.nodes(now, kind, version, shown, out);
+            inner.endpointListReceived(now, kind, version, shown, out);
         }
 
         @Override
-        public void request(double now, Request request, Actions out) {
+        public void requestReceived(double now, Request request, Actions out) {
             if (fault == Fault.REPEATS_UNSAFE && effect(request) == Effect.UNSAFE) {
-                unsafe.put(request.id(), request);
+                unsafeRequests.put(request.id(), request);
                 out.send(request.id(), origin, 8);
-            } else if (fault == Fault.OVERLOADS_COLD && newestAt > 0 && !request.write()) {
-                cold.add(request.id());
-                out.send(request.id(), newest, 0);
+            } else if (fault == Fault.OVERLOADS_COLD && newestStartedAtMs > 0 && !request.write()) {
+                sentToNewestNode.add(request.id());
+                out.send(request.id(), newestNode, 0);
             } else if (fault == Fault.HOLDS_REFUSALS && request.key() % 5 == 0) {
-                out.timer(now + 0.9 * request.budgetMs(), "held" + request.id());
+                out.scheduleTimer(now + 0.9 * request.budgetMs(), "held" + request.id());
             } else if (fault == Fault.DROPS_ANSWERS && request.key() % 5 == 0) {
                 return;
             } else {
-                inner.request(now, request, wrapped(out));
+                inner.requestReceived(now, request, wrapped(out));
             }
         }
 
@@ -137,13 +137,13 @@
 
         @Override
         public void attemptEnded(double now, AttemptEnd end, Actions out) {
-            if (unsafe.containsKey(end.request())) {
+            if (unsafeRequests.containsKey(end.request())) {
                 if (!end.finished() && end.outcome() == Outcome.TIMEOUT && end.attempt() == 0) {
                     out.send(end.request(), origin, 0);
                 } else if (!end.finished()) {
                     out.fail(end.request());
                 }
-            } else if (cold.contains(end.request())) {
+            } else if (sentToNewestNode.contains(end.request())) {
                 if (!end.finished() && end.outcome() == Outcome.MISS) {
                     out.send(end.request(), origin, 0);
                 } else if (!end.finished()) {
@@ -155,41 +155,41 @@
         }
 
         @Override
-        public void clientGone(double now, String request, Actions out) {
-            inner.clientGone(now, request, out);
+        public void clientDisconnected(double now, String request, Actions out) {
+            inner.clientDisconnected(now, request, out);
         }
 
         @Override
-        public void timer(double now, String token, Actions out) {
+        public void timerFired(double now, String token, Actions out) {
             if (token.startsWith("held")) {
-                out.refuse(token.substring(4), 100);
+                out.reject(token.substring(4), 100);
             } else {
-                inner.timer(now, token, wrapped(out));
+                inner.timerFired(now, token, wrapped(out));
             }
         }
 
         @Override
-        public void probed(
+        public void probeCompleted(
                 double now,
                 String node,
                 Outcome outcome,
                 double elapsedMs,
                 Map<String, Double> load,
                 Actions out) {
-            inner.probed(now, node, outcome, elapsedMs, load, out);
+            inner.probeCompleted(now, node, outcome, elapsedMs, load, out);
         }
 
         @Override
-        public void peerMessage(double now, int from, byte[] contents, Actions out) {
-            inner.peerMessage(now, from, contents, out);
+        public void peerMessageReceived(double now, int from, byte[] contents, Actions out) {
+            inner.peerMessageReceived(now, from, contents, out);
         }
     }
 
     /** Passes every action on. */
-    private static class Forwarded implements Router.Actions {
+    private static class ForwardingActions implements Router.Actions {
         private final Router.Actions out;
 
-        Forwarded(Router.Actions out) {
+        ForwardingActions(Router.Actions out) {
             this.out = out;
         }
 
@@ -204,8 +204,8 @@
         }
 
         @Override
-        public void refuse(String request, double retryAfterMs) {
-            out.refuse(request, retryAfterMs);
+        public void reject(String request, double retryAfterMs) {
+            out.reject(request, retryAfterMs);
         }
 
         @Override
@@ -214,8 +214,8 @@
         }
 
         @Override
-        public void timer(double atMs, String token) {
-            out.timer(atMs, token);
+        public void scheduleTimer(double atMs, String token) {
+            out.scheduleTimer(atMs, token);
         }
 
         @Override
@@ -229,13 +229,13 @@
         }
 
         @Override
-        public void tell(byte[] contents) {
-            out.tell(contents);
+        public void sendToPeers(byte[] contents) {
+            out.sendToPeers(contents);
         }
 
         @Override
-        public void close(String node) {
-            out.close(node);
+        public void closeIdleConnections(String node) {
+            out.closeIdleConnections(node);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
@@ -0,0 +1,290 @@
+package cacheproxy.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import cacheproxy.Router.Actions;
+import cacheproxy.Router.Outcome;
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * A client that has left while its end lies unread, as the loop stood still or reads nothing from
+ * it: of what is due next nothing is sent on. The loop is held inside the router while the client
+ * leaves, so nothing here depends on time.
+ */
+class ClientDisconnectTest extends WithProxyFixture {
+
+    private static final String PAUSING_ID = "holds";
+
+    /**
+     * Much longer than connections rest between two uses; where it is not, the test only forces
+     * less.
+     */
+    private static final long IDLE_MS = 40;
+
+    private final EventLoopPause loopPause = new EventLoopPause();
+
+    private static String get(String id) {
+        return "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: "
+                + id
+                + "\r\nX-Call-Class: read\r\nX-Budget: 60\r\n\r\n";
+    }
+
+    /** Holds the loop in the request of another client, which is refused when it goes on. */
+    private TestServer.Connection pauseLoop() throws Exception {
+        ScriptedRouter.OnRequest usual = fixture.router.onRequest;
+        fixture.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals(PAUSING_ID)) {
+                        loopPause.pause();
+                        out.reject(PAUSING_ID, 0);
+                    } else {
+                        usual.decide(request, out);
+                    }
+                };
+        TestServer.Connection other = fixture.client();
+        other.write(get(PAUSING_ID));
+        loopPause.awaitPaused();
+        return other;
+    }
+
+    /**
+     * Two connections to the node that are at rest, so that what is sent next is written at once
+     * and not after a turn or two.
+     */
+    private void createIdleNodeConnections() throws Exception {
+        try (TestServer.Connection one = fixture.client();
+                TestServer.Connection two = fixture.client()) {
+            one.write(get("one"));
+            two.write(get("two"));
+            for (TestServer.Message each : List.of(fixture.node.next(), fixture.node.next())) {
+                each.connection().respond(200, "v");
+                assertEquals(
+                        Outcome.OK, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            }
+            TimeUnit.MILLISECONDS.sleep(IDLE_MS);
+        }
+    }
+
+    private static void disconnect(TestServer.Connection client, boolean byReset) throws Exception {
+        if (byReset) {
+            client.socket().setSoLinger(true, 0);
+        }
+        client.close();
+    }
+
+    /** The next that the node hears of is the request of a client that is there. */
+    private void assertOnlyConnectedClientIsSentOn() throws Exception {
+        fixture.router.onEnd = (end, out) -> {};
+        try (TestServer.Connection connected = fixture.client()) {
+            connected.write(get("there"));
+            TestServer.Message next = fixture.node.next();
+            while (next.text() == null) {
+                next = fixture.node.next();
+            }
+            assertEquals("there", next.header("X-Call-Id"));
+            next.connection().respond(200, "v");
+            assertEquals(200, ProxyFixture.status(connected.read()));
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void disconnectsBeforeConnectionIsAccepted(boolean byReset) throws Exception {
+        try (TestServer.Connection other = pauseLoop()) {
+            TestServer.Connection brief = fixture.client();
+            brief.write(get("brief"));
+            disconnect(brief, byReset);
+            loopPause.resume();
+            assertEquals("brief", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+            assertEquals(
+                    Outcome.NEVER_SENT,
+                    ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            assertEquals(503, ProxyFixture.status(other.read()));
+        }
+        assertOnlyConnectedClientIsSentOn();
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void disconnectsWhileItsTimerIsDue(boolean byReset) throws Exception {
+        AtomicReference<Actions> actions = new AtomicReference<>();
+        fixture.router.onTimer = () -> actions.get().send("late", "c0", 0);
+        fixture.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("late")) {
+                        actions.set(out);
+                        out.scheduleTimer(0, "again");
+                        loopPause.pause();
+                    } else {
+                        out.send(request.id(), "c0", 0);
+                    }
+                };
+        client.write(get("late"));
+        loopPause.awaitPaused();
+        disconnect(client, byReset);
+        loopPause.resume();
+        assertEquals("late", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+        assertEquals(
+                Outcome.NEVER_SENT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertOnlyConnectedClientIsSentOn();
+    }
+
+    /**
+     * Its own half has ended and the other is open: that is how a close shows as long as nothing is
+     * written to it.
+     */
+    @Test
+    void halfClosesBeforeItsTimerIsDue() throws Exception {
+        AtomicReference<Actions> actions = new AtomicReference<>();
+        fixture.router.onTimer = () -> actions.get().send("half", "c0", 0);
+        fixture.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("half")) {
+                        actions.set(out);
+                        out.scheduleTimer(0, "again");
+                        loopPause.pause();
+                    } else {
+                        out.send(request.id(), "c0", 0);
+                    }
+                };
+        client.write(get("half"));
+        loopPause.awaitPaused();
+        client.socket().shutdownOutput();
+        loopPause.resume();
+        assertEquals("half", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+        assertEquals(
+                Outcome.NEVER_SENT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertOnlyConnectedClientIsSentOn();
+    }
+
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void disconnectsBeforeRetryOfEndedAttempt(boolean byReset) throws Exception {
+        fixture.router.onEnd =
+                (end, out) -> {
+                    if (!end.finished()) {
+                        loopPause.pause();
+                        out.send(end.request(), "c0", 0);
+                    }
+                };
+        client.write(get("missed"));
+        fixture.node.next().connection().respond(404, "");
+        loopPause.awaitPaused();
+        disconnect(client, byReset);
+        loopPause.resume();
+        assertEquals("missed", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+        assertEquals(Outcome.MISS, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertEquals(
+                Outcome.NEVER_SENT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertOnlyConnectedClientIsSentOn();
+    }
+
+    @Test
+    void disconnectsRightAfterLastPieceOfRequest() throws Exception {
+        createIdleNodeConnections();
+        String request = get("pieces");
+        client.write(request.substring(0, request.length() / 2));
+        try (TestServer.Connection other = pauseLoop()) {
+            client.write(request.substring(request.length() / 2));
+            client.close();
+            loopPause.resume();
+            assertEquals(503, ProxyFixture.status(other.read()));
+        }
+        assertEquals("pieces", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+        assertOnlyConnectedClientIsSentOn();
+    }
+
+    @Test
+    void disconnectsWithPipelinedRequestsWaiting() throws Exception {
+        createIdleNodeConnections();
+        client.write(get("first") + get("second") + get("third"));
+        TestServer.Message first = fixture.node.next();
+        assertEquals("first", first.header("X-Call-Id"));
+        try (TestServer.Connection other = pauseLoop()) {
+            first.connection().respond(200, "v");
+            client.close();
+            loopPause.resume();
+            assertEquals(503, ProxyFixture.status(other.read()));
+        }
+        assertOnlyConnectedClientIsSentOn();
+        assertTrue(
+                fixture.router.requests.stream().noneMatch(r -> r.id().equals("third")),
+                "not even decided on");
+    }
+
+    /**
+     * Of a long upload nothing is read until a node's connection takes it, so its client's end lies
+     * behind its bytes.
+     */
+    @Test
+    void disconnectsDuringWaitingUpload() throws Exception {
+        AtomicReference<Actions> actions = new AtomicReference<>();
+        fixture.router.onRequest =
+                (request, out) -> {
+                    actions.set(out);
+                    if (request.id().equals("w1")) {
+                        loopPause.pause();
+                    }
+                    out.send(request.id(), "c0", 0);
+                };
+        String upload =
+                ProxyFixture.put(
+                        "Idempotency-Key: k-9\r\n",
+                        "v".repeat(3 * MessageAggregator.MAX_AGGREGATED_BYTES / 2));
+        client.write(upload.substring(0, 1000));
+        loopPause.awaitPaused();
+        client.write(upload.substring(1000, upload.length() / 2));
+        client.close();
+        loopPause.resume();
+        assertEquals("w1", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+        assertEquals(
+                Outcome.NEVER_SENT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertOnlyConnectedClientIsSentOn();
+    }
+
+    /**
+     * What was read ahead of one that is there comes in its order: here the rest of an upload and a
+     * request behind it.
+     */
+    @Test
+    void deliversReadAheadBytesInOrder() throws Exception {
+        String body = "0123456789abcdef".repeat(ClientChannel.MAX_READ_AHEAD_BYTES / 8);
+        String upload = ProxyFixture.put("Idempotency-Key: k-9\r\n", body);
+        fixture.router.onRequest =
+                (request, out) -> {
+                    if (request.id().equals("w1")) {
+                        loopPause.pause();
+                    }
+                    out.send(request.id(), "c0", 0);
+                };
+        client.write(upload.substring(0, 1000));
+        loopPause.awaitPaused();
+        Thread writer =
+                new Thread(
+                        () -> {
+                            try {
+                                client.write(upload.substring(1000) + get("behind"));
+                            } catch (IOException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
+        writer.start();
+        loopPause.resume();
+        TestServer.Message received = fixture.node.next();
+        assertEquals(body, received.body());
+        received.connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
+        TestServer.Message behind = fixture.node.next();
+        assertEquals("behind", behind.header("X-Call-Id"));
+        behind.connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
+        writer.join();
+    }
+}
--- a/src/test/java/cacheproxy/proxy/ClientTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What clients send, well-formed or not, and that each request gets its one answer. */
-class ClientTest extends WithSite {
+class ClientTest extends WithProxyFixture {
 
-    private static final String GOOD = "X-Call-Id: a1|X-Call-Class: read|X-Budget: 60";
+    private static final String VALID_HEADERS = "X-Call-Id: a1|X-Call-Class: read|X-Budget: 60";
 
     @ParameterizedTest
     @CsvSource({
@@ -30,14 +30,14 @@
         "GET, /api/k, X-Call-Id: a1|X-Call-Class: read|X-Budget: 1e300, 400",
         "GET, /api/k, X-Call-Id: a1|X-Call-Class: read|X-Budget: 1e999999999, 400",
         "PUT, /api/k, X-Call-Id: a1|X-Call-Class: pay|X-Budget: 1|Content-Length: 0, 400",
-        "GET, /api/k, " + GOOD + "|Content-Length: many, 400",
-        "GET, /nowhere, " + GOOD + ", 404",
-        "GET, /api/, " + GOOD + ", 404",
-        "DELETE, /api/k, " + GOOD + ", 405",
-        "PUT, /up, " + GOOD + "|Content-Length: 0, 405",
-        "PUT, /api/k, " + GOOD + "|Content-Length: 34603009, 413"
+        "GET, /api/k, " + VALID_HEADERS + "|Content-Length: many, 400",
+        "GET, /nowhere, " + VALID_HEADERS + ", 404",
+        "GET, /api/, " + VALID_HEADERS + ", 404",
+        "DELETE, /api/k, " + VALID_HEADERS + ", 405",
+        "PUT, /up, " + VALID_HEADERS + "|Content-Length: 0, 405",
+        "PUT, /api/k, " + VALID_HEADERS + "|Content-Length: 34603009, 413"
     })
-    void badInputIsAnsweredHereAndReachesNobody(
+    void invalidRequestIsRejectedWithoutReachingRouterOrNode(
             String method, String path, String headers, int status) throws Exception {
         client.write(
                 method
@@ -46,183 +46,183 @@
                         + " HTTP/1.1\r\nHost: s\r\n"
                         + headers.replace("|", "\r\n")
                         + "\r\n\r\n");
-        assertEquals(status, Site.status(client.read()));
-        assertTrue(site.router.requests.isEmpty());
-        assertTrue(site.node.heardNothing());
+        assertEquals(status, ProxyFixture.status(client.read()));
+        assertTrue(fixture.router.requests.isEmpty());
+        assertTrue(fixture.node.receivedNothing());
     }
 
     @Test
-    void malformedHttpIsAnsweredAndOthersAreServedOn() throws Exception {
+    void malformedHttpIsRejectedAndOtherClientsAreServed() throws Exception {
         client.write("\u0001\u0002 nonsense\r\n\r\n");
-        assertEquals(400, Site.status(client.read()));
+        assertEquals(400, ProxyFixture.status(client.read()));
         assertNull(client.read());
-        try (Peer.Wire other = site.client()) {
-            other.write(site.get(Site.LONG_S));
-            site.node.next().wire().answer(200, "v");
-            assertEquals(200, Site.status(other.read()));
+        try (TestServer.Connection other = fixture.client()) {
+            other.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            fixture.node.next().connection().respond(200, "v");
+            assertEquals(200, ProxyFixture.status(other.read()));
         }
     }
 
     @Test
-    void anIdThatIsOpenAlreadyIsNotTakenTwice() throws Exception {
-        String request = site.get(Site.LONG_S);
+    void duplicateIdOfOpenRequestIsRejected() throws Exception {
+        String request = fixture.get(ProxyFixture.LONG_BUDGET_S);
         client.write(request);
-        Peer.Message out = site.node.next();
-        try (Peer.Wire other = site.client()) {
+        TestServer.Message sentRequest = fixture.node.next();
+        try (TestServer.Connection other = fixture.client()) {
             other.write(request);
-            assertEquals(400, Site.status(other.read()));
+            assertEquals(400, ProxyFixture.status(other.read()));
         }
-        out.wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
+        sentRequest.connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
     }
 
     @Test
-    void aRefusalTellsWhenToComeBack() throws Exception {
-        site.router.onRequest = (request, out) -> out.refuse(request.id(), 287.4);
-        client.write(site.get(Site.LONG_S));
+    void rejectionHasRetryAfter() throws Exception {
+        fixture.router.onRequest = (request, out) -> out.reject(request.id(), 287.4);
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
         String answer = client.read();
-        assertEquals(503, Site.status(answer));
-        assertEquals("0.288", new Peer.Message(answer, client).header("Retry-After"));
+        assertEquals(503, ProxyFixture.status(answer));
+        assertEquals("0.288", new TestServer.Message(answer, client).header("Retry-After"));
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        client.write(site.get(Site.LONG_S) + site.get(Site.LONG_S));
-        Peer.Wire node = site.node.next().wire();
-        node.answer(200, "first");
-        assertEquals("first", new Peer.Message(client.read(), client).body());
-        site.node.next().wire().answer(200, "second");
-        assertEquals("second", new Peer.Message(client.read(), client).body());
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        client.write(
+                fixture.get(ProxyFixture.LONG_BUDGET_S) + fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection node = fixture.node.next().connection();
+        node.respond(200, "first");
+        assertEquals("first", new TestServer.Message(client.read(), client).body());
+        fixture.node.next().connection().respond(200, "second");
+        assertEquals("second", new TestServer.Message(client.read(), client).body());
     }
 
     @Test
-    void aClientThatLeavesEndsWhatIsOut() throws Exception {
-        site.router.onGone = (end, out) -> out.cancel(end.request(), 0);
-        client.write(site.get(Site.LONG_S));
-        site.node.next();
+    void clientDisconnectCancelsAttempt() throws Exception {
+        fixture.router.onClientDisconnected = (end, out) -> out.cancel(end.request(), 0);
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node.next();
         client.close();
-        assertEquals("id0", Scripted.next(site.router.gone));
-        var end = Scripted.next(site.router.ends);
+        assertEquals("id0", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
+        var end = ScriptedRouter.awaitNext(fixture.router.attemptEnds);
         assertEquals(Outcome.CANCELLED, end.outcome());
         assertTrue(end.finished());
-        assertNull(site.node.next().text(), "the node sees that nobody waits");
+        assertNull(fixture.node.next().text(), "the node sees that nobody waits");
     }
 
     @Test
-    void oneThatAskedWhileTheLoopStoodStillIsNotTakenForSilent() throws Exception {
-        CountDownLatch standing = new CountDownLatch(1);
-        site.router.onRequest =
+    void requestSentDuringEventLoopStallIsServed() throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
+        fixture.router.onRequest =
                 (request, out) -> {
-                    if (standing.getCount() > 0) {
-                        standing.countDown();
+                    if (stalled.getCount() > 0) {
+                        stalled.countDown();
                         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(2400));
                     }
-                    out.refuse(request.id(), 1);
+                    out.reject(request.id(), 1);
                 };
-        try (Peer.Wire other = site.client()) {
+        try (TestServer.Connection other = fixture.client()) {
             // The connection is taken before the loop stands still, and its request comes while it
             // does.
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(300));
-            client.write(site.get(Site.LONG_S));
-            assertTrue(standing.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
-            other.write(site.get(Site.LONG_S));
-            assertEquals(503, Site.status(other.read()));
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            assertTrue(stalled.await(TestServer.TIMEOUT_S, TimeUnit.SECONDS));
+            other.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            assertEquals(503, ProxyFixture.status(other.read()));
         }
     }
 
     @Test
-    void anAnswerAfterTheFinalOneIsReportedAndGoesNowhere() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire node = site.node.next().wire();
+    void responseAfterTheFinalOneIsReportedAndDiscarded() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection node = fixture.node.next().connection();
         // The final answers come while the attempt is out, from another request's turn.
-        site.router.onRequest =
+        fixture.router.onRequest =
                 (request, out) -> {
                     out.fail("id0");
-                    out.refuse("id0", 1);
-                    out.refuse(request.id(), 1);
+                    out.reject("id0", 1);
+                    out.reject(request.id(), 1);
                 };
-        try (Peer.Wire other = site.client()) {
-            other.write(site.get(Site.LONG_S));
-            assertEquals(503, Site.status(other.read()));
+        try (TestServer.Connection other = fixture.client()) {
+            other.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            assertEquals(503, ProxyFixture.status(other.read()));
         }
-        assertEquals(502, Site.status(client.read()));
-        node.answer(200, "late");
-        var end = Scripted.next(site.router.ends);
+        assertEquals(502, ProxyFixture.status(client.read()));
+        node.respond(200, "late");
+        var end = ScriptedRouter.awaitNext(fixture.router.attemptEnds);
         assertEquals(Outcome.OK, end.outcome());
         assertTrue(end.finished());
-        site.router.onRequest = (request, out) -> out.refuse(request.id(), 0);
-        client.write(site.get(Site.LONG_S));
+        fixture.router.onRequest = (request, out) -> out.reject(request.id(), 0);
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
         assertEquals(
                 503,
-                Site.status(client.read()),
+                ProxyFixture.status(client.read()),
                 "neither the late answer nor a second final one came between");
     }
 
     @Test
-    void moreThanTheSettingsAllowAreSentBackUnseen() throws Exception {
-        Peer.Wire[] held = new Peer.Wire[4];
-        for (int i = 0; i < held.length; i++) {
-            held[i] = site.client();
-            held[i].write(site.get(Site.LONG_S));
-            assertNotNull(site.node.next().text());
+    void requestsOverTheOpenLimitAreRejectedBeforeTheRouter() throws Exception {
+        TestServer.Connection[] openClients = new TestServer.Connection[4];
+        for (int i = 0; i < openClients.length; i++) {
+            openClients[i] = fixture.client();
+            openClients[i].write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            assertNotNull(fixture.node.next().text());
         }
-        client.write(site.get(Site.LONG_S));
-        assertEquals(503, Site.status(client.read()));
-        assertEquals(4, site.router.requests.size());
-        for (Peer.Wire wire : held) {
-            wire.close();
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        assertEquals(503, ProxyFixture.status(client.read()));
+        assertEquals(4, fixture.router.requests.size());
+        for (TestServer.Connection openClient : openClients) {
+            openClient.close();
         }
     }
 
     @Test
-    void aRouterThatFailsOnArrivalRefusesAsNothingRan() throws Exception {
-        site.router.onRequest =
+    void routerFailureOnArrivalRejectsRequestAsNotRun() throws Exception {
+        fixture.router.onRequest =
                 (request, out) -> {
                     throw new IllegalStateException("planned in this test");
                 };
-        client.write(site.get(Site.LONG_S));
-        assertEquals(503, Site.status(client.read()));
-        assertEquals("id0", Scripted.next(site.router.gone));
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        assertEquals(503, ProxyFixture.status(client.read()));
+        assertEquals("id0", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
     }
 
     @ParameterizedTest
     @CsvSource({"500, 502", "404, 503"})
-    void aRouterThatFailsLaterPromisesOnlyWhatIsProven(int fromNode, int toClient)
-            throws Exception {
-        site.router.onEnd =
+    void laterRouterFailureReportsNotRunOnlyIfProven(int fromNode, int toClient) throws Exception {
+        fixture.router.onEnd =
                 (end, out) -> {
                     throw new IllegalStateException("planned in this test");
                 };
-        client.write(site.get(Site.LONG_S));
-        site.node.next().wire().answer(fromNode, "");
-        assertEquals(toClient, Site.status(client.read()));
-        site.router.onRequest = (request, out) -> out.send(request.id(), "c0", 0);
-        client.write(site.get(Site.LONG_S));
-        site.node.next().wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node.next().connection().respond(fromNode, "");
+        assertEquals(toClient, ProxyFixture.status(client.read()));
+        fixture.router.onRequest = (request, out) -> out.send(request.id(), "c0", 0);
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node.next().connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
     }
 
     @Test
-    void aTimerThatFailsComesAgain() throws Exception {
-        site.router.onRequest =
+    void failedTimerIsRetried() throws Exception {
+        fixture.router.onRequest =
                 (request, out) -> {
-                    out.timer(0, "tick");
-                    out.refuse(request.id(), 0);
+                    out.scheduleTimer(0, "tick");
+                    out.reject(request.id(), 0);
                 };
-        site.router.onTimer =
+        fixture.router.onTimer =
                 () -> {
-                    site.router.onTimer = () -> {};
+                    fixture.router.onTimer = () -> {};
                     throw new IllegalStateException("planned in this test");
                 };
-        client.write(site.get(Site.LONG_S));
-        assertEquals("tick", Scripted.next(site.router.timers));
-        assertEquals("tick", Scripted.next(site.router.timers));
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        assertEquals("tick", ScriptedRouter.awaitNext(fixture.router.firedTimers));
+        assertEquals("tick", ScriptedRouter.awaitNext(fixture.router.firedTimers));
     }
 
     @Test
-    void aRequestThatTheRouterForgetsIsAnsweredAtItsDeadline() throws Exception {
-        site.router.onRequest = (request, out) -> {};
-        client.write(site.get(0.1));
-        assertEquals(503, Site.status(client.read()));
+    void requestWithoutDecisionIsAnsweredAtItsDeadline() throws Exception {
+        fixture.router.onRequest = (request, out) -> {};
+        client.write(fixture.get(0.1));
+        assertEquals(503, ProxyFixture.status(client.read()));
     }
 }
--- a/src/test/java/cacheproxy/proxy/ConfigFileWatchTest.java
+++ b/src/test/java/cacheproxy/proxy/ConfigFileWatchTest.java
@@ -36,49 +36,49 @@
         Files.setLastModifiedTime(file, WRITTEN);
     }
 
-    private void changedOnce() {
-        assertTrue(watch.changed());
-        assertFalse(watch.changed() || watch.changed());
+    private void assertChangedOnce() {
+        assertTrue(watch.hasChanged());
+        assertFalse(watch.hasChanged() || watch.hasChanged());
     }
 
     @Test
-    void aFileThatStaysIsNoChange() {
-        assertFalse(watch.changed() || watch.changed() || watch.changed());
+    void unchangedFileIsNotReported() {
+        assertFalse(watch.hasChanged() || watch.hasChanged() || watch.hasChanged());
     }
 
     @Test
-    void aFileThatIsWrittenTouchedReplacedRemovedAndBackIsAChangeEachTime() throws Exception {
+    void reportsWriteTouchReplaceRemoveAndRestore() throws Exception {
         write("longer text");
-        changedOnce();
+        assertChangedOnce();
         Files.setLastModifiedTime(file, LATER);
-        changedOnce();
+        assertChangedOnce();
         Path next = Files.writeString(folder.resolve("next.json"), "other texts");
         Files.setLastModifiedTime(next, Files.getLastModifiedTime(file));
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
-        changedOnce();
+        assertChangedOnce();
         Files.delete(file);
-        changedOnce();
+        assertChangedOnce();
         write("back");
-        changedOnce();
+        assertChangedOnce();
     }
 
     /** The clock of a file system may stand still from one write to the next. */
     @Test
-    void aSecondWriteInTheSameTickIsAChange() throws Exception {
+    void reportsSecondWriteWithEqualTimestamp() throws Exception {
         write("other");
         Files.setLastModifiedTime(file, LATER);
-        assertTrue(watch.changed());
+        assertTrue(watch.hasChanged());
         write("third");
         Files.setLastModifiedTime(file, LATER);
-        changedOnce();
+        assertChangedOnce();
     }
 
     @Test
-    void whatIsNoRegularFileIsNeverRead() throws Exception {
+    void doesNotReadPipeOrMissingFile() throws Exception {
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         ConfigFileWatch none = new ConfigFileWatch(Map.of("BALANCER_CONFIG", pipe.toString()));
-        assertFalse(none.changed());
-        assertFalse(new ConfigFileWatch(Map.of()).changed());
+        assertFalse(none.hasChanged());
+        assertFalse(new ConfigFileWatch(Map.of()).hasChanged());
     }
 }
--- a/src/test/java/cacheproxy/proxy/ConfigTest.java
+++ b/src/test/java/cacheproxy/proxy/ConfigTest.java
@@ -18,7 +18,7 @@
             "\"settings\":{\"services\":[{\"name\":\"r\",\"deadline_ms\":9}]}";
 
     @Test
-    void theEnvironmentOverrides() throws Exception {
+    void environmentOverridesFile() throws Exception {
         Config config =
                 Config.parse(
                         "{" + ADDRESSES + "\"seed\":\"ffffffffffffffff\"," + SETTINGS + "}",
@@ -44,20 +44,20 @@
                 "{" + ADDRESSES + "\"known\":{\"seq\":1}," + SETTINGS + "}",
                 "{" + ADDRESSES + "\"seed\":\"no hex\"," + SETTINGS + "}"
             })
-    void aBadOneIsRefusedInOneLine(String json) {
-        ConfigException refused =
+    void rejectsInvalidConfigurationInOneLine(String json) {
+        ConfigException rejected =
                 assertThrows(ConfigException.class, () -> Config.parse(json, Map.of()));
-        assertEquals(1, refused.getMessage().lines().count());
+        assertEquals(1, rejected.getMessage().lines().count());
     }
 
     @Test
-    void aMissingFileIsNamed() {
-        ConfigException refused =
+    void namesMissingFile() {
+        ConfigException rejected =
                 assertThrows(
                         ConfigException.class,
                         () ->
                                 Config.fromEnvironment(
                                         Map.of("BALANCER_CONFIG", "/nowhere/config.json")));
-        assertTrue(refused.getMessage().contains("/nowhere/config.json"));
+        assertTrue(rejected.getMessage().contains("/nowhere/config.json"));
     }
 }
--- a/src/test/java/cacheproxy/proxy/FailingConnectsTest.java
+++ b/src/test/java/cacheproxy/proxy/ConnectFailuresTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.syscalls.Errno;
 import cacheproxy.syscalls.SystemCall;
 import java.io.IOException;
@@ -19,7 +19,7 @@
  * For a second no connection to any node can be made, with the project's own decisions: each
  * request has its answer, and then serving goes on.
  */
-class FailingConnectsTest {
+class ConnectFailuresTest {
 
     private static final String SETTINGS =
             """
@@ -29,68 +29,70 @@
              "obligations": {"answer_slack_ms": 20}, "kinds": ["std", "origin"],
              "domain": {"mode": "aside", "origin_kind": 1},
              "services": [{"name": "read", "effect": "retryable", "objective_ms": 500, "deadline_ms": 1500}]}""";
-    private static final int CACHES = 4;
-    private static final int IN_A_ROW = 20;
-    private static final long FAILS_MS = 1000;
+    private static final int CACHE_NODES = 4;
+    private static final int CONSECUTIVE_SUCCESSES = 20;
+    private static final long FAILURE_DURATION_MS = 1000;
 
     /** A request's own time is 1.5 s; the rest is for a machine that is busy. */
-    private static final long MOST_ANSWER_MS = 5000;
+    private static final long MAX_RESPONSE_MS = 5000;
 
-    private static final long BACK_WITHIN_MS = 10_000;
-    private static final Set<Integer> FINAL = Set.of(200, 502, 503);
+    private static final long MAX_RECOVERY_MS = 10_000;
+    private static final Set<Integer> ALLOWED_STATUSES = Set.of(200, 502, 503);
 
-    private final List<Peer> nodes = new ArrayList<>();
-    private FaultySite site;
-    private Peer.Wire client;
-    private int calls;
+    private final List<TestServer> nodes = new ArrayList<>();
+    private FaultyProxyFixture fixture;
+    private TestServer.Connection client;
+    private int requestCount;
 
     @BeforeEach
     void start() throws Exception {
         List<String> hosts = new ArrayList<>();
-        for (int i = 0; i < CACHES; i++) {
-            hosts.add(Site.host("c" + i, node(), "up", 0));
+        for (int i = 0; i < CACHE_NODES; i++) {
+            hosts.add(ProxyFixture.host("c" + i, startNode(), "up", 0));
         }
-        hosts.add(Site.host("db", node(), "up", 0).replace("\"std\"", "\"origin\""));
-        Site peers = new Site();
+        hosts.add(ProxyFixture.host("db", startNode(), "up", 0).replace("\"std\"", "\"origin\""));
+        ProxyFixture baseFixture = new ProxyFixture();
         Config config =
                 Config.parse(
                         "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                                + peers.discovery.dial()
+                                + baseFixture.discovery.dial()
                                 + "\",\"limits\":{\"sockets\":256},\"known\":"
-                                + Site.list(7, true, hosts.toArray(String[]::new))
+                                + ProxyFixture.endpointList(7, true, hosts.toArray(String[]::new))
                                 + ",\"settings\":"
                                 + SETTINGS
                                 + "}",
-                        peers.environment);
-        site = new FaultySite(peers, config, new Decide(config.settings(), 7));
-        client = site.client();
+                        baseFixture.environment);
+        fixture =
+                new FaultyProxyFixture(
+                        baseFixture, config, new DecisionModule(config.settings(), 7));
+        client = fixture.client();
     }
 
     @AfterEach
     void stop() throws Exception {
         client.close();
-        site.close();
-        for (Peer node : nodes) {
+        fixture.close();
+        for (TestServer node : nodes) {
             node.close();
         }
     }
 
     /** A node that answers whatever it is asked; its address. */
-    private String node() throws IOException {
-        Peer node = new Peer();
+    private String startNode() throws IOException {
+        TestServer node = new TestServer();
         nodes.add(node);
-        Thread answering = new Thread(() -> answer(node), "node");
-        answering.setDaemon(true);
-        answering.start();
+        Thread thread = new Thread(() -> respondToAll(node), "node");
+        thread.setDaemon(true);
+        thread.start();
         return node.dial();
     }
 
-    private static void answer(Peer node) {
+    private static void respondToAll(TestServer node) {
         while (true) {
             try {
-                Peer.Message request = node.await();
+                TestServer.Message request = node.await();
                 if (request.text() != null) {
-                    request.wire().answer(200, "v");
+                    request.connection().respond(200, "v");
                 }
             } catch (IOException e) {
                 // Its connection was broken by the test.
@@ -102,31 +104,31 @@
     }
 
     /** Asks once; its one final answer has come in time. */
-    private int ask() throws Exception {
-        calls++;
-        long began = System.nanoTime();
+    private int send() throws Exception {
+        requestCount++;
+        long startNanos = System.nanoTime();
         client.write(
                 "GET /api/k"
-                        + calls % 10
+                        + requestCount % 10
                         + " HTTP/1.1\r\nHost: s\r\nX-Caller: acme\r\nX-Call-Class: read\r\n"
                         + "X-Budget: 1.5\r\nX-Call-Id: id"
-                        + calls
+                        + requestCount
                         + "\r\n\r\n");
-        int status = Site.status(client.read());
-        long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-        assertTrue(FINAL.contains(status), "answered " + status);
-        assertTrue(ms < MOST_ANSWER_MS, "answered after " + ms);
+        int status = ProxyFixture.status(client.read());
+        long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+        assertTrue(ALLOWED_STATUSES.contains(status), "answered " + status);
+        assertTrue(ms < MAX_RESPONSE_MS, "answered after " + ms);
         return status;
     }
 
     private void awaitServing() throws Exception {
-        long began = System.nanoTime();
-        int row = 0;
-        while (row < IN_A_ROW) {
-            row = ask() == 200 ? row + 1 : 0;
+        long startNanos = System.nanoTime();
+        int successes = 0;
+        while (successes < CONSECUTIVE_SUCCESSES) {
+            successes = send() == 200 ? successes + 1 : 0;
             TimeUnit.MILLISECONDS.sleep(5);
             assertTrue(
-                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) < BACK_WITHIN_MS,
+                    TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < MAX_RECOVERY_MS,
                     "it does not serve");
         }
     }
@@ -141,17 +143,16 @@
         "FINISH_CONNECT, EHOSTUNREACH",
         "FINISH_CONNECT, ETIMEDOUT"
     })
-    void eachRequestHasItsAnswerInTimeAndServingGoesOn(SystemCall call, Errno errno)
-            throws Exception {
+    void answersEachRequestInTimeAndRecovers(SystemCall call, Errno errno) throws Exception {
         awaitServing();
-        site.nodeCalls.fail(call, errno, Long.MAX_VALUE);
-        site.nodeCalls.breakConnections(Errno.ETIMEDOUT);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FAILS_MS);
-        while (System.nanoTime() - until < 0 || site.nodeCalls.failed(call) == 0) {
-            ask();
+        fixture.nodeCalls.fail(call, errno, Long.MAX_VALUE);
+        fixture.nodeCalls.breakConnections(Errno.ETIMEDOUT);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FAILURE_DURATION_MS);
+        while (System.nanoTime() - endNanos < 0 || fixture.nodeCalls.failureCount(call) == 0) {
+            send();
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        site.nodeCalls.heal();
+        fixture.nodeCalls.clearFaults();
         awaitServing();
     }
 }
--- a/src/test/java/cacheproxy/proxy/FullDescriptorsTest.java
+++ b/src/test/java/cacheproxy/proxy/DescriptorExhaustionTest.java
@@ -33,51 +33,51 @@
  * connecting and asking discovery fail. Its classes come from archives, as in use: with no
  * descriptor left none can be read from a folder.
  */
-class FullDescriptorsTest {
+class DescriptorExhaustionTest {
 
     private static final int TIMEOUT_S = 180;
-    private static final int DESCRIPTORS = 96;
+    private static final int MAX_DESCRIPTORS = 96;
 
     /** More than the process has room for, and fewer than the backlog. */
     private static final int IDLE_CLIENTS = 150;
 
-    private static final long WATCHED_MS = 2000;
+    private static final long OBSERVATION_MS = 2000;
 
     /**
      * Of {@link #WATCHED_MS} on one core: what spins takes all of it, and the compiler's threads
      * work beside.
      */
-    private static final long MOST_CPU_MS = 1500;
+    private static final long MAX_CPU_MS = 1500;
 
     private static final String UP = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
 
-    private final List<Peer.Wire> clients = new ArrayList<>();
+    private final List<TestServer.Connection> clients = new ArrayList<>();
     private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
     @TempDir private Path temp;
-    private Site site;
+    private ProxyFixture site;
     private Process process;
-    private InetSocketAddress front;
+    private InetSocketAddress clientAddress;
 
     @BeforeEach
     void start() throws Exception {
-        site = new Site();
+        site = new ProxyFixture();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            front = (InetSocketAddress) free.getLocalSocketAddress();
+            clientAddress = (InetSocketAddress) free.getLocalSocketAddress();
         }
         Path config =
                 Files.writeString(
                         temp.resolve("config.json"),
                         site.json("automatic", "60000", "")
-                                .replace("127.0.0.1:0", "127.0.0.1:" + front.getPort()));
+                                .replace("127.0.0.1:0", "127.0.0.1:" + clientAddress.getPort()));
         ProcessBuilder builder =
                 new ProcessBuilder(
                                 "sh",
                                 "-c",
-                                "ulimit -n " + DESCRIPTORS + " && exec \"$@\"",
+                                "ulimit -n " + MAX_DESCRIPTORS + " && exec \"$@\"",
                                 "sh",
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
-                                archives(),
+                                archivedClassPath(),
                                 "cacheproxy.Main",
                                 "serve")
                         .redirectErrorStream(true);
@@ -91,7 +91,7 @@
     @AfterEach
     void stop() throws Exception {
         process.destroyForcibly().waitFor();
-        for (Peer.Wire client : clients) {
+        for (TestServer.Connection client : clients) {
             client.close();
         }
         site.close();
@@ -108,7 +108,7 @@
     }
 
     /** This test's class path with each folder packed. */
-    private String archives() throws IOException {
+    private String archivedClassPath() throws IOException {
         List<String> packed = new ArrayList<>();
         for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
             Path path = Path.of(entry);
@@ -144,12 +144,12 @@
         }
     }
 
-    private Peer.Wire connect() throws Exception {
-        clients.add(Peer.connect(front));
+    private TestServer.Connection connect() throws Exception {
+        clients.add(TestServer.connect(clientAddress));
         return clients.get(clients.size() - 1);
     }
 
-    private Peer.Wire firstClient() throws Exception {
+    private TestServer.Connection firstClient() throws Exception {
         while (true) {
             try {
                 return connect();
@@ -160,14 +160,14 @@
         }
     }
 
-    private void assertServes(Peer.Wire client) throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Message request = site.node.next();
+    private void assertServes(TestServer.Connection client) throws Exception {
+        client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Message request = site.node.next();
         while (request.text() == null) {
             request = site.node.next();
         }
-        request.wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
+        request.connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
     }
 
     private long cpuMs() {
@@ -180,9 +180,9 @@
      */
     @Test
     @Timeout(TIMEOUT_S)
-    void withNoneLeftItServesOnDoesNotSpinAndFindsDiscoveryAndClientsAgain() throws Exception {
+    void keepsServingWithoutBusyLoopAndRecoversOnceDescriptorsAreFree() throws Exception {
         site.discovery.next();
-        Peer.Wire served = firstClient();
+        TestServer.Connection served = firstClient();
         assertServes(served);
         for (int i = 0; i < IDLE_CLIENTS; i++) {
             connect();
@@ -191,14 +191,14 @@
         site.discovery.close();
         awaitLog("watch_lost");
         long cpuBefore = cpuMs();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WATCHED_MS);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OBSERVATION_MS);
         while (System.nanoTime() - until < 0) {
             assertServes(served);
             TimeUnit.MILLISECONDS.sleep(50);
         }
         long cpu = cpuMs() - cpuBefore;
-        assertTrue(cpu < MOST_CPU_MS, "it spins: " + cpu + " ms");
-        try (Peer discovery = new Peer(site.discovery.address().getPort())) {
+        assertTrue(cpu < MAX_CPU_MS, "it spins: " + cpu + " ms");
+        try (TestServer discovery = new TestServer(site.discovery.address().getPort())) {
             String asked = discovery.next().firstLine();
             assertTrue(asked.startsWith("GET /discovery/hosts?watch=1"), asked);
             assertServesAgain(served);
@@ -206,16 +206,16 @@
     }
 
     /** Descriptors come free: who comes now is let in, and who was served before still is. */
-    private void assertServesAgain(Peer.Wire served) throws Exception {
-        for (Peer.Wire client : List.copyOf(clients)) {
+    private void assertServesAgain(TestServer.Connection served) throws Exception {
+        for (TestServer.Connection client : List.copyOf(clients)) {
             if (client != served) {
                 client.close();
             }
         }
         assertServes(served);
-        Peer.Wire next = connect();
+        TestServer.Connection next = connect();
         next.write(UP);
-        assertEquals(200, Site.status(next.read()));
+        assertEquals(200, ProxyFixture.status(next.read()));
         assertServes(next);
         assertTrue(process.isAlive());
         assertTrue(
--- a/src/test/java/cacheproxy/proxy/DiscoveryOutageTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryOutageTest.java
@@ -26,34 +26,35 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What the log says of a long outage of discovery: one line, and one where it has ended. */
-@Timeout(DiscoveryOutageTest.PATIENCE_S)
+@Timeout(DiscoveryOutageTest.TIMEOUT_S)
 class DiscoveryOutageTest {
 
-    static final int PATIENCE_S = 120;
+    static final int TIMEOUT_S = 120;
 
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String HEARTBEAT = "1\r\n\n\r\n";
-    private static final int MORE_ATTEMPTS = 10;
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String HEARTBEAT_CHUNK = "1\r\n\n\r\n";
+    private static final int ADDITIONAL_ATTEMPTS = 10;
 
-    @TempDir private Path folder;
+    @TempDir private Path directory;
     private final PrintStream standardError = System.err;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private Site site;
+    private ProxyFixture fixture;
 
     @BeforeEach
     void start() throws Exception {
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
-        site = new Site();
+        fixture = new ProxyFixture();
     }
 
     @AfterEach
     void stop() throws Exception {
-        site.close();
+        fixture.close();
         System.setErr(standardError);
         standardError.print(log.toString(StandardCharsets.UTF_8));
     }
 
-    private List<String> logged(String event) {
+    private List<String> logLines(String event) {
         return log.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(l -> l.contains(" " + event + " "))
@@ -61,27 +62,28 @@
     }
 
     /** What becomes of a call of discovery. */
-    private interface Answer {
-        void give(Peer.Wire call) throws IOException;
+    private interface WatchResponse {
+        void sendTo(TestServer.Connection connection) throws IOException;
     }
 
-    private static void reset(Peer.Wire call) throws IOException {
-        call.socket().setSoLinger(true, 0);
-        call.close();
+    private static void reset(TestServer.Connection connection) throws IOException {
+        connection.socket().setSoLinger(true, 0);
+        connection.close();
     }
 
-    private static void heartbeat(Peer.Wire call) throws IOException {
-        call.write(HEAD + HEARTBEAT);
+    private static void sendHeartbeat(TestServer.Connection connection) throws IOException {
+        connection.write(RESPONSE_HEAD + HEARTBEAT_CHUNK);
     }
 
     /** Answers the next call, if there is one; the proxy may have given it up meanwhile. */
-    private boolean answered(Peer discovery, Answer answer) throws InterruptedException {
-        Peer.Message call = discovery.heardNothing() ? null : discovery.next();
-        if (call == null || call.text() == null) {
+    private boolean respondToNextWatch(TestServer discovery, WatchResponse response)
+            throws InterruptedException {
+        TestServer.Message request = discovery.receivedNothing() ? null : discovery.next();
+        if (request == null || request.text() == null) {
             return false;
         }
         try {
-            answer.give(call.wire());
+            response.sendTo(request.connection());
         } catch (IOException e) {
             return false;
         }
@@ -89,91 +91,107 @@
     }
 
     /** Waits for one more line of an event than so many, and answers what calls meanwhile. */
-    private String awaited(String event, int before, Peer discovery, Answer answer)
+    private String awaitLogLine(
+            String event, int previousCount, TestServer discovery, WatchResponse response)
             throws Exception {
-        long patience = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S);
-        while (logged(event).size() <= before) {
-            assertTrue(System.nanoTime() < patience, event + " was never logged");
-            if (!answered(discovery, answer)) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TestServer.TIMEOUT_S);
+        while (logLines(event).size() <= previousCount) {
+            assertTrue(System.nanoTime() < deadlineNanos, event + " was never logged");
+            if (!respondToNextWatch(discovery, response)) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
-        return logged(event).get(before);
+        return logLines(event).get(previousCount);
     }
 
-    private static long field(String line, String name) {
+    private static long fieldValue(String line, String name) {
         return Long.parseLong(line.replaceFirst(".* " + name + "=(\\d+).*", "$1"));
     }
 
     @Test
-    void aWatchThatIsLostAgainAndAgainIsToldOfOnce() throws Exception {
-        site.times = Discovery.Times.PUSHED;
-        site.start("automatic", "60000", "");
+    void repeatedWatchFailuresAreLoggedOnce() throws Exception {
+        fixture.discoveryTimes = Discovery.Times.PUSHED;
+        fixture.start("automatic", "60000", "");
         String unreachable =
-                awaited("discovery_unreachable", 0, site.discovery, DiscoveryOutageTest::reset);
-        assertTrue(unreachable.contains(site.discovery.dial()), unreachable);
-        assertTrue(field(unreachable, "since_ms") >= DiscoveryOutage.UNREACHABLE_MS, unreachable);
-        int lines = logged("watch_lost").size() + logged("watch_broke").size();
-        assertTrue(lines <= 2, lines + " lines of attempts");
+                awaitLogLine(
+                        "discovery_unreachable", 0, fixture.discovery, DiscoveryOutageTest::reset);
+        assertTrue(unreachable.contains(fixture.discovery.dial()), unreachable);
+        assertTrue(
+                fieldValue(unreachable, "since_ms") >= DiscoveryOutage.UNREACHABLE_AFTER_MS,
+                unreachable);
+        int failureLines = logLines("watch_lost").size() + logLines("watch_broke").size();
+        assertTrue(failureLines <= 2, failureLines + " lines of attempts");
         int attempts = 0;
-        while (attempts < MORE_ATTEMPTS) {
-            if (answered(site.discovery, DiscoveryOutageTest::reset)) {
+        while (attempts < ADDITIONAL_ATTEMPTS) {
+            if (respondToNextWatch(fixture.discovery, DiscoveryOutageTest::reset)) {
                 attempts++;
             } else {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
-        assertEquals(1, logged("discovery_unreachable").size());
-        assertEquals(lines, logged("watch_lost").size() + logged("watch_broke").size());
-        assertTrue(logged("left_out").isEmpty() && logged("discovery_restored").isEmpty());
+        assertEquals(1, logLines("discovery_unreachable").size());
+        assertEquals(failureLines, logLines("watch_lost").size() + logLines("watch_broke").size());
+        assertTrue(logLines("left_out").isEmpty() && logLines("discovery_restored").isEmpty());
 
-        List<Peer.Wire> heard = new ArrayList<>();
+        List<TestServer.Connection> connections = new ArrayList<>();
         String restored =
-                awaited(
+                awaitLogLine(
                         "discovery_restored",
                         0,
-                        site.discovery,
-                        call -> {
-                            heard.add(call);
-                            heartbeat(call);
+                        fixture.discovery,
+                        connection -> {
+                            connections.add(connection);
+                            sendHeartbeat(connection);
                         });
-        assertTrue(field(restored, "after_ms") > field(unreachable, "since_ms"), restored);
-        for (Peer.Wire call : heard) {
-            reset(call);
+        assertTrue(
+                fieldValue(restored, "after_ms") > fieldValue(unreachable, "since_ms"), restored);
+        for (TestServer.Connection connection : connections) {
+            reset(connection);
         }
-        awaited("watch_lost", 1, site.discovery, DiscoveryOutageTest::reset);
-        assertEquals(1, logged("discovery_restored").size());
+        awaitLogLine("watch_lost", 1, fixture.discovery, DiscoveryOutageTest::reset);
+        assertEquals(1, logLines("discovery_restored").size());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
-    void oneThatRefusesIsNamedWithTheErrorAndItsEndIsToldAfterAMove(String mode) throws Exception {
-        site.router.subscribes = mode.equals("subscribe");
+    void logsRefusedConnectionAndRecoveryAtAnotherAddress(String mode) throws Exception {
+        fixture.router.subscribesAtStart = mode.equals("subscribe");
         // Bound and not listening: the system refuses what is sent there.
-        try (Socket refusing = new Socket();
-                Peer next = new Peer()) {
-            refusing.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            String address = "127.0.0.1:" + refusing.getLocalPort();
-            String json = site.json(mode, "60000", "").replace(site.discovery.dial(), address);
-            site.service =
+        try (Socket refusingSocket = new Socket();
+                TestServer nextServer = new TestServer()) {
+            refusingSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            String address = "127.0.0.1:" + refusingSocket.getLocalPort();
+            String json =
+                    fixture.json(mode, "60000", "").replace(fixture.discovery.dial(), address);
+            fixture.service =
                     Service.start(
                             Config.parse(json, Map.of()),
-                            site.router,
+                            fixture.router,
                             0,
-                            site.router.subscribes ? Discovery.Times.ASKED : Discovery.Times.PUSHED,
+                            fixture.router.subscribesAtStart
+                                    ? Discovery.Times.ASKED
+                                    : Discovery.Times.PUSHED,
                             new CompletableFuture<>());
             String unreachable =
-                    awaited("discovery_unreachable", 0, next, DiscoveryOutageTest::heartbeat);
+                    awaitLogLine(
+                            "discovery_unreachable",
+                            0,
+                            nextServer,
+                            DiscoveryOutageTest::sendHeartbeat);
             assertTrue(unreachable.contains(address), unreachable);
             assertTrue(unreachable.contains("Connection refused"), unreachable);
-            assertEquals(1, logged("watch_lost").size());
+            assertEquals(1, logLines("watch_lost").size());
 
-            Path moved = folder.resolve("config.json");
-            Files.writeString(moved, json.replace(address, next.dial()));
-            site.service.reload(Map.of("BALANCER_CONFIG", moved.toString()));
+            Path nextConfig = directory.resolve("config.json");
+            Files.writeString(nextConfig, json.replace(address, nextServer.dial()));
+            fixture.service.reload(Map.of("BALANCER_CONFIG", nextConfig.toString()));
             String restored =
-                    awaited("discovery_restored", 0, next, DiscoveryOutageTest::heartbeat);
-            assertTrue(restored.contains(next.dial()), restored);
+                    awaitLogLine(
+                            "discovery_restored",
+                            0,
+                            nextServer,
+                            DiscoveryOutageTest::sendHeartbeat);
+            assertTrue(restored.contains(nextServer.dial()), restored);
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/DiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cacheproxy.Router.Availability;
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -18,107 +18,132 @@
 /** The watch: what it tells is applied line by line, and it comes back from where it broke. */
 class DiscoveryTest {
 
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private Site site;
+    private ProxyFixture fixture;
 
     @BeforeEach
     void start() throws Exception {
-        site = new Site();
+        fixture = new ProxyFixture();
     }
 
     @AfterEach
     void stop() throws Exception {
-        site.close();
+        fixture.close();
     }
 
-    private static void line(Peer.Wire watch, String text) throws IOException {
+    private static void sendLine(TestServer.Connection watch, String text) throws IOException {
         watch.write(Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
     }
 
-    private Peer.Wire watch(long from) throws Exception {
-        Peer.Message asked = site.discovery.next();
-        while (asked.text() == null) {
-            asked = site.discovery.next();
+    private TestServer.Connection awaitWatch(long from) throws Exception {
+        TestServer.Message request = fixture.discovery.next();
+        while (request.text() == null) {
+            request = fixture.discovery.next();
         }
-        assertEquals("GET /discovery/hosts?watch=1&from=" + from + " HTTP/1.1", asked.firstLine());
-        return asked.wire();
+        assertEquals(
+                "GET /discovery/hosts?watch=1&from=" + from + " HTTP/1.1", request.firstLine());
+        return request.connection();
     }
 
     @Test
-    void linesApplyAtOnceAndBadOnesAreDroppedAndAskedForAgain() throws Exception {
-        site.start("automatic", "60000", "");
-        assertEquals(ListKind.REMEMBERED, Scripted.next(site.router.lists).kind());
-        Peer.Wire watch = watch(7);
-        watch.write(HEAD);
-        line(watch, "");
-        line(watch, "{\"seq\":8,\"whole\":false,\"hosts\":[{\"host\":\"c9\"}]}");
-        line(watch, "not json");
+    void appliesLinesAtOnceAndRequestsMalformedOnesAgain() throws Exception {
+        fixture.start("automatic", "60000", "");
+        assertEquals(
+                EndpointListKind.STORED_SNAPSHOT,
+                ScriptedRouter.awaitNext(fixture.router.receivedLists).kind());
+        TestServer.Connection watch = awaitWatch(7);
+        watch.write(RESPONSE_HEAD);
+        sendLine(watch, "");
+        sendLine(watch, "{\"seq\":8,\"whole\":false,\"hosts\":[{\"host\":\"c9\"}]}");
+        sendLine(watch, "not json");
         // What they should have said is asked for again; the watch that there is goes on meanwhile.
-        Peer.Wire resumed = watch(7);
-        line(watch, Site.list(9, false, Site.host("c1", "127.0.0.1:9", "draining", 5)));
-        Scripted.Told told = Scripted.next(site.router.lists);
-        assertEquals(ListKind.CHANGES, told.kind());
-        assertEquals(9, told.version());
-        assertEquals(Availability.DRAINING, told.entries().get(0).availability());
-        assertEquals(5, told.entries().get(0).startedAtMs());
-        resumed.write(HEAD);
-        line(resumed, Site.list(9, false, Site.host("c1", "127.0.0.1:9", "draining", 5)));
-        assertEquals(9, Scripted.next(site.router.lists).version());
+        TestServer.Connection resumed = awaitWatch(7);
+        sendLine(
+                watch,
+                ProxyFixture.endpointList(
+                        9, false, ProxyFixture.host("c1", "127.0.0.1:9", "draining", 5)));
+        ScriptedRouter.ReceivedList received =
+                ScriptedRouter.awaitNext(fixture.router.receivedLists);
+        assertEquals(EndpointListKind.DELTA, received.kind());
+        assertEquals(9, received.version());
+        assertEquals(Availability.DRAINING, received.entries().get(0).availability());
+        assertEquals(5, received.entries().get(0).startedAtMs());
+        resumed.write(RESPONSE_HEAD);
+        sendLine(
+                resumed,
+                ProxyFixture.endpointList(
+                        9, false, ProxyFixture.host("c1", "127.0.0.1:9", "draining", 5)));
+        assertEquals(9, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
         assertNull(
-                site.discovery.next().text(), "the old one is closed once the new one has spoken");
+                fixture.discovery.next().text(),
+                "the old one is closed once the new one has spoken");
         resumed.close();
-        Peer.Wire again = watch(9);
-        again.write(HEAD);
-        line(again, Site.list(12, true, Site.host("c1", "127.0.0.1:9", "up", 0)));
-        assertEquals(ListKind.FULL, Scripted.next(site.router.lists).kind());
+        TestServer.Connection reopened = awaitWatch(9);
+        reopened.write(RESPONSE_HEAD);
+        sendLine(
+                reopened,
+                ProxyFixture.endpointList(
+                        12, true, ProxyFixture.host("c1", "127.0.0.1:9", "up", 0)));
+        assertEquals(
+                EndpointListKind.SNAPSHOT,
+                ScriptedRouter.awaitNext(fixture.router.receivedLists).kind());
     }
 
     @Test
-    void aWatchThatFallsSilentIsOpenedAnew() throws Exception {
-        site.start("automatic", "60000", "");
-        Peer.Wire watch = watch(7);
-        watch.write(HEAD);
-        line(watch, Site.list(8, false));
-        watch(8);
+    void reopensSilentWatch() throws Exception {
+        fixture.start("automatic", "60000", "");
+        TestServer.Connection watch = awaitWatch(7);
+        watch.write(RESPONSE_HEAD);
+        sendLine(watch, ProxyFixture.endpointList(8, false));
+        awaitWatch(8);
     }
 
     @Test
-    void aHostThatStartedAnewGetsNewConnections() throws Exception {
-        site.start("automatic", "60000", "");
-        Peer.Wire watch = watch(7);
-        watch.write(HEAD);
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
-            Peer.Message first = site.node.next();
-            first.wire().answer(200, "v");
+    void restartedHostGetsNewConnections() throws Exception {
+        fixture.start("automatic", "60000", "");
+        TestServer.Connection watch = awaitWatch(7);
+        watch.write(RESPONSE_HEAD);
+        try (TestServer.Connection client = fixture.client()) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            TestServer.Message first = fixture.node.next();
+            first.connection().respond(200, "v");
             client.read();
-            line(watch, Site.list(8, false, Site.host("c0", site.node.dial(), "up", 99)));
-            assertNull(site.node.next().text(), "the idle connection to the old process is closed");
-            client.write(site.get(Site.LONG_S));
-            Peer.Message second = site.node.next();
-            assertEquals(first.wire().number() + 1, second.wire().number());
-            line(watch, Site.list(9, false, Site.host("c0", site.node.dial(), "up", 100)));
-            Scripted.next(site.router.lists);
-            Scripted.next(site.router.lists);
-            Scripted.next(site.router.lists);
-            second.wire().answer(200, "v");
+            sendLine(
+                    watch,
+                    ProxyFixture.endpointList(
+                            8, false, ProxyFixture.host("c0", fixture.node.dial(), "up", 99)));
+            assertNull(
+                    fixture.node.next().text(), "the idle connection to the old process is closed");
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            TestServer.Message second = fixture.node.next();
+            assertEquals(first.connection().number() + 1, second.connection().number());
+            sendLine(
+                    watch,
+                    ProxyFixture.endpointList(
+                            9, false, ProxyFixture.host("c0", fixture.node.dial(), "up", 100)));
+            ScriptedRouter.awaitNext(fixture.router.receivedLists);
+            ScriptedRouter.awaitNext(fixture.router.receivedLists);
+            ScriptedRouter.awaitNext(fixture.router.receivedLists);
+            second.connection().respond(200, "v");
             client.read();
-            assertNull(site.node.next().text(), "nor is one kept that was busy when the news came");
+            assertNull(
+                    fixture.node.next().text(), "nor is one kept that was busy when the news came");
         }
     }
 
     @Test
-    void readyOnceDiscoveryHasSpoken() throws Exception {
-        site.start("automatic", "60000", "");
-        Peer.Wire watch = watch(7);
-        watch.write(HEAD);
-        line(watch, Site.list(9, false));
-        Scripted.next(site.router.lists);
-        Scripted.next(site.router.lists);
-        try (Peer.Wire client = site.client()) {
+    void isReadyAfterFirstEndpointList() throws Exception {
+        fixture.start("automatic", "60000", "");
+        TestServer.Connection watch = awaitWatch(7);
+        watch.write(RESPONSE_HEAD);
+        sendLine(watch, ProxyFixture.endpointList(9, false));
+        ScriptedRouter.awaitNext(fixture.router.receivedLists);
+        ScriptedRouter.awaitNext(fixture.router.receivedLists);
+        try (TestServer.Connection client = fixture.client()) {
             client.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            assertEquals(200, Site.status(client.read()));
+            assertEquals(200, ProxyFixture.status(client.read()));
         }
     }
 
@@ -127,72 +152,79 @@
      * first word.
      */
     @Test
-    void clientsAreLetInOnlyOnceDiscoveryHasSpoken() throws Exception {
+    void opensClientAddressOnlyAfterFirstEndpointList() throws Exception {
         CompletableFuture<Void> starting =
                 CompletableFuture.runAsync(
                         () -> {
                             try {
-                                site.service =
+                                fixture.service =
                                         Service.start(
-                                                site.config("automatic", "60000", ""),
-                                                site.router,
-                                                TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S),
-                                                Site.CALM,
+                                                fixture.config("automatic", "60000", ""),
+                                                fixture.router,
+                                                TimeUnit.SECONDS.toMillis(TestServer.TIMEOUT_S),
+                                                ProxyFixture.LENIENT_TIMES,
                                                 new CompletableFuture<>());
                             } catch (Exception e) {
                                 throw new IllegalStateException(e);
                             }
                         });
-        Peer.Wire watch = watch(7);
-        watch.write(HEAD);
+        TestServer.Connection watch = awaitWatch(7);
+        watch.write(RESPONSE_HEAD);
         assertThrows(
                 TimeoutException.class,
                 () -> starting.get(300, TimeUnit.MILLISECONDS),
                 "the clients' address is open");
-        line(watch, Site.list(9, false, Site.host("c0", site.node.dial(), "draining", 0)));
-        starting.get(Peer.PATIENCE_S, TimeUnit.SECONDS);
+        sendLine(
+                watch,
+                ProxyFixture.endpointList(
+                        9, false, ProxyFixture.host("c0", fixture.node.dial(), "draining", 0)));
+        starting.get(TestServer.TIMEOUT_S, TimeUnit.SECONDS);
         assertEquals(
                 2,
-                site.router.lists.size(),
+                fixture.router.receivedLists.size(),
                 "the module knew of the drain before the first client");
     }
 
     @Test
-    void whereDiscoverySaysNothingClientsAreLetInAllTheSame() throws Exception {
-        site.service =
+    void opensClientAddressAfterTimeoutWithoutDiscovery() throws Exception {
+        fixture.service =
                 Service.start(
-                        site.config("automatic", "60000", ""),
-                        site.router,
+                        fixture.config("automatic", "60000", ""),
+                        fixture.router,
                         50,
-                        Site.CALM,
+                        ProxyFixture.LENIENT_TIMES,
                         new CompletableFuture<>());
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
-            site.node.next().wire().answer(200, "v");
-            assertEquals(200, Site.status(client.read()));
+        try (TestServer.Connection client = fixture.client()) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            fixture.node.next().connection().respond(200, "v");
+            assertEquals(200, ProxyFixture.status(client.read()));
         }
     }
 
     @Test
-    void whereItIsAskedABrokenWatchIsReportedAndTheRouterDecides() throws Exception {
-        site.router.subscribes = true;
-        site.start("subscribe", "60000", "");
-        assertEquals(ListKind.REMEMBERED, Scripted.next(site.router.lists).kind());
-        Peer.Wire watch = watch(7);
+    void inSubscribeModeFailedWatchIsReportedAndRouterDecides() throws Exception {
+        fixture.router.subscribesAtStart = true;
+        fixture.start("subscribe", "60000", "");
+        assertEquals(
+                EndpointListKind.STORED_SNAPSHOT,
+                ScriptedRouter.awaitNext(fixture.router.receivedLists).kind());
+        TestServer.Connection watch = awaitWatch(7);
         watch.write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(ListKind.REFUSED, Scripted.next(site.router.lists).kind());
-        assertNull(site.discovery.next().text());
-        assertTrue(site.discovery.heardNothing());
+        assertEquals(
+                EndpointListKind.FAILED,
+                ScriptedRouter.awaitNext(fixture.router.receivedLists).kind());
+        assertNull(fixture.discovery.next().text());
+        assertTrue(fixture.discovery.receivedNothing());
     }
 
     @Test
-    void idleConnectionsCloseBeforeTheNodeCloses() throws Exception {
-        site.start("automatic", "200", "");
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
-            site.node.next().wire().answer(200, "v");
+    void closesIdleConnectionBeforeTheNodeDoes() throws Exception {
+        fixture.start("automatic", "200", "");
+        try (TestServer.Connection client = fixture.client()) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            fixture.node.next().connection().respond(200, "v");
             client.read();
-            assertNull(site.node.next().text());
+            assertNull(fixture.node.next().text());
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -13,11 +13,11 @@
 /** A planned restart loses nothing. */
 class DrainTest {
 
-    private Site site;
+    private ProxyFixture site;
 
     @BeforeEach
     void start() throws Exception {
-        site = Site.started();
+        site = ProxyFixture.started();
     }
 
     @AfterEach
@@ -26,69 +26,71 @@
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void whatWasTakenIsAnsweredAndNewConnectionsStillComeForAWhile() throws Exception {
-        try (Peer.Wire held = site.client();
-                Peer.Wire kept = site.client();
-                Peer.Wire busy = site.client()) {
-            held.write(site.get(Site.LONG_S));
-            Peer.Wire node = site.node.next().wire();
-            kept.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            kept.read();
-            site.service.beginDrain();
-            try (Peer.Wire late = site.client()) {
+    @Timeout(TestServer.TIMEOUT_S)
+    void answersAcceptedRequestsAndStillAcceptsConnections() throws Exception {
+        try (TestServer.Connection waiting = site.client();
+                TestServer.Connection idle = site.client();
+                TestServer.Connection busy = site.client()) {
+            waiting.write(site.get(ProxyFixture.LONG_BUDGET_S));
+            TestServer.Connection node = site.node.next().connection();
+            idle.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
+            idle.read();
+            site.service.startShutdown();
+            try (TestServer.Connection late = site.client()) {
                 late.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
                 String answer = late.read();
-                assertEquals(503, Site.status(answer), "not to be used any more");
-                assertEquals("close", new Peer.Message(answer, late).header("Connection"));
+                assertEquals(503, ProxyFixture.status(answer), "not to be used any more");
+                assertEquals("close", new TestServer.Message(answer, late).header("Connection"));
                 assertNull(late.read());
             }
-            busy.write(site.get(Site.LONG_S));
-            site.node.next().wire().answer(200, "v");
-            assertEquals("close", new Peer.Message(busy.read(), busy).header("Connection"));
-            site.service.endDrain();
-            assertNull(kept.read(), "an idle client is let go");
-            node.answer(200, "v");
-            String answer = held.read();
-            assertEquals(200, Site.status(answer));
-            assertEquals("close", new Peer.Message(answer, held).header("Connection"));
-            site.service.awaitEnd();
+            busy.write(site.get(ProxyFixture.LONG_BUDGET_S));
+            site.node.next().connection().respond(200, "v");
+            assertEquals("close", new TestServer.Message(busy.read(), busy).header("Connection"));
+            site.service.stopAccepting();
+            assertNull(idle.read(), "an idle client is let go");
+            node.respond(200, "v");
+            String answer = waiting.read();
+            assertEquals(200, ProxyFixture.status(answer));
+            assertEquals("close", new TestServer.Message(answer, waiting).header("Connection"));
+            site.service.awaitTermination();
         }
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aClientThatWasServedBeforeIsServedOnUntilTheEnd() throws Exception {
-        try (Peer.Wire kept = site.client()) {
-            kept.write(site.get(Site.LONG_S));
-            site.node.next().wire().answer(200, "v");
-            assertEquals(200, Site.status(kept.read()));
-            site.service.beginDrain();
+    @Timeout(TestServer.TIMEOUT_S)
+    void servesKnownClientUntilItStopsAccepting() throws Exception {
+        try (TestServer.Connection client = site.client()) {
+            client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+            site.node.next().connection().respond(200, "v");
+            assertEquals(200, ProxyFixture.status(client.read()));
+            site.service.startShutdown();
             for (int i = 0; i < 2; i++) {
-                kept.write(site.get(Site.LONG_S));
-                site.node.next().wire().answer(200, "v");
-                String answer = kept.read();
-                assertEquals(200, Site.status(answer));
+                client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+                site.node.next().connection().respond(200, "v");
+                String answer = client.read();
+                assertEquals(200, ProxyFixture.status(answer));
                 assertNull(
-                        new Peer.Message(answer, kept).header("Connection"),
+                        new TestServer.Message(answer, client).header("Connection"),
                         "another proxy may not be up yet");
             }
-            site.service.endDrain();
-            assertNull(kept.read(), "an idle client is let go");
-            site.service.awaitEnd();
+            site.service.stopAccepting();
+            assertNull(client.read(), "an idle client is let go");
+            site.service.awaitTermination();
         }
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void whatIsStillOpenAtTheEndIsAnsweredThen() throws Exception {
-        try (Peer.Wire held = site.client()) {
-            held.write(site.get(Site.LONG_S));
+    @Timeout(TestServer.TIMEOUT_S)
+    void answersPendingRequestsBeforeTermination() throws Exception {
+        try (TestServer.Connection waiting = site.client()) {
+            waiting.write(site.get(ProxyFixture.LONG_BUDGET_S));
             site.node.next();
             long before = System.nanoTime();
-            site.service.drain();
-            assertEquals(502, Site.status(held.read()), "it may have run");
-            assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos((long) Site.LONG_S));
+            site.service.shutDown();
+            assertEquals(502, ProxyFixture.status(waiting.read()), "it may have run");
+            assertTrue(
+                    System.nanoTime() - before
+                            < TimeUnit.SECONDS.toNanos((long) ProxyFixture.LONG_BUDGET_S));
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/DroppedRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/DroppedRequestsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.Router;
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
@@ -37,17 +37,17 @@
                           {"name": "pay", "effect": "dedup", "deadline_ms": 60000, "repeat_window_ms": 30000},
                           {"name": "pay-in-zone", "effect": "dedup", "group": "zone", "deadline_ms": 60000, "repeat_window_ms": 30000},
                           {"name": "book", "effect": "fragile", "deadline_ms": 60000}]}""";
-    private static final int CACHES = 4;
-    private static final int REQUESTS = 8;
+    private static final int CACHE_NODES = 4;
+    private static final int REQUEST_COUNT = 8;
 
     /**
      * The budgets end within 0.12 s and the classes' deadlines after 60 s; what is between is for a
      * machine that is busy.
      */
-    private static final long MOST_ANSWER_MS = 10_000;
+    private static final long MAX_RESPONSE_MS = 10_000;
 
     /** The module sends nothing for requests with so little left, or next to nothing. */
-    private static final double TOO_LITTLE_MS = 20;
+    private static final double INSUFFICIENT_BUDGET_MS = 20;
 
     private final List<SilentNode> nodes = new ArrayList<>();
     private final Map<String, Double> receivedAt = new ConcurrentHashMap<>();
@@ -55,57 +55,59 @@
     /** By request and node: when the module decided to send it there. */
     private final Map<String, Double> sentAt = new ConcurrentHashMap<>();
 
-    private Peer discovery;
+    private TestServer discovery;
     private Service service;
 
     /** Starts a proxy with cache nodes and an origin that never answer. */
     private void start(String mode) throws Exception {
-        discovery = new Peer();
+        discovery = new TestServer();
         List<String> hosts = new ArrayList<>();
-        for (int i = 0; i <= CACHES; i++) {
+        for (int i = 0; i <= CACHE_NODES; i++) {
             SilentNode node = new SilentNode(false);
             nodes.add(node);
-            String host = Site.host("c" + i, node.dial(), "up", 0);
-            hosts.add(i < CACHES ? host : host.replace("\"std\"", "\"origin\""));
+            String host = ProxyFixture.host("c" + i, node.dial(), "up", 0);
+            hosts.add(i < CACHE_NODES ? host : host.replace("\"std\"", "\"origin\""));
         }
         Config config =
                 Config.parse(
                         "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                                 + discovery.dial()
                                 + "\",\"limits\":{\"sockets\":256},\"known\":"
-                                + Site.list(7, true, hosts.toArray(String[]::new))
+                                + ProxyFixture.endpointList(7, true, hosts.toArray(String[]::new))
                                 + ",\"settings\":"
                                 + SETTINGS.formatted(mode)
                                 + "}",
                         Map.of());
-        service = Service.start(config, noting(new Decide(config.settings(), 7)));
+        service = Service.start(config, recordTimes(new DecisionModule(config.settings(), 7)));
     }
 
     /**
      * The same decisions, with a note of when each request came and was sent on, by the proxy's own
      * clock.
      */
-    private Router noting(Router decisions) {
-        return wrap(
+    private Router recordTimes(Router decisions) {
+        return proxyOf(
                 Router.class,
                 (self, method, arguments) -> {
                     if (method.getName().equals("request")) {
                         receivedAt.put(((Router.Request) arguments[1]).id(), (Double) arguments[0]);
                     }
-                    Object[] noted =
+                    Object[] wrappedArguments =
                             arguments == null
                                     ? new Object[0]
                                     : Arrays.copyOf(arguments, arguments.length);
-                    int last = noted.length - 1;
-                    if (last > 0 && noted[last] instanceof Router.Actions actions) {
-                        noted[last] = noting(actions, (Double) noted[0]);
+                    int lastIndex = wrappedArguments.length - 1;
+                    if (lastIndex > 0
+                            && wrappedArguments[lastIndex] instanceof Router.Actions actions) {
+                        wrappedArguments[lastIndex] =
+                                recordTimes(actions, (Double) wrappedArguments[0]);
                     }
-                    return method.invoke(decisions, noted);
+                    return method.invoke(decisions, wrappedArguments);
                 });
     }
 
-    private Router.Actions noting(Router.Actions actions, double now) {
-        return wrap(
+    private Router.Actions recordTimes(Router.Actions actions, double now) {
+        return proxyOf(
                 Router.Actions.class,
                 (self, method, arguments) -> {
                     if (method.getName().equals("send")) {
@@ -115,28 +117,29 @@
                 });
     }
 
-    private static <T> T wrap(Class<T> type, InvocationHandler handler) {
+    private static <T> T proxyOf(Class<T> type, InvocationHandler handler) {
         return type.cast(
                 Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler));
     }
 
     @AfterEach
     void stop() throws Exception {
-        service.kill();
+        service.terminateNow();
         discovery.close();
         for (SilentNode node : nodes) {
             node.close();
         }
     }
 
-    private static String request(String method, String type, int number, double budgetMs) {
+    private static String buildRequest(
+            String method, String serviceClass, int number, double budgetMs) {
         return method
                 + " /api/k"
                 + number
                 + " HTTP/1.1\r\nHost: s\r\nX-Caller: acme\r\nX-Call-Id: id"
                 + number
                 + "\r\nX-Call-Class: "
-                + type
+                + serviceClass
                 + "\r\nX-Budget: "
                 + budgetMs / 1e3
                 + "\r\nIdempotency-Key: key"
@@ -149,34 +152,36 @@
      * Asks one thing after another; the statuses, of which each came in time and was the only one
      * to its request.
      */
-    private List<Integer> answers(String method, String type, double budgetMs) throws Exception {
+    private List<Integer> sendRequests(String method, String serviceClass, double budgetMs)
+            throws Exception {
         List<Integer> statuses = new ArrayList<>();
-        try (Peer.Wire client = Peer.connect(service.listening())) {
-            for (int i = 0; i < REQUESTS; i++) {
-                long began = System.nanoTime();
-                client.write(request(method, type, i, budgetMs));
-                statuses.add(Site.status(client.read()));
-                long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+        try (TestServer.Connection client = TestServer.connect(service.clientAddress())) {
+            for (int i = 0; i < REQUEST_COUNT; i++) {
+                long startNanos = System.nanoTime();
+                client.write(buildRequest(method, serviceClass, i, budgetMs));
+                statuses.add(ProxyFixture.status(client.read()));
+                long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
                 assertTrue(
-                        ms < MOST_ANSWER_MS, "request " + i + " was answered after " + ms + " ms");
+                        ms < MAX_RESPONSE_MS, "request " + i + " was answered after " + ms + " ms");
             }
             // A second answer to one of them would come before this one's.
             client.write("GET /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Class: none\r\n\r\n");
-            assertEquals(400, Site.status(client.read()));
-            service.kill();
+            assertEquals(400, ProxyFixture.status(client.read()));
+            service.terminateNow();
             assertNull(client.read());
         }
         return statuses;
     }
 
     /** Requests as the cache nodes read them, by their ids. */
-    private Map<String, List<Peer.Message>> readByNodes(double budgetMs) throws Exception {
-        Map<String, List<Peer.Message>> byId = new ConcurrentHashMap<>();
-        for (int i = 0; i < CACHES; i++) {
-            for (Peer.Message message : nodes.get(i).requestsOnceAllAreClosed()) {
+    private Map<String, List<TestServer.Message>> requestsReadByNodes(double budgetMs)
+            throws Exception {
+        Map<String, List<TestServer.Message>> byId = new ConcurrentHashMap<>();
+        for (int i = 0; i < CACHE_NODES; i++) {
+            for (TestServer.Message message : nodes.get(i).requestsAfterAllConnectionsClosed()) {
                 String id = message.header("X-Call-Id");
                 byId.computeIfAbsent(id, each -> new ArrayList<>()).add(message);
-                assertToldInTime(message, id, "c" + i, budgetMs);
+                assertBudgetWithinRemainingTime(message, id, "c" + i, budgetMs);
             }
         }
         return byId;
@@ -185,10 +190,13 @@
     /**
      * What a node was told is no more than what was left when the module decided to send it there.
      */
-    private void assertToldInTime(Peer.Message message, String id, String node, double budgetMs) {
-        double left = receivedAt.get(id) + budgetMs - sentAt.get(id + " at " + node);
-        double told = Double.parseDouble(message.header("X-Budget")) * 1e3;
-        assertTrue(told <= left, id + ": told " + told + " ms where " + left + " were left");
+    private void assertBudgetWithinRemainingTime(
+            TestServer.Message message, String id, String node, double budgetMs) {
+        double remainingMs = receivedAt.get(id) + budgetMs - sentAt.get(id + " at " + node);
+        double sentBudgetMs = Double.parseDouble(message.header("X-Budget")) * 1e3;
+        assertTrue(
+                sentBudgetMs <= remainingMs,
+                id + ": told " + sentBudgetMs + " ms where " + remainingMs + " were left");
     }
 
     @ParameterizedTest
@@ -212,19 +220,21 @@
         "50, PUT, book",
         "120, PUT, book"
     })
-    void eachRequestHasItsOneAnswerInTimeAndNoneThatMayNotRepeatRunsTwice(
-            double budgetMs, String method, String type) throws Exception {
+    void answersEachRequestOnceInTimeAndRepeatsOnlyWhereAllowed(
+            double budgetMs, String method, String serviceClass) throws Exception {
         // Writes go to the cache nodes only where these store what they are told.
         start(method.equals("PUT") ? "through" : "aside");
-        List<Integer> statuses = answers(method, type, budgetMs);
-        Map<String, List<Peer.Message>> read = readByNodes(budgetMs);
-        assertTrue(budgetMs <= TOO_LITTLE_MS || !read.isEmpty(), "no request reached a node");
-        boolean repeats = type.equals("read") || type.equals("pay");
-        for (int i = 0; i < REQUESTS; i++) {
-            List<Peer.Message> attempts = read.getOrDefault("id" + i, List.of());
+        List<Integer> statuses = sendRequests(method, serviceClass, budgetMs);
+        Map<String, List<TestServer.Message>> readById = requestsReadByNodes(budgetMs);
+        assertTrue(
+                budgetMs <= INSUFFICIENT_BUDGET_MS || !readById.isEmpty(),
+                "no request reached a node");
+        boolean mayRepeat = serviceClass.equals("read") || serviceClass.equals("pay");
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            List<TestServer.Message> attempts = readById.getOrDefault("id" + i, List.of());
             int status = statuses.get(i);
             assertTrue(status == 502 || status == 503, "answered " + status);
-            if (!repeats) {
+            if (!mayRepeat) {
                 assertTrue(
                         attempts.size() <= 1,
                         "id" + i + " may have run " + attempts.size() + " times");
@@ -232,7 +242,7 @@
                         status == 503 && !attempts.isEmpty(),
                         "id" + i + " may have run and was said not to have");
             }
-            for (Peer.Message attempt : attempts) {
+            for (TestServer.Message attempt : attempts) {
                 assertEquals("key" + i, attempt.header("Idempotency-Key"));
             }
         }
--- a/src/test/java/cacheproxy/proxy/LoopWatchTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLoopMonitorTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /** A turn of the loop that keeps everything else waiting is told of, and which half of it did. */
-class LoopWatchTest {
+class EventLoopMonitorTest {
 
     private long nowNanos;
-    private long moreNanos;
+    private long extraDelayNanos;
 
     /** Reads for as long as it is told to, after a wait that is nobody's work. */
-    private final class Reading implements IoHandler {
+    private final class SimulatedHandler implements IoHandler {
         private long waitMs;
         private long workMs;
         private long oversleptMs;
@@ -54,21 +54,21 @@
         }
     }
 
-    private final Reading reading = new Reading();
-    private final List<String> told = new ArrayList<>();
-    private final LoopWatch watch =
-            new LoopWatch(
-                    reading,
+    private final SimulatedHandler handler = new SimulatedHandler();
+    private final List<String> reports = new ArrayList<>();
+    private final EventLoopMonitor monitor =
+            new EventLoopMonitor(
+                    handler,
                     () -> nowNanos,
-                    new LoopWatch.Slow() {
+                    new EventLoopMonitor.SlowTurnListener() {
                         @Override
-                        public void turn(long inputMs, int ready, long tasksMs) {
-                            told.add(inputMs + " " + ready + " " + tasksMs);
+                        public void slowTurn(long inputMs, int ready, long tasksMs) {
+                            reports.add(inputMs + " " + ready + " " + tasksMs);
                         }
 
                         @Override
-                        public void woke(long lateMs) {
-                            told.add("woke " + lateMs);
+                        public void lateTimer(long lateMs) {
+                            reports.add("woke " + lateMs);
                         }
                     });
 
@@ -82,7 +82,7 @@
 
                 @Override
                 public long delayNanos(long now) {
-                    return ms(reading.waitMs) + moreNanos;
+                    return ms(handler.waitMs) + extraDelayNanos;
                 }
 
                 @Override
@@ -96,33 +96,33 @@
     }
 
     @Test
-    void bothHalvesOfATurnCountAndTheWaitDoesNot() {
-        reading.waitMs = 5000;
-        reading.workMs = 60;
-        watch.run(context);
-        nowNanos += ms(LoopWatch.SLOW_MS - 60 - 1);
-        watch.run(context);
-        assertEquals(List.of(), told, "a millisecond less than slow");
-
-        nowNanos += ms(LoopWatch.SLOW_MS - 60);
-        reading.workMs = LoopWatch.SLOW_MS + 7;
-        watch.run(context);
-        assertEquals(List.of("60 3 40"), told);
-
-        watch.run(context);
-        assertEquals(List.of("60 3 40", "107 3 0"), told);
+    void countsInputAndTasksButNotTheWait() {
+        handler.waitMs = 5000;
+        handler.workMs = 60;
+        monitor.run(context);
+        nowNanos += ms(EventLoopMonitor.SLOW_TURN_MS - 60 - 1);
+        monitor.run(context);
+        assertEquals(List.of(), reports, "a millisecond less than slow");
+
+        nowNanos += ms(EventLoopMonitor.SLOW_TURN_MS - 60);
+        handler.workMs = EventLoopMonitor.SLOW_TURN_MS + 7;
+        monitor.run(context);
+        assertEquals(List.of("60 3 40"), reports);
+
+        monitor.run(context);
+        assertEquals(List.of("60 3 40", "107 3 0"), reports);
     }
 
     @Test
-    void aWaitThatEndsAfterItsTimerWasDueIsNoWork() {
-        reading.waitMs = 1000;
-        reading.oversleptMs = LoopWatch.SLOW_MS - 1;
-        watch.run(context);
-        reading.oversleptMs = 650;
-        watch.run(context);
-        reading.oversleptMs = 0;
-        watch.run(context);
-        assertEquals(List.of("woke 650"), told);
+    void reportsLateTimerNotAsSlowTurn() {
+        handler.waitMs = 1000;
+        handler.oversleptMs = EventLoopMonitor.SLOW_TURN_MS - 1;
+        monitor.run(context);
+        handler.oversleptMs = 650;
+        monitor.run(context);
+        handler.oversleptMs = 0;
+        monitor.run(context);
+        assertEquals(List.of("woke 650"), reports);
     }
 
     /**
@@ -130,44 +130,44 @@
      * wait, again and again.
      */
     @Test
-    void whatIsLeftOfAMillisecondIsSleptThrough() {
-        for (long[] asked :
+    void roundsTimeoutUpToWholeMilliseconds() {
+        for (long[] testCase :
                 new long[][] {
                     {0, 1, 1}, {0, 400_000, 1}, {4, 1, 5}, {4, 0, 4}, {0, 0, 0}, {0, -1, 0}
                 }) {
-            reading.waitMs = asked[0];
-            moreNanos = asked[1];
-            watch.run(context);
+            handler.waitMs = testCase[0];
+            extraDelayNanos = testCase[1];
+            monitor.run(context);
             assertEquals(
-                    ms(asked[2]),
-                    Math.max(0, reading.delayNanos),
-                    asked[0] + " ms and " + asked[1] + " ns");
+                    ms(testCase[2]),
+                    Math.max(0, handler.delayNanos),
+                    testCase[0] + " ms and " + testCase[1] + " ns");
         }
-        reading.waitMs = 0;
-        moreNanos = Long.MAX_VALUE;
-        watch.run(context);
-        assertEquals(Long.MAX_VALUE, reading.delayNanos, "no timer at all");
+        handler.waitMs = 0;
+        extraDelayNanos = Long.MAX_VALUE;
+        monitor.run(context);
+        assertEquals(Long.MAX_VALUE, handler.delayNanos, "no timer at all");
     }
 
     @Test
     @Timeout(60)
-    void aTaskThatHoldsARealLoopIsToldOf() throws Exception {
+    void reportsTaskThatBlocksRealLoop() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
         long[] tasks = new long[1];
         MultiThreadIoEventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(
                         1,
-                        LoopWatch.factory(
+                        EventLoopMonitor.factory(
                                 NioIoHandler.newFactory(),
-                                new LoopWatch.Slow() {
+                                new EventLoopMonitor.SlowTurnListener() {
                                     @Override
-                                    public void turn(long inputMs, int ready, long tasksMs) {
+                                    public void slowTurn(long inputMs, int ready, long tasksMs) {
                                         tasks[0] = Math.max(tasks[0], tasksMs);
                                         slow.countDown();
                                     }
 
                                     @Override
-                                    public void woke(long lateMs) {
+                                    public void lateTimer(long lateMs) {
                                         // A busy machine wakes it when it can.
                                     }
                                 }));
@@ -175,7 +175,8 @@
             EventLoop loop = group.next();
             loop.submit(
                             () -> {
-                                long until = System.nanoTime() + ms(2 * LoopWatch.SLOW_MS);
+                                long until =
+                                        System.nanoTime() + ms(2 * EventLoopMonitor.SLOW_TURN_MS);
                                 while (System.nanoTime() - until < 0) {
                                     Thread.onSpinWait();
                                 }
@@ -184,7 +185,7 @@
             // Its turn is judged when the next begins.
             loop.submit(() -> {}).sync();
             assertTrue(slow.await(30, TimeUnit.SECONDS));
-            assertTrue(tasks[0] >= 2 * LoopWatch.SLOW_MS, tasks[0] + " ms");
+            assertTrue(tasks[0] >= 2 * EventLoopMonitor.SLOW_TURN_MS, tasks[0] + " ms");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).sync();
         }
--- a/src/test/java/cacheproxy/proxy/Held.java
+++ b/src/test/java/cacheproxy/proxy/EventLoopPause.java
@@ -7,40 +7,40 @@
  * Holds the proxy's loop still where a test says so, to let something come between two of its
  * steps.
  */
-final class Held {
+final class EventLoopPause {
 
-    private final CountDownLatch entered = new CountDownLatch(1);
-    private final CountDownLatch released = new CountDownLatch(1);
+    private final CountDownLatch pausedLatch = new CountDownLatch(1);
+    private final CountDownLatch resumedLatch = new CountDownLatch(1);
 
     /** Holds the loop at the next request, which is refused when it goes on. */
-    static Held atNextRequest(Site site) {
-        Held held = new Held();
-        site.router.onRequest =
+    static EventLoopPause atNextRequest(ProxyFixture fixture) {
+        EventLoopPause loopPause = new EventLoopPause();
+        fixture.router.onRequest =
                 (request, out) -> {
-                    held.hold();
-                    out.refuse(request.id(), 0);
+                    loopPause.pause();
+                    out.reject(request.id(), 0);
                 };
-        return held;
+        return loopPause;
     }
 
     /** Called on the loop: stands still until {@link #release}. */
-    void hold() {
-        entered.countDown();
-        await(released);
+    void pause() {
+        pausedLatch.countDown();
+        await(resumedLatch);
     }
 
     /** Returns once the loop stands still. */
-    void entered() {
-        await(entered);
+    void awaitPaused() {
+        await(pausedLatch);
     }
 
-    void release() {
-        released.countDown();
+    void resume() {
+        resumedLatch.countDown();
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            if (!latch.await(Peer.PATIENCE_S, TimeUnit.SECONDS)) {
+            if (!latch.await(TestServer.TIMEOUT_S, TimeUnit.SECONDS)) {
                 throw new AssertionError("nobody came");
             }
         } catch (InterruptedException e) {
--- a/src/test/java/cacheproxy/proxy/FaultySite.java
+++ b/src/test/java/cacheproxy/proxy/FaultyProxyFixture.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.Router;
 import cacheproxy.syscalls.FaultSchedule;
-import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.FaultySelectorProvider;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -17,104 +17,108 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The parts of a proxy on one event loop, with the peers of a {@link Site}. The system calls of its
- * clients' side, of its connections to the node, of its watch and of the loop itself each go by a
- * schedule of their own.
+ * The parts of a proxy on one event loop, with the peers of a {@link ProxyFixture}. The system
+ * calls of its clients' side, of its connections to the node, of its watch and of the loop itself
+ * each go by a schedule of their own.
  */
-final class FaultySite implements Closeable {
+final class FaultyProxyFixture implements Closeable {
 
-    private static final InetSocketAddress ANY =
+    private static final InetSocketAddress EPHEMERAL_ADDRESS =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final int CONNECT_TIMEOUT_MS = 5000;
-    private static final int CLIENTS = 100;
-    private static final int NODES = 100;
-    private static final int MOST_OPEN = 4;
+    private static final int MAX_CLIENTS = 100;
+    private static final int MAX_NODE_CONNECTIONS = 100;
+    private static final int MAX_OPEN_REQUESTS = 4;
 
     final FaultSchedule loopCalls = new FaultSchedule();
     final FaultSchedule clientCalls = new FaultSchedule();
     final FaultSchedule nodeCalls = new FaultSchedule();
     final FaultSchedule discoveryCalls = new FaultSchedule();
     final FaultSchedule peerCalls = new FaultSchedule();
-    final Site site;
+    final ProxyFixture baseFixture;
     final EventLoop loop;
     final NodePool pool;
-    final ClientServer clients;
+    final ClientServer clientServer;
     final Channel listener;
 
     /** Null where the configuration names no address for them. */
-    final Peers peers;
+    final PeerSocket peers;
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
-                    1, NioIoHandler.newFactory(new FaultyProvider(loopCalls)));
+                    1, NioIoHandler.newFactory(new FaultySelectorProvider(loopCalls)));
 
-    FaultySite() throws Exception {
+    FaultyProxyFixture() throws Exception {
         this("");
     }
 
     /** With more keys of the configuration. */
-    FaultySite(String more) throws Exception {
-        this(new Site(), more);
+    FaultyProxyFixture(String moreFields) throws Exception {
+        this(new ProxyFixture(), moreFields);
     }
 
-    private FaultySite(Site site, String more) throws Exception {
-        this(site, site.config("automatic", "60000", more), site.router);
+    private FaultyProxyFixture(ProxyFixture baseFixture, String moreFields) throws Exception {
+        this(baseFixture, baseFixture.config("automatic", "60000", moreFields), baseFixture.router);
     }
 
     /** With decisions and nodes of its own; of the site it uses discovery alone. */
-    FaultySite(Site site, Config config, Router router) throws Exception {
-        this.site = site;
+    FaultyProxyFixture(ProxyFixture baseFixture, Config config, Router router) throws Exception {
+        this.baseFixture = baseFixture;
         loop = group.next();
-        FaultyProvider nodes = new FaultyProvider(nodeCalls);
+        FaultySelectorProvider nodeProvider = new FaultySelectorProvider(nodeCalls);
         pool =
                 new NodePool(
                         loop,
-                        Transport.connecting(loop, () -> new NodeChannel(nodes)),
+                        ConnectionTransport.connectingBootstrap(
+                                loop, () -> new NodeChannel(nodeProvider)),
                         CONNECT_TIMEOUT_MS,
                         60_000,
-                        NODES,
+                        MAX_NODE_CONNECTIONS,
                         1,
                         System::nanoTime);
-        Proxy proxy = new Proxy(loop, new Clock(), config.settings(), router, pool, MOST_OPEN);
-        clients = new ClientServer(loop, proxy, config.settings(), CLIENTS);
-        FaultyProvider watches = new FaultyProvider(discoveryCalls);
+        Proxy proxy =
+                new Proxy(loop, new Clock(), config.settings(), router, pool, MAX_OPEN_REQUESTS);
+        clientServer = new ClientServer(loop, proxy, config.settings(), MAX_CLIENTS);
+        FaultySelectorProvider watchProvider = new FaultySelectorProvider(discoveryCalls);
         Discovery discovery =
                 new Discovery(
                         loop,
                         config.discovery(),
                         proxy,
-                        config.known(),
+                        config.knownEndpoints(),
                         true,
                         Discovery.Times.PUSHED,
                         () -> {},
-                        () -> new NioSocketChannel(watches));
-        FaultyProvider peerProvider = new FaultyProvider(peerCalls);
+                        () -> new NioSocketChannel(watchProvider));
+        FaultySelectorProvider peerProvider = new FaultySelectorProvider(peerCalls);
         peers =
                 config.peerListen() == null
                         ? null
-                        : new Peers(
+                        : new PeerSocket(
                                 loop, config, proxy, () -> new NioDatagramChannel(peerProvider));
         if (peers != null) {
             peers.listen().sync();
         }
-        proxy.wire(discovery::subscribe, peers == null ? contents -> {} : peers::tell);
-        ServerSocketChannel socket =
-                new FaultyProvider(clientCalls).openServerSocketChannel().bind(ANY);
+        proxy.setOutputs(discovery::subscribe, peers == null ? contents -> {} : peers::sendToAll);
+        ServerSocketChannel listeningSocket =
+                new FaultySelectorProvider(clientCalls)
+                        .openServerSocketChannel()
+                        .bind(EPHEMERAL_ADDRESS);
         listener =
                 loop.submit(
                                 () -> {
-                                    proxy.start(config.known());
+                                    proxy.start(config.knownEndpoints());
                                     discovery.start();
-                                    clients.ready();
-                                    return clients.listen(socket);
+                                    clientServer.markReady();
+                                    return clientServer.listen(listeningSocket);
                                 })
                         .get()
                         .sync()
                         .channel();
     }
 
-    Peer.Wire client() throws IOException {
-        return Peer.connect((InetSocketAddress) listener.localAddress());
+    TestServer.Connection client() throws IOException {
+        return TestServer.connect((InetSocketAddress) listener.localAddress());
     }
 
     /** Waits until the loop has nothing more to do for what has happened up to now. */
@@ -125,6 +129,6 @@
     @Override
     public void close() throws IOException {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
-        site.close();
+        baseFixture.close();
     }
 }
--- a/src/test/java/cacheproxy/proxy/HandoverTest.java
+++ b/src/test/java/cacheproxy/proxy/HandoverTest.java
@@ -34,7 +34,7 @@
      * Holds the listening socket, and starts a process with it as descriptor 0 for each line that
      * it reads.
      */
-    private static final String HOLDER =
+    private static final String SOCKET_OWNER_SCRIPT =
             """
             use Socket; $| = 1; $SIG{CHLD} = "IGNORE";
             socket(L, PF_INET, SOCK_STREAM, 0); bind(L, sockaddr_in(0, INADDR_LOOPBACK)); listen(L, 128);
@@ -50,35 +50,37 @@
             }
             """;
 
-    private static final int PATIENCE_S = 120;
+    private static final int TIMEOUT_S = 120;
 
     /** How long the disk refuses writes after SIGTERM: less than until the last answers. */
-    private static final int REFUSED_MS = 500;
+    private static final int WRITE_FAILURE_MS = 500;
 
     @TempDir Path temp;
-    private Process holder;
-    private BufferedReader said;
-    private InetSocketAddress front;
+    private Process socketOwner;
+    private BufferedReader ownerOutput;
+    private InetSocketAddress clientAddress;
     private final List<ProcessHandle> started = new ArrayList<>();
 
-    private void hold(Site site) throws Exception {
+    private void startSocketOwner(ProxyFixture site) throws Exception {
         Path config = temp.resolve("config.json");
         Files.writeString(config, site.json("automatic", "60000", ""));
-        ProcessBuilder builder = new ProcessBuilder("perl", "-e", HOLDER).redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder("perl", "-e", SOCKET_OWNER_SCRIPT).redirectErrorStream(true);
         builder.environment().put("BALANCER_CONFIG", config.toString());
         builder.environment().put("BALANCER_PASSED_SOCKET", "0");
         builder.environment().put("TMPDIR", temp.toString());
-        holder = builder.start();
-        said =
+        socketOwner = builder.start();
+        ownerOutput =
                 new BufferedReader(
-                        new InputStreamReader(holder.getInputStream(), StandardCharsets.US_ASCII));
-        front =
+                        new InputStreamReader(
+                                socketOwner.getInputStream(), StandardCharsets.US_ASCII));
+        clientAddress =
                 new InetSocketAddress(
-                        InetAddress.getLoopbackAddress(), Integer.parseInt(said.readLine()));
+                        InetAddress.getLoopbackAddress(), Integer.parseInt(ownerOutput.readLine()));
     }
 
     /** Starts one more process and waits for its yes; the address that operators reach it at. */
-    private InetSocketAddress next() throws Exception {
+    private InetSocketAddress startProcess() throws Exception {
         InetSocketAddress admin = UnassignedPort.address();
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
         String line =
@@ -91,9 +93,10 @@
                         System.getProperty("java.class.path"),
                         "cacheproxy.Main",
                         "serve");
-        holder.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
-        holder.getOutputStream().flush();
-        ProcessHandle process = ProcessHandle.of(Long.parseLong(said.readLine())).orElseThrow();
+        socketOwner.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+        socketOwner.getOutputStream().flush();
+        ProcessHandle process =
+                ProcessHandle.of(Long.parseLong(ownerOutput.readLine())).orElseThrow();
         started.add(process);
         while (process.isAlive() && call(admin, "GET /healthcheck") != 200) {
             TimeUnit.MILLISECONDS.sleep(20);
@@ -105,7 +108,7 @@
 
     private static int call(InetSocketAddress admin, String line) {
         try {
-            return Site.status(Peer.call(admin, line));
+            return ProxyFixture.status(TestServer.callOperators(admin, line));
         } catch (IOException e) {
             return -1;
         }
@@ -114,18 +117,18 @@
     @AfterEach
     void stop() {
         started.forEach(ProcessHandle::destroyForcibly);
-        holder.destroyForcibly();
+        socketOwner.destroyForcibly();
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void eachOfManyClientsIsAnsweredWhileTheProcessIsReplacedTwice() throws Exception {
-        try (Site site = new Site()) {
-            hold(site);
+    @Timeout(TIMEOUT_S)
+    void losesNoRequestWhileProcessIsReplacedTwice() throws Exception {
+        try (ProxyFixture site = new ProxyFixture()) {
+            startSocketOwner(site);
             Thread answering = new Thread(() -> answer(site), "node");
             answering.setDaemon(true);
             answering.start();
-            InetSocketAddress first = next();
+            InetSocketAddress first = startProcess();
             AtomicInteger served = new AtomicInteger();
             AtomicInteger lost = new AtomicInteger();
             List<Thread> clients = new ArrayList<>();
@@ -138,9 +141,9 @@
             assertEquals(200, call(first, "POST /cache-nodes/c0/ready"));
             for (int upgrade = 0; upgrade < 2; upgrade++) {
                 ProcessHandle old = started.get(upgrade);
-                next();
+                startProcess();
                 old.destroy();
-                old.onExit().get(PATIENCE_S, TimeUnit.SECONDS);
+                old.onExit().get(TIMEOUT_S, TimeUnit.SECONDS);
                 int before = served.get();
                 while (served.get() < before + 50 && lost.get() == 0) {
                     TimeUnit.MILLISECONDS.sleep(5);
@@ -159,12 +162,12 @@
         }
     }
 
-    private static void answer(Site site) {
+    private static void answer(ProxyFixture site) {
         try {
             while (true) {
-                Peer.Message message = site.node.await();
+                TestServer.Message message = site.node.await();
                 if (message.text() != null) {
-                    message.wire().answer(200, "v");
+                    message.connection().respond(200, "v");
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -177,11 +180,11 @@
      * answer is a loss.
      */
     private void client(int number, AtomicInteger served, AtomicInteger lost) {
-        Peer.Wire wire = null;
+        TestServer.Connection wire = null;
         try {
             for (int i = 0; !Thread.currentThread().isInterrupted(); i++) {
                 if (wire == null) {
-                    wire = Peer.connect(front);
+                    wire = TestServer.connect(clientAddress);
                 }
                 wire.write(
                         "GET /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: c"
@@ -190,10 +193,15 @@
                                 + i
                                 + "\r\nX-Call-Class: read\r\nX-Budget: 30\r\n\r\n");
                 String answer = wire.read();
-                (Site.status(answer) == 200 || Site.status(answer) == 503 ? served : lost)
+                (ProxyFixture.status(answer) == 200 || ProxyFixture.status(answer) == 503
+                                ? served
+                                : lost)
                         .incrementAndGet();
                 if (answer == null
-                        || "close".equals(new Peer.Message(answer, wire).header("Connection"))) {
+                        || "close"
+                                .equals(
+                                        new TestServer.Message(answer, wire)
+                                                .header("Connection"))) {
                     wire.close();
                     wire = null;
                 }
@@ -204,11 +212,11 @@
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void whatIsNoListeningSocketIsOnePlainMessage() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void reportsInvalidPassedSocketInOneLine() throws Exception {
         Path config = temp.resolve("config.json");
-        try (Site site = new Site()) {
-            hold(site);
+        try (ProxyFixture site = new ProxyFixture()) {
+            startSocketOwner(site);
             ProcessBuilder builder =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
@@ -231,19 +239,19 @@
         }
     }
 
-    private int up() throws IOException {
-        try (Peer.Wire client = Peer.connect(front)) {
+    private int upStatus() throws IOException {
+        try (TestServer.Connection client = TestServer.connect(clientAddress)) {
             client.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            return Site.status(client.read());
+            return ProxyFixture.status(client.read());
         }
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void aDrainThatTheDiskRefusedAtFirstHoldsInTheNextProcess() throws Exception {
-        try (Site site = new Site()) {
-            hold(site);
-            InetSocketAddress first = next();
+    @Timeout(TIMEOUT_S)
+    void nextProcessAppliesDrainWhoseFirstWriteFailed() throws Exception {
+        try (ProxyFixture site = new ProxyFixture()) {
+            startSocketOwner(site);
+            InetSocketAddress first = startProcess();
             Path folder = temp.resolve("flintmill");
             Files.delete(folder);
             Files.writeString(folder, "no folder");
@@ -252,12 +260,12 @@
             old.destroy();
             assertThrows(
                     TimeoutException.class,
-                    () -> old.onExit().get(REFUSED_MS, TimeUnit.MILLISECONDS),
+                    () -> old.onExit().get(WRITE_FAILURE_MS, TimeUnit.MILLISECONDS),
                     "it owes a write");
             Files.delete(folder);
-            old.onExit().get(PATIENCE_S, TimeUnit.SECONDS);
-            next();
-            assertEquals(503, up(), "the next one is drained from its start on");
+            old.onExit().get(TIMEOUT_S, TimeUnit.SECONDS);
+            startProcess();
+            assertEquals(503, upStatus(), "the next one is drained from its start on");
             String log = Files.readString(temp.resolve("log-0"));
             assertEquals(1, count(log, "operator_state_write_failed"), log);
             assertEquals(1, count(log, "operator_state_written"), log);
--- a/src/test/java/cacheproxy/proxy/HostileClientTest.java
+++ b/src/test/java/cacheproxy/proxy/HostileClientTest.java
@@ -16,16 +16,16 @@
  * Clients that say nothing, never end or hide one request in another get an error or a close, and
  * cost others nothing.
  */
-class HostileClientTest extends WithSite {
+class HostileClientTest extends WithProxyFixture {
 
-    private static final String HEAD =
+    private static final String PUT_HEADERS =
             "PUT /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Id: a1\r\nX-Call-Class: pay\r\n"
                     + "X-Budget: 60\r\nIdempotency-Key: k\r\n";
 
-    private void assertServed(Peer.Wire usual) throws Exception {
-        usual.write(site.get(Site.LONG_S));
-        site.node.next().wire().answer(200, "v");
-        assertEquals(200, Site.status(usual.read()));
+    private void assertServed(TestServer.Connection servedClient) throws Exception {
+        servedClient.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node.next().connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(servedClient.read()));
     }
 
     @ParameterizedTest
@@ -43,25 +43,25 @@
                 "Content-Length: 99999999999999999999\r\n\r\nab",
                 "Content-Length: 0x2\r\n\r\nab"
             })
-    void aLengthThatTwoReadersCouldReadInTwoWaysIsRefusedAndTheConnectionCloses(String rest)
-            throws Exception {
-        client.write(HEAD + rest);
-        assertEquals(400, Site.status(client.read()));
+    void ambiguousLengthIsRejectedAndConnectionCloses(String rest) throws Exception {
+        client.write(PUT_HEADERS + rest);
+        assertEquals(400, ProxyFixture.status(client.read()));
         assertNull(client.read());
-        assertTrue(site.node.heardNothing());
-        assertTrue(site.router.requests.isEmpty());
+        assertTrue(fixture.node.receivedNothing());
+        assertTrue(fixture.router.requests.isEmpty());
     }
 
     @Test
-    void aClassThatDoesNotExistIsAnsweredHere() throws Exception {
+    void unknownClassIsRejected() throws Exception {
         client.write(
-                site.get(Site.LONG_S).replace("X-Call-Class: read", "X-Call-Class: write-off"));
-        assertEquals(400, Site.status(client.read()));
-        assertTrue(site.node.heardNothing());
+                fixture.get(ProxyFixture.LONG_BUDGET_S)
+                        .replace("X-Call-Class: read", "X-Call-Class: write-off"));
+        assertEquals(400, ProxyFixture.status(client.read()));
+        assertTrue(fixture.node.receivedNothing());
     }
 
     @Test
-    void aConnectionThatSaysNothingIsClosed() throws Exception {
+    void silentConnectionIsClosed() throws Exception {
         assertNull(client.read());
     }
 
@@ -70,21 +70,22 @@
             strings = {
                 "GET /api/k HT",
                 "GET /api/k HTTP/1.1\r\nA: b\r\n",
-                HEAD + "Content-Length: 9\r\n\r\nhalf"
+                PUT_HEADERS + "Content-Length: 9\r\n\r\nhalf"
             })
-    void aRequestThatDoesNotEndIsAnsweredInTime(String part) throws Exception {
+    void incompleteRequestTimesOut(String part) throws Exception {
         client.write(part);
-        assertEquals(408, Site.status(client.read()));
+        assertEquals(408, ProxyFixture.status(client.read()));
         assertNull(client.read());
     }
 
     /** Its first bytes came together with the request before it. */
     @Test
-    void aRequestBehindAnotherThatDoesNotEndIsAnsweredInTime() throws Exception {
-        client.write(site.get(Site.LONG_S) + "GET /api/k HTTP/1.1\r\nHost: s\r\n");
-        site.node.next().wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
-        assertEquals(408, Site.status(client.read()));
+    void incompletePipelinedRequestTimesOut() throws Exception {
+        client.write(
+                fixture.get(ProxyFixture.LONG_BUDGET_S) + "GET /api/k HTTP/1.1\r\nHost: s\r\n");
+        fixture.node.next().connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
+        assertEquals(408, ProxyFixture.status(client.read()));
         assertNull(client.read());
     }
 
@@ -93,11 +94,11 @@
      * more.
      */
     @Test
-    void aClientThatStopsInTheMiddleOfALongBodyIsAnsweredInTime() throws Exception {
-        client.write(HEAD + "Content-Length: 900000\r\n\r\n");
+    void pauseInLongBodyTimesOut() throws Exception {
+        client.write(PUT_HEADERS + "Content-Length: 900000\r\n\r\n");
         long began = System.nanoTime();
         client.write("v".repeat(400_000));
-        assertEquals(408, Site.status(client.read()));
+        assertEquals(408, ProxyFixture.status(client.read()));
         assertTrue(
                 System.nanoTime() - began < TimeUnit.SECONDS.toNanos(6),
                 "it is owed an end after 3 s");
@@ -109,60 +110,60 @@
      */
     @ParameterizedTest
     @CsvSource({"0, true", "0.001, true", "0.02, true", "0, false", "0.001, false", "0.02, false"})
-    void aRequestWithNextToNoTimeLeftIsAnswered(double budgetS, boolean isSentOn) throws Exception {
+    void requestWithAlmostNoBudgetIsAnswered(double budgetS, boolean isSentOn) throws Exception {
         if (!isSentOn) {
-            site.router.onRequest = (request, out) -> {};
+            fixture.router.onRequest = (request, out) -> {};
         }
-        client.write(site.get(budgetS));
-        int status = Site.status(client.read());
+        client.write(fixture.get(budgetS));
+        int status = ProxyFixture.status(client.read());
         assertTrue(status == 502 || status == 503, "answered " + status);
     }
 
     @Test
-    void aServedClientThatStaysForGoodIsClosed() throws Exception {
+    void idleServedConnectionIsClosed() throws Exception {
         assertServed(client);
         assertNull(client.read());
     }
 
     @Test
-    void aBodyThatIsTooLongIsAnsweredWhileItIsStillComing() throws Exception {
-        client.write(HEAD + "Content-Length: 60000000\r\n\r\n" + "v".repeat(500_000));
-        assertEquals(413, Site.status(client.read()));
+    void tooLongBodyIsRejectedWhileItArrives() throws Exception {
+        client.write(PUT_HEADERS + "Content-Length: 60000000\r\n\r\n" + "v".repeat(500_000));
+        assertEquals(413, ProxyFixture.status(client.read()));
         assertNull(client.read(), "closed by us, and no reset: the client could read why");
     }
 
     @Test
-    void badInputBehindAnOpenRequestDoesNotDisturbIt() throws Exception {
-        client.write(site.get(Site.LONG_S) + "\u0001 nonsense\r\n\r\n");
-        site.node.next().wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
-        assertEquals(400, Site.status(client.read()));
+    void malformedPipelinedInputDoesNotAffectOpenRequest() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S) + "\u0001 nonsense\r\n\r\n");
+        fixture.node.next().connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
+        assertEquals(400, ProxyFixture.status(client.read()));
         assertNull(client.read());
     }
 
     @Test
-    void aSilentCrowdTakesNoPlaceOfAClientThatWasServed() throws Exception {
-        site.close();
-        site = new Site();
-        site.sockets = Service.RESERVED_SOCKETS + 2 * 8;
-        site.start("automatic", "60000", "");
-        Deque<Peer.Wire> crowd = new ArrayDeque<>();
-        try (Peer.Wire usual = site.client()) {
-            assertServed(usual);
+    void silentConnectionsAreEvictedBeforeServedOnes() throws Exception {
+        fixture.close();
+        fixture = new ProxyFixture();
+        fixture.socketLimit = Service.RESERVED_DESCRIPTORS + 2 * 8;
+        fixture.start("automatic", "60000", "");
+        Deque<TestServer.Connection> silentClients = new ArrayDeque<>();
+        try (TestServer.Connection servedClient = fixture.client()) {
+            assertServed(servedClient);
             for (int i = 0; i < 20; i++) {
-                crowd.add(site.client());
+                silentClients.add(fixture.client());
             }
             // A connection that was accepted last says that all before it were, and the first of
             // them had to go.
-            try (Peer.Wire last = site.client()) {
+            try (TestServer.Connection last = fixture.client()) {
                 last.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-                Site.status(last.read());
+                ProxyFixture.status(last.read());
             }
-            assertNull(crowd.getFirst().read());
-            assertServed(usual);
+            assertNull(silentClients.getFirst().read());
+            assertServed(servedClient);
         } finally {
-            for (Peer.Wire wire : crowd) {
-                wire.close();
+            for (TestServer.Connection silentClient : silentClients) {
+                silentClient.close();
             }
         }
     }
--- a/src/test/java/cacheproxy/proxy/JoinedFetchTest.java
+++ b/src/test/java/cacheproxy/proxy/JoinedFetchTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -17,95 +17,99 @@
  */
 class JoinedFetchTest {
 
-    private static final int CLIENTS = 3;
+    private static final int CLIENT_COUNT = 3;
 
-    private final List<Peer.Wire> clients = new ArrayList<>();
-    private Site site;
-    private Peer origin;
+    private final List<TestServer.Connection> clients = new ArrayList<>();
+    private ProxyFixture fixture;
+    private TestServer origin;
 
     @BeforeEach
     void start() throws Exception {
-        site = new Site();
-        origin = new Peer();
-        site.hosts =
+        fixture = new ProxyFixture();
+        origin = new TestServer();
+        fixture.hosts =
                 new String[] {
-                    Site.host("c0", site.node.dial(), "up", 0),
-                    Site.host("db", origin.dial(), "up", 0).replace("\"std\"", "\"origin\"")
+                    ProxyFixture.host("c0", fixture.node.dial(), "up", 0),
+                    ProxyFixture.host("db", origin.dial(), "up", 0).replace("\"std\"", "\"origin\"")
                 };
-        site.settings =
-                Site.SETTINGS.replace(
+        fixture.settings =
+                ProxyFixture.SETTINGS.replace(
                         "\"services\"",
                         "\"kinds\": [\"std\", \"origin\"], \"domain\": {\"mode\": \"aside\", \"origin_kind\": 1}, \"services\"");
-        Config config = site.config("automatic", "60000", "");
-        site.service =
-                Service.start(config, new Decide(config.settings(), 1), site.times, site.clock);
+        Config config = fixture.config("automatic", "60000", "");
+        fixture.service =
+                Service.start(
+                        config,
+                        new DecisionModule(config.settings(), 1),
+                        fixture.discoveryTimes,
+                        fixture.clock);
     }
 
     @AfterEach
     void stop() throws Exception {
-        for (Peer.Wire client : clients) {
+        for (TestServer.Connection client : clients) {
             client.close();
         }
         origin.close();
-        site.close();
+        fixture.close();
     }
 
-    private static Peer.Message nextRequest(Peer peer) throws Exception {
-        Peer.Message next = peer.next();
+    private static TestServer.Message nextRequest(TestServer server) throws Exception {
+        TestServer.Message next = server.next();
         while (next.text() == null) {
-            next = peer.next();
+            next = server.next();
         }
         return next;
     }
 
     @Test
-    void theOthersAreServedThoughTheFirstLeaves() throws Exception {
-        List<Peer.Message> lookUps = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
-            clients.add(site.client());
-            clients.get(i).write(site.get(Site.LONG_S));
-            lookUps.add(nextRequest(site.node));
+    void othersAreServedWhenTheFirstClientDisconnects() throws Exception {
+        List<TestServer.Message> lookUps = new ArrayList<>();
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            clients.add(fixture.client());
+            clients.get(i).write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            lookUps.add(nextRequest(fixture.node));
         }
-        lookUps.get(0).wire().answer(404, "");
-        Peer.Message first = nextRequest(origin);
+        lookUps.get(0).connection().respond(404, "");
+        TestServer.Message first = nextRequest(origin);
         assertEquals("id0", first.header("X-Call-Id"));
-        for (Peer.Message lookUp : lookUps.subList(1, CLIENTS)) {
-            lookUp.wire().answer(404, "");
+        for (TestServer.Message lookUp : lookUps.subList(1, CLIENT_COUNT)) {
+            lookUp.connection().respond(404, "");
         }
         // A request of another key behind those answers says that the proxy has read them.
-        try (Peer.Wire other = site.client()) {
-            other.write(site.get(Site.LONG_S).replace("k1", "k2"));
-            nextRequest(site.node).wire().answer(200, "other");
-            assertEquals(200, Site.status(other.read()));
+        try (TestServer.Connection other = fixture.client()) {
+            other.write(fixture.get(ProxyFixture.LONG_BUDGET_S).replace("k1", "k2"));
+            nextRequest(fixture.node).connection().respond(200, "other");
+            assertEquals(200, ProxyFixture.status(other.read()));
         }
         clients.get(0).close();
-        Set<String> asked = ConcurrentHashMap.newKeySet();
-        answerAll(site.node, asked);
-        answerAll(origin, asked);
-        for (Peer.Wire client : clients.subList(1, CLIENTS)) {
-            assertEquals(200, Site.status(client.read()));
+        Set<String> answeredIds = ConcurrentHashMap.newKeySet();
+        respondToAll(fixture.node, answeredIds);
+        respondToAll(origin, answeredIds);
+        for (TestServer.Connection client : clients.subList(1, CLIENT_COUNT)) {
+            assertEquals(200, ProxyFixture.status(client.read()));
         }
-        assertEquals(Set.of("id1", "id2"), asked);
+        assertEquals(Set.of("id1", "id2"), answeredIds);
     }
 
     /** Answers whatever comes from now on with a value, and notes for which requests. */
-    private static void answerAll(Peer peer, Set<String> asked) {
-        Thread answering =
+    private static void respondToAll(TestServer server, Set<String> answeredIds) {
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                for (Peer.Message next = nextRequest(peer);
+                                for (TestServer.Message next = nextRequest(server);
                                         ;
-                                        next = nextRequest(peer)) {
-                                    asked.add(next.header("X-Call-Id"));
-                                    next.wire().answer(200, "v");
+                                        next = nextRequest(server)) {
+                                    answeredIds.add(next.header("X-Call-Id"));
+                                    next.connection().respond(200, "v");
                                 }
                             } catch (Exception | AssertionError e) {
                                 // The test is over.
                                 return;
                             }
                         });
-        answering.setDaemon(true);
-        answering.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 }
--- a/src/test/java/cacheproxy/proxy/JsonObjectsTest.java
+++ b/src/test/java/cacheproxy/proxy/JsonObjectSplitterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A stream of objects is cut the same however it is laid out and in whatever pieces it comes. */
-class JsonObjectsTest {
+class JsonObjectSplitterTest {
 
     private static final String INDENTED =
             "{\n  \"seq\": 1,\n  \"a\": [\n    {\n      \"t\": \"}{\\\"\\\\\"\n    },\n    {}\n  ]\n}\n";
@@ -22,18 +22,20 @@
             "{\n\"seq\": 1,\n\"a\": [\n{\n\"t\": \"}{\\\"\\\\\"\n},\n{}\n]\n}\n";
     private static final String COMPACT = "{\"seq\":1,\"a\":[{\"t\":\"}{\\\"\\\\\"},{}]}\n";
 
-    private final List<String> told = new ArrayList<>();
-    private final JsonObjects objects =
-            new JsonObjects(
-                    new JsonObjects.Sink() {
+    private final List<String> reported = new ArrayList<>();
+    private final JsonObjectSplitter splitter =
+            new JsonObjectSplitter(
+                    new JsonObjectSplitter.Sink() {
                         @Override
-                        public boolean object(String text, boolean behindSpoilt) {
+                        public boolean object(String text, boolean afterMalformed) {
                             try {
-                                JsonObject o = JsonParser.parseString(text).getAsJsonObject();
-                                if (!o.has("seq")) {
+                                JsonObject parsed = JsonParser.parseString(text).getAsJsonObject();
+                                if (!parsed.has("seq")) {
                                     return false;
                                 }
-                                told.add((behindSpoilt ? "after spoilt " : "") + o.get("seq"));
+                                reported.add(
+                                        (afterMalformed ? "after spoilt " : "")
+                                                + parsed.get("seq"));
                                 return true;
                             } catch (JsonSyntaxException e) {
                                 return false;
@@ -42,26 +44,28 @@
 
                         @Override
                         public void emptyLine() {
-                            told.add("heartbeat");
+                            reported.add("heartbeat");
                         }
 
                         @Override
-                        public void spoilt() {
-                            told.add("spoilt");
+                        public void malformed() {
+                            reported.add("spoilt");
                         }
                     });
 
-    private List<String> read(String text, int piece) {
+    private List<String> read(String text, int chunkBytes) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        for (int at = 0; at < bytes.length; at += piece) {
-            objects.read(Unpooled.wrappedBuffer(bytes, at, Math.min(piece, bytes.length - at)));
+        for (int index = 0; index < bytes.length; index += chunkBytes) {
+            splitter.read(
+                    Unpooled.wrappedBuffer(
+                            bytes, index, Math.min(chunkBytes, bytes.length - index)));
         }
-        return told;
+        return reported;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
-    void everyLayoutIsRead(int piece) {
+    void readsEveryLayout(int chunkBytes) {
         String all =
                 COMPACT
                         + "\n"
@@ -74,12 +78,12 @@
                         + COMPACT;
         assertEquals(
                 List.of("1", "heartbeat", "1", "heartbeat", "1", "1", "heartbeat", "1", "1"),
-                read(all, piece));
+                read(all, chunkBytes));
     }
 
     /** Nothing is waited for behind the last brace: the next line's end may be a heartbeat away. */
     @Test
-    void anObjectIsToldWithItsLastBrace() {
+    void reportsObjectAtItsLastBrace() {
         assertEquals(List.of("1"), read("{\n \"seq\": 1\n}", 3));
     }
 
@@ -93,19 +97,19 @@
                 "{\"seq\":]}\n",
                 "]\n"
             })
-    void whatIsSpoiltIsToldAndCostsNothingBehindIt(String spoilt) {
-        read(spoilt, 1000);
-        assertEquals("spoilt", told.get(0));
-        told.clear();
+    void reportsMalformedInputAndReadsWhatFollows(String malformed) {
+        read(malformed, 1000);
+        assertEquals("spoilt", reported.get(0));
+        reported.clear();
         assertEquals(List.of("2", "heartbeat"), read("{\"seq\":2}\n\n", 1000));
     }
 
     @Test
-    void anObjectThatBreaksOffDoesNotSwallowTheNext() {
+    void truncatedObjectDoesNotSwallowTheNext() {
         assertEquals(
                 List.of("after spoilt 2", "3"),
                 read("{\"seq\":1,\"a\":[{\"b\":\n{\"seq\":2}\n" + "{\"seq\":3}\n", 5));
-        told.clear();
+        reported.clear();
         assertEquals(
                 List.of("after spoilt 2", "3"),
                 read("{\n \"seq\": 1,\n \"a\": [\n{\n \"seq\": 2\n}\n{\"seq\":3}\n", 5));
@@ -113,7 +117,7 @@
 
     /** The largest fleet's list, indented by four, with names as long as they get. */
     @Test
-    void theListOfThreeThousandTwoHundredHostsIsRead() {
+    void readsEndpointListOf3200Hosts() {
         String host =
                 "    {\n"
                         + ("      \"name-of-field\": \"a value of thirty characters..\",\n")
@@ -128,10 +132,10 @@
     }
 
     @Test
-    void anEndlessObjectIsGivenUp() {
-        read("{\"seq\":1,\"a\":\"" + "v".repeat(JsonObjects.LONGEST), 100_000);
-        assertEquals("spoilt", told.get(0));
-        told.clear();
+    void dropsObjectOverTheSizeLimit() {
+        read("{\"seq\":1,\"a\":\"" + "v".repeat(JsonObjectSplitter.MAX_OBJECT_BYTES), 100_000);
+        assertEquals("spoilt", reported.get(0));
+        reported.clear();
         assertEquals(
                 List.of("2"), read("\n{\"seq\":2}\n", 1000).stream().filter("2"::equals).toList());
     }
--- a/src/test/java/cacheproxy/proxy/LateNode.java
+++ b/src/test/java/cacheproxy/proxy/LateAcceptingNode.java
@@ -14,23 +14,23 @@
  * A node whose connections come up late: its backlog is full until {@link #open}, and the system
  * tries again after a second.
  */
-final class LateNode implements Closeable {
+final class LateAcceptingNode implements Closeable {
 
-    private static final int PROBE_MS = 100;
+    private static final int CONNECT_TIMEOUT_MS = 100;
 
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> fill = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
 
-    LateNode() throws IOException {
-        boolean full = false;
-        while (!full) {
+    LateAcceptingNode() throws IOException {
+        boolean backlogFull = false;
+        while (!backlogFull) {
             Socket next = new Socket();
             try {
-                next.connect(server.getLocalSocketAddress(), PROBE_MS);
-                fill.add(next);
+                next.connect(server.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
+                backlogFillers.add(next);
             } catch (SocketTimeoutException e) {
                 next.close();
-                full = true;
+                backlogFull = true;
             }
         }
     }
@@ -43,15 +43,17 @@
      * Accepts what came, and returns the first connection that is not one that filled the backlog;
      * null where none comes.
      */
-    Peer.Wire open(long patienceMs) throws IOException {
-        server.setSoTimeout((int) patienceMs);
+    TestServer.Connection acceptConnection(long timeoutMs) throws IOException {
+        server.setSoTimeout((int) timeoutMs);
         try {
             for (int i = 0; ; i++) {
                 Socket accepted = server.accept();
-                boolean ours = fill.stream().noneMatch(f -> f.getLocalPort() == accepted.getPort());
-                if (ours) {
-                    accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S));
-                    return new Peer.Wire(accepted, i);
+                boolean fromProxy =
+                        backlogFillers.stream()
+                                .noneMatch(filler -> filler.getLocalPort() == accepted.getPort());
+                if (fromProxy) {
+                    accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TestServer.TIMEOUT_S));
+                    return new TestServer.Connection(accepted, i);
                 }
             }
         } catch (SocketTimeoutException e) {
@@ -62,7 +64,7 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket socket : fill) {
+        for (Socket socket : backlogFillers) {
             socket.close();
         }
     }
--- a/src/test/java/cacheproxy/proxy/LoadedClassesTest.java
+++ b/src/test/java/cacheproxy/proxy/LoadedClassesTest.java
@@ -18,16 +18,16 @@
  */
 class LoadedClassesTest {
 
-    private static final int PATIENCE_S = 120;
+    private static final int TIMEOUT_S = 120;
     private static final int CLIENTS = 100;
 
     /** Of the project's own classes; 1 was measured, {@code measure.Samples}. */
-    private static final int MOST_NAMED = 2;
+    private static final int MAX_NAMED_CLASSES = 2;
 
     /**
      * Of classes that the Java machine spins for lambdas and method references; 30 were measured.
      */
-    private static final int MOST_LAMBDAS = 40;
+    private static final int MAX_LAMBDA_CLASSES = 40;
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String HEARTBEAT = "1\r\n\n\r\n";
@@ -35,33 +35,33 @@
     @TempDir private Path temp;
 
     @Test
-    @Timeout(PATIENCE_S)
-    void theWarmUpHasLoadedWhatAFloodACutAReloadAndADrainNeed() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void fewClassesAreLoadedAfterWarmup() throws Exception {
         Path loaded = temp.resolve("loaded");
         try (ServeProcess serve =
                         new ServeProcess(temp, List.of(), "-Xlog:class+load:file=" + loaded);
-                Peer next = new Peer()) {
-            Peer.Message watch = serve.site.discovery.next();
-            watch.wire().write(HEAD + HEARTBEAT);
-            serve.untilUp();
+                TestServer next = new TestServer()) {
+            TestServer.Message watch = serve.site.discovery.next();
+            watch.connection().write(HEAD + HEARTBEAT);
+            serve.awaitUp();
             int before = ownClasses(loaded).size();
             flood(serve);
-            watch.wire().close();
-            Peer.Message again = serve.site.discovery.next();
+            watch.connection().close();
+            TestServer.Message again = serve.site.discovery.next();
             while (again.text() == null) {
                 again = serve.site.discovery.next();
             }
-            again.wire().write(HEAD + HEARTBEAT);
-            serve.configure(serve.movedTo(next));
+            again.connection().write(HEAD + HEARTBEAT);
+            serve.configure(serve.configurationWithDiscovery(next));
             serve.signal("HUP");
-            next.next().wire().write(HEAD + HEARTBEAT);
+            next.next().connection().write(HEAD + HEARTBEAT);
             serve.signal("TERM");
-            serve.ended();
+            serve.awaitTermination();
             List<String> after = ownClasses(loaded).stream().skip(before).toList();
             assertTrue(before > 0, "nothing was logged");
             long lambdas = after.stream().filter(name -> name.contains("$$Lambda")).count();
-            assertTrue(lambdas <= MOST_LAMBDAS, lambdas + " lambdas: " + after);
-            assertTrue(after.size() - lambdas <= MOST_NAMED, after.toString());
+            assertTrue(lambdas <= MAX_LAMBDA_CLASSES, lambdas + " lambdas: " + after);
+            assertTrue(after.size() - lambdas <= MAX_NAMED_CLASSES, after.toString());
         }
     }
 
@@ -69,9 +69,9 @@
      * Many ask at once and a part of them leaves; the node answers one and breaks two connections.
      */
     private static void flood(ServeProcess serve) throws Exception {
-        List<Peer.Wire> clients = new ArrayList<>();
+        List<TestServer.Connection> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            Peer.Wire client = serve.client();
+            TestServer.Connection client = serve.client();
             client.write(serve.site.get(1));
             clients.add(client);
         }
@@ -87,14 +87,14 @@
         }
     }
 
-    private static void answerSome(Peer node) throws InterruptedException {
+    private static void answerSome(TestServer node) throws InterruptedException {
         for (int count = 0; count < 3; count++) {
-            Peer.Message request = node.next();
+            TestServer.Message request = node.next();
             try {
                 if (count == 0) {
-                    request.wire().answer(200, "v");
+                    request.connection().respond(200, "v");
                 } else {
-                    request.wire().close();
+                    request.connection().close();
                 }
             } catch (IOException e) {
                 // Given up on meanwhile.
--- a/src/test/java/cacheproxy/proxy/OperationsTest.java
+++ b/src/test/java/cacheproxy/proxy/OperationsTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.store.FaultyFiles;
 import cacheproxy.store.FaultyFiles.Step;
-import cacheproxy.store.OutageFiles;
+import cacheproxy.store.MaintenanceFiles;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -30,28 +30,28 @@
 /** The operators' address: what it answers, and that what it says yes to holds. */
 class OperationsTest {
 
-    private static final String MAINT = "POST /cache-nodes/c0/maint";
-    private static final String READY = "POST /cache-nodes/c0/ready";
-    private static final String DRAIN = "POST /healthcheck/fail";
-    private static final String FILL = "POST /healthcheck/ok";
+    private static final String START_MAINTENANCE = "POST /cache-nodes/c0/maint";
+    private static final String END_MAINTENANCE = "POST /cache-nodes/c0/ready";
+    private static final String START_DRAIN = "POST /healthcheck/fail";
+    private static final String END_DRAIN = "POST /healthcheck/ok";
 
     /** Some of the looks by which a process takes on what another has kept. */
-    private static final long LOOKS_MS = 500;
+    private static final long SEVERAL_POLLS_MS = 500;
 
     @TempDir Path temp;
-    private Site site;
+    private ProxyFixture site;
 
     @BeforeEach
     void start() throws Exception {
-        site = new Site();
+        site = new ProxyFixture();
         site.environment = Map.of("TMPDIR", temp.toString());
-        site.service = another();
+        site.service = startAnother();
     }
 
     /** One more process of the same proxy, as far as files go. */
-    private Service another() throws Exception {
+    private Service startAnother() throws Exception {
         Config config = site.config("automatic", "60000", "\"admin\":\"127.0.0.1:0\",");
-        return Service.start(config, new Decide(config.settings(), 7));
+        return Service.start(config, new DecisionModule(config.settings(), 7));
     }
 
     @AfterEach
@@ -60,31 +60,31 @@
     }
 
     private static String call(Service service, String line) throws IOException {
-        return Peer.call(service.adminListening(), line);
+        return TestServer.callOperators(service.adminAddress(), line);
     }
 
     private int status(String line) throws IOException {
-        return Site.status(call(site.service, line));
+        return ProxyFixture.status(call(site.service, line));
     }
 
-    private int read(Service service) throws Exception {
-        try (Peer.Wire client = Peer.connect(service.listening())) {
+    private int readStatus(Service service) throws Exception {
+        try (TestServer.Connection client = TestServer.connect(service.clientAddress())) {
             client.write(site.get(1));
-            return Site.status(client.read());
+            return ProxyFixture.status(client.read());
         }
     }
 
-    private int up(Service service) throws Exception {
-        try (Peer.Wire client = Peer.connect(service.listening())) {
+    private int upStatus(Service service) throws Exception {
+        try (TestServer.Connection client = TestServer.connect(service.clientAddress())) {
             client.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            return Site.status(client.read());
+            return ProxyFixture.status(client.read());
         }
     }
 
-    private void nodeAnswers() throws Exception {
-        for (Peer.Message m = site.node.next(); true; m = site.node.next()) {
-            if (m.text() != null) {
-                m.wire().answer(200, "v");
+    private void answerNextRequest() throws Exception {
+        for (TestServer.Message message = site.node.next(); true; message = site.node.next()) {
+            if (message.text() != null) {
+                message.connection().respond(200, "v");
                 return;
             }
         }
@@ -107,65 +107,68 @@
         "POST /healthcheck/ok, 200",
         "POST /healthcheck/fail, 200"
     })
-    @Timeout(Peer.PATIENCE_S)
-    void eachCallIsAnsweredAndARepeatGetsTheSame(String line, int expected) throws Exception {
+    @Timeout(TestServer.TIMEOUT_S)
+    void repeatedCallGetsTheSameStatus(String line, int expected) throws Exception {
         assertEquals(expected, status(line));
         assertEquals(expected, status(line));
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void callersThatSayNothingOrHalfTakeNoPlaceFromThoseThatCall() throws Exception {
-        List<Peer.Wire> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * cacheproxy.admin.AdminServer.PLACES; i++) {
-            silent.add(Peer.connect(site.service.adminListening()));
+    @Timeout(TestServer.TIMEOUT_S)
+    void silentConnectionsDoNotBlockCalls() throws Exception {
+        List<TestServer.Connection> silent = new ArrayList<>();
+        for (int i = 0; i < 3 * cacheproxy.admin.AdminServer.MAX_CONNECTIONS; i++) {
+            silent.add(TestServer.connect(site.service.adminAddress()));
             silent.get(i).write(i % 2 == 0 ? "" : "POST /cache-nodes/c0/ma");
         }
-        assertEquals(200, status(MAINT));
+        assertEquals(200, status(START_MAINTENANCE));
         assertNull(silent.get(0).read(), "the oldest went first");
-        for (Peer.Wire wire : silent) {
+        for (TestServer.Connection wire : silent) {
             wire.close();
         }
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aNodeIsOutInBothProcessesAndInTheNextUntilItIsPutBack() throws Exception {
-        Service other = another();
+    @Timeout(TestServer.TIMEOUT_S)
+    void maintenanceAppliesInAllProcessesUntilItEnds() throws Exception {
+        Service other = startAnother();
         try {
-            assertEquals(200, status(MAINT));
-            while (read(other) != 503) {
-                nodeAnswers();
+            assertEquals(200, status(START_MAINTENANCE));
+            while (readStatus(other) != 503) {
+                answerNextRequest();
             }
-            Service next = another();
-            assertEquals(503, read(next), "out from its start on");
-            next.kill();
-            assertEquals(200, Site.status(call(other, READY)));
-            Peer.Message sent = null;
+            Service next = startAnother();
+            assertEquals(503, readStatus(next), "out from its start on");
+            next.terminateNow();
+            assertEquals(200, ProxyFixture.status(call(other, END_MAINTENANCE)));
+            TestServer.Message sent = null;
             while (sent == null || sent.text() == null) {
-                try (Peer.Wire client = site.client()) {
+                try (TestServer.Connection client = site.client()) {
                     client.write(site.get(1));
-                    assertTrue(Site.status(client.read()) > 0);
+                    assertTrue(ProxyFixture.status(client.read()) > 0);
                 }
-                sent = site.node.heardNothing() ? null : site.node.next();
+                sent = site.node.receivedNothing() ? null : site.node.next();
             }
         } finally {
-            other.kill();
+            other.terminateNow();
         }
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aNodeStaysOutWhileItCannotBeReadWhatIsOut() throws Exception {
-        assertEquals(200, status(MAINT));
+    @Timeout(TestServer.TIMEOUT_S)
+    void maintenanceStaysWhileStateIsUnreadable() throws Exception {
+        assertEquals(200, status(START_MAINTENANCE));
         Path folder = temp.resolve("flintmill");
         Files.move(folder, temp.resolve("away"));
         Files.writeString(folder, "no folder");
         // What is kept is read with each list; this one has been taken in once its node is known.
-        String list = Site.list(8, false, Site.host("c1", site.node.dial(), "draining", 0)) + "\n";
+        String list =
+                ProxyFixture.endpointList(
+                                8, false, ProxyFixture.host("c1", site.node.dial(), "draining", 0))
+                        + "\n";
         site.discovery
                 .next()
-                .wire()
+                .connection()
                 .write(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                 + Integer.toHexString(list.length())
@@ -175,85 +178,85 @@
         while (status("POST /cache-nodes/c1/maint") == 404) {
             Thread.onSpinWait();
         }
-        assertEquals(503, read(site.service));
-        assertTrue(site.node.heardNothing());
+        assertEquals(503, readStatus(site.service));
+        assertTrue(site.node.receivedNothing());
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void whatCannotBeKeptForTheNextProcessIsANoAndChangesNothing() throws Exception {
+    @Timeout(TestServer.TIMEOUT_S)
+    void rejectsMaintenanceThatCannotBePersisted() throws Exception {
         Path folder = temp.resolve("flintmill");
         Files.delete(folder);
         Files.writeString(folder, "no folder");
-        assertEquals(503, status(MAINT));
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
-            nodeAnswers();
-            assertEquals(200, Site.status(client.read()), "it serves on");
+        assertEquals(503, status(START_MAINTENANCE));
+        try (TestServer.Connection client = site.client()) {
+            client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+            answerNextRequest();
+            assertEquals(200, ProxyFixture.status(client.read()), "it serves on");
         }
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aDrainEndsEachConnectionWithAnAnswerAndItsEndBringsClientsBack() throws Exception {
-        try (Peer.Wire served = site.client();
-                Peer.Wire idle = site.client();
-                Peer.Wire late = site.client()) {
-            for (Peer.Wire client : List.of(served, idle)) {
-                client.write(site.get(Site.LONG_S));
-                nodeAnswers();
-                assertEquals(200, Site.status(client.read()));
+    @Timeout(TestServer.TIMEOUT_S)
+    void drainClosesConnectionsAndItsEndAcceptsClientsAgain() throws Exception {
+        try (TestServer.Connection served = site.client();
+                TestServer.Connection idle = site.client();
+                TestServer.Connection late = site.client()) {
+            for (TestServer.Connection client : List.of(served, idle)) {
+                client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+                answerNextRequest();
+                assertEquals(200, ProxyFixture.status(client.read()));
             }
             assertEquals(200, status("POST /healthcheck/fail"));
             late.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            assertEquals(503, Site.status(late.read()));
-            served.write(site.get(Site.LONG_S));
-            nodeAnswers();
+            assertEquals(503, ProxyFixture.status(late.read()));
+            served.write(site.get(ProxyFixture.LONG_BUDGET_S));
+            answerNextRequest();
             String answer = served.read();
-            assertEquals(200, Site.status(answer));
-            assertEquals("close", new Peer.Message(answer, served).header("Connection"));
+            assertEquals(200, ProxyFixture.status(answer));
+            assertEquals("close", new TestServer.Message(answer, served).header("Connection"));
             assertNull(idle.read(), "an idle client is let go");
         }
-        Service next = another();
-        while (Site.status(call(next, "GET /healthcheck")) != 200) {
+        Service next = startAnother();
+        while (ProxyFixture.status(call(next, "GET /healthcheck")) != 200) {
             Thread.onSpinWait();
         }
-        assertEquals(503, up(next), "it can serve, and is drained from its start on");
-        next.kill();
+        assertEquals(503, upStatus(next), "it can serve, and is drained from its start on");
+        next.terminateNow();
         assertEquals(200, status("POST /healthcheck/ok"));
-        try (Peer.Wire back = site.client()) {
+        try (TestServer.Connection back = site.client()) {
             back.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            assertEquals(200, Site.status(back.read()));
+            assertEquals(200, ProxyFixture.status(back.read()));
             assertTrue(call(site.service, "GET /healthcheck").endsWith("ready\n"));
         }
     }
 
     /** The service's files from now on, which a test lets fail. */
-    private FaultyFiles faulty() {
+    private FaultyFiles useFaultyFiles() {
         FaultyFiles faulty = new FaultyFiles();
-        site.service.operations().keepIn(new OutageFiles(temp.resolve("flintmill"), faulty));
+        site.service.operations().useFiles(new MaintenanceFiles(temp.resolve("flintmill"), faulty));
         return faulty;
     }
 
-    private int upOfTheNextProcess() throws Exception {
-        Service next = another();
+    private int upStatusOfNextProcess() throws Exception {
+        Service next = startAnother();
         try {
             awaitReady(next);
-            return up(next);
+            return upStatus(next);
         } finally {
-            next.kill();
+            next.terminateNow();
         }
     }
 
     /** Until then /up says no in any case. */
     private static void awaitReady(Service service) throws Exception {
-        while (Site.status(call(service, "GET /healthcheck")) != 200) {
+        while (ProxyFixture.status(call(service, "GET /healthcheck")) != 200) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
 
-    private void awaitNothingOwed() throws InterruptedException {
-        while (site.service.operations().isAnyOwed()) {
+    private void awaitNoPendingWrites() throws InterruptedException {
+        while (site.service.operations().hasPendingWrites()) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
@@ -262,71 +265,71 @@
     @EnumSource(
             value = Step.class,
             names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
-    @Timeout(Peer.PATIENCE_S)
-    void aDrainAndItsEndAreWrittenUntilTheNextProcessKnows(Step step) throws Exception {
-        FaultyFiles faulty = faulty();
+    @Timeout(TestServer.TIMEOUT_S)
+    void retriesToPersistDrainAndItsEnd(Step step) throws Exception {
+        FaultyFiles faulty = useFaultyFiles();
         faulty.fail(step, 1);
-        assertEquals(200, status(DRAIN));
-        awaitNothingOwed();
+        assertEquals(200, status(START_DRAIN));
+        awaitNoPendingWrites();
         faulty.crash(true);
-        assertEquals(503, upOfTheNextProcess(), "one failure");
-        faulty = faulty();
+        assertEquals(503, upStatusOfNextProcess(), "one failure");
+        faulty = useFaultyFiles();
         faulty.fail(step, 1);
-        assertEquals(200, status(FILL));
-        awaitNothingOwed();
+        assertEquals(200, status(END_DRAIN));
+        awaitNoPendingWrites();
         faulty.crash(true);
-        assertEquals(200, upOfTheNextProcess(), "one failure");
+        assertEquals(200, upStatusOfNextProcess(), "one failure");
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aDrainThatTheDiskRefusesForAWhileHoldsHereAndIsWrittenAfterwards() throws Exception {
+    @Timeout(TestServer.TIMEOUT_S)
+    void drainAppliesWhileWritesFailAndIsPersistedLater() throws Exception {
         awaitReady(site.service);
-        FaultyFiles faulty = faulty();
+        FaultyFiles faulty = useFaultyFiles();
         faulty.fail(Step.CREATE, Integer.MAX_VALUE);
-        String answer = call(site.service, DRAIN);
-        assertEquals(200, Site.status(answer));
+        String answer = call(site.service, START_DRAIN);
+        assertEquals(200, ProxyFixture.status(answer));
         assertTrue(answer.contains("not kept yet"), answer);
-        TimeUnit.MILLISECONDS.sleep(LOOKS_MS);
-        assertEquals(503, up(site.service), "a disk without the drain doesn't end it");
-        assertEquals(200, upOfTheNextProcess(), "the disk refuses");
+        TimeUnit.MILLISECONDS.sleep(SEVERAL_POLLS_MS);
+        assertEquals(503, upStatus(site.service), "a disk without the drain doesn't end it");
+        assertEquals(200, upStatusOfNextProcess(), "the disk refuses");
         faulty.fail(Step.CREATE, 0);
-        awaitNothingOwed();
-        assertEquals(503, upOfTheNextProcess());
+        awaitNoPendingWrites();
+        assertEquals(503, upStatusOfNextProcess());
 
         faulty.fail(Step.DELETE, Integer.MAX_VALUE);
-        assertEquals(200, status(FILL));
-        TimeUnit.MILLISECONDS.sleep(LOOKS_MS);
-        assertEquals(200, up(site.service), "a disk with the drain doesn't begin it again");
+        assertEquals(200, status(END_DRAIN));
+        TimeUnit.MILLISECONDS.sleep(SEVERAL_POLLS_MS);
+        assertEquals(200, upStatus(site.service), "a disk with the drain doesn't begin it again");
         faulty.fail(Step.DELETE, 0);
-        awaitNothingOwed();
-        assertEquals(200, upOfTheNextProcess());
+        awaitNoPendingWrites();
+        assertEquals(200, upStatusOfNextProcess());
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void anOutageThatCannotBeSyncedIsANoAndIsTakenOffTheDiskAgain() throws Exception {
-        FaultyFiles faulty = faulty();
-        assertEquals(200, status(READY), "the folder's own name is synced");
-        faulty.fail(Step.FORCE_FOLDER, Integer.MAX_VALUE);
+    @Timeout(TestServer.TIMEOUT_S)
+    void revertsMaintenanceThatCannotBeSynced() throws Exception {
+        FaultyFiles faulty = useFaultyFiles();
+        assertEquals(200, status(END_MAINTENANCE), "the folder's own name is synced");
+        faulty.fail(Step.SYNC_DIRECTORY, Integer.MAX_VALUE);
         faulty.fail(Step.DELETE, Integer.MAX_VALUE);
-        assertEquals(503, status(MAINT));
-        assertEquals(Set.of("c0"), new OutageFiles(temp.resolve("flintmill")).read().out());
-        TimeUnit.MILLISECONDS.sleep(LOOKS_MS);
+        assertEquals(503, status(START_MAINTENANCE));
+        assertEquals(Set.of("c0"), new MaintenanceFiles(temp.resolve("flintmill")).read().nodes());
+        TimeUnit.MILLISECONDS.sleep(SEVERAL_POLLS_MS);
         assertServes();
-        faulty.fail(Step.FORCE_FOLDER, 0);
+        faulty.fail(Step.SYNC_DIRECTORY, 0);
         faulty.fail(Step.DELETE, 0);
-        awaitNothingOwed();
+        awaitNoPendingWrites();
         faulty.crash(true);
-        assertEquals(Set.of(), new OutageFiles(temp.resolve("flintmill")).read().out());
+        assertEquals(Set.of(), new MaintenanceFiles(temp.resolve("flintmill")).read().nodes());
         assertServes();
     }
 
     private void assertServes() throws Exception {
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
-            nodeAnswers();
-            assertEquals(200, Site.status(client.read()));
+        try (TestServer.Connection client = site.client()) {
+            client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+            answerNextRequest();
+            assertEquals(200, ProxyFixture.status(client.read()));
         }
     }
 
@@ -334,22 +337,22 @@
     @EnumSource(
             value = Step.class,
             names = {"DELETE", "FORCE_FOLDER"})
-    @Timeout(Peer.PATIENCE_S)
-    void anOutageWhoseEndCannotBeKeptStaysInEachProcess(Step step) throws Exception {
-        FaultyFiles faulty = faulty();
-        assertEquals(200, status(MAINT));
+    @Timeout(TestServer.TIMEOUT_S)
+    void maintenanceStaysIfItsEndCannotBePersisted(Step step) throws Exception {
+        FaultyFiles faulty = useFaultyFiles();
+        assertEquals(200, status(START_MAINTENANCE));
         faulty.fail(step, step == Step.DELETE ? 1 : 3);
-        assertEquals(503, status(READY));
-        assertEquals(503, read(site.service));
-        awaitNothingOwed();
+        assertEquals(503, status(END_MAINTENANCE));
+        assertEquals(503, readStatus(site.service));
+        awaitNoPendingWrites();
         faulty.crash(true);
-        TimeUnit.MILLISECONDS.sleep(LOOKS_MS);
-        assertEquals(503, read(site.service));
-        Service next = another();
-        assertEquals(503, read(next));
-        next.kill();
-        assertTrue(site.node.heardNothing());
-        assertEquals(200, status(READY));
+        TimeUnit.MILLISECONDS.sleep(SEVERAL_POLLS_MS);
+        assertEquals(503, readStatus(site.service));
+        Service next = startAnother();
+        assertEquals(503, readStatus(next));
+        next.terminateNow();
+        assertTrue(site.node.receivedNothing());
+        assertEquals(200, status(END_MAINTENANCE));
     }
 
     private int statusOf(String line) {
@@ -361,28 +364,30 @@
     }
 
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aDiskThatHangsHoldsUpNeitherClientsNorAnswers() throws Exception {
+    @Timeout(TestServer.TIMEOUT_S)
+    void hangingDiskDelaysNeitherClientsNorReplies() throws Exception {
         awaitReady(site.service);
-        FaultyFiles faulty = faulty();
-        faulty.hold(true);
+        FaultyFiles faulty = useFaultyFiles();
+        faulty.setHanging(true);
         try {
-            CompletableFuture<Integer> outage =
-                    CompletableFuture.supplyAsync(() -> statusOf(MAINT));
-            while (!site.service.operations().isAnyOwed()) {
+            CompletableFuture<Integer> maintenance =
+                    CompletableFuture.supplyAsync(() -> statusOf(START_MAINTENANCE));
+            while (!site.service.operations().hasPendingWrites()) {
                 TimeUnit.MILLISECONDS.sleep(1);
             }
             assertServes();
-            assertEquals(503, outage.get());
+            assertEquals(503, maintenance.get());
             assertServes();
-            assertEquals(200, status(DRAIN));
-            assertEquals(503, up(site.service));
+            assertEquals(200, status(START_DRAIN));
+            assertEquals(503, upStatus(site.service));
         } finally {
-            faulty.hold(false);
+            faulty.setHanging(false);
         }
-        awaitNothingOwed();
-        OutageFiles.Kept kept = new OutageFiles(temp.resolve("flintmill")).read();
-        OutageFiles.Kept expected = new OutageFiles.Kept(Set.of(), true);
+        awaitNoPendingWrites();
+        MaintenanceFiles.MaintenanceState kept =
+                new MaintenanceFiles(temp.resolve("flintmill")).read();
+        MaintenanceFiles.MaintenanceState expected =
+                new MaintenanceFiles.MaintenanceState(Set.of(), true);
         assertEquals(expected, kept, "a no is taken back, a yes is kept");
     }
 }
--- a/src/test/java/cacheproxy/proxy/OptionsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/OptionsReloadTest.java
@@ -17,13 +17,13 @@
 class OptionsReloadTest {
 
     @Test
-    void badOptionsLeaveDiscoveryWhereItWas(@TempDir Path directory) throws Exception {
+    void invalidOptionsLeaveDiscoveryUnchanged(@TempDir Path directory) throws Exception {
         BlockingQueue<String> read = new LinkedBlockingQueue<>();
         Options[] next = {null};
-        try (Site site = Site.started();
-                Peer moved = new Peer()) {
+        try (ProxyFixture site = ProxyFixture.started();
+                TestServer moved = new TestServer()) {
             assertTrue(site.discovery.next().firstLine().startsWith("GET /discovery/hosts"));
-            site.service.options(
+            site.service.useOptions(
                     () -> {
                         read.add("read");
                         if (next[0] == null) {
@@ -38,19 +38,19 @@
                     "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                             + moved.dial()
                             + "\",\"settings\":"
-                            + Site.SETTINGS.formatted("automatic", "60000")
+                            + ProxyFixture.SETTINGS.formatted("automatic", "60000")
                             + "}");
             Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString());
             site.service.reload(environment);
-            Scripted.next(read);
+            ScriptedRouter.awaitNext(read);
             // The reload runs on the proxy's one loop: a request that is served after it shows that
             // it is over.
-            try (Peer.Wire client = site.client()) {
-                client.write(site.get(Site.LONG_S));
-                site.node.next().wire().answer(200, "v");
-                assertEquals(200, Site.status(client.read()));
+            try (TestServer.Connection client = site.client()) {
+                client.write(site.get(ProxyFixture.LONG_BUDGET_S));
+                site.node.next().connection().respond(200, "v");
+                assertEquals(200, ProxyFixture.status(client.read()));
             }
-            assertTrue(moved.heardNothing());
+            assertTrue(moved.receivedNothing());
             next[0] =
                     new Options(
                             new Options.Log(Options.Format.TEXT, 60, 20, 10),
