--- a/src/test/java/cacheproxy/proxy/OutcomeTest.java
+++ b/src/test/java/cacheproxy/proxy/OutcomeTest.java
@@ -21,7 +21,7 @@
  * What a node's connection shows becomes the outcome that the protocol names, and the pool stays
  * clean.
  */
-class OutcomeTest extends WithSite {
+class OutcomeTest extends WithProxyFixture {
 
     @ParameterizedTest
     @CsvSource({
@@ -36,19 +36,19 @@
         "500, X-Rejected: 1, ERROR",
         "302, X-Other: 1, ERROR"
     })
-    void statusIsReadAsTheProtocolSays(int status, String header, Outcome outcome)
+    void statusAndHeaderDetermineOutcome(int status, String header, Outcome outcome)
             throws Exception {
-        client.write(site.get(Site.LONG_S));
-        site.node.next().wire().answer(status, "v", header);
-        assertEquals(outcome, Scripted.next(site.router.ends).outcome());
-        assertEquals(outcome == Outcome.OK ? 200 : 502, Site.status(client.read()));
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node.next().connection().respond(status, "v", header);
+        assertEquals(outcome, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertEquals(outcome == Outcome.OK ? 200 : 502, ProxyFixture.status(client.read()));
     }
 
     @Test
-    void closingAfterTheRequestIsAReset() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        site.node.next().wire().close();
-        assertEquals(Outcome.RESET, Scripted.next(site.router.ends).outcome());
+    void closeAfterRequestIsReset() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node.next().connection().close();
+        assertEquals(Outcome.RESET, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
     }
 
     /**
@@ -56,167 +56,184 @@
      * then may it have run.
      */
     @Test
-    void aNodeThatResetsRightAfterItsAcceptMayOnlyHaveRunWhatWasWrittenToIt() throws Exception {
-        try (ServerSocket killed = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            String list =
-                    Site.list(
+    void nodeResetAfterAcceptMayHaveRunOnlyWhatWasWritten() throws Exception {
+        try (ServerSocket resettingServer =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            String endpointList =
+                    ProxyFixture.endpointList(
                                     8,
                                     false,
-                                    Site.host("c1", "127.0.0.1:" + killed.getLocalPort(), "up", 0))
+                                    ProxyFixture.host(
+                                            "c1",
+                                            "127.0.0.1:" + resettingServer.getLocalPort(),
+                                            "up",
+                                            0))
                             + "\n";
-            site.discovery
+            fixture.discovery
                     .next()
-                    .wire()
+                    .connection()
                     .write(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    + Integer.toHexString(list.length())
+                                    + Integer.toHexString(endpointList.length())
                                     + "\r\n"
-                                    + list
+                                    + endpointList
                                     + "\r\n");
-            while (Scripted.next(site.router.lists).version() < 8) {
+            while (ScriptedRouter.awaitNext(fixture.router.receivedLists).version() < 8) {
                 // The list that it starts with comes first.
             }
-            site.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
-            site.router.onEnd =
+            fixture.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
+            fixture.router.onEnd =
                     (end, out) -> {
                         if (end.attempt() == 0) {
                             out.send(end.request(), "c0", 0);
                         }
                     };
-            client.write(site.get(Site.LONG_S));
-            try (Socket accepted = killed.accept()) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            try (Socket accepted = resettingServer.accept()) {
                 boolean sent = accepted.getInputStream().read() >= 0;
                 accepted.setSoLinger(true, 0);
                 assertTrue(sent);
             }
-            assertEquals(Outcome.RESET, Scripted.next(site.router.ends).outcome());
-            site.node.next().wire().answer(200, "v");
-            assertEquals(200, Site.status(client.read()));
+            assertEquals(
+                    Outcome.RESET, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            fixture.node.next().connection().respond(200, "v");
+            assertEquals(200, ProxyFixture.status(client.read()));
         }
     }
 
     @Test
-    void anAnswerThatStopsHalfWayIsAReset() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire wire = site.node.next().wire();
-        wire.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-        wire.close();
-        assertEquals(Outcome.RESET, Scripted.next(site.router.ends).outcome());
-        assertEquals(502, Site.status(client.read()));
+    void truncatedResponseIsReset() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection connection = fixture.node.next().connection();
+        connection.write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+        connection.close();
+        assertEquals(Outcome.RESET, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertEquals(502, ProxyFixture.status(client.read()));
     }
 
     @Test
-    void garbageIsAnErrorAndEndsTheConnection() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire wire = site.node.next().wire();
-        wire.write("this is no HTTP\r\n\r\n");
-        assertEquals(Outcome.ERROR, Scripted.next(site.router.ends).outcome());
-        assertNull(site.node.next().text());
+    void malformedResponseIsErrorAndClosesTheConnection() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection connection = fixture.node.next().connection();
+        connection.write("this is no HTTP\r\n\r\n");
+        assertEquals(Outcome.ERROR, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertNull(fixture.node.next().text());
     }
 
     @Test
-    void anAnswerOverTheLimitIsAnError() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        site.node
+    void responseOverTheSizeLimitIsError() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        fixture.node
                 .next()
-                .wire()
-                .write("HTTP/1.1 200 x\r\nContent-Length: " + (Gatherer.LONGEST + 1) + "\r\n\r\nv");
-        assertEquals(Outcome.ERROR, Scripted.next(site.router.ends).outcome());
+                .connection()
+                .write(
+                        "HTTP/1.1 200 x\r\nContent-Length: "
+                                + (MessageAggregator.MAX_MESSAGE_BYTES + 1)
+                                + "\r\n\r\nv");
+        assertEquals(Outcome.ERROR, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
+    void refusedConnectionIsConnectFailed() throws Exception {
         // Bound and not listening: the port refuses, and no other program can take it.
-        try (Socket held = new Socket()) {
-            held.bind(new InetSocketAddress("127.0.0.1", 0));
-            String list =
-                    Site.list(
+        try (Socket boundSocket = new Socket()) {
+            boundSocket.bind(new InetSocketAddress("127.0.0.1", 0));
+            String endpointList =
+                    ProxyFixture.endpointList(
                                     8,
                                     false,
-                                    Site.host("c1", "127.0.0.1:" + held.getLocalPort(), "up", 0))
+                                    ProxyFixture.host(
+                                            "c1",
+                                            "127.0.0.1:" + boundSocket.getLocalPort(),
+                                            "up",
+                                            0))
                             + "\n";
-            site.discovery
+            fixture.discovery
                     .next()
-                    .wire()
+                    .connection()
                     .write(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    + Integer.toHexString(list.length())
+                                    + Integer.toHexString(endpointList.length())
                                     + "\r\n"
-                                    + list
+                                    + endpointList
                                     + "\r\n");
-            while (Scripted.next(site.router.lists).version() < 8) {
+            while (ScriptedRouter.awaitNext(fixture.router.receivedLists).version() < 8) {
                 // The list that it starts with comes first.
             }
-            site.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
-            client.write(site.get(Site.LONG_S));
-            assertEquals(Outcome.CONNECT_FAILED, Scripted.next(site.router.ends).outcome());
+            fixture.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            assertEquals(
+                    Outcome.CONNECT_FAILED,
+                    ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
         }
     }
 
     @Test
-    void aSilentNodeTimesOutAndItsConnectionIsNotUsedAgain() throws Exception {
-        site.router.onRequest = (request, out) -> out.send(request.id(), "c0", 2000);
-        client.write(site.get(Site.LONG_S));
-        Peer.Message first = site.node.next();
-        assertEquals(Outcome.TIMEOUT, Scripted.next(site.router.ends).outcome());
-        assertNull(site.node.next().text(), "the abandoned connection is closed");
-        assertEquals(502, Site.status(client.read()));
-        site.router.onRequest = (request, out) -> out.send(request.id(), "c0", 0);
-        client.write(site.get(Site.LONG_S));
-        Peer.Message second = site.node.next();
-        assertFalse(first.wire().number() == second.wire().number());
-        second.wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
+    void silentNodeTimesOutAndItsConnectionIsNotReused() throws Exception {
+        fixture.router.onRequest = (request, out) -> out.send(request.id(), "c0", 2000);
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Message first = fixture.node.next();
+        assertEquals(
+                Outcome.TIMEOUT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertNull(fixture.node.next().text(), "the abandoned connection is closed");
+        assertEquals(502, ProxyFixture.status(client.read()));
+        fixture.router.onRequest = (request, out) -> out.send(request.id(), "c0", 0);
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Message second = fixture.node.next();
+        assertFalse(first.connection().number() == second.connection().number());
+        second.connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
     }
 
     @Test
-    void aTimeoutIsCutToTheClientsBudget() throws Exception {
-        site.router.onRequest = (request, out) -> out.send(request.id(), "c0", 1e6);
-        client.write(site.get(2));
-        site.node.next();
-        assertEquals(Outcome.TIMEOUT, Scripted.next(site.router.ends).outcome());
+    void timeoutIsLimitedToTheClientsBudget() throws Exception {
+        fixture.router.onRequest = (request, out) -> out.send(request.id(), "c0", 1e6);
+        client.write(fixture.get(2));
+        fixture.node.next();
+        assertEquals(
+                Outcome.TIMEOUT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
     }
 
     @Test
-    void theRequestGoesOnUnchangedOnAKeptConnection() throws Exception {
-        client.write(Site.put("Idempotency-Key: k-9\r\n", "value"));
-        Peer.Message put = site.node.next();
+    void requestIsForwardedUnchangedAndConnectionIsReused() throws Exception {
+        client.write(ProxyFixture.put("Idempotency-Key: k-9\r\n", "value"));
+        TestServer.Message put = fixture.node.next();
         assertEquals("PUT /api/k1 HTTP/1.1", put.firstLine());
         assertEquals("value", put.body());
         assertEquals("k-9", put.header("Idempotency-Key"));
         assertEquals("w1", put.header("X-Call-Id"));
-        put.wire().answer(200, "done", "X-Hit: miss");
-        assertEquals("done", new Peer.Message(client.read(), client).body());
-        assertEquals(2, Scripted.next(site.router.ends).note());
+        put.connection().respond(200, "done", "X-Hit: miss");
+        assertEquals("done", new TestServer.Message(client.read(), client).body());
+        assertEquals(2, ScriptedRouter.awaitNext(fixture.router.attemptEnds).cacheStatus());
         // A connection rests for a moment before its next request; those that come meanwhile open
         // others.
-        Set<Integer> opened = new HashSet<>(Set.of(put.wire().number()));
-        boolean kept = false;
-        Peer.Message get = put;
-        while (!kept) {
-            client.write(site.get(Site.LONG_S));
-            get = site.node.next();
-            kept = !opened.add(get.wire().number());
-            get.wire().answer(200, "again");
+        Set<Integer> opened = new HashSet<>(Set.of(put.connection().number()));
+        boolean reused = false;
+        TestServer.Message get = put;
+        while (!reused) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            get = fixture.node.next();
+            reused = !opened.add(get.connection().number());
+            get.connection().respond(200, "again");
             client.read();
         }
         assertEquals("GET /api/k1?x=1 HTTP/1.1", get.firstLine());
-        assertTrue(Double.parseDouble(get.header("X-Budget")) <= Site.LONG_S);
+        assertTrue(Double.parseDouble(get.header("X-Budget")) <= ProxyFixture.LONG_BUDGET_S);
     }
 
     @Test
-    void anAnswerThatNobodyAskedForClosesTheConnection() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire wire = site.node.next().wire();
-        wire.answer(200, "v");
+    void unsolicitedResponseClosesTheConnection() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection connection = fixture.node.next().connection();
+        connection.respond(200, "v");
         client.read();
-        wire.answer(200, "stray");
-        assertNull(site.node.next().text());
+        connection.respond(200, "stray");
+        assertNull(fixture.node.next().text());
     }
 
     @Test
-    void pastTheAttemptsAllowedNothingIsSent() throws Exception {
-        site.router.onEnd =
+    void nothingIsSentBeyondTheAttemptLimit() throws Exception {
+        fixture.router.onEnd =
                 (end, out) -> {
                     if (end.outcome() == Outcome.NEVER_SENT) {
                         out.fail(end.request());
@@ -224,46 +241,47 @@
                         out.send(end.request(), "c0", 0);
                     }
                 };
-        client.write(site.get(Site.LONG_S));
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
         for (int i = 0; i < 3; i++) {
-            site.node.next().wire().answer(404, "");
+            fixture.node.next().connection().respond(404, "");
         }
-        assertEquals(502, Site.status(client.read()));
+        assertEquals(502, ProxyFixture.status(client.read()));
         AttemptEnd last = null;
         for (int i = 0; i < 4; i++) {
-            last = Scripted.next(site.router.ends);
+            last = ScriptedRouter.awaitNext(fixture.router.attemptEnds);
         }
         assertEquals(3, last.attempt());
         assertEquals(Outcome.NEVER_SENT, last.outcome());
-        assertTrue(site.node.heardNothing());
+        assertTrue(fixture.node.receivedNothing());
     }
 
     @Test
-    void twoAttemptsAreNeverOutAtOnce() throws Exception {
-        site.router.onRequest =
+    void atMostOneAttemptIsInFlight() throws Exception {
+        fixture.router.onRequest =
                 (request, out) -> {
                     out.send(request.id(), "c0", 0);
                     out.send(request.id(), "c0", 0);
                 };
-        site.router.onEnd = (end, out) -> {};
-        client.write(site.get(Site.LONG_S));
-        assertEquals(Outcome.NEVER_SENT, Scripted.next(site.router.ends).outcome());
-        site.node.next().wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
-        assertTrue(site.node.heardNothing());
+        fixture.router.onEnd = (end, out) -> {};
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        assertEquals(
+                Outcome.NEVER_SENT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        fixture.node.next().connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
+        assertTrue(fixture.node.receivedNothing());
     }
 
     @Test
-    void aProbeTellsWhetherTheNodeLives() throws Exception {
-        site.router.onRequest =
+    void probeReportsWhetherTheNodeResponds() throws Exception {
+        fixture.router.onRequest =
                 (request, out) -> {
                     out.probe("c0");
-                    out.refuse(request.id(), 0);
+                    out.reject(request.id(), 0);
                 };
-        client.write(site.get(Site.LONG_S));
-        Peer.Message probe = site.node.next();
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Message probe = fixture.node.next();
         assertEquals("GET /alive HTTP/1.1", probe.firstLine());
-        probe.wire().answer(200, "");
-        assertEquals(Outcome.OK, Scripted.next(site.router.probes));
+        probe.connection().respond(200, "");
+        assertEquals(Outcome.OK, ScriptedRouter.awaitNext(fixture.router.probeOutcomes));
     }
 }
--- a/src/test/java/cacheproxy/proxy/PeerSocketFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketFailuresTest.java
@@ -20,35 +20,39 @@
 class PeerSocketFailuresTest {
 
     private static final int FAILING_CALLS = 20;
-    private static final int TIMEOUT_MS = (int) TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S);
+    private static final int TIMEOUT_MS = (int) TimeUnit.SECONDS.toMillis(TestServer.TIMEOUT_S);
 
     @ParameterizedTest
     @EnumSource
-    void afterFailedReceivesAMessageIsHeard(Errno errno) throws Exception {
-        try (DatagramSocket peer = socket();
-                FaultySite site = siteWithPeer(peer)) {
-            site.peerCalls.fail(SystemCall.RECVFROM, errno, FAILING_CALLS);
+    void receivesMessageAfterFailedReceives(Errno errno) throws Exception {
+        try (DatagramSocket peer = openSocket();
+                FaultyProxyFixture fixture = fixtureWithPeer(peer)) {
+            fixture.peerCalls.fail(SystemCall.RECVFROM, errno, FAILING_CALLS);
             InetAddress loopback = InetAddress.getLoopbackAddress();
             peer.send(
                     new DatagramPacket(
-                            new byte[] {1, 2}, 2, loopback, site.peers.listening().getPort()));
-            Scripted.Heard heard = Scripted.next(site.site.router.heard);
-            assertArrayEquals(new byte[] {1, 2}, heard.contents());
-            assertEquals(FAILING_CALLS, site.peerCalls.failed(SystemCall.RECVFROM));
+                            new byte[] {1, 2},
+                            2,
+                            loopback,
+                            fixture.peers.localAddress().getPort()));
+            ScriptedRouter.ReceivedMessage received =
+                    ScriptedRouter.awaitNext(fixture.baseFixture.router.peerMessages);
+            assertArrayEquals(new byte[] {1, 2}, received.contents());
+            assertEquals(FAILING_CALLS, fixture.peerCalls.failureCount(SystemCall.RECVFROM));
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void afterFailedSendsTheNextMessageGoesOut(Errno errno) throws Exception {
-        try (DatagramSocket peer = socket();
-                FaultySite site = siteWithPeer(peer)) {
-            site.peerCalls.fail(SystemCall.SENDTO, errno, 1);
-            site.loop
+    void sendsNextMessageAfterFailedSend(Errno errno) throws Exception {
+        try (DatagramSocket peer = openSocket();
+                FaultyProxyFixture fixture = fixtureWithPeer(peer)) {
+            fixture.peerCalls.fail(SystemCall.SENDTO, errno, 1);
+            fixture.loop
                     .submit(
                             () -> {
-                                site.peers.tell(new byte[] {3});
-                                site.peers.tell(new byte[] {4});
+                                fixture.peers.sendToAll(new byte[] {3});
+                                fixture.peers.sendToAll(new byte[] {4});
                             })
                     .sync();
             DatagramPacket packet = new DatagramPacket(new byte[10], 10);
@@ -56,22 +60,22 @@
                 peer.receive(packet);
             } while (packet.getData()[0] != 4);
             assertEquals(1, packet.getLength());
-            assertEquals(1, site.peerCalls.failed(SystemCall.SENDTO));
+            assertEquals(1, fixture.peerCalls.failureCount(SystemCall.SENDTO));
             assertTrue(
-                    site.loop.submit(() -> site.peers.listening().getPort() > 0).get(),
+                    fixture.loop.submit(() -> fixture.peers.localAddress().getPort() > 0).get(),
                     "the socket is open");
         }
     }
 
-    private static DatagramSocket socket() throws Exception {
+    private static DatagramSocket openSocket() throws Exception {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
     /** This proxy is the first of two. */
-    private static FaultySite siteWithPeer(DatagramSocket peer) throws Exception {
-        return new FaultySite(
+    private static FaultyProxyFixture fixtureWithPeer(DatagramSocket peer) throws Exception {
+        return new FaultyProxyFixture(
                 "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                         + peer.getLocalPort()
                         + "\"],");
--- a/src/test/java/cacheproxy/proxy/PeersTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Datagrams between proxies: only peers are heard, and nothing over the limit goes out. */
-class PeersTest {
+class PeerSocketTest {
 
-    private static final int TIMEOUT_MS = (int) (Peer.PATIENCE_S * 1000);
+    private static final int TIMEOUT_MS = (int) (TestServer.TIMEOUT_S * 1000);
 
-    private static DatagramSocket socket() throws Exception {
+    private static DatagramSocket openSocket() throws Exception {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         socket.setSoTimeout(TIMEOUT_MS);
         return socket;
@@ -29,38 +29,42 @@
     }
 
     @Test
-    void peersAreHeardAndStrangersAreNot() throws Exception {
-        try (DatagramSocket peer = socket();
-                DatagramSocket stranger = socket();
-                Site site = new Site()) {
-            site.start(
+    void acceptsMessagesOnlyFromPeersAndSendsNoneOverTheLimit() throws Exception {
+        try (DatagramSocket peer = openSocket();
+                DatagramSocket stranger = openSocket();
+                ProxyFixture fixture = new ProxyFixture()) {
+            fixture.start(
                     "automatic",
                     "60000",
                     "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                             + peer.getLocalPort()
                             + "\"],");
-            int own = site.service.peerListening().getPort();
+            int ownPort = fixture.service.peerAddress().getPort();
             InetAddress loopback = InetAddress.getLoopbackAddress();
-            stranger.send(new DatagramPacket(new byte[] {9}, 1, loopback, own));
+            stranger.send(new DatagramPacket(new byte[] {9}, 1, loopback, ownPort));
             peer.send(
                     new DatagramPacket(
-                            new byte[Peers.MAX_MESSAGE + 1], Peers.MAX_MESSAGE + 1, loopback, own));
-            peer.send(new DatagramPacket(new byte[] {1, 2}, 2, loopback, own));
-            Scripted.Heard heard = Scripted.next(site.router.heard);
-            assertEquals(1, heard.from());
-            assertArrayEquals(new byte[] {1, 2}, heard.contents());
-            assertTrue(site.router.heard.isEmpty());
+                            new byte[PeerSocket.MAX_MESSAGE_BYTES + 1],
+                            PeerSocket.MAX_MESSAGE_BYTES + 1,
+                            loopback,
+                            ownPort));
+            peer.send(new DatagramPacket(new byte[] {1, 2}, 2, loopback, ownPort));
+            ScriptedRouter.ReceivedMessage received =
+                    ScriptedRouter.awaitNext(fixture.router.peerMessages);
+            assertEquals(1, received.from());
+            assertArrayEquals(new byte[] {1, 2}, received.contents());
+            assertTrue(fixture.router.peerMessages.isEmpty());
 
-            byte[] reused = "old".getBytes(StandardCharsets.US_ASCII);
-            site.router.onRequest =
+            byte[] reusedBuffer = "old".getBytes(StandardCharsets.US_ASCII);
+            fixture.router.onRequest =
                     (request, out) -> {
-                        out.tell(new byte[Peers.MAX_MESSAGE + 1]);
-                        out.tell(reused);
-                        reused[0] = 'X';
-                        out.refuse(request.id(), 0);
+                        out.sendToPeers(new byte[PeerSocket.MAX_MESSAGE_BYTES + 1]);
+                        out.sendToPeers(reusedBuffer);
+                        reusedBuffer[0] = 'X';
+                        out.reject(request.id(), 0);
                     };
-            try (Peer.Wire client = site.client()) {
-                client.write(site.get(Site.LONG_S));
+            try (TestServer.Connection client = fixture.client()) {
+                client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
                 assertEquals("old", new String(receive(peer), StandardCharsets.US_ASCII));
             }
         }
--- a/src/test/java/cacheproxy/proxy/Site.java
+++ b/src/test/java/cacheproxy/proxy/ProxyFixture.java
@@ -9,7 +9,7 @@
  * A proxy with a scripted router, one scripted cache node c0 and a scripted discovery, on ephemeral
  * ports.
  */
-final class Site implements Closeable {
+final class ProxyFixture implements Closeable {
 
     static final String SETTINGS =
             """
@@ -19,21 +19,21 @@
              "obligations": {"answer_slack_ms": 20},
              "services": [{"name": "read", "effect": "retryable", "deadline_ms": 1500},
                           {"name": "pay", "effect": "dedup", "deadline_ms": 1500}]}""";
-    static final double LONG_S = 60;
+    static final double LONG_BUDGET_S = 60;
 
     /** Of a watch that waits for its first word as long as a test needs to give it. */
-    static final Discovery.Times CALM =
+    static final Discovery.Times LENIENT_TIMES =
             new Discovery.Times(
-                    Discovery.Times.PUSHED.silentMs(),
-                    TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S),
+                    Discovery.Times.PUSHED.silenceTimeoutMs(),
+                    TimeUnit.SECONDS.toMillis(TestServer.TIMEOUT_S),
                     1000);
 
-    final Peer node = new Peer();
-    final Peer discovery = new Peer();
-    final Scripted router = new Scripted();
+    final TestServer node = new TestServer();
+    final TestServer discovery = new TestServer();
+    final ScriptedRouter router = new ScriptedRouter();
     Service service;
-    int sockets = 256;
-    Discovery.Times times = CALM;
+    int socketLimit = 256;
+    Discovery.Times discoveryTimes = LENIENT_TIMES;
     Clock clock = new Clock();
 
     /** With places for how discovery is asked and for how long idle connections stand. */
@@ -47,52 +47,52 @@
     /** The cache nodes that it knows. */
     String[] hosts;
 
-    private int calls;
+    private int requestCount;
 
-    Site() throws IOException {
+    ProxyFixture() throws IOException {
         hosts = new String[] {host("c0", node.dial(), "up", 0)};
     }
 
-    static Site started() throws Exception {
-        Site site = new Site();
-        site.start("automatic", "60000", "");
-        return site;
+    static ProxyFixture started() throws Exception {
+        ProxyFixture fixture = new ProxyFixture();
+        fixture.start("automatic", "60000", "");
+        return fixture;
     }
 
-    void start(String mode, String idleMs, String more) throws Exception {
-        service = Service.start(config(mode, idleMs, more), router, times, clock);
+    void start(String mode, String idleMs, String moreFields) throws Exception {
+        service = Service.start(config(mode, idleMs, moreFields), router, discoveryTimes, clock);
     }
 
-    Config config(String mode, String idleMs, String more) throws ConfigException {
-        return Config.parse(json(mode, idleMs, more), environment);
+    Config config(String mode, String idleMs, String moreFields) throws ConfigException {
+        return Config.parse(json(mode, idleMs, moreFields), environment);
     }
 
-    String json(String mode, String idleMs, String more) {
+    String json(String mode, String idleMs, String moreFields) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                 + discoveryAddress
                 + "\","
                 + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":"
-                + sockets
+                + socketLimit
                 + "},"
-                + more
+                + moreFields
                 + "\"known\":"
-                + list(7, true, hosts)
+                + endpointList(7, true, hosts)
                 + ",\"settings\":"
                 + settings.formatted(mode, idleMs)
                 + "}";
     }
 
-    static String list(long seq, boolean whole, String... hosts) {
+    static String endpointList(long seq, boolean snapshot, String... hosts) {
         return "{\"seq\":"
                 + seq
                 + ",\"whole\":"
-                + whole
+                + snapshot
                 + ",\"hosts\":["
                 + String.join(",", hosts)
                 + "]}";
     }
 
-    static String host(String id, String dial, String health, long born) {
+    static String host(String id, String dial, String health, long startedAtMs) {
         return "{\"host\":\""
                 + id
                 + "\",\"dial\":\""
@@ -101,18 +101,18 @@
                 + "\"health\":\""
                 + health
                 + "\",\"share\":1.0,\"born_ms\":"
-                + born
+                + startedAtMs
                 + "}";
     }
 
-    Peer.Wire client() throws IOException {
-        return Peer.connect(service.listening());
+    TestServer.Connection client() throws IOException {
+        return TestServer.connect(service.clientAddress());
     }
 
     /** A read with a new id, for which the client waits so long. */
     String get(double budgetS) {
         return "GET /api/k1?x=1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: id"
-                + calls++
+                + requestCount++
                 + "\r\nX-Call-Class: read\r\n"
                 + "X-Caller: acme\r\nX-Budget: "
                 + budgetS
@@ -138,7 +138,7 @@
         node.close();
         discovery.close();
         if (service != null) {
-            service.kill();
+            service.terminateNow();
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/RefusingAddress.java
+++ b/src/test/java/cacheproxy/proxy/RefusingAddress.java
@@ -13,18 +13,18 @@
  */
 final class RefusingAddress implements Closeable {
 
-    private final Socket bound = new Socket();
+    private final Socket boundSocket = new Socket();
 
     RefusingAddress() throws IOException {
-        bound.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        boundSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     String dial() {
-        return "127.0.0.1:" + bound.getLocalPort();
+        return "127.0.0.1:" + boundSocket.getLocalPort();
     }
 
     @Override
     public void close() throws IOException {
-        bound.close();
+        boundSocket.close();
     }
 }
--- a/src/test/java/cacheproxy/proxy/ReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/ReloadTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.Router.ListKind;
+import cacheproxy.Router.EndpointListKind;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -21,20 +21,22 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @TempDir private Path folder;
-    private final Site site;
-    private final Peer next = new Peer();
-    private Peer.Message oldWatch;
+    private final ProxyFixture site;
+    private final TestServer next = new TestServer();
+    private TestServer.Message oldWatch;
 
     ReloadTest() throws Exception {
-        site = new Site();
+        site = new ProxyFixture();
     }
 
     @BeforeEach
     void start() throws Exception {
         site.start("automatic", "60000", "");
         oldWatch = site.discovery.next();
-        oldWatch.wire().write(HEAD);
-        assertEquals(ListKind.REMEMBERED, Scripted.next(site.router.lists).kind());
+        oldWatch.connection().write(HEAD);
+        assertEquals(
+                EndpointListKind.STORED_SNAPSHOT,
+                ScriptedRouter.awaitNext(site.router.receivedLists).kind());
     }
 
     @AfterEach
@@ -58,7 +60,7 @@
         return "{\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                 + discovery
                 + "\",\"settings\":"
-                + Site.SETTINGS.formatted("automatic", "60000")
+                + ProxyFixture.SETTINGS.formatted("automatic", "60000")
                 + "}";
     }
 
@@ -67,58 +69,59 @@
     }
 
     @Test
-    void theWatchMovesAndAsksForTheWholeList() throws Exception {
+    void movesWatchAndRequestsFullList() throws Exception {
         reload(config(next.dial()));
-        Peer.Message watch = next.next();
+        TestServer.Message watch = next.next();
         assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", watch.firstLine());
         assertNull(site.discovery.next().text(), "the old watch is left");
-        assertTrue(site.router.lists.isEmpty(), "the old list stays meanwhile");
-        watch.wire()
+        assertTrue(site.router.receivedLists.isEmpty(), "the old list stays meanwhile");
+        watch.connection()
                 .write(
                         HEAD
                                 + chunk(
-                                        Site.list(
+                                        ProxyFixture.endpointList(
                                                 3,
                                                 true,
-                                                Site.host("c0", site.node.dial(), "up", 0))));
-        Scripted.Told told = Scripted.next(site.router.lists);
-        assertEquals(ListKind.FULL, told.kind());
-        assertEquals(3, told.version());
+                                                ProxyFixture.host(
+                                                        "c0", site.node.dial(), "up", 0))));
+        ScriptedRouter.ReceivedList update = ScriptedRouter.awaitNext(site.router.receivedLists);
+        assertEquals(EndpointListKind.SNAPSHOT, update.kind());
+        assertEquals(3, update.version());
     }
 
     @Test
-    void aFileThatCannotBeReadChangesNothing() throws Exception {
+    void unreadableFileChangesNothing() throws Exception {
         reload("{\"discovery\":");
         reload("{}");
         site.service.reload(Map.of("BALANCER_CONFIG", folder.resolve("none").toString()));
-        oldWatch.wire().write(chunk(Site.list(8, false)));
-        assertEquals(8, Scripted.next(site.router.lists).version());
+        oldWatch.connection().write(chunk(ProxyFixture.endpointList(8, false)));
+        assertEquals(8, ScriptedRouter.awaitNext(site.router.receivedLists).version());
     }
 
     @Test
-    void theSameAgainAndAReloadInADrainAreHarmless() throws Exception {
+    void toleratesUnchangedFileAndReloadDuringShutdown() throws Exception {
         reload(config(site.discovery.dial()));
-        oldWatch.wire().write(chunk(Site.list(8, false)));
-        assertEquals(8, Scripted.next(site.router.lists).version());
-        site.service.beginDrain();
+        oldWatch.connection().write(chunk(ProxyFixture.endpointList(8, false)));
+        assertEquals(8, ScriptedRouter.awaitNext(site.router.receivedLists).version());
+        site.service.startShutdown();
         reload(config(next.dial()));
         assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", next.next().firstLine());
-        site.service.kill();
+        site.service.terminateNow();
         reload(config(site.discovery.dial()));
     }
 
     @Test
-    void theSignalRunsTheReload() throws Exception {
+    void signalRunsReload() throws Exception {
         CountDownLatch twice = new CountDownLatch(2);
-        Hangup.handle(twice::countDown);
+        HangupSignal.handle(twice::countDown);
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hup = signal.getConstructor(String.class).newInstance("HUP");
         while (twice.getCount() > 0) {
             // Signals of one kind may fall together, so each waits until the one before has come.
             long before = twice.getCount();
             signal.getMethod("raise", signal).invoke(null, hup);
-            long patience = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S);
-            while (twice.getCount() == before && System.nanoTime() < patience) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TestServer.TIMEOUT_S);
+            while (twice.getCount() == before && System.nanoTime() < deadlineNanos) {
                 Thread.onSpinWait();
             }
         }
--- a/src/test/java/cacheproxy/proxy/RepeatWindowTest.java
+++ b/src/test/java/cacheproxy/proxy/RepeatWindowTest.java
@@ -20,32 +20,34 @@
  * The window for repeats holds up to the moment in which a repeat's last byte is written, and not
  * only when it is decided.
  */
-class RepeatWindowTest extends WithPool {
+class RepeatWindowTest extends WithNodePool {
 
-    private static final long OPEN_MS = 2500;
+    private static final long ACCEPT_TIMEOUT_MS = 2500;
 
-    private LateNode late;
+    private LateAcceptingNode lateNode;
 
     @BeforeEach
-    void startLate() throws Exception {
-        late = new LateNode();
-        String[] address = late.dial().split(":");
-        Node named = new Node("late", "std", "a", 0, 1, 0, Availability.UP);
+    void startLateNode() throws Exception {
+        lateNode = new LateAcceptingNode();
+        String[] address = lateNode.dial().split(":");
+        Node node = new Node("late", "std", "a", 0, 1, 0, Availability.UP);
         var dial = new InetSocketAddress(address[0], Integer.parseInt(address[1]));
         loop.submit(
                         () ->
-                                pool.list(
-                                                new HostList(
+                                pool.applyEndpointList(
+                                                new EndpointListUpdate(
                                                         2,
                                                         false,
-                                                        List.of(new HostList.Host(named, dial))))
+                                                        List.of(
+                                                                new EndpointListUpdate.Endpoint(
+                                                                        node, dial))))
                                         .run())
                 .get();
     }
 
     @AfterEach
-    void stopLate() throws Exception {
-        late.close();
+    void stopLateNode() throws Exception {
+        lateNode.close();
     }
 
     private void send(double writeWithinMs) throws Exception {
@@ -66,38 +68,40 @@
     }
 
     @Test
-    void onAConnectionThatComesUpAfterItsWindowNothingIsWritten() throws Exception {
+    void nothingIsWrittenOnConnectionEstablishedAfterTheWindow() throws Exception {
         // Its timer is far, but its clock has passed the window when the connection comes up.
         send(50_000);
-        nanos.addAndGet(TimeUnit.SECONDS.toNanos(51));
-        Peer.Wire wire = late.open(OPEN_MS);
-        assertEquals(Outcome.NEVER_SENT, Scripted.next(outcomes));
-        assertTrue(wire == null || wire.read() == null, "it was sent after its window");
+        nanoClock.addAndGet(TimeUnit.SECONDS.toNanos(51));
+        TestServer.Connection connection = lateNode.acceptConnection(ACCEPT_TIMEOUT_MS);
+        assertEquals(Outcome.NEVER_SENT, ScriptedRouter.awaitNext(outcomes));
+        assertTrue(connection == null || connection.read() == null, "it was sent after its window");
     }
 
     @Test
-    void whatWaitsIsGivenUpWhenItsWindowEnds() throws Exception {
+    void waitingRepeatIsCancelledWhenItsWindowEnds() throws Exception {
         send(100);
-        assertEquals(Outcome.NEVER_SENT, Scripted.next(outcomes));
-        Peer.Wire wire = late.open(OPEN_MS);
-        assertTrue(wire == null || wire.read() == null, "it was sent after its window");
+        assertEquals(Outcome.NEVER_SENT, ScriptedRouter.awaitNext(outcomes));
+        TestServer.Connection connection = lateNode.acceptConnection(ACCEPT_TIMEOUT_MS);
+        assertTrue(connection == null || connection.read() == null, "it was sent after its window");
     }
 
     @Test
-    void withinItsWindowItIsWritten() throws Exception {
+    void repeatIsWrittenWithinItsWindow() throws Exception {
         send(50_000);
-        Peer.Wire wire = late.open(OPEN_MS);
-        assertEquals("GET /api/k1 HTTP/1.1", new Peer.Message(wire.read(), wire).firstLine());
-        wire.answer(200, "v");
-        assertEquals(Outcome.OK, Scripted.next(outcomes));
+        TestServer.Connection connection = lateNode.acceptConnection(ACCEPT_TIMEOUT_MS);
+        assertEquals(
+                "GET /api/k1 HTTP/1.1",
+                new TestServer.Message(connection.read(), connection).firstLine());
+        connection.respond(200, "v");
+        assertEquals(Outcome.OK, ScriptedRouter.awaitNext(outcomes));
     }
 
     /** The class has no window at all: a repeat that the router asks for by mistake is not sent. */
     @Test
-    void aKeyedRequestThatMayHaveRunIsNotSentPastItsWindowWhateverTheRouterSays() throws Exception {
-        try (Site site = Site.started();
-                Peer.Wire client = site.client()) {
-            site.router.onEnd =
+    void keyedRequestIsNotRepeatedOutsideItsWindowWhateverTheRouterDecides() throws Exception {
+        try (ProxyFixture fixture = ProxyFixture.started();
+                TestServer.Connection client = fixture.client()) {
+            fixture.router.onEnd =
                     (end, out) -> {
                         if (end.attempt() == 0) {
                             out.send(end.request(), "c0", 0);
@@ -105,12 +109,15 @@
                             out.fail(end.request());
                         }
                     };
-            client.write(Site.put("Idempotency-Key: k-9\r\n", "value"));
-            site.node.next().wire().answer(500, "");
-            assertEquals(502, Site.status(client.read()));
-            assertEquals(Outcome.ERROR, Scripted.next(site.router.ends).outcome());
-            assertEquals(Outcome.NEVER_SENT, Scripted.next(site.router.ends).outcome());
-            assertTrue(site.node.heardNothing());
+            client.write(ProxyFixture.put("Idempotency-Key: k-9\r\n", "value"));
+            fixture.node.next().connection().respond(500, "");
+            assertEquals(502, ProxyFixture.status(client.read()));
+            assertEquals(
+                    Outcome.ERROR, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            assertEquals(
+                    Outcome.NEVER_SENT,
+                    ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            assertTrue(fixture.node.receivedNothing());
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/proxy/ServeProcess.java
@@ -25,15 +25,15 @@
 /** A proxy in a process of its own, with a scripted cache node and discovery. */
 final class ServeProcess implements Closeable {
 
-    private static final int ENDED_BY_TERM = 143;
-    private static final long PATIENCE_S = 60;
+    private static final int SIGTERM_EXIT_CODE = 143;
+    private static final long TIMEOUT_S = 60;
     private static final long POLL_MS = 10;
-    private static final String END = "\0end of the log";
+    private static final String END_OF_LOG = "\0end of the log";
 
-    final Site site;
+    final ProxyFixture site;
 
     /** Where clients reach it. */
-    final InetSocketAddress front = UnassignedPort.address();
+    final InetSocketAddress clientAddress = UnassignedPort.address();
 
     private final Path folder;
     private final Process process;
@@ -49,11 +49,11 @@
      * @param options of the Java machine
      */
     ServeProcess(Path folder, List<String> command, String... options) throws IOException {
-        this(folder, new Site(), command, options);
+        this(folder, new ProxyFixture(), command, options);
     }
 
     /** The same, with the settings and the cache nodes of a site. */
-    ServeProcess(Path folder, Site site, List<String> command, String... options)
+    ServeProcess(Path folder, ProxyFixture site, List<String> command, String... options)
             throws IOException {
         this.folder = folder;
         this.site = site;
@@ -61,7 +61,7 @@
                 Files.writeString(
                         folder.resolve("config.json"),
                         site.json("automatic", "60000", "")
-                                .replace("127.0.0.1:0", "127.0.0.1:" + front.getPort()));
+                                .replace("127.0.0.1:0", "127.0.0.1:" + clientAddress.getPort()));
         List<String> line = new ArrayList<>(command);
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         line.addAll(List.of(options));
@@ -83,16 +83,16 @@
         } catch (IOException | UncheckedIOException e) {
             // Killed while it wrote: what came is there.
         } finally {
-            log.add(END);
+            log.add(END_OF_LOG);
         }
     }
 
     /** The next line, or null at the end. */
     private String nextLine() throws InterruptedException {
-        String line = log.poll(PATIENCE_S, TimeUnit.SECONDS);
-        assertNotNull(line, "nothing was logged for " + PATIENCE_S + " s");
-        if (line.equals(END)) {
-            log.add(END);
+        String line = log.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull(line, "nothing was logged for " + TIMEOUT_S + " s");
+        if (line.equals(END_OF_LOG)) {
+            log.add(END_OF_LOG);
             return null;
         }
         return line;
@@ -107,17 +107,17 @@
     }
 
     /** Reads the log up to the first line with an event's name. */
-    void logged(String event) throws InterruptedException {
-        assertTrue(logs(event), event + " was never logged");
+    void awaitEvent(String event) throws InterruptedException {
+        assertTrue(findEvent(event), event + " was never logged");
     }
 
     /** The same; false where the log ends without it. */
-    boolean logs(String event) throws InterruptedException {
-        return lineOf(event) != null;
+    boolean findEvent(String event) throws InterruptedException {
+        return findEventLine(event) != null;
     }
 
     /** The same; that line, or null where the log ends without it. */
-    String lineOf(String event) throws InterruptedException {
+    String findEventLine(String event) throws InterruptedException {
         String line = nextLine();
         while (line != null && !(line + " ").contains(" " + event + " ")) {
             line = nextLine();
@@ -134,9 +134,9 @@
     }
 
     /** What is left of the log once the process has ended by itself. */
-    List<String> ended() throws Exception {
+    List<String> awaitTermination() throws Exception {
         List<String> rest = restOfLog();
-        assertEquals(ENDED_BY_TERM, process.waitFor());
+        assertEquals(SIGTERM_EXIT_CODE, process.waitFor());
         assertFalse(
                 rest.stream().anyMatch(l -> l.contains("Exception") || l.contains("ERROR")),
                 String.join("\n", rest));
@@ -147,7 +147,7 @@
         return process.isAlive();
     }
 
-    void untilUp() throws Exception {
+    void awaitUp() throws Exception {
         while (!isUp()) {
             assertTrue(process.isAlive(), () -> "ended: " + log);
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
@@ -155,16 +155,16 @@
     }
 
     boolean isUp() {
-        try (Peer.Wire client = client()) {
+        try (TestServer.Connection client = client()) {
             client.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            return Site.status(client.read()) == 200;
+            return ProxyFixture.status(client.read()) == 200;
         } catch (IOException e) {
             return false;
         }
     }
 
-    Peer.Wire client() throws IOException {
-        return Peer.connect(front);
+    TestServer.Connection client() throws IOException {
+        return TestServer.connect(clientAddress);
     }
 
     String configuration() throws IOException {
@@ -178,7 +178,7 @@
     }
 
     /** The configuration with discovery at another address. */
-    String movedTo(Peer discovery) throws IOException {
+    String configurationWithDiscovery(TestServer discovery) throws IOException {
         return configuration().replace(site.discovery.dial(), discovery.dial());
     }
 
--- a/src/test/java/cacheproxy/proxy/OpeningTest.java
+++ b/src/test/java/cacheproxy/proxy/ShutdownBeforeOpeningTest.java
@@ -14,13 +14,13 @@
  * A process that is told to end before its clients' address is open never opens it: who would come
  * would be lost.
  */
-class OpeningTest {
+class ShutdownBeforeOpeningTest {
 
-    private Site site;
+    private ProxyFixture site;
 
     @BeforeEach
     void make() throws Exception {
-        site = new Site();
+        site = new ProxyFixture();
     }
 
     @AfterEach
@@ -30,8 +30,8 @@
 
     /** Discovery is silent, so the start stands between its last step and the opening. */
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aDrainThatComesBeforeTheOpeningForbidsItAndEndsAtOnce() throws Exception {
+    @Timeout(TestServer.TIMEOUT_S)
+    void shutdownBeforeOpeningPreventsItAndTerminatesAtOnce() throws Exception {
         CompletableFuture<Service> opening = new CompletableFuture<>();
         CompletableFuture<Service> started =
                 CompletableFuture.supplyAsync(
@@ -41,28 +41,32 @@
                                         site.config("automatic", "60000", ""),
                                         site.router,
                                         TimeUnit.HOURS.toMillis(1),
-                                        Site.CALM,
+                                        ProxyFixture.LENIENT_TIMES,
                                         opening);
                             } catch (Exception e) {
                                 throw new IllegalStateException(e);
                             }
                         });
-        site.service = opening.get(Peer.PATIENCE_S, TimeUnit.SECONDS);
-        Peer.Message watch = site.discovery.next();
-        site.service.drain();
-        watch.wire().close();
-        Service service = started.get(Peer.PATIENCE_S, TimeUnit.SECONDS);
-        assertNull(service.listening());
+        site.service = opening.get(TestServer.TIMEOUT_S, TimeUnit.SECONDS);
+        TestServer.Message watch = site.discovery.next();
+        site.service.shutDown();
+        watch.connection().close();
+        Service service = started.get(TestServer.TIMEOUT_S, TimeUnit.SECONDS);
+        assertNull(service.clientAddress());
     }
 
     @Test
-    void whereTheEndHasComeFirstNothingIsOpened() throws Exception {
+    void opensNothingIfAlreadyCancelled() throws Exception {
         CompletableFuture<Service> opening = new CompletableFuture<>();
         opening.cancel(false);
         site.service =
                 Service.start(
-                        site.config("automatic", "60000", ""), site.router, 0, Site.CALM, opening);
-        assertNull(site.service.listening());
-        assertEquals(0, site.router.lists.size(), "nothing was begun");
+                        site.config("automatic", "60000", ""),
+                        site.router,
+                        0,
+                        ProxyFixture.LENIENT_TIMES,
+                        opening);
+        assertNull(site.service.clientAddress());
+        assertEquals(0, site.router.receivedLists.size(), "nothing was begun");
     }
 }
--- a/src/test/java/cacheproxy/proxy/ShutdownWithHangingNodesTest.java
+++ b/src/test/java/cacheproxy/proxy/ShutdownWithHangingNodesTest.java
@@ -26,13 +26,13 @@
  */
 class ShutdownWithHangingNodesTest {
 
-    private static final int PATIENCE_S = 120;
+    private static final int TIMEOUT_S = 120;
     private static final int CLIENTS = 8;
 
     /**
      * The last answers are owed the deadline and so much after the signal, as SIGKILL comes then.
      */
-    private static final long KILL_MS = 700;
+    private static final long SIGKILL_DELAY_MS = 700;
 
     /**
      * For a machine that is busy; requests of clients that wait for long would be open for ten
@@ -40,18 +40,18 @@
      */
     private static final long SLACK_MS = 6000;
 
-    private static final long BETWEEN_REQUESTS_MS = 5;
+    private static final long REQUEST_INTERVAL_MS = 5;
     private static final String HEARTBEAT =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
 
     @TempDir private Path folder;
     private SilentNode node;
     private ServeProcess serve;
-    private final AtomicLong answers = new AtomicLong();
-    private final Set<String> answered = ConcurrentHashMap.newKeySet();
+    private final AtomicLong responseCount = new AtomicLong();
+    private final Set<String> answeredIds = ConcurrentHashMap.newKeySet();
 
     /** In nanoseconds. */
-    private final AtomicLong lastAnswer = new AtomicLong();
+    private final AtomicLong lastResponseNanos = new AtomicLong();
 
     @BeforeEach
     void start() throws Exception {
@@ -67,15 +67,15 @@
     }
 
     private void startServing(double deadlineMs) throws Exception {
-        Site site = new Site();
-        site.hosts = new String[] {Site.host("c0", node.dial(), "up", 0)};
+        ProxyFixture site = new ProxyFixture();
+        site.hosts = new String[] {ProxyFixture.host("c0", node.dial(), "up", 0)};
         site.settings =
-                Site.SETTINGS
+                ProxyFixture.SETTINGS
                         .replace("\"deadline_ms\": 1500", "\"deadline_ms\": " + deadlineMs)
                         .replace("\"max_open\": 4", "\"max_open\": 64");
         serve = new ServeProcess(folder, site, List.of());
-        serve.site.discovery.next().wire().write(HEARTBEAT);
-        serve.untilUp();
+        serve.site.discovery.next().connection().write(HEARTBEAT);
+        serve.awaitUp();
     }
 
     private static String get(String id, double budgetMs) {
@@ -89,17 +89,17 @@
     /**
      * Asks again and again until its connection ends, behind a last answer or between two requests.
      */
-    private void askUntilTheEnd(int client, double budgetMs) {
-        try (Peer.Wire wire = serve.client()) {
+    private void sendUntilClosed(int client, double budgetMs) {
+        try (TestServer.Connection wire = serve.client()) {
             boolean last = false;
             for (int i = 0; !last; i++) {
                 String id = "c" + client + "r" + i;
                 wire.write(get(id, budgetMs));
                 String answer = wire.read();
                 if (answer != null) {
-                    answered.add(id);
-                    answers.incrementAndGet();
-                    lastAnswer.accumulateAndGet(System.nanoTime(), Math::max);
+                    answeredIds.add(id);
+                    responseCount.incrementAndGet();
+                    lastResponseNanos.accumulateAndGet(System.nanoTime(), Math::max);
                 }
                 // Without an answer it crossed the end of a connection at rest: the tally shows
                 // whether it was taken.
@@ -107,9 +107,9 @@
                         answer == null
                                 || "close"
                                         .equals(
-                                                new Peer.Message(answer, wire)
+                                                new TestServer.Message(answer, wire)
                                                         .header("Connection"));
-                TimeUnit.MILLISECONDS.sleep(BETWEEN_REQUESTS_MS);
+                TimeUnit.MILLISECONDS.sleep(REQUEST_INTERVAL_MS);
             }
         } catch (IOException | InterruptedException e) {
             throw new AssertionError(e);
@@ -120,25 +120,27 @@
      * Half of the clients wait for the deadline, the others for far longer than the process may
      * take.
      */
-    private List<CompletableFuture<Void>> startAsking(double deadlineMs) {
-        List<CompletableFuture<Void>> asking = new ArrayList<>();
+    private List<CompletableFuture<Void>> startClients(double deadlineMs) {
+        List<CompletableFuture<Void>> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int client = i;
             double budgetMs =
-                    i % 2 == 0 ? deadlineMs : TimeUnit.SECONDS.toMillis((long) Site.LONG_S);
-            asking.add(
+                    i % 2 == 0
+                            ? deadlineMs
+                            : TimeUnit.SECONDS.toMillis((long) ProxyFixture.LONG_BUDGET_S);
+            clients.add(
                     CompletableFuture.runAsync(
-                            () -> askUntilTheEnd(client, budgetMs),
+                            () -> sendUntilClosed(client, budgetMs),
                             run -> new Thread(run, "client").start()));
         }
-        return asking;
+        return clients;
     }
 
     private static void awaitAtLeast(int count, LongSupplier counter) throws InterruptedException {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         while (counter.getAsLong() < count) {
             assertTrue(
-                    System.nanoTime() - began < TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S),
+                    System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(TestServer.TIMEOUT_S),
                     "no more than " + counter.getAsLong());
             TimeUnit.MILLISECONDS.sleep(1);
         }
@@ -150,41 +152,40 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {300, 600, 1200})
-    @Timeout(PATIENCE_S)
-    void everyRequestThatWasTakenIsAnsweredBeforeTheProcessEndsByItself(double deadlineMs)
-            throws Exception {
+    @Timeout(TIMEOUT_S)
+    void answersEveryAcceptedRequestBeforeTermination(double deadlineMs) throws Exception {
         startServing(deadlineMs);
-        List<CompletableFuture<Void>> asking = startAsking(deadlineMs);
-        awaitAtLeast(2 * CLIENTS, answers::get);
+        List<CompletableFuture<Void>> clients = startClients(deadlineMs);
+        awaitAtLeast(2 * CLIENTS, responseCount::get);
         node.hang();
-        awaitAtLeast(CLIENTS, node::unanswered);
-        long began = System.nanoTime();
+        awaitAtLeast(CLIENTS, node::unansweredCount);
+        long signalNanos = System.nanoTime();
         serve.signal("TERM");
-        for (CompletableFuture<Void> each : asking) {
+        for (CompletableFuture<Void> each : clients) {
             each.get();
         }
-        List<String> log = serve.ended();
+        List<String> log = serve.awaitTermination();
         String tally =
                 log.stream()
                         .filter(l -> l.contains(" tally "))
                         .reduce((before, last) -> last)
                         .orElseThrow();
-        long taken = field(tally, "requests");
+        long accepted = field(tally, "requests");
         assertEquals(0, field(tally, "gone") + field(tally, "owed"), tally);
         assertEquals(
-                taken,
+                accepted,
                 field(tally, "served") + field(tally, "refused") + field(tally, "failed"),
                 tally);
         assertTrue(
-                answers.get() >= taken,
-                answers.get() + " answers came to " + taken + " requests that were taken");
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(lastAnswer.get() - began);
+                responseCount.get() >= accepted,
+                responseCount.get() + " answers came to " + accepted + " requests that were taken");
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(lastResponseNanos.get() - signalNanos);
         assertTrue(
-                tookMs < deadlineMs + KILL_MS + SLACK_MS,
+                tookMs < deadlineMs + SIGKILL_DELAY_MS + SLACK_MS,
                 "the last answer came " + tookMs + " ms after the signal");
-        for (Peer.Message request : node.requestsOnceAllAreClosed()) {
+        for (TestServer.Message request : node.requestsAfterAllConnectionsClosed()) {
             String id = request.header("X-Call-Id");
-            assertTrue(answered.contains(id), id + " was begun at the node and never answered");
+            assertTrue(answeredIds.contains(id), id + " was begun at the node and never answered");
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/ShortDeadlinesTest.java
+++ b/src/test/java/cacheproxy/proxy/ShutdownWithShortDeadlinesTest.java
@@ -21,85 +21,85 @@
  * SIGKILL comes the longest deadline and 0.7 s after SIGTERM, so soon where deadlines are short;
  * until then clients send.
  */
-class ShortDeadlinesTest {
+class ShutdownWithShortDeadlinesTest {
 
     private static final int CLIENTS = 8;
-    private static final long KILL_MS = 700;
-    private static final long SHORT_MS = 300;
-    private static final long STEP_MS = 10;
+    private static final long KILL_DELAY_MS = 700;
+    private static final long SHORT_DEADLINE_MS = 300;
+    private static final long SLEEP_MS = 10;
 
-    private final Site site;
+    private final ProxyFixture fixture;
 
     /**
      * By how much the machine itself was late at most, in milliseconds: so much later the answers
      * may come.
      */
-    private final AtomicLong lateMs = new AtomicLong();
+    private final AtomicLong maxDelayMs = new AtomicLong();
 
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean testEnded = new AtomicBoolean();
 
     /** In nanoseconds. */
-    private final AtomicLong lastAnswer = new AtomicLong();
+    private final AtomicLong lastResponseNanos = new AtomicLong();
 
-    private final AtomicLong answers = new AtomicLong();
+    private final AtomicLong responseCount = new AtomicLong();
 
-    ShortDeadlinesTest() throws Exception {
-        site = new Site();
+    ShutdownWithShortDeadlinesTest() throws Exception {
+        fixture = new ProxyFixture();
     }
 
     @AfterEach
     void stop() throws Exception {
-        over.set(true);
-        site.close();
+        testEnded.set(true);
+        fixture.close();
     }
 
     /** Half of the nodes' answers never come: nodes hang through the whole of the shutdown. */
-    private void play() {
-        Thread playing =
+    private void startNode() {
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                for (int i = 0; !over.get(); ) {
-                                    Peer.Message next = site.node.await();
+                                for (int i = 0; !testEnded.get(); ) {
+                                    TestServer.Message next = fixture.node.await();
                                     if (next.text() != null && i++ % 2 == 0) {
-                                        next.wire().answer(200, "v");
+                                        next.connection().respond(200, "v");
                                     }
                                 }
                             } catch (Exception e) {
                                 return;
                             }
                         });
-        playing.setDaemon(true);
-        playing.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private void start(double deadlineMs) throws Exception {
-        site.settings =
-                Site.SETTINGS
+        fixture.settings =
+                ProxyFixture.SETTINGS
                         .replace("\"deadline_ms\": 1500", "\"deadline_ms\": " + deadlineMs)
                         .replace("\"max_open\": 4", "\"max_open\": 64");
-        site.start("automatic", "60000", "");
+        fixture.start("automatic", "60000", "");
     }
 
-    private void watchTheMachine() {
-        Thread watching =
+    private void startDelayMeasurement() {
+        Thread thread =
                 new Thread(
                         () -> {
-                            while (!over.get()) {
+                            while (!testEnded.get()) {
                                 long before = System.nanoTime();
                                 try {
-                                    TimeUnit.MILLISECONDS.sleep(STEP_MS);
+                                    TimeUnit.MILLISECONDS.sleep(SLEEP_MS);
                                 } catch (InterruptedException e) {
                                     return;
                                 }
-                                long late =
+                                long delayMs =
                                         TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - before)
-                                                - STEP_MS;
-                                lateMs.accumulateAndGet(late, Math::max);
+                                                - SLEEP_MS;
+                                maxDelayMs.accumulateAndGet(delayMs, Math::max);
                             }
                         });
-        watching.setDaemon(true);
-        watching.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private static String get(String id, double deadlineMs) {
@@ -114,22 +114,26 @@
      * One client: asks again and again until its connection ends, which it may do behind a last
      * answer or between two requests.
      */
-    private void ask(int client, double deadlineMs) {
-        try (Peer.Wire wire = site.client()) {
+    private void sendUntilClosed(int client, double deadlineMs) {
+        try (TestServer.Connection connection = fixture.client()) {
             boolean last = false;
             for (int i = 0; !last; i++) {
                 String id = "c" + client + "r" + i;
-                wire.write(get(id, deadlineMs));
-                String answer = wire.read();
+                connection.write(get(id, deadlineMs));
+                String answer = connection.read();
                 if (answer != null) {
-                    answers.incrementAndGet();
-                    lastAnswer.accumulateAndGet(System.nanoTime(), Math::max);
-                    last = "close".equals(new Peer.Message(answer, wire).header("Connection"));
+                    responseCount.incrementAndGet();
+                    lastResponseNanos.accumulateAndGet(System.nanoTime(), Math::max);
+                    last =
+                            "close"
+                                    .equals(
+                                            new TestServer.Message(answer, connection)
+                                                    .header("Connection"));
                 } else {
                     // It crossed the end of a connection at rest, so it is sent once more
                     // elsewhere.
                     assertTrue(
-                            new ArrayList<>(site.router.requests)
+                            new ArrayList<>(fixture.router.requests)
                                     .stream().noneMatch(r -> r.id().equals(id)),
                             id + " was read and not answered");
                     last = true;
@@ -142,52 +146,53 @@
 
     /** Its bytes lie unread when the last answers are given, and the rest of it never comes. */
     @Test
-    @Timeout(Peer.PATIENCE_S)
-    void aRequestThatHasOnlyBegunToComeAtTheLastAnswersIsRefused() throws Exception {
-        start(SHORT_MS);
-        Held held = Held.atNextRequest(site);
-        try (Peer.Wire begun = site.client();
-                Peer.Wire holding = site.client()) {
-            holding.write(get("holding", SHORT_MS));
-            held.entered();
-            CompletableFuture<Void> drained = CompletableFuture.runAsync(site.service::drain);
-            String request = get("begun", SHORT_MS);
-            begun.write(request.substring(0, request.length() / 2));
-            TimeUnit.MILLISECONDS.sleep(SHORT_MS + 2 * KILL_MS);
-            held.release();
-            assertEquals(503, Site.status(begun.read()));
-            assertNull(begun.read());
-            assertEquals(503, Site.status(holding.read()));
+    @Timeout(TestServer.TIMEOUT_S)
+    void partialRequestAtLastResponsesIsRejected() throws Exception {
+        start(SHORT_DEADLINE_MS);
+        EventLoopPause loopPause = EventLoopPause.atNextRequest(fixture);
+        try (TestServer.Connection partial = fixture.client();
+                TestServer.Connection pausing = fixture.client()) {
+            pausing.write(get("holding", SHORT_DEADLINE_MS));
+            loopPause.awaitPaused();
+            CompletableFuture<Void> drained = CompletableFuture.runAsync(fixture.service::shutDown);
+            String request = get("begun", SHORT_DEADLINE_MS);
+            partial.write(request.substring(0, request.length() / 2));
+            TimeUnit.MILLISECONDS.sleep(SHORT_DEADLINE_MS + 2 * KILL_DELAY_MS);
+            loopPause.resume();
+            assertEquals(503, ProxyFixture.status(partial.read()));
+            assertNull(partial.read());
+            assertEquals(503, ProxyFixture.status(pausing.read()));
             drained.get();
         }
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {300, 600, 1200})
-    @Timeout(Peer.PATIENCE_S)
-    void whatComesOnOpenConnectionsIsAnsweredBeforeTheKill(double deadlineMs) throws Exception {
+    @Timeout(TestServer.TIMEOUT_S)
+    void requestsOnOpenConnectionsAreAnsweredBeforeTheKill(double deadlineMs) throws Exception {
         start(deadlineMs);
-        play();
-        watchTheMachine();
+        startNode();
+        startDelayMeasurement();
         List<CompletableFuture<Void>> asking = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             int client = i;
             asking.add(
                     CompletableFuture.runAsync(
-                            () -> ask(client, deadlineMs), run -> new Thread(run).start()));
+                            () -> sendUntilClosed(client, deadlineMs),
+                            run -> new Thread(run).start()));
         }
-        while (answers.get() < CLIENTS) {
+        while (responseCount.get() < CLIENTS) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
         long began = System.nanoTime();
-        CompletableFuture<Void> drained = CompletableFuture.runAsync(site.service::drain);
+        CompletableFuture<Void> drained = CompletableFuture.runAsync(fixture.service::shutDown);
         for (CompletableFuture<Void> each : asking) {
             each.get();
         }
         drained.get();
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(lastAnswer.get() - began);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(lastResponseNanos.get() - began);
         assertTrue(
-                tookMs < deadlineMs + KILL_MS + lateMs.get(),
+                tookMs < deadlineMs + KILL_DELAY_MS + maxDelayMs.get(),
                 "the last answer came " + tookMs + " ms after the signal");
     }
 }
--- a/src/test/java/cacheproxy/proxy/SignalsTest.java
+++ b/src/test/java/cacheproxy/proxy/SignalsTest.java
@@ -21,15 +21,15 @@
 /** A real process and real signals: before its address is open, beside one another and twice. */
 class SignalsTest {
 
-    private static final int PATIENCE_S = 120;
-    private static final List<String> HANGUP_IGNORED =
+    private static final int TIMEOUT_S = 120;
+    private static final List<String> IGNORING_HANGUP =
             List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
 
     /** Long enough for two looks at the file of the configuration. */
-    private static final long TWO_LOOKS_MS = 2 * ConfigFileWatch.INTERVAL_MS + 200;
+    private static final long TWO_POLLS_MS = 2 * ConfigFileWatch.POLL_INTERVAL_MS + 200;
 
     private static final int MOVES = 6;
-    private static final long BETWEEN_MOVES_MS = 100;
+    private static final long MOVE_INTERVAL_MS = 100;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @TempDir private Path temp;
@@ -50,16 +50,16 @@
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void whatIsInFlightIsAnsweredThoughSignalsComeBesideOneAnotherAndTwice() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void answersPendingRequestDespiteConcurrentRepeatedSignals() throws Exception {
         start();
         serve.site
                 .discovery
                 .next()
-                .wire()
+                .connection()
                 .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-        serve.logged("known");
-        Peer.Wire client = null;
+        serve.awaitEvent("known");
+        TestServer.Connection client = null;
         while (client == null) {
             try {
                 client = serve.client();
@@ -67,18 +67,18 @@
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
-        client.write(serve.site.get(Site.LONG_S));
-        Peer.Message out = serve.site.node.next();
+        client.write(serve.site.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Message pending = serve.site.node.next();
         for (String name : List.of("HUP", "TERM", "HUP", "TERM", "HUP")) {
             serve.signal(name);
         }
-        serve.logged("draining");
-        out.wire().answer(200, "v");
-        assertEquals(200, Site.status(client.read()));
+        serve.awaitEvent("draining");
+        pending.connection().respond(200, "v");
+        assertEquals(200, ProxyFixture.status(client.read()));
         client.close();
         assertEquals(
                 0,
-                serve.ended().stream().filter(l -> l.contains(" draining")).count(),
+                serve.awaitTermination().stream().filter(l -> l.contains(" draining")).count(),
                 "it drains once");
     }
 
@@ -88,35 +88,35 @@
      * another process is started.
      */
     @Test
-    @Timeout(PATIENCE_S)
-    void oneThatIsToldToEndBeforeItsAddressIsOpenEndsAndNeverOpensIt() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void neverOpensAddressIfTerminatedBefore() throws Exception {
         boolean early = false;
         while (!early) {
             start();
-            serve.logged("known");
-            CompletableFuture<Boolean> opened = CompletableFuture.supplyAsync(this::opens);
+            serve.awaitEvent("known");
+            CompletableFuture<Boolean> opened = CompletableFuture.supplyAsync(this::acceptsClient);
             serve.signal("TERM");
-            early = serve.ended().stream().noneMatch(l -> l.contains(" untold "));
-            assertFalse(opened.get(PATIENCE_S, TimeUnit.SECONDS) && early, "a client was let in");
+            early = serve.awaitTermination().stream().noneMatch(l -> l.contains(" untold "));
+            assertFalse(opened.get(TIMEOUT_S, TimeUnit.SECONDS) && early, "a client was let in");
             stop();
         }
     }
 
     /** No client comes: it is ready, asks discovery once, and ends by itself. */
     @Test
-    @Timeout(PATIENCE_S)
-    void oneThatServesNobodyIsReadyAndEnds() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void becomesReadyAndTerminatesWithoutClients() throws Exception {
         start();
-        Peer.Message watch = serve.site.discovery.next();
-        watch.wire().write(HEAD + chunk(Site.list(8, false)));
+        TestServer.Message watch = serve.site.discovery.next();
+        watch.connection().write(HEAD + chunk(ProxyFixture.endpointList(8, false)));
         while (!serve.isUp()) {
             TimeUnit.MILLISECONDS.sleep(10);
-            watch.wire().write(chunk(""));
+            watch.connection().write(chunk(""));
         }
         serve.signal("TERM");
-        serve.ended();
+        serve.awaitTermination();
         assertNull(serve.site.discovery.next().text(), "its only watch has ended");
-        assertTrue(serve.site.discovery.heardNothing() && serve.site.node.heardNothing());
+        assertTrue(serve.site.discovery.receivedNothing() && serve.site.node.receivedNothing());
     }
 
     /**
@@ -125,38 +125,40 @@
      * has ended before, another is started.
      */
     @Test
-    @Timeout(PATIENCE_S)
-    void aDrainThatTheNewDiscoveryTellsIsKeptThoughTheEndHasBegun() throws Exception {
-        boolean told = false;
-        while (!told) {
+    @Timeout(TIMEOUT_S)
+    void appliesDrainFromNewDiscoveryDuringShutdown() throws Exception {
+        boolean reported = false;
+        while (!reported) {
             start();
-            serve.site.discovery.next().wire().write(HEAD + chunk(""));
+            serve.site.discovery.next().connection().write(HEAD + chunk(""));
             while (!serve.isUp()) {
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            try (Peer next = new Peer();
-                    Peer.Wire held = serve.client();
-                    Peer.Wire open = serve.client()) {
-                held.write(serve.site.get(Site.LONG_S));
-                Peer.Message out = serve.site.node.next();
+            try (TestServer next = new TestServer();
+                    TestServer.Connection waiting = serve.client();
+                    TestServer.Connection open = serve.client()) {
+                waiting.write(serve.site.get(ProxyFixture.LONG_BUDGET_S));
+                TestServer.Message pending = serve.site.node.next();
                 Path config = temp.resolve("config.json");
                 Files.writeString(
                         config,
                         Files.readString(config).replace(serve.site.discovery.dial(), next.dial()));
                 serve.signal("HUP");
                 serve.signal("TERM");
-                told = tells(next) && serve.logs("list");
-                if (told) {
-                    int status = answered(open);
+                reported = reportDrain(next) && serve.findEvent("list");
+                if (reported) {
+                    int status = statusOn(open);
                     assertTrue(
                             status == 503 || status == 429 || status == -1, "answered " + status);
                     assertTrue(
-                            serve.site.node.heardNothing(),
+                            serve.site.node.receivedNothing(),
                             "a request went to the node that drains");
-                    out.wire().answer(200, "v");
-                    assertTrue(Site.status(held.read()) > 0, "what was in flight has no answer");
-                    serve.ended();
-                    told = status > 0;
+                    pending.connection().respond(200, "v");
+                    assertTrue(
+                            ProxyFixture.status(waiting.read()) > 0,
+                            "what was in flight has no answer");
+                    serve.awaitTermination();
+                    reported = status > 0;
                 }
             }
             stop();
@@ -164,33 +166,33 @@
     }
 
     /** Asks on an open connection; -1 where it has been closed. */
-    private int answered(Peer.Wire open) {
+    private int statusOn(TestServer.Connection open) {
         try {
-            open.write(serve.site.get(Site.LONG_S));
-            return Site.status(open.read());
+            open.write(serve.site.get(ProxyFixture.LONG_BUDGET_S));
+            return ProxyFixture.status(open.read());
         } catch (IOException e) {
             return -1;
         }
     }
 
     /** Tells who asks of the drain; false where the process ends without asking. */
-    private boolean tells(Peer discovery) throws Exception {
-        while (serve.isAlive() && discovery.heardNothing()) {
+    private boolean reportDrain(TestServer discovery) throws Exception {
+        while (serve.isAlive() && discovery.receivedNothing()) {
             Thread.onSpinWait();
         }
-        if (discovery.heardNothing()) {
+        if (discovery.receivedNothing()) {
             return false;
         }
         discovery
                 .next()
-                .wire()
+                .connection()
                 .write(
                         HEAD
                                 + chunk(
-                                        Site.list(
+                                        ProxyFixture.endpointList(
                                                 1,
                                                 true,
-                                                Site.host(
+                                                ProxyFixture.host(
                                                         "c0",
                                                         serve.site.node.dial(),
                                                         "draining",
@@ -202,7 +204,7 @@
         return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
     }
 
-    private boolean opens() {
+    private boolean acceptsClient() {
         while (serve.isAlive()) {
             try {
                 serve.client().close();
@@ -215,27 +217,27 @@
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void oneThatWasStartedWithTheSignalIgnoredSaysSoAndReloadsByItsFile() throws Exception {
-        start(HANGUP_IGNORED);
-        serve.site.discovery.next().wire().write(HEAD + chunk(""));
+    @Timeout(TIMEOUT_S)
+    void reloadsOnFileChangeIfHangupIsIgnored() throws Exception {
+        start(IGNORING_HANGUP);
+        serve.site.discovery.next().connection().write(HEAD + chunk(""));
         serve.signal("HUP");
-        try (Peer next = new Peer();
-                Peer last = new Peer()) {
-            String lastConfig = serve.movedTo(last);
-            serve.configure(serve.movedTo(next));
-            Peer.Message watch = next.next();
+        try (TestServer next = new TestServer();
+                TestServer last = new TestServer()) {
+            String lastConfig = serve.configurationWithDiscovery(last);
+            serve.configure(serve.configurationWithDiscovery(next));
+            TestServer.Message watch = next.next();
             assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", watch.firstLine());
-            watch.wire().write(HEAD + chunk(""));
-            serve.logged("signal_ignored");
-            serve.logged("reloaded");
+            watch.connection().write(HEAD + chunk(""));
+            serve.awaitEvent("signal_ignored");
+            serve.awaitEvent("reloaded");
             serve.configure(lastConfig.substring(0, lastConfig.length() / 2));
-            serve.logged("reload_refused");
-            TimeUnit.MILLISECONDS.sleep(TWO_LOOKS_MS);
+            serve.awaitEvent("reload_refused");
+            TimeUnit.MILLISECONDS.sleep(TWO_POLLS_MS);
             serve.configure(lastConfig);
-            last.next().wire().write(HEAD + chunk(""));
+            last.next().connection().write(HEAD + chunk(""));
             serve.signal("TERM");
-            List<String> rest = serve.ended();
+            List<String> rest = serve.awaitTermination();
             String text = String.join("\n", rest);
             assertEquals(1, rest.stream().filter(l -> l.contains(" reloaded ")).count(), text);
             assertFalse(text.contains(" reload_refused "), text);
@@ -244,20 +246,22 @@
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void whereTheSignalIsHeardTheFileIsNotWatchedAndNothingIsLoadedForIt() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void doesNotWatchFileIfHangupIsHandled() throws Exception {
         Path loaded = temp.resolve("loaded");
         start(List.of(), "-Xlog:class+load:file=" + loaded);
-        serve.site.discovery.next().wire().write(HEAD + chunk(""));
-        serve.untilUp();
-        try (Peer next = new Peer()) {
-            serve.configure(serve.movedTo(next));
-            TimeUnit.MILLISECONDS.sleep(TWO_LOOKS_MS);
-            assertTrue(next.heardNothing(), "reloaded without a signal");
+        serve.site.discovery.next().connection().write(HEAD + chunk(""));
+        serve.awaitUp();
+        try (TestServer next = new TestServer()) {
+            serve.configure(serve.configurationWithDiscovery(next));
+            TimeUnit.MILLISECONDS.sleep(TWO_POLLS_MS);
+            assertTrue(next.receivedNothing(), "reloaded without a signal");
             serve.signal("HUP");
-            next.next().wire().write(HEAD + chunk(""));
+            next.next().connection().write(HEAD + chunk(""));
             serve.signal("TERM");
-            assertFalse(serve.ended().stream().anyMatch(l -> l.contains(" signal_ignored ")));
+            assertFalse(
+                    serve.awaitTermination().stream()
+                            .anyMatch(l -> l.contains(" signal_ignored ")));
         }
         List<String> classes = Files.readAllLines(loaded);
         assertTrue(classes.stream().anyMatch(l -> l.contains(Service.class.getName())));
@@ -266,74 +270,74 @@
 
     /** Several moves within a second, beside a client's requests. */
     @Test
-    @Timeout(PATIENCE_S)
-    void movesInQuickSuccessionEndAtTheLastAndLoseNoRequest() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void quickMovesEndAtLastAddressAndLoseNoRequest() throws Exception {
         start();
-        serve.site.discovery.next().wire().write(HEAD + chunk(""));
-        serve.untilUp();
-        Thread node = new Thread(this::answerEach, "node");
+        serve.site.discovery.next().connection().write(HEAD + chunk(""));
+        serve.awaitUp();
+        Thread node = new Thread(this::answerNodeRequests, "node");
         node.setDaemon(true);
         node.start();
         AtomicBoolean moved = new AtomicBoolean();
-        CompletableFuture<List<Integer>> asking =
+        CompletableFuture<List<Integer>> statusesLater =
                 CompletableFuture.supplyAsync(() -> statusesUntil(moved));
-        List<Peer> addresses = new ArrayList<>();
+        List<TestServer> addresses = new ArrayList<>();
         try {
             String first = serve.configuration();
             for (int i = 0; i < MOVES; i++) {
-                Peer next = new Peer();
+                TestServer next = new TestServer();
                 addresses.add(next);
                 serve.configure(first.replace(serve.site.discovery.dial(), next.dial()));
                 serve.signal("HUP");
-                TimeUnit.MILLISECONDS.sleep(BETWEEN_MOVES_MS);
+                TimeUnit.MILLISECONDS.sleep(MOVE_INTERVAL_MS);
             }
-            Peer last = addresses.remove(MOVES - 1);
-            Peer.Message watch = last.next();
+            TestServer last = addresses.remove(MOVES - 1);
+            TestServer.Message watch = last.next();
             assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", watch.firstLine());
-            for (Peer passed : addresses) {
-                tellDrain(passed);
+            for (TestServer oldAddress : addresses) {
+                reportDrainAtOldAddress(oldAddress);
             }
             // One more node than the configuration knows, as what it knows is not logged again.
-            watch.wire()
+            watch.connection()
                     .write(
                             HEAD
                                     + chunk(
-                                            Site.list(
+                                            ProxyFixture.endpointList(
                                                     3,
                                                     true,
-                                                    Site.host(
+                                                    ProxyFixture.host(
                                                             "c0", serve.site.node.dial(), "up", 0),
-                                                    Site.host(
+                                                    ProxyFixture.host(
                                                             "c1",
                                                             serve.site.node.dial(),
                                                             "up",
                                                             0))));
-            String list = serve.lineOf("list");
+            String list = serve.findEventLine("list");
             assertTrue(list.contains(" version=3 node=c1 "), list);
             moved.set(true);
-            List<Integer> statuses = asking.get(PATIENCE_S, TimeUnit.SECONDS);
+            List<Integer> statuses = statusesLater.get(TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(statuses.size() > MOVES, "so few asked: " + statuses);
             assertTrue(statuses.stream().allMatch(s -> s > 0), "lost: " + statuses);
             assertEquals(200, statuses.get(statuses.size() - 1), "the node is in use");
-            assertTrue(last.heardNothing(), "one watch was opened at the last address");
+            assertTrue(last.receivedNothing(), "one watch was opened at the last address");
             last.close();
         } finally {
-            for (Peer address : addresses) {
+            for (TestServer address : addresses) {
                 address.close();
             }
         }
         serve.signal("TERM");
-        List<String> rest = serve.ended();
+        List<String> rest = serve.awaitTermination();
         assertFalse(rest.stream().anyMatch(l -> l.contains(" list ")), "an old address was heard");
     }
 
     /** Answers whatever comes to the node, until its end. */
-    private void answerEach() {
+    private void answerNodeRequests() {
         try {
             while (true) {
-                Peer.Message request = serve.site.node.await();
+                TestServer.Message request = serve.site.node.await();
                 if (request.text() != null) {
-                    request.wire().answer(200, "v");
+                    request.connection().respond(200, "v");
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -345,11 +349,11 @@
     private List<Integer> statusesUntil(AtomicBoolean end) {
         List<Integer> statuses = new ArrayList<>();
         boolean last = false;
-        try (Peer.Wire client = serve.client()) {
+        try (TestServer.Connection client = serve.client()) {
             while (!last) {
                 last = end.get();
-                client.write(serve.site.get(Site.LONG_S));
-                statuses.add(Site.status(client.read()));
+                client.write(serve.site.get(ProxyFixture.LONG_BUDGET_S));
+                statuses.add(ProxyFixture.status(client.read()));
             }
         } catch (IOException e) {
             statuses.add(-1);
@@ -358,18 +362,18 @@
     }
 
     /** An address that was left tells of a drain; nobody may listen to it any more. */
-    private void tellDrain(Peer passed) throws InterruptedException {
-        while (!passed.heardNothing()) {
-            Peer.Message watch = passed.next();
+    private void reportDrainAtOldAddress(TestServer oldAddress) throws InterruptedException {
+        while (!oldAddress.receivedNothing()) {
+            TestServer.Message watch = oldAddress.next();
             try {
-                watch.wire()
+                watch.connection()
                         .write(
                                 HEAD
                                         + chunk(
-                                                Site.list(
+                                                ProxyFixture.endpointList(
                                                         9,
                                                         true,
-                                                        Site.host(
+                                                        ProxyFixture.host(
                                                                 "c0",
                                                                 serve.site.node.dial(),
                                                                 "draining",
--- a/src/test/java/cacheproxy/proxy/SilentNode.java
+++ b/src/test/java/cacheproxy/proxy/SilentNode.java
@@ -13,47 +13,48 @@
 final class SilentNode implements Closeable {
 
     /** Recognised as the last connection: every connection to the node was accepted before it. */
-    private static final String LAST = "LAST / HTTP/1.1\r\n\r\n";
+    private static final String LAST_REQUEST = "LAST / HTTP/1.1\r\n\r\n";
 
-    private final Peer peer = new Peer();
-    private final List<Peer.Message> requests = new ArrayList<>();
+    private final TestServer server = new TestServer();
+    private final List<TestServer.Message> requests = new ArrayList<>();
     private final CountDownLatch allClosed = new CountDownLatch(1);
-    private final boolean answersAtFirst;
-    private volatile boolean hangs;
-    private int unanswered;
-    private int closed;
-    private int connections = Integer.MAX_VALUE;
+    private final boolean respondsInitially;
+    private volatile boolean hanging;
+    private int unansweredCount;
+    private int closedCount;
+    private int connectionCount = Integer.MAX_VALUE;
 
-    SilentNode(boolean answersAtFirst) throws IOException {
-        this.answersAtFirst = answersAtFirst;
-        Thread reading = new Thread(this::read, "silent-node");
-        reading.setDaemon(true);
-        reading.start();
+    SilentNode(boolean respondsInitially) throws IOException {
+        this.respondsInitially = respondsInitially;
+        Thread reader = new Thread(this::handleMessages, "silent-node");
+        reader.setDaemon(true);
+        reader.start();
     }
 
     String dial() {
-        return peer.dial();
+        return server.dial();
     }
 
     /** From here on it answers nothing more. */
     void hang() {
-        hangs = true;
+        hanging = true;
     }
 
     /** Requests that it has read and not answered. */
-    synchronized int unanswered() {
-        return unanswered;
+    synchronized int unansweredCount() {
+        return unansweredCount;
     }
 
     /**
      * All requests that it has ever read; waits until each connection to it has been closed by its
      * other side.
      */
-    List<Peer.Message> requestsOnceAllAreClosed() throws IOException, InterruptedException {
-        try (Peer.Wire last = Peer.connect(peer.address())) {
-            last.write(LAST);
+    List<TestServer.Message> requestsAfterAllConnectionsClosed()
+            throws IOException, InterruptedException {
+        try (TestServer.Connection last = TestServer.connect(server.address())) {
+            last.write(LAST_REQUEST);
         }
-        if (!allClosed.await(Peer.PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!allClosed.await(TestServer.TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("a connection to the node stays open");
         }
         synchronized (this) {
@@ -61,10 +62,10 @@
         }
     }
 
-    private void read() {
+    private void handleMessages() {
         while (true) {
             try {
-                take(peer.await());
+                handle(server.await());
             } catch (IOException e) {
                 // The other side has given the request up.
                 continue;
@@ -74,24 +75,24 @@
         }
     }
 
-    private void take(Peer.Message message) throws IOException {
-        if (isRequest(message) && answersAtFirst && !hangs) {
-            message.wire().answer(200, "v");
+    private void handle(TestServer.Message message) throws IOException {
+        if (recordIfRequest(message) && respondsInitially && !hanging) {
+            message.connection().respond(200, "v");
         }
     }
 
     /** Notes what has come; false for the end of a connection and for the mark of the last one. */
-    private synchronized boolean isRequest(Peer.Message message) {
+    private synchronized boolean recordIfRequest(TestServer.Message message) {
         if (message.text() == null) {
-            closed++;
-        } else if (message.text().equals(LAST)) {
-            connections = message.wire().number() + 1;
+            closedCount++;
+        } else if (message.text().equals(LAST_REQUEST)) {
+            connectionCount = message.connection().number() + 1;
         } else {
             requests.add(message);
-            unanswered += answersAtFirst && !hangs ? 0 : 1;
+            unansweredCount += respondsInitially && !hanging ? 0 : 1;
             return true;
         }
-        if (closed == connections) {
+        if (closedCount == connectionCount) {
             allClosed.countDown();
         }
         return false;
@@ -99,6 +100,6 @@
 
     @Override
     public void close() throws IOException {
-        peer.close();
+        server.close();
     }
 }
--- a/src/test/java/cacheproxy/proxy/StaleConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/StaleConnectionTest.java
@@ -17,69 +17,69 @@
  * What has come on an idle connection and lies unread when the next request is to be written to it:
  * it is not written there.
  */
-class StaleConnectionTest extends WithSite {
+class StaleConnectionTest extends WithProxyFixture {
 
-    private static final String END = "an end";
+    private static final String END_OF_STREAM = "an end";
 
     @ParameterizedTest
     @ValueSource(
             strings = {
-                END,
+                END_OF_STREAM,
                 "H",
                 "HTTP/1.1 200 x\r\nContent-Le",
                 "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\nwrong"
             })
-    void anotherConnectionIsUsed(String unread) throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire idle = site.node.next().wire();
-        idle.answer(200, "v");
+    void connectionWithUnreadInputIsNotUsed(String unreadInput) throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection idle = fixture.node.next().connection();
+        idle.respond(200, "v");
         client.read();
         // Past its rest, so that it would be used, and not yet closed as a spare.
         TimeUnit.MILLISECONDS.sleep(50);
-        Held held = new Held();
-        site.router.onRequest =
+        EventLoopPause loopPause = new EventLoopPause();
+        fixture.router.onRequest =
                 (request, out) -> {
-                    held.hold();
+                    loopPause.pause();
                     out.send(request.id(), "c0", 0);
                 };
-        client.write(site.get(Site.LONG_S));
-        held.entered();
-        if (unread.equals(END)) {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        loopPause.awaitPaused();
+        if (unreadInput.equals(END_OF_STREAM)) {
             idle.socket().shutdownOutput();
         } else {
-            idle.write(unread);
+            idle.write(unreadInput);
         }
-        held.release();
-        Peer.Message next = site.node.next();
+        loopPause.resume();
+        TestServer.Message next = fixture.node.next();
         while (next.text() == null) {
-            next = site.node.next();
+            next = fixture.node.next();
         }
-        assertNotEquals(idle.number(), next.wire().number());
-        next.wire().answer(200, "right");
-        assertEquals("right", new Peer.Message(client.read(), client).body());
+        assertNotEquals(idle.number(), next.connection().number());
+        next.connection().respond(200, "right");
+        assertEquals("right", new TestServer.Message(client.read(), client).body());
     }
 
     /** A reset is no end: only an end that the node tells ends an answer without a length. */
     @ParameterizedTest
     @CsvSource({"10, false, OK, 200", "10, true, RESET, 502", "10000, true, RESET, 502"})
-    void anAnswerWithoutALengthEndsWithItsConnectionAndNotWithAReset(
+    void closeDelimitedResponseIsCompletedByCloseButNotByReset(
             int length, boolean reset, Outcome outcome, int status) throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire wire = site.node.next().wire();
-        Held held = Held.atNextRequest(site);
-        try (Peer.Wire other = site.client()) {
-            other.write(site.get(Site.LONG_S));
-            held.entered();
-            wire.write("HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" + "v".repeat(length));
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection connection = fixture.node.next().connection();
+        EventLoopPause loopPause = EventLoopPause.atNextRequest(fixture);
+        try (TestServer.Connection other = fixture.client()) {
+            other.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            loopPause.awaitPaused();
+            connection.write("HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" + "v".repeat(length));
             if (reset) {
-                wire.socket().setSoLinger(true, 0);
+                connection.socket().setSoLinger(true, 0);
             }
-            wire.close();
-            held.release();
-            assertEquals(503, Site.status(other.read()));
+            connection.close();
+            loopPause.resume();
+            assertEquals(503, ProxyFixture.status(other.read()));
         }
-        assertEquals(outcome, Scripted.next(site.router.ends).outcome());
-        assertEquals(status, Site.status(client.read()));
+        assertEquals(outcome, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+        assertEquals(status, ProxyFixture.status(client.read()));
     }
 
     /**
@@ -87,36 +87,36 @@
      * came.
      */
     @Test
-    void aLongAnswerWithoutALengthThatIsResetIsNotPassedOnAsWhole() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire wire = site.node.next().wire();
-        wire.write("HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" + "v".repeat(200_000));
-        String head = Peer.until("\r\n\r\n", client.socket().getInputStream());
-        assertEquals("chunked", new Peer.Message(head, client).header("transfer-encoding"));
-        wire.socket().setSoLinger(true, 0);
-        wire.close();
+    void longCloseDelimitedResponseThatIsResetIsNotForwardedAsComplete() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection connection = fixture.node.next().connection();
+        connection.write("HTTP/1.1 200 x\r\nConnection: close\r\n\r\n" + "v".repeat(200_000));
+        String head = TestServer.readUntil("\r\n\r\n", client.socket().getInputStream());
+        assertEquals("chunked", new TestServer.Message(head, client).header("transfer-encoding"));
+        connection.socket().setSoLinger(true, 0);
+        connection.close();
         byte[] rest = client.socket().getInputStream().readAllBytes();
-        String end =
+        String lastBytes =
                 new String(
                         rest,
                         Math.max(0, rest.length - 5),
                         Math.min(5, rest.length),
                         StandardCharsets.US_ASCII);
-        assertTrue(!end.equals("0\r\n\r\n"), "the last chunk says that this was all");
+        assertTrue(!lastBytes.equals("0\r\n\r\n"), "the last chunk says that this was all");
     }
 
     @Test
-    void aConnectionThatWasResetWhileIdleIsNotUsed() throws Exception {
-        client.write(site.get(Site.LONG_S));
-        Peer.Wire idle = site.node.next().wire();
-        idle.answer(200, "v");
+    void connectionResetWhileIdleIsNotUsed() throws Exception {
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Connection idle = fixture.node.next().connection();
+        idle.respond(200, "v");
         client.read();
         idle.socket().setSoLinger(true, 0);
         idle.close();
-        assertNull(site.node.next().text());
-        client.write(site.get(Site.LONG_S));
-        Peer.Message next = site.node.next();
-        next.wire().answer(200, "right");
-        assertEquals("right", new Peer.Message(client.read(), client).body());
+        assertNull(fixture.node.next().text());
+        client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+        TestServer.Message next = fixture.node.next();
+        next.connection().respond(200, "right");
+        assertEquals("right", new TestServer.Message(client.read(), client).body());
     }
 }
--- a/src/test/java/cacheproxy/proxy/StartTest.java
+++ b/src/test/java/cacheproxy/proxy/StartTest.java
@@ -15,9 +15,9 @@
 
     @Test
     @Timeout(60)
-    void theBuildRehearsesAConfigurationWithHostsAndEnds() throws Exception {
-        Config config = Config.parse(Service.REHEARSED, Map.of());
-        assertEquals(1, config.known().hosts().size());
+    void rehearsalUsesEndpointsAndTerminates() throws Exception {
+        Config config = Config.parse(Service.REHEARSAL_CONFIG, Map.of());
+        assertEquals(1, config.knownEndpoints().endpoints().size());
         assertEquals("origin", config.settings().originModel());
         Service.rehearse();
     }
@@ -26,7 +26,7 @@
      * A joining that is linked at its first use costs a start a millisecond or more for each shape.
      */
     @Test
-    void textsAreJoinedWithoutLinkingCode() throws IOException {
+    void stringConcatenationNeedsNoLinking() throws IOException {
         try (InputStream service = Service.class.getResourceAsStream("Service.class")) {
             String code = new String(service.readAllBytes(), StandardCharsets.ISO_8859_1);
             assertFalse(code.contains("makeConcatWithConstants"));
--- a/src/test/java/cacheproxy/proxy/StreamingTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamingTest.java
@@ -36,19 +36,19 @@
  */
 class StreamingTest {
 
-    private static final int PATIENCE_S = 60;
-    private static final int LONG = 32 << 20;
+    private static final int TIMEOUT_S = 60;
+    private static final int LONG_BODY_BYTES = 32 << 20;
 
     /**
      * What the node does with a connection once a request's head and body have been read from it.
      */
-    private interface Node {
+    private interface NodeScript {
         void play(byte[] body, OutputStream out) throws Exception;
     }
 
     private final List<Socket> sockets = new ArrayList<>();
     private ServerSocket server;
-    private Site site;
+    private ProxyFixture fixture;
 
     @BeforeEach
     void start() throws IOException {
@@ -61,51 +61,54 @@
         for (Socket socket : List.copyOf(sockets)) {
             socket.close();
         }
-        site.close();
+        fixture.close();
     }
 
-    private void node(Node node) throws Exception {
-        site = new Site();
-        Thread accepting =
+    private void startNode(NodeScript script) throws Exception {
+        fixture = new ProxyFixture();
+        Thread acceptor =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
                                     Socket socket = server.accept();
                                     sockets.add(socket);
-                                    Thread playing = new Thread(() -> play(socket, node), "node");
-                                    playing.setDaemon(true);
-                                    playing.start();
+                                    Thread thread = new Thread(() -> play(socket, script), "node");
+                                    thread.setDaemon(true);
+                                    thread.start();
                                 }
                             } catch (IOException e) {
                                 return;
                             }
                         },
                         "accepts");
-        accepting.setDaemon(true);
-        accepting.start();
-        site.hosts = new String[] {Site.host("c0", "127.0.0.1:" + server.getLocalPort(), "up", 0)};
-        site.start("automatic", "60000", "");
+        acceptor.setDaemon(true);
+        acceptor.start();
+        fixture.hosts =
+                new String[] {
+                    ProxyFixture.host("c0", "127.0.0.1:" + server.getLocalPort(), "up", 0)
+                };
+        fixture.start("automatic", "60000", "");
     }
 
-    private static void play(Socket socket, Node node) {
+    private static void play(Socket socket, NodeScript script) {
         try (socket) {
             InputStream in = socket.getInputStream();
             while (true) {
-                String head = head(in);
-                node.play(body(head, in), socket.getOutputStream());
+                String head = readHead(in);
+                script.play(readBody(head, in), socket.getOutputStream());
             }
         } catch (Exception e) {
             return;
         }
     }
 
-    private static String head(InputStream in) throws IOException {
-        return until("\r\n\r\n", in);
+    private static String readHead(InputStream in) throws IOException {
+        return readUntil("\r\n\r\n", in);
     }
 
-    private static String until(String end, InputStream in) throws IOException {
-        String text = Peer.until(end, in);
+    private static String readUntil(String end, InputStream in) throws IOException {
+        String text = TestServer.readUntil(end, in);
         if (text == null) {
             throw new IOException("closed");
         }
@@ -113,29 +116,29 @@
     }
 
     private static String header(String head, String name) {
-        return new Peer.Message(head, null).header(name);
+        return new TestServer.Message(head, null).header(name);
     }
 
     /** Reads a body as its head says; throws where it breaks off. */
-    private static byte[] body(String head, InputStream in) throws IOException {
+    private static byte[] readBody(String head, InputStream in) throws IOException {
         var out = new ByteArrayOutputStream();
         if ("chunked".equals(header(head, "transfer-encoding"))) {
-            for (int size = chunk(in); size > 0; size = chunk(in)) {
-                out.write(exactly(in, size));
-                exactly(in, 2);
+            for (int size = readChunkSize(in); size > 0; size = readChunkSize(in)) {
+                out.write(readExactly(in, size));
+                readExactly(in, 2);
             }
-            exactly(in, 2);
+            readExactly(in, 2);
         } else if (header(head, "content-length") != null) {
-            out.write(exactly(in, Integer.parseInt(header(head, "content-length"))));
+            out.write(readExactly(in, Integer.parseInt(header(head, "content-length"))));
         }
         return out.toByteArray();
     }
 
-    private static int chunk(InputStream in) throws IOException {
-        return Integer.parseInt(until("\r\n", in).trim(), 16);
+    private static int readChunkSize(InputStream in) throws IOException {
+        return Integer.parseInt(readUntil("\r\n", in).trim(), 16);
     }
 
-    private static byte[] exactly(InputStream in, int length) throws IOException {
+    private static byte[] readExactly(InputStream in, int length) throws IOException {
         byte[] bytes = in.readNBytes(length);
         if (bytes.length < length) {
             throw new IOException("closed");
@@ -143,44 +146,44 @@
         return bytes;
     }
 
-    private static byte[] noise(int length) {
+    private static byte[] randomBytes(int length) {
         byte[] bytes = new byte[length];
         new Random(length).nextBytes(bytes);
         return bytes;
     }
 
     /** The same bytes in pieces of any size. */
-    private static void pieces(byte[] bytes, OutputStream out) throws IOException {
+    private static void writeInPieces(byte[] bytes, OutputStream out) throws IOException {
         Random random = new Random(7);
-        for (int at = 0; at < bytes.length; ) {
+        for (int offset = 0; offset < bytes.length; ) {
             int piece =
                     Math.min(
-                            bytes.length - at,
+                            bytes.length - offset,
                             1 + random.nextInt(random.nextInt(10) == 0 ? 400_000 : 3000));
-            out.write(bytes, at, piece);
-            at += piece;
+            out.write(bytes, offset, piece);
+            offset += piece;
         }
     }
 
-    private static String with(String form, int length) {
-        return switch (form) {
+    private static String framingHeaders(String framing, int length) {
+        return switch (framing) {
             case "length" -> "Content-Length: " + length + "\r\n\r\n";
             case "chunked" -> "Transfer-Encoding: chunked\r\n\r\n";
             default -> "Connection: close\r\n\r\n";
         };
     }
 
-    private static byte[] formed(String form, byte[] body) throws IOException {
-        if (!form.equals("chunked")) {
+    private static byte[] encoded(String framing, byte[] body) throws IOException {
+        if (!framing.equals("chunked")) {
             return body;
         }
         var out = new ByteArrayOutputStream();
-        for (int at = 0; at < body.length; at += 70_001) {
-            int size = Math.min(70_001, body.length - at);
+        for (int offset = 0; offset < body.length; offset += 70_001) {
+            int size = Math.min(70_001, body.length - offset);
             out.write(
                     (Integer.toHexString(size) + ";ext=\"a b\"\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            out.write(body, at, size);
+            out.write(body, offset, size);
             out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
         }
         out.write("0\r\nX-Trailer: t\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -189,100 +192,102 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked", "close"})
-    @Timeout(PATIENCE_S)
-    void aLongAnswerComesWholeInEachForm(String form) throws Exception {
-        byte[] body = noise(3_000_000);
-        node(
+    @Timeout(TIMEOUT_S)
+    void longResponseArrivesCompleteInEachFraming(String framing) throws Exception {
+        byte[] body = randomBytes(3_000_000);
+        startNode(
                 (in, out) -> {
-                    pieces(
-                            ("HTTP/1.1 200 x\r\n" + with(form, body.length))
+                    writeInPieces(
+                            ("HTTP/1.1 200 x\r\n" + framingHeaders(framing, body.length))
                                     .getBytes(StandardCharsets.US_ASCII),
                             out);
-                    pieces(formed(form, body), out);
-                    if (form.equals("close")) {
+                    writeInPieces(encoded(framing, body), out);
+                    if (framing.equals("close")) {
                         out.close();
                     }
                 });
-        try (Peer.Wire client = site.client()) {
+        try (TestServer.Connection client = fixture.client()) {
             for (int i = 0; i < 2; i++) {
-                client.write(site.get(Site.LONG_S));
+                client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
                 InputStream in = client.socket().getInputStream();
-                String head = head(in);
+                String head = readHead(in);
                 assertTrue(head.startsWith("HTTP/1.1 200"), head);
-                assertArrayEquals(body, body(head, in));
-                assertEquals(Outcome.OK, Scripted.next(site.router.ends).outcome());
+                assertArrayEquals(body, readBody(head, in));
+                assertEquals(
+                        Outcome.OK, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
             }
         }
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void manyAnswersOf32MbFlowToSlowReadersBesideSmallOnes() throws Exception {
-        byte[] body = noise(LONG);
+    @Timeout(TIMEOUT_S)
+    void responsesOf32MbAreStreamedToSlowReadersBesideSmallRequests() throws Exception {
+        byte[] body = randomBytes(LONG_BODY_BYTES);
         byte[] digest = MessageDigest.getInstance("SHA-256").digest(body);
         // Four are twice the memory of the smallest proxy, and as many as this site lets be open.
         int readers = 4;
         CountDownLatch begun = new CountDownLatch(readers);
-        node(
+        startNode(
                 (in, out) -> {
                     out.write(
-                            ("HTTP/1.1 200 x\r\n" + with("length", body.length))
+                            ("HTTP/1.1 200 x\r\n" + framingHeaders("length", body.length))
                                     .getBytes(StandardCharsets.US_ASCII));
                     out.write(body);
                 });
-        site.router.onRequest =
+        fixture.router.onRequest =
                 (request, out) -> {
                     if (request.service().equals("read")) {
                         out.send(request.id(), "c0", 0);
                     } else {
-                        out.refuse(request.id(), 0);
+                        out.reject(request.id(), 0);
                     }
                 };
         List<CompletableFuture<byte[]>> all = new ArrayList<>();
-        long heldBefore = PlatformDependent.usedDirectMemory();
+        long usedBefore = PlatformDependent.usedDirectMemory();
         for (int i = 0; i < readers; i++) {
             all.add(
                     CompletableFuture.supplyAsync(
-                            () -> slowly(body.length, begun),
+                            () -> readSlowly(body.length, begun),
                             r -> new Thread(r, "reader").start()));
         }
-        long most = 0;
+        long maxUsed = 0;
         while (!all.stream().allMatch(CompletableFuture::isDone)) {
-            most = Math.max(most, PlatformDependent.usedDirectMemory() - heldBefore);
-            try (Peer.Wire small = site.client()) {
-                small.write(Site.put("Idempotency-Key: k\r\n", "v"));
-                assertEquals(503, Site.status(small.read()), "others are answered meanwhile");
+            maxUsed = Math.max(maxUsed, PlatformDependent.usedDirectMemory() - usedBefore);
+            try (TestServer.Connection small = fixture.client()) {
+                small.write(ProxyFixture.put("Idempotency-Key: k\r\n", "v"));
+                assertEquals(
+                        503, ProxyFixture.status(small.read()), "others are answered meanwhile");
             }
         }
         for (CompletableFuture<byte[]> one : all) {
             assertArrayEquals(digest, one.get(1, TimeUnit.SECONDS));
         }
-        assertTrue(most < 8 << 20, "held " + most);
+        assertTrue(maxUsed < 8 << 20, "held " + maxUsed);
     }
 
     /**
      * Reads no more than the head until all have theirs: so long each answer is held up on its way.
      */
-    private byte[] slowly(int length, CountDownLatch begun) {
-        try (Peer.Wire client = site.client()) {
+    private byte[] readSlowly(int length, CountDownLatch begun) {
+        try (TestServer.Connection client = fixture.client()) {
             String request;
-            synchronized (site) {
-                request = site.get(Site.LONG_S);
+            synchronized (fixture) {
+                request = fixture.get(ProxyFixture.LONG_BUDGET_S);
             }
             client.write(request);
             InputStream in = client.socket().getInputStream();
-            assertEquals(200, Site.status(head(in)));
+            assertEquals(200, ProxyFixture.status(readHead(in)));
             begun.countDown();
             begun.await();
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             byte[] piece = new byte[100_000];
-            for (int left = length; left > 0; ) {
-                int n = in.read(piece, 0, Math.min(piece.length, left));
-                if (n < 0) {
+            for (int remaining = length; remaining > 0; ) {
+                int count = in.read(piece, 0, Math.min(piece.length, remaining));
+                if (count < 0) {
                     throw new IOException("cut off");
                 }
-                digest.update(piece, 0, n);
-                left -= n;
+                digest.update(piece, 0, count);
+                remaining -= count;
             }
             return digest.digest();
         } catch (Exception e) {
@@ -292,43 +297,43 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked"})
-    @Timeout(PATIENCE_S)
-    void anAnswerThatBreaksOffCanBeToldFromAWholeOne(String form) throws Exception {
-        byte[] body = noise(300_000);
-        byte[] sent = formed(form, body);
-        node(
+    @Timeout(TIMEOUT_S)
+    void truncatedResponseIsRecognisable(String framing) throws Exception {
+        byte[] body = randomBytes(300_000);
+        byte[] sent = encoded(framing, body);
+        startNode(
                 (in, out) -> {
                     out.write(
-                            ("HTTP/1.1 200 x\r\n" + with(form, body.length))
+                            ("HTTP/1.1 200 x\r\n" + framingHeaders(framing, body.length))
                                     .getBytes(StandardCharsets.US_ASCII));
                     out.write(Arrays.copyOf(sent, sent.length - 9));
                     out.close();
                 });
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
+        try (TestServer.Connection client = fixture.client()) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
             InputStream in = client.socket().getInputStream();
-            String head = head(in);
-            boolean whole;
+            String head = readHead(in);
+            boolean complete;
             try {
-                body(head, in);
-                whole = true;
+                readBody(head, in);
+                complete = true;
             } catch (IOException e) {
-                whole = false;
+                complete = false;
             }
             assertTrue(head.startsWith("HTTP/1.1 200"));
-            assertEquals(false, whole);
+            assertEquals(false, complete);
         }
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void aClientThatLeavesEndsTheNodesAnswer() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void clientDisconnectEndsTheNodesResponse() throws Exception {
         CompletableFuture<Boolean> ended = new CompletableFuture<>();
-        node(
+        startNode(
                 (in, out) -> {
                     try {
                         out.write(
-                                ("HTTP/1.1 200 x\r\n" + with("chunked", 0))
+                                ("HTTP/1.1 200 x\r\n" + framingHeaders("chunked", 0))
                                         .getBytes(StandardCharsets.US_ASCII));
                         while (true) {
                             out.write(
@@ -340,27 +345,27 @@
                         throw e;
                     }
                 });
-        try (Peer.Wire client = site.client()) {
-            client.write(site.get(Site.LONG_S));
-            head(client.socket().getInputStream());
+        try (TestServer.Connection client = fixture.client()) {
+            client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
+            readHead(client.socket().getInputStream());
         }
-        assertTrue(ended.get(PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(ended.get(TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked"})
-    @Timeout(PATIENCE_S)
-    void aLongBodyReachesTheNodeWholeAndInPieces(String form) throws Exception {
-        byte[] body = noise(5_000_000);
+    @Timeout(TIMEOUT_S)
+    void longBodyReachesTheNodeComplete(String framing) throws Exception {
+        byte[] body = randomBytes(5_000_000);
         List<byte[]> got = new ArrayList<>();
-        node(
+        startNode(
                 (in, out) -> {
                     got.add(in);
                     out.write(
                             ("HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok")
                                     .getBytes(StandardCharsets.US_ASCII));
                 });
-        try (Peer.Wire client = site.client()) {
+        try (TestServer.Connection client = fixture.client()) {
             for (int i = 0; i < 2; i++) {
                 OutputStream out = client.socket().getOutputStream();
                 out.write(
@@ -368,37 +373,37 @@
                                         + i
                                         + "\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
                                         + "Expect: 100-continue\r\nIdempotency-Key: k\r\n"
-                                        + with(form, body.length))
+                                        + framingHeaders(framing, body.length))
                                 .getBytes(StandardCharsets.US_ASCII));
-                assertEquals(100, Site.status(client.read()));
-                pieces(formed(form, body), out);
-                assertEquals("ok", new Peer.Message(client.read(), client).body());
+                assertEquals(100, ProxyFixture.status(client.read()));
+                writeInPieces(encoded(framing, body), out);
+                assertEquals("ok", new TestServer.Message(client.read(), client).body());
                 assertArrayEquals(body, got.get(i));
             }
             assertTrue(
-                    site.router.requests.get(0).uploadMs() > 0,
+                    fixture.router.requests.get(0).uploadMs() > 0,
                     "the module is told that its time begins later");
         }
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void aChunkedBodyThatIsTooLongIsAnsweredWhileItIsStillComing() throws Exception {
-        node(
+    @Timeout(TIMEOUT_S)
+    void tooLongChunkedBodyIsRejectedWhileItArrives() throws Exception {
+        startNode(
                 (in, out) ->
                         out.write(
                                 ("HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\nok")
                                         .getBytes(StandardCharsets.US_ASCII)));
-        try (Peer.Wire client = site.client()) {
-            byte[] part = formed("chunked", noise(70_001 * 20));
-            CompletableFuture<Void> sends =
+        try (TestServer.Connection client = fixture.client()) {
+            byte[] part = encoded("chunked", randomBytes(70_001 * 20));
+            CompletableFuture<Void> sending =
                     CompletableFuture.runAsync(
                             () -> {
                                 try {
                                     client.write(
                                             "PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
                                                     + "Idempotency-Key: k\r\n"
-                                                    + with("chunked", 0));
+                                                    + framingHeaders("chunked", 0));
                                     for (int i = 0; i < 30; i++) {
                                         client.socket()
                                                 .getOutputStream()
@@ -414,23 +419,23 @@
                                     return;
                                 }
                             });
-            assertEquals(413, Site.status(client.read()));
-            sends.get(PATIENCE_S, TimeUnit.SECONDS);
+            assertEquals(413, ProxyFixture.status(client.read()));
+            sending.get(TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void aBodyThatANodeHasHadInPartIsSentToNoOther() throws Exception {
-        Peer first = new Peer();
-        site = new Site();
-        site.hosts =
+    @Timeout(TIMEOUT_S)
+    void bodySentInPartToOneNodeIsNotSentToAnother() throws Exception {
+        TestServer first = new TestServer();
+        fixture = new ProxyFixture();
+        fixture.hosts =
                 new String[] {
-                    Site.host("c0", first.dial(), "up", 0),
-                    Site.host("c1", site.node.dial(), "up", 0)
+                    ProxyFixture.host("c0", first.dial(), "up", 0),
+                    ProxyFixture.host("c1", fixture.node.dial(), "up", 0)
                 };
-        site.start("automatic", "60000", "");
-        site.router.onEnd =
+        fixture.start("automatic", "60000", "");
+        fixture.router.onEnd =
                 (end, out) -> {
                     if (end.outcome() == Outcome.REJECTED) {
                         out.send(end.request(), "c1", 0);
@@ -438,19 +443,23 @@
                         out.fail(end.request());
                     }
                 };
-        try (Peer.Wire client = site.client()) {
+        try (TestServer.Connection client = fixture.client()) {
             client.write(
                     "PUT /api/k1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: w1\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n"
                             + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + "20000\r\n"
                             + "v".repeat(0x20000)
                             + "\r\n");
-            Peer.Message taken = first.next();
-            taken.wire().answer(503, "", "X-Rejected: 1");
-            assertEquals(Outcome.REJECTED, Scripted.next(site.router.ends).outcome());
-            assertEquals(Outcome.NEVER_SENT, Scripted.next(site.router.ends).outcome());
-            assertNotEquals(200, Site.status(client.read()));
-            assertTrue(site.node.heardNothing());
+            TestServer.Message taken = first.next();
+            taken.connection().respond(503, "", "X-Rejected: 1");
+            assertEquals(
+                    Outcome.REJECTED,
+                    ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            assertEquals(
+                    Outcome.NEVER_SENT,
+                    ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
+            assertNotEquals(200, ProxyFixture.status(client.read()));
+            assertTrue(fixture.node.receivedNothing());
         } finally {
             first.close();
         }
--- a/src/test/java/cacheproxy/proxy/SupersededCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/SupersededCallsTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.Decide;
+import cacheproxy.DecisionModule;
 import cacheproxy.store.FaultyFiles;
 import cacheproxy.store.FaultyFiles.Step;
-import cacheproxy.store.OutageFiles;
-import cacheproxy.store.OutageFiles.Kept;
+import cacheproxy.store.MaintenanceFiles;
+import cacheproxy.store.MaintenanceFiles.MaintenanceState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -32,18 +32,19 @@
  * Two processes of one proxy, as in an upgrade, on a disk that fails: the operator's latest call
  * wins, whichever process took it. Each call is answered before the next one is made.
  */
-@Timeout(Peer.PATIENCE_S)
+@Timeout(TestServer.TIMEOUT_S)
 class SupersededCallsTest {
 
-    private static final String MAINT = "POST /cache-nodes/c0/maint";
-    private static final String READY = "POST /cache-nodes/c0/ready";
-    private static final String DRAIN = "POST /healthcheck/fail";
-    private static final String FILL = "POST /healthcheck/ok";
-    private static final String NOT_KEPT_YET = "not kept yet";
+    private static final String START_MAINTENANCE = "POST /cache-nodes/c0/maint";
+    private static final String END_MAINTENANCE = "POST /cache-nodes/c0/ready";
+    private static final String START_DRAIN = "POST /healthcheck/fail";
+    private static final String END_DRAIN = "POST /healthcheck/ok";
+    private static final String NOT_YET_PERSISTED = "not kept yet";
     private static final String SUPERSEDED = "operator_state_superseded";
-    private static final Kept NOTHING = new Kept(Set.of(), false);
-    private static final Kept DRAINED = new Kept(Set.of(), true);
-    private static final Kept NODE_OUT = new Kept(Set.of("c0"), false);
+    private static final MaintenanceState NOTHING = new MaintenanceState(Set.of(), false);
+    private static final MaintenanceState DRAINED = new MaintenanceState(Set.of(), true);
+    private static final MaintenanceState NODE_IN_MAINTENANCE =
+            new MaintenanceState(Set.of("c0"), false);
     private static final int ALWAYS = Integer.MAX_VALUE;
     private static final long POLL_MS = 10;
 
@@ -51,7 +52,7 @@
     private final PrintStream standardError = System.err;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<Service> started = new ArrayList<>();
-    private Site site;
+    private ProxyFixture site;
     private Service first;
     private Service second;
     private final FaultyFiles disk = new FaultyFiles();
@@ -60,19 +61,19 @@
     @BeforeEach
     void start() throws Exception {
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
-        site = new Site();
+        site = new ProxyFixture();
         site.environment = Map.of("TMPDIR", temp.toString());
-        first = started();
-        second = started();
+        first = startService();
+        second = startService();
         awaitReady(first);
         awaitReady(second);
-        keepOn(first, disk);
-        keepOn(second, secondDisk);
+        useFiles(first, disk);
+        useFiles(second, secondDisk);
     }
 
-    private Service started() throws Exception {
+    private Service startService() throws Exception {
         Config config = site.config("automatic", "60000", "\"admin\":\"127.0.0.1:0\",");
-        Service service = Service.start(config, new Decide(config.settings(), 7));
+        Service service = Service.start(config, new DecisionModule(config.settings(), 7));
         started.add(service);
         return service;
     }
@@ -83,68 +84,68 @@
         }
     }
 
-    private void keepOn(Service service, FaultyFiles files) {
-        service.operations().keepIn(new OutageFiles(folder(), files));
+    private void useFiles(Service service, FaultyFiles files) {
+        service.operations().useFiles(new MaintenanceFiles(stateDirectory(), files));
     }
 
-    private Path folder() {
+    private Path stateDirectory() {
         return temp.resolve("flintmill");
     }
 
     @AfterEach
     void stop() throws Exception {
-        disk.hold(false);
-        started.forEach(Service::kill);
+        disk.setHanging(false);
+        started.forEach(Service::terminateNow);
         site.close();
         System.setErr(standardError);
         standardError.print(log.toString(StandardCharsets.UTF_8));
     }
 
     private static int status(Service service, String line) throws IOException {
-        return Site.status(Peer.call(service.adminListening(), line));
+        return ProxyFixture.status(TestServer.callOperators(service.adminAddress(), line));
     }
 
     /** A drain, or its end, that holds at once and whose file can't be written yet. */
-    private static void callOwed(Service service, String line) throws IOException {
-        String answer = Peer.call(service.adminListening(), line);
-        assertEquals(200, Site.status(answer));
-        assertTrue(answer.contains(NOT_KEPT_YET), answer);
-        assertTrue(service.operations().isAnyOwed());
+    private static void callWithFailingWrite(Service service, String line) throws IOException {
+        String answer = TestServer.callOperators(service.adminAddress(), line);
+        assertEquals(200, ProxyFixture.status(answer));
+        assertTrue(answer.contains(NOT_YET_PERSISTED), answer);
+        assertTrue(service.operations().hasPendingWrites());
     }
 
     /** A call that is on disk when this returns; a busy disk may take longer than the answer. */
-    private static void callKept(Service service, String line) throws Exception {
+    private static void callAndPersist(Service service, String line) throws Exception {
         assertEquals(200, status(service, line));
-        awaitNothingOwed(service);
+        awaitNoPendingWrites(service);
     }
 
-    private static void awaitNothingOwed(Service service) throws InterruptedException {
-        while (service.operations().isAnyOwed()) {
+    private static void awaitNoPendingWrites(Service service) throws InterruptedException {
+        while (service.operations().hasPendingWrites()) {
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
-    private Kept kept() throws IOException {
-        return new OutageFiles(folder()).read();
+    private MaintenanceState storedState() throws IOException {
+        return new MaintenanceFiles(stateDirectory()).read();
     }
 
     /** What holds on disk holds in both processes, once each has looked. */
-    private void assertHoldsInBoth(Kept expected) throws Exception {
-        assertEquals(expected, kept());
+    private void assertAppliedInBoth(MaintenanceState expected) throws Exception {
+        assertEquals(expected, storedState());
         for (Service service : List.of(first, second)) {
             int up = expected.drained() ? 503 : 200;
-            while (up(service) != up
-                    || service.operations().isOut("c0") == expected.out().isEmpty()) {
+            while (upStatus(service) != up
+                    || service.operations().isInMaintenance("c0") == expected.nodes().isEmpty()) {
                 TimeUnit.MILLISECONDS.sleep(POLL_MS);
             }
         }
-        assertEquals(expected, kept());
+        assertEquals(expected, storedState());
     }
 
-    private static int up(Service service) throws Exception {
-        try (Peer.Wire client = Peer.connect(service.listening())) {
+    private static int upStatus(Service service) throws Exception {
+        try (TestServer.Connection client = TestServer.connect(service.clientAddress())) {
             client.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
-            return Site.status(client.read());
+            return ProxyFixture.status(client.read());
         }
     }
 
@@ -158,13 +159,13 @@
     @EnumSource(
             value = Step.class,
             names = {"CREATE_FOLDER", "CREATE", "FORCE_FOLDER"})
-    void anOwedDrainGivesWayToItsEndAtTheOtherProcess(Step step) throws Exception {
+    void pendingDrainIsSupersededByItsEnd(Step step) throws Exception {
         disk.fail(step, ALWAYS);
-        callOwed(first, DRAIN);
-        callKept(second, FILL);
+        callWithFailingWrite(first, START_DRAIN);
+        callAndPersist(second, END_DRAIN);
         disk.fail(step, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(NOTHING);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(NOTHING);
         assertLogged(1, "drain");
     }
 
@@ -172,111 +173,109 @@
     @EnumSource(
             value = Step.class,
             names = {"DELETE", "FORCE_FOLDER"})
-    void anOwedEndOfADrainGivesWayToADrainAtTheOtherProcess(Step step) throws Exception {
-        callKept(first, DRAIN);
+    void pendingEndOfDrainIsSupersededByDrain(Step step) throws Exception {
+        callAndPersist(first, START_DRAIN);
         disk.fail(step, ALWAYS);
-        callOwed(first, FILL);
-        callKept(second, DRAIN);
+        callWithFailingWrite(first, END_DRAIN);
+        callAndPersist(second, START_DRAIN);
         disk.fail(step, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(DRAINED);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(DRAINED);
         assertLogged(1, "drain");
     }
 
     @ParameterizedTest
     @CsvSource({"CREATE, true", "CREATE, false", "FORCE_FOLDER, true", "FORCE_FOLDER, false"})
-    void theLaterOfTwoOwedCallsWinsWhicheverIsWrittenFirst(Step step, boolean olderFirst)
-            throws Exception {
+    void laterOfTwoPendingCallsWinsInAnyWriteOrder(Step step, boolean olderFirst) throws Exception {
         disk.fail(step, ALWAYS);
         secondDisk.fail(step, ALWAYS);
-        callOwed(first, DRAIN);
-        callOwed(second, FILL);
+        callWithFailingWrite(first, START_DRAIN);
+        callWithFailingWrite(second, END_DRAIN);
         (olderFirst ? disk : secondDisk).fail(step, 0);
-        awaitNothingOwed(olderFirst ? first : second);
+        awaitNoPendingWrites(olderFirst ? first : second);
         (olderFirst ? secondDisk : disk).fail(step, 0);
-        awaitNothingOwed(first);
-        awaitNothingOwed(second);
-        assertHoldsInBoth(NOTHING);
+        awaitNoPendingWrites(first);
+        awaitNoPendingWrites(second);
+        assertAppliedInBoth(NOTHING);
     }
 
     @Test
-    void aFailedOutageThatIsTakenBackGivesWayToAnOutageAtTheOtherProcess() throws Exception {
-        callKept(first, READY);
-        disk.fail(Step.FORCE_FOLDER, ALWAYS);
+    void revertOfMaintenanceIsSupersededByMaintenance() throws Exception {
+        callAndPersist(first, END_MAINTENANCE);
+        disk.fail(Step.SYNC_DIRECTORY, ALWAYS);
         disk.fail(Step.DELETE, ALWAYS);
-        assertEquals(503, status(first, MAINT));
-        assertEquals(NODE_OUT, kept());
-        assertTrue(first.operations().isAnyOwed());
-        callKept(second, MAINT);
-        disk.fail(Step.FORCE_FOLDER, 0);
+        assertEquals(503, status(first, START_MAINTENANCE));
+        assertEquals(NODE_IN_MAINTENANCE, storedState());
+        assertTrue(first.operations().hasPendingWrites());
+        callAndPersist(second, START_MAINTENANCE);
+        disk.fail(Step.SYNC_DIRECTORY, 0);
         disk.fail(Step.DELETE, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(NODE_OUT);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(NODE_IN_MAINTENANCE);
         assertLogged(1, "\"cache node c0\"");
     }
 
     @Test
-    void aFailedEndOfAnOutageThatIsTakenBackGivesWayToAnEndAtTheOtherProcess() throws Exception {
-        callKept(first, MAINT);
-        disk.fail(Step.FORCE_FOLDER, ALWAYS);
+    void revertOfEndOfMaintenanceIsSupersededByItsEnd() throws Exception {
+        callAndPersist(first, START_MAINTENANCE);
+        disk.fail(Step.SYNC_DIRECTORY, ALWAYS);
         disk.fail(Step.CREATE, ALWAYS);
-        assertEquals(503, status(first, READY));
-        assertEquals(NOTHING, kept());
-        assertTrue(first.operations().isAnyOwed());
-        callKept(second, READY);
-        disk.fail(Step.FORCE_FOLDER, 0);
+        assertEquals(503, status(first, END_MAINTENANCE));
+        assertEquals(NOTHING, storedState());
+        assertTrue(first.operations().hasPendingWrites());
+        callAndPersist(second, END_MAINTENANCE);
+        disk.fail(Step.SYNC_DIRECTORY, 0);
         disk.fail(Step.CREATE, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(NOTHING);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(NOTHING);
         assertLogged(1, "\"cache node c0\"");
     }
 
     @Test
-    void aCallThatTheDiskHoldsUpGivesWayToALaterOneBeforeItIsFirstWritten() throws Exception {
-        disk.hold(true);
-        callOwed(first, DRAIN);
-        callKept(second, FILL);
-        disk.hold(false);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(NOTHING);
+    void callDelayedByDiskIsSupersededBeforeFirstWrite() throws Exception {
+        disk.setHanging(true);
+        callWithFailingWrite(first, START_DRAIN);
+        callAndPersist(second, END_DRAIN);
+        disk.setHanging(false);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(NOTHING);
         assertLogged(1, "drain");
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void anOwedCallIsWrittenWhereTheOtherProcessTookNoneOrAnEarlierOne(boolean earlier)
-            throws Exception {
+    void pendingCallIsWrittenWithoutLaterCallElsewhere(boolean earlier) throws Exception {
         if (earlier) {
-            callKept(second, FILL);
-            callKept(second, READY);
+            callAndPersist(second, END_DRAIN);
+            callAndPersist(second, END_MAINTENANCE);
         }
         disk.fail(Step.CREATE, ALWAYS);
-        callOwed(first, DRAIN);
+        callWithFailingWrite(first, START_DRAIN);
         disk.fail(Step.CREATE, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(DRAINED);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(DRAINED);
         assertLogged(0, "");
     }
 
     @Test
-    void aCallOnAnotherStateDoesNotSupersedeAnOwedOne() throws Exception {
+    void callOnOtherStateDoesNotSupersede() throws Exception {
         disk.fail(Step.CREATE, ALWAYS);
-        callOwed(first, DRAIN);
-        callKept(second, MAINT);
+        callWithFailingWrite(first, START_DRAIN);
+        callAndPersist(second, START_MAINTENANCE);
         disk.fail(Step.CREATE, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(new Kept(Set.of("c0"), true));
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(new MaintenanceState(Set.of("c0"), true));
         assertLogged(0, "");
     }
 
     @Test
-    void aLaterCallOfTheSameProcessReplacesItsOwedOne() throws Exception {
+    void laterCallOfSameProcessReplacesPendingOne() throws Exception {
         disk.fail(Step.CREATE, ALWAYS);
-        callOwed(first, DRAIN);
-        callOwed(first, FILL);
+        callWithFailingWrite(first, START_DRAIN);
+        callWithFailingWrite(first, END_DRAIN);
         disk.fail(Step.CREATE, 0);
-        awaitNothingOwed(first);
-        assertHoldsInBoth(NOTHING);
+        awaitNoPendingWrites(first);
+        assertAppliedInBoth(NOTHING);
         assertLogged(0, "");
     }
 }
--- a/src/test/java/cacheproxy/proxy/Peer.java
+++ b/src/test/java/cacheproxy/proxy/TestServer.java
@@ -20,15 +20,15 @@
  * A scripted server on the loopback address: what it has read waits in a queue, and the test writes
  * each answer.
  */
-final class Peer implements Closeable {
+final class TestServer implements Closeable {
 
-    static final long PATIENCE_S = 30;
+    static final long TIMEOUT_S = 30;
 
     /**
      * One message as it was read, and the connection to answer it on; null as its text means the
      * peer closed.
      */
-    record Message(String text, Wire wire) {
+    record Message(String text, Connection connection) {
         String header(String name) {
             return text.lines()
                     .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
@@ -47,21 +47,21 @@
     }
 
     /** One end of a connection. */
-    record Wire(Socket socket, int number) implements Closeable {
+    record Connection(Socket socket, int number) implements Closeable {
 
         void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        void answer(int status, String body, String... headers) throws IOException {
-            String more = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
+        void respond(int status, String body, String... headers) throws IOException {
+            String headerLines = headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n";
             write(
                     "HTTP/1.1 "
                             + status
                             + " x\r\nContent-Length: "
                             + body.length()
                             + "\r\n"
-                            + more
+                            + headerLines
                             + "\r\n"
                             + body);
         }
@@ -69,7 +69,7 @@
         /** Reads one message with its body; null when the other side has closed. */
         String read() throws IOException {
             InputStream in = socket.getInputStream();
-            String text = until("\r\n\r\n", in);
+            String text = readUntil("\r\n\r\n", in);
             if (text == null) {
                 return null;
             }
@@ -88,16 +88,16 @@
     private final BlockingQueue<Message> messages = new LinkedBlockingQueue<>();
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
-    Peer() throws IOException {
+    TestServer() throws IOException {
         this(0);
     }
 
     /** At a port that another had before; 0 for one that is free. */
-    Peer(int port) throws IOException {
+    TestServer(int port) throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        Thread accepting = new Thread(this::accept, "peer");
-        accepting.setDaemon(true);
-        accepting.start();
+        Thread acceptor = new Thread(this::accept, "peer");
+        acceptor.setDaemon(true);
+        acceptor.start();
     }
 
     InetSocketAddress address() {
@@ -110,7 +110,7 @@
 
     /** The next message; one with a null text when a connection was closed instead. */
     Message next() throws InterruptedException {
-        Message message = messages.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Message message = messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (message == null) {
             throw new AssertionError("nothing came");
         }
@@ -122,63 +122,63 @@
         return messages.take();
     }
 
-    boolean heardNothing() {
+    boolean receivedNothing() {
         return messages.isEmpty();
     }
 
     /** Reads up to the end of some text; null when the other side has closed before. */
-    static String until(String end, InputStream in) throws IOException {
+    static String readUntil(String end, InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.length() < end.length()
                 || !text.substring(text.length() - end.length()).equals(end)) {
-            int b = in.read();
-            if (b < 0) {
+            int value = in.read();
+            if (value < 0) {
                 return null;
             }
-            text.append((char) b);
+            text.append((char) value);
         }
         return text.toString();
     }
 
     /** One call on an operators' address, and its answer. */
-    static String call(InetSocketAddress admin, String line) throws IOException {
-        try (Wire operator = connect(admin)) {
-            operator.write(line + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+    static String callOperators(InetSocketAddress admin, String requestLine) throws IOException {
+        try (Connection operator = connect(admin)) {
+            operator.write(requestLine + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
             String answer = operator.read();
             assertNull(operator.read(), "one call to a connection");
             return answer;
         }
     }
 
-    static Wire connect(InetSocketAddress address) throws IOException {
+    static Connection connect(InetSocketAddress address) throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
-        return new Wire(socket, 0);
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
+        return new Connection(socket, 0);
     }
 
     private void accept() {
         try {
             for (int number = 0; ; number++) {
-                Wire wire = new Wire(server.accept(), number);
-                sockets.add(wire.socket());
-                Thread reading = new Thread(() -> read(wire), "peer-" + number);
-                reading.setDaemon(true);
-                reading.start();
+                Connection connection = new Connection(server.accept(), number);
+                sockets.add(connection.socket());
+                Thread reader = new Thread(() -> read(connection), "peer-" + number);
+                reader.setDaemon(true);
+                reader.start();
             }
         } catch (IOException e) {
             return;
         }
     }
 
-    private void read(Wire wire) {
+    private void read(Connection connection) {
         String text = "";
         while (text != null) {
             try {
-                text = wire.read();
+                text = connection.read();
             } catch (IOException e) {
                 text = null;
             }
-            messages.add(new Message(text, wire));
+            messages.add(new Message(text, connection));
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/WarmupTest.java
+++ b/src/test/java/cacheproxy/proxy/WarmupTest.java
@@ -12,8 +12,8 @@
 class WarmupTest {
 
     @Test
-    void itsRequestsAreServedAndItEnds() throws Exception {
-        try (Site site = new Site()) {
+    void servesRequestsAndTerminates() throws Exception {
+        try (ProxyFixture site = new ProxyFixture()) {
             assertTrue(
                     Warmup.run(site.config("automatic", "60000", "").settings(), null, null, false)
                             > 0);
@@ -25,14 +25,14 @@
      * serve again.
      */
     @Test
-    void aProxyThatServedBeforeIsBackBeforeTheNextOneStops() {
-        HostList had = new HostList(12, true, List.of());
-        HostList born = new HostList(0, true, List.of());
+    void restartedProxyIsReadyBeforeNextOneStops() {
+        EndpointListUpdate numberedList = new EndpointListUpdate(12, true, List.of());
+        EndpointListUpdate unnumberedList = new EndpointListUpdate(0, true, List.of());
         assertTrue(
-                Warmup.patienceMs(had) <= 800,
+                Warmup.timeoutMs(numberedList) <= 800,
                 "two seconds go by before it starts, one while it does");
-        assertTrue(Warmup.patienceMs(born) > Warmup.patienceMs(had));
-        assertTrue(Warmup.patienceMs(null) > Warmup.patienceMs(had));
+        assertTrue(Warmup.timeoutMs(unnumberedList) > Warmup.timeoutMs(numberedList));
+        assertTrue(Warmup.timeoutMs(null) > Warmup.timeoutMs(numberedList));
     }
 
     /**
@@ -40,13 +40,13 @@
      * cold.
      */
     @Test
-    void atItsBirthItTakesItsTimeUnlessPeersAreAtWork() {
-        HostList had = new HostList(12, true, List.of());
-        HostList born = new HostList(0, true, List.of());
-        assertTrue(Warmup.moreMs(born, false) >= Warmup.patienceMs(born));
-        assertTrue(Warmup.moreMs(null, false) >= Warmup.patienceMs(null));
-        assertEquals(0, Warmup.moreMs(born, true));
-        assertEquals(0, Warmup.moreMs(had, false));
+    void firstStartGetsExtraTimeUnlessPeersServe() {
+        EndpointListUpdate numberedList = new EndpointListUpdate(12, true, List.of());
+        EndpointListUpdate unnumberedList = new EndpointListUpdate(0, true, List.of());
+        assertTrue(Warmup.extraTimeMs(unnumberedList, false) >= Warmup.timeoutMs(unnumberedList));
+        assertTrue(Warmup.extraTimeMs(null, false) >= Warmup.timeoutMs(null));
+        assertEquals(0, Warmup.extraTimeMs(unnumberedList, true));
+        assertEquals(0, Warmup.extraTimeMs(numberedList, false));
     }
 
     /**
@@ -55,33 +55,34 @@
      */
     @Test
     @Timeout(60)
-    void itEndsInTimeThoughNobodyGetsToEndIt() throws Exception {
-        Warmup warmup = new Warmup(Warmup.anySettings(), 0);
+    void clientsStopOnTheirOwn() throws Exception {
+        Warmup warmup = new Warmup(Warmup.defaultSettings(), 0);
         warmup.start();
         try {
             warmup.awaitDone();
-            assertTrue(warmup.asked() < Warmup.REQUESTS / 10, warmup.asked() + " asked");
+            assertTrue(
+                    warmup.sentCount() < Warmup.REQUEST_COUNT / 10, warmup.sentCount() + " asked");
         } finally {
-            warmup.end();
+            warmup.shutDown();
         }
     }
 
     @Test
     @Timeout(60)
-    void onceItIsOverItsClientsAskNoMore() throws Exception {
-        Warmup warmup = new Warmup(Warmup.anySettings(), TimeUnit.MINUTES.toMillis(1));
+    void stoppedClientsSendNoRequests() throws Exception {
+        Warmup warmup = new Warmup(Warmup.defaultSettings(), TimeUnit.MINUTES.toMillis(1));
         warmup.start();
         while (warmup.served() == 0) {
             Thread.onSpinWait();
         }
-        warmup.halt();
-        int asked = warmup.asked();
+        warmup.stopClients();
+        int sentCount = warmup.sentCount();
         try {
             for (int i = 0; i < 1000; i++) {
-                assertEquals(asked, warmup.asked());
+                assertEquals(sentCount, warmup.sentCount());
             }
         } finally {
-            warmup.end();
+            warmup.shutDown();
         }
     }
 
@@ -89,16 +90,16 @@
      * A loop that never waits is taken for one that hangs where many processes start on few cores.
      */
     @Test
-    void itsLoopHasNothingToDoNowAndThen() throws Exception {
-        Warmup warmup = new Warmup(Warmup.anySettings(), TimeUnit.MINUTES.toMillis(1));
+    void loopIsIdleAtIntervals() throws Exception {
+        Warmup warmup = new Warmup(Warmup.defaultSettings(), TimeUnit.MINUTES.toMillis(1));
         try {
             warmup.start();
             warmup.awaitDone();
             assertTrue(
-                    warmup.rests() >= warmup.served() / 50,
-                    warmup.rests() + " rests in " + warmup.served() + " requests");
+                    warmup.pauses() >= warmup.served() / 50,
+                    warmup.pauses() + " rests in " + warmup.served() + " requests");
         } finally {
-            warmup.end();
+            warmup.shutDown();
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/WithPool.java
+++ b/src/test/java/cacheproxy/proxy/WithNodePool.java
@@ -18,24 +18,32 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A pool with one scripted node c0, and a clock that moves only when a test says so. */
-abstract class WithPool {
+abstract class WithNodePool {
 
-    private static final int CONNECT_MS = 5000;
+    private static final int CONNECT_TIMEOUT_MS = 5000;
 
     final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    final AtomicLong nanos = new AtomicLong();
+    final AtomicLong nanoClock = new AtomicLong();
     final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    Peer node;
+    TestServer node;
     NodePool pool;
     EventLoop loop;
 
     @BeforeEach
     void start() throws Exception {
-        node = new Peer();
+        node = new TestServer();
         loop = group.next();
-        pool = new NodePool(loop, Transport.TCP, CONNECT_MS, 60_000, 100, 1, nanos::get);
-        list(Availability.UP);
+        pool =
+                new NodePool(
+                        loop,
+                        ConnectionTransport.TCP,
+                        CONNECT_TIMEOUT_MS,
+                        60_000,
+                        100,
+                        1,
+                        nanoClock::get);
+        setAvailability(Availability.UP);
     }
 
     @AfterEach
@@ -44,17 +52,18 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).await();
     }
 
-    void list(Availability availability) throws Exception {
-        Node named = new Node("c0", "std", "a", 0, 1, 0, availability);
+    void setAvailability(Availability availability) throws Exception {
+        Node listedNode = new Node("c0", "std", "a", 0, 1, 0, availability);
         loop.submit(
                         () ->
-                                pool.list(
-                                                new HostList(
+                                pool.applyEndpointList(
+                                                new EndpointListUpdate(
                                                         1,
                                                         true,
                                                         List.of(
-                                                                new HostList.Host(
-                                                                        named, node.address()))))
+                                                                new EndpointListUpdate.Endpoint(
+                                                                        listedNode,
+                                                                        node.address()))))
                                         .run())
                 .get();
     }
@@ -68,13 +77,13 @@
                                         new DefaultFullHttpRequest(
                                                 HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/k1"),
                                 60_000,
-                                (exchange, outcome, response) -> outcomes.add(outcome)));
+                                (attempt, outcome, response) -> outcomes.add(outcome)));
     }
 
     /** Waits until each connection's rest is over, which its clock and a timer of the loop end. */
-    void rested() throws Exception {
-        nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(5));
-        while (!loop.submit(pool::isRested).get()) {
+    void awaitReusable() throws Exception {
+        nanoClock.addAndGet(TimeUnit.MILLISECONDS.toNanos(5));
+        while (!loop.submit(pool::hasNoPausingConnection).get()) {
             loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get();
         }
     }
--- a/src/test/java/cacheproxy/proxy/WithSite.java
+++ b/src/test/java/cacheproxy/proxy/WithProxyFixture.java
@@ -4,20 +4,20 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A running site with one client connected, for each test anew. */
-abstract class WithSite {
+abstract class WithProxyFixture {
 
-    Site site;
-    Peer.Wire client;
+    ProxyFixture fixture;
+    TestServer.Connection client;
 
     @BeforeEach
     void start() throws Exception {
-        site = Site.started();
-        client = site.client();
+        fixture = ProxyFixture.started();
+        client = fixture.client();
     }
 
     @AfterEach
     void stop() throws Exception {
         client.close();
-        site.close();
+        fixture.close();
     }
 }
--- a/src/test/java/cacheproxy/raft/ControlMachineTest.java
+++ b/src/test/java/cacheproxy/raft/ControlMachineTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cacheproxy.stream.Deliveries.Everywhere;
+import cacheproxy.stream.Acknowledgements.FullyAcknowledged;
 import cacheproxy.stream.Message;
-import cacheproxy.stream.Window;
+import cacheproxy.stream.RetainedLog;
 import com.google.gson.JsonObject;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.persistence.NopRaftStore;
@@ -20,20 +20,20 @@
 /** A control machine that leads alone, its tasks run by hand. */
 class ControlMachineTest {
 
-    private record Later(double at, long order, Runnable task) {}
+    private record ScheduledTask(double at, long order, Runnable task) {}
 
     private double now = 1000;
     private long order;
     private final Deque<Runnable> tasks = new ArrayDeque<>();
-    private final PriorityQueue<Later> later =
+    private final PriorityQueue<ScheduledTask> scheduledTasks =
             new PriorityQueue<>(
                     (a, b) ->
                             a.at() == b.at()
                                     ? Long.compare(a.order(), b.order())
                                     : Double.compare(a.at(), b.at()));
-    private final List<JsonObject> told = new ArrayList<>();
+    private final List<JsonObject> sentMessages = new ArrayList<>();
 
-    private final class ByHand implements RaftNodeExecutor {
+    private final class ManualExecutor implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
             tasks.add(task);
@@ -46,18 +46,19 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            later.add(new Later(now + unit.toMicros(delay) / 1000.0, order++, task));
+            scheduledTasks.add(
+                    new ScheduledTask(now + unit.toMicros(delay) / 1000.0, order++, task));
         }
     }
 
     private final class Out implements ControlMachine.Out {
         @Override
-        public void tell(String control, JsonObject message) {
-            told.add(message);
+        public void sendToControl(String control, JsonObject message) {
+            sentMessages.add(message);
         }
 
         @Override
-        public void everywhere(Everywhere entry) {}
+        public void fullyAcknowledged(FullyAcknowledged entry) {}
 
         @Override
         public void send(long connection, Message message) {}
@@ -71,8 +72,8 @@
                     new ControlMachine.Parts(
                             "a",
                             List.of("a"),
-                            new Window.Bounds(100, 10_000),
-                            new ByHand(),
+                            new RetainedLog.Bounds(100, 10_000),
+                            new ManualExecutor(),
                             () -> now,
                             7,
                             new NopRaftStore(),
@@ -80,47 +81,47 @@
                             1000),
                     new Out());
 
-    private void run() {
+    private void runTasks() {
         while (!tasks.isEmpty()) {
             tasks.remove().run();
         }
     }
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         for (double end = now + ms; now < end; now += 10) {
-            while (!later.isEmpty() && later.peek().at() <= now) {
-                later.remove().task().run();
+            while (!scheduledTasks.isEmpty() && scheduledTasks.peek().at() <= now) {
+                scheduledTasks.remove().task().run();
             }
-            run();
+            runTasks();
             machine.tick(now);
-            run();
+            runTasks();
         }
     }
 
-    private static JsonObject howFar(double stamp) {
-        JsonObject o = new JsonObject();
-        o.addProperty("t", "how-far");
-        o.addProperty("stamp", stamp);
-        return o;
+    private static JsonObject headQuery(double stamp) {
+        JsonObject json = new JsonObject();
+        json.addProperty("t", "how-far");
+        json.addProperty("stamp", stamp);
+        return json;
     }
 
     /** Each question comes between the leader's own one to the majority and its answer. */
     @Test
-    void whoAsksInStepWithTheLeadersOwnQuestionIsAnswered() {
+    void answersQueriesSentInStepWithLeadershipQuery() {
         machine.start();
-        pass(5000);
-        assertTrue(machine.leads() && machine.lineage() != 0);
-        told.clear();
+        advance(5000);
+        assertTrue(machine.isLeader() && machine.lineage() != 0);
+        sentMessages.clear();
         for (int i = 0; i < 10; i++) {
             now += 200;
             machine.tick(now);
             now += 10;
-            machine.received("b", howFar(i));
-            run();
+            machine.received("b", headQuery(i));
+            runTasks();
         }
         assertEquals(
                 List.of(0.0, 2.0, 4.0, 6.0, 8.0),
-                told.stream().map(o -> o.get("stamp").getAsDouble()).toList(),
+                sentMessages.stream().map(o -> o.get("stamp").getAsDouble()).toList(),
                 "by the next answer; what came while one waited is passed over");
     }
 }
--- a/src/test/java/cacheproxy/raft/FaultyFiles.java
+++ b/src/test/java/cacheproxy/raft/FaultyFiles.java
@@ -29,7 +29,7 @@
     long folderSyncsUntilFault = NEVER;
 
     /** A write takes so many bytes at most. */
-    int bytesAtOnce = Integer.MAX_VALUE;
+    int maxBytesPerWrite = Integer.MAX_VALUE;
 
     /** A file can't be made shorter, so that what was written of a line stays. */
     boolean truncateFails;
@@ -40,7 +40,7 @@
     int faults;
 
     /** All calls succeed again. */
-    void mend() {
+    void repair() {
         bytesUntilFull = NEVER;
         syncsUntilFault = NEVER;
         renamesUntilFault = NEVER;
@@ -49,73 +49,74 @@
         broken = false;
     }
 
-    private IOException fault(String what) {
+    private IOException newFault(String message) {
         faults++;
-        return new IOException(what);
+        return new IOException(message);
     }
 
-    private void look() throws IOException {
+    private void failIfBroken() throws IOException {
         if (broken) {
-            throw fault("Input/output error");
+            throw newFault("Input/output error");
         }
     }
 
     @Override
     FileChannel create(Path file) throws IOException {
-        look();
-        return new Faulty(super.create(file));
+        failIfBroken();
+        return new FaultyChannel(super.create(file));
     }
 
     @Override
     void rename(Path from, Path to) throws IOException {
-        look();
+        failIfBroken();
         if (renamesUntilFault-- == 0) {
-            throw fault("Input/output error");
+            throw newFault("Input/output error");
         }
         super.rename(from, to);
     }
 
     @Override
     void syncFolder(Path folder) throws IOException {
-        look();
+        failIfBroken();
         if (folderSyncsUntilFault-- == 0) {
-            throw fault("Input/output error");
+            throw newFault("Input/output error");
         }
     }
 
-    private final class Faulty extends FileChannel {
+    private final class FaultyChannel extends FileChannel {
         private final FileChannel real;
 
-        Faulty(FileChannel real) {
+        FaultyChannel(FileChannel real) {
             this.real = real;
         }
 
         @Override
         public int write(ByteBuffer bytes) throws IOException {
-            look();
+            failIfBroken();
             if (bytesUntilFull == 0) {
-                throw fault("No space left on device");
+                throw newFault("No space left on device");
             }
-            int length = (int) Math.min(Math.min(bytesAtOnce, bytes.remaining()), bytesUntilFull);
-            int took = real.write(bytes.slice(bytes.position(), length));
-            bytes.position(bytes.position() + took);
-            bytesUntilFull -= bytesUntilFull == NEVER ? 0 : took;
-            return took;
+            int length =
+                    (int) Math.min(Math.min(maxBytesPerWrite, bytes.remaining()), bytesUntilFull);
+            int written = real.write(bytes.slice(bytes.position(), length));
+            bytes.position(bytes.position() + written);
+            bytesUntilFull -= bytesUntilFull == NEVER ? 0 : written;
+            return written;
         }
 
         @Override
         public void force(boolean metaData) throws IOException {
-            look();
+            failIfBroken();
             if (syncsUntilFault-- == 0) {
-                throw fault("Input/output error");
+                throw newFault("Input/output error");
             }
         }
 
         @Override
         public FileChannel truncate(long size) throws IOException {
-            look();
+            failIfBroken();
             if (truncateFails) {
-                throw fault("Input/output error");
+                throw newFault("Input/output error");
             }
             real.truncate(size);
             return this;
--- a/src/test/java/cacheproxy/raft/LogFileFaultsTest.java
+++ b/src/test/java/cacheproxy/raft/LogFileFaultsTest.java
@@ -33,7 +33,7 @@
  */
 class LogFileFaultsTest {
 
-    private static final List<RaftEndpoint> BOTH = List.of(new Endpoint("a"), new Endpoint("b"));
+    private static final List<RaftEndpoint> MEMBERS = List.of(new Endpoint("a"), new Endpoint("b"));
 
     /** One call of the library. */
     private interface Step {
@@ -61,10 +61,10 @@
                     file -> file.deleteSnapshotChunks(1, 1),
                     LogFile::flush);
 
-    private static final List<Integer> CONFIRMING = List.of(0, 1, 3, 7, 9, 10, 11, 13);
+    private static final List<Integer> CONFIRMING_STEPS = List.of(0, 1, 3, 7, 9, 10, 11, 13);
 
     /** The one that puts another file in the place of the one that was written so far. */
-    private static final int CUT = 10;
+    private static final int TRUNCATION_STEP = 10;
 
     @TempDir Path temporary;
     private int folders;
@@ -76,10 +76,10 @@
     private final List<Integer> sizes = new ArrayList<>();
 
     /** The file as it was before the cut, whole. */
-    private byte[] beforeCut;
+    private byte[] logBeforeTruncation;
 
     private static LogEntry entry(long index, int term, String content) {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
@@ -88,7 +88,7 @@
     }
 
     private static RaftTermPersistentState term(int term, String votedFor) {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createRaftTermPersistentStateBuilder()
                 .setTerm(term)
                 .setVotedFor(votedFor == null ? null : new Endpoint(votedFor))
@@ -96,16 +96,16 @@
     }
 
     private static RaftGroupMembersView members() {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(0)
-                .setMembers(BOTH)
-                .setVotingMembers(BOTH)
+                .setMembers(MEMBERS)
+                .setVotingMembers(MEMBERS)
                 .build();
     }
 
     private static SnapshotChunk chunk(long index) {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(5)
@@ -117,11 +117,11 @@
     }
 
     /** A folder with a file of a voter that has run before. */
-    private Path begun() throws IOException {
+    private Path newVoterFolder() throws IOException {
         Path folder = temporary.resolve("voter-" + folders++);
         try (LogFile file = LogFile.open(folder, new FaultyFiles())) {
             file.persistAndFlushLocalEndpoint(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftEndpointPersistentStateBuilder()
                             .setLocalEndpoint(new Endpoint("a"))
                             .setVoting(true)
@@ -160,15 +160,15 @@
     }
 
     @BeforeEach
-    void recordOnASoundDisk() throws Exception {
-        Path folder = begun();
+    void recordStatesWithoutFaults() throws Exception {
+        Path folder = newVoterFolder();
         Path log = folder.resolve("log");
         try (LogFile file = LogFile.open(folder, new FaultyFiles())) {
             states.add(describe(file.restored()));
             sizes.add((int) Files.size(log));
             for (Step step : STEPS) {
-                if (states.size() == CUT + 1) {
-                    beforeCut = Files.readAllBytes(log);
+                if (states.size() == TRUNCATION_STEP + 1) {
+                    logBeforeTruncation = Files.readAllBytes(log);
                 }
                 step.run(file);
                 states.add(describe(file.restored()));
@@ -179,22 +179,23 @@
     }
 
     /** Whether the state is one between what the steps confirmed and what they had begun. */
-    private boolean isBetween(String state, int confirmed, int begun) {
-        return states.subList(confirmed, begun + 1).contains(state);
+    private boolean isBetween(String state, int confirmed, int started) {
+        return states.subList(confirmed, started + 1).contains(state);
     }
 
     /** Runs the steps until one fails; true where none does. */
-    private boolean failsAndRecovers(
-            String where, FaultyFiles files, Path folder, LongConsumer mended) throws IOException {
+    private boolean completesOrRecovers(
+            String where, FaultyFiles files, Path folder, LongConsumer faultSwitch)
+            throws IOException {
         int confirmed = 0;
         int done = 0;
         LogFile file = LogFile.open(folder, files);
         files.faults = 0;
-        mended.accept(-1);
+        faultSwitch.accept(-1);
         try (file) {
             for (Step step : STEPS) {
                 step.run(file);
-                if (CONFIRMING.contains(done)) {
+                if (CONFIRMING_STEPS.contains(done)) {
                     confirmed = done + 1;
                 }
                 done++;
@@ -202,7 +203,7 @@
             return true;
         } catch (StorageUnavailableException e) {
             assertTrue(file.failed() && files.faults > 0, where);
-            mended.accept(files.faults);
+            faultSwitch.accept(files.faults);
             // The disk works again, and the library goes on calling: nothing may be confirmed.
             for (Step step : STEPS) {
                 assertThrows(StorageUnavailableException.class, () -> step.run(file), where);
@@ -212,13 +213,13 @@
         assertTrue(
                 isBetween(found, confirmed, done + 1),
                 where + ": " + found + " of " + states.subList(confirmed, done + 2));
-        goesOn(where, folder, files, found);
+        assertWritableAfterFault(where, folder, files, found);
         return false;
     }
 
     /** What is added after a fault is whole, and all before it is still there. */
-    private static void goesOn(String where, Path folder, FaultyFiles files, String found)
-            throws IOException {
+    private static void assertWritableAfterFault(
+            String where, Path folder, FaultyFiles files, String found) throws IOException {
         try (LogFile file = LogFile.open(folder, files)) {
             file.persistAndFlushTerm(term(9, "a"));
             file.persistAndFlushTerm(term(10, "b"));
@@ -227,54 +228,58 @@
         assertEquals(expected, reopened(folder), where);
     }
 
-    private void everyFault(String kind, BiConsumer<FaultyFiles, Long> set) throws IOException {
+    private void failAtEveryPoint(String kind, BiConsumer<FaultyFiles, Long> setFault)
+            throws IOException {
         int faults = 0;
-        boolean whole = false;
-        for (long n = 0; !whole; n++) {
-            assertTrue(n < 10_000, "bounded");
+        boolean completed = false;
+        for (long point = 0; !completed; point++) {
+            assertTrue(point < 10_000, "bounded");
             FaultyFiles files = new FaultyFiles();
-            long at = n;
-            whole =
-                    failsAndRecovers(
-                            kind + " " + n,
+            long faultPoint = point;
+            completed =
+                    completesOrRecovers(
+                            kind + " " + point,
                             files,
-                            begun(),
-                            when -> set.accept(files, when < 0 ? at : FaultyFiles.NEVER));
-            faults += whole ? 0 : 1;
+                            newVoterFolder(),
+                            faultCount ->
+                                    setFault.accept(
+                                            files,
+                                            faultCount < 0 ? faultPoint : FaultyFiles.NEVER));
+            faults += completed ? 0 : 1;
         }
         assertTrue(faults > 0, kind + " did happen");
     }
 
     @Test
-    void aWriteThatFailsAtAnyByteLosesNothingThatWasConfirmed() throws Exception {
-        everyFault("write cut after", (files, n) -> files.bytesUntilFull = n);
+    void keepsConfirmedDataWhenWriteFailsAtAnyByte() throws Exception {
+        failAtEveryPoint("write cut after", (files, n) -> files.bytesUntilFull = n);
     }
 
     @Test
-    void aLineWhoseFirstPartCannotBeTakenAwayIsNeverJoinedByAnother() throws Exception {
-        everyFault(
+    void neverAppendsToPartialLineThatCannotBeTruncated() throws Exception {
+        failAtEveryPoint(
                 "write cut after",
                 (files, n) -> {
-                    files.bytesAtOnce = 13;
+                    files.maxBytesPerWrite = 13;
                     files.truncateFails = true;
                     files.bytesUntilFull = n == FaultyFiles.NEVER ? n : 11 * n;
                 });
     }
 
     @Test
-    void nothingIsConfirmedByASyncThatSucceedsAfterOneThatFailed() throws Exception {
-        everyFault("sync", (files, n) -> files.syncsUntilFault = n);
+    void confirmsNothingAfterFailedSync() throws Exception {
+        failAtEveryPoint("sync", (files, n) -> files.syncsUntilFault = n);
     }
 
     @Test
-    void aRenameOrASyncOfTheFolderThatFailsEndsTheUseOfBothFiles() throws Exception {
-        everyFault("rename", (files, n) -> files.renamesUntilFault = n);
-        everyFault("folder's sync", (files, n) -> files.folderSyncsUntilFault = n);
+    void stopsWritingAfterRenameOrDirectorySyncFails() throws Exception {
+        failAtEveryPoint("rename", (files, n) -> files.renamesUntilFault = n);
+        failAtEveryPoint("folder's sync", (files, n) -> files.folderSyncsUntilFault = n);
     }
 
     @Test
-    void aFaultWhileOpeningLeavesTheFileAsItWas() throws Exception {
-        Path folder = begun();
+    void leavesFileUnchangedWhenOpeningFails() throws Exception {
+        Path folder = newVoterFolder();
         for (int size = 0; size < sizes.get(0); size++) {
             FaultyFiles files = new FaultyFiles();
             files.bytesUntilFull = size;
@@ -292,23 +297,27 @@
     }
 
     @Test
-    void aKillAtAnyByteLosesNothingThatWasConfirmed() throws Exception {
-        for (int size = sizes.get(0); size <= beforeCut.length; size++) {
+    void keepsConfirmedDataWhenKilledAtAnyByte() throws Exception {
+        for (int size = sizes.get(0); size <= logBeforeTruncation.length; size++) {
             Path folder = temporary.resolve("killed-" + size);
             Files.createDirectories(folder);
-            Files.write(folder.resolve("log"), Arrays.copyOf(beforeCut, size));
-            Files.write(folder.resolve("log.new"), Arrays.copyOf(beforeCut, size - sizes.get(0)));
+            Files.write(folder.resolve("log"), Arrays.copyOf(logBeforeTruncation, size));
+            Files.write(
+                    folder.resolve("log.new"),
+                    Arrays.copyOf(logBeforeTruncation, size - sizes.get(0)));
             int written = size;
-            long whole = sizes.subList(0, CUT + 1).stream().filter(s -> s <= written).count() - 1;
+            long completeSteps =
+                    sizes.subList(0, TRUNCATION_STEP + 1).stream().filter(s -> s <= written).count()
+                            - 1;
             String found = reopened(folder);
-            assertEquals(states.get((int) whole), found, "killed at byte " + size);
-            goesOn("killed at byte " + size, folder, new FaultyFiles(), found);
+            assertEquals(states.get((int) completeSteps), found, "killed at byte " + size);
+            assertWritableAfterFault("killed at byte " + size, folder, new FaultyFiles(), found);
         }
     }
 
     @Test
-    void damageBeforeTheLastLineIsToldWithFileAndLine() throws Exception {
-        Path folder = begun();
+    void reportsFileAndLineOfDamageBeforeLastLine() throws Exception {
+        Path folder = newVoterFolder();
         Path log = folder.resolve("log");
         String whole = Files.readString(log);
         int lines = (int) whole.lines().count();
@@ -317,49 +326,49 @@
             byte[] damaged = whole.getBytes(StandardCharsets.UTF_8);
             damaged[start] ^= 1;
             Files.write(log, damaged);
-            CorruptLogException refusal = refusal(folder);
-            assertEquals(log, refusal.file());
-            assertEquals(line, refusal.line());
+            CorruptLogException corruption = corruption(folder);
+            assertEquals(log, corruption.file());
+            assertEquals(line, corruption.line());
             start = whole.indexOf('\n', start) + 1;
         }
         Files.writeString(log, whole.substring(0, whole.length() - 3) + "?}\n0bad");
-        assertEquals(lines, refusal(folder).line(), "it is not the last");
+        assertEquals(lines, corruption(folder).line(), "it is not the last");
     }
 
-    private static CorruptLogException refusal(Path folder) {
+    private static CorruptLogException corruption(Path folder) {
         return assertThrows(CorruptLogException.class, () -> LogFile.open(folder));
     }
 
     /** The epoch in force, kept apart from the log. */
     @Test
-    void aKeptEpochStaysWhateverFailsOfTheNext() throws Exception {
+    void keepsStoredEpochWhenStoringNextFails() throws Exception {
         Epoch old = new Epoch(7, "p", "[log]\n");
         Epoch next = new Epoch(8, "q", "[nodes]\n");
-        boolean whole = false;
-        for (int n = 0; !whole; n++) {
+        boolean completed = false;
+        for (int n = 0; !completed; n++) {
             assertTrue(n < 1000, "bounded");
-            LogFile.keep(temporary, old);
+            LogFile.store(temporary, old);
             FaultyFiles files = new FaultyFiles();
             files.bytesUntilFull = n;
             try {
-                LogFile.keep(temporary, next, files);
-                whole = true;
+                LogFile.store(temporary, next, files);
+                completed = true;
             } catch (StorageUnavailableException e) {
-                assertEquals(old, LogFile.last(temporary));
+                assertEquals(old, LogFile.lastEpoch(temporary));
             }
         }
-        assertEquals(next, LogFile.last(temporary));
+        assertEquals(next, LogFile.lastEpoch(temporary));
         FaultyFiles files = new FaultyFiles();
         files.syncsUntilFault = 0;
-        assertThrows(StorageUnavailableException.class, () -> LogFile.keep(temporary, old, files));
-        assertEquals(next, LogFile.last(temporary));
+        assertThrows(StorageUnavailableException.class, () -> LogFile.store(temporary, old, files));
+        assertEquals(next, LogFile.lastEpoch(temporary));
         files.renamesUntilFault = 0;
-        assertThrows(StorageUnavailableException.class, () -> LogFile.keep(temporary, old, files));
-        assertEquals(next, LogFile.last(temporary));
+        assertThrows(StorageUnavailableException.class, () -> LogFile.store(temporary, old, files));
+        assertEquals(next, LogFile.lastEpoch(temporary));
     }
 
     /** As the version before the faults were looked at wrote it. */
-    private static final String WRITTEN_BEFORE =
+    private static final String EARLIER_VERSION_LOG =
             """
             0ac77d73 {"name":"a","voting":true,"k":"self"}
             acee92e2 {"index":0,"members":["a","b"],"voting":["a","b"],"k":"members"}
@@ -374,14 +383,14 @@
             """;
 
     @Test
-    void filesOfEarlierVersionsOpen() throws Exception {
-        Files.writeString(temporary.resolve("log"), WRITTEN_BEFORE);
+    void opensFilesOfEarlierVersions() throws Exception {
+        Files.writeString(temporary.resolve("log"), EARLIER_VERSION_LOG);
         Files.writeString(
                 temporary.resolve("in-force"),
                 "{\"number\":7,\"proposal\":\"p\",\"content\":\"[log]\\n\"}");
         String found = "5/null snapshot 1 2@4dos \u00f1 3@4three";
         assertEquals(found, reopened(temporary));
         assertEquals(found, reopened(temporary), "and as this version writes it anew");
-        assertEquals(new Epoch(7, "p", "[log]\n"), LogFile.last(temporary));
+        assertEquals(new Epoch(7, "p", "[log]\n"), LogFile.lastEpoch(temporary));
     }
 }
