--- a/src/test/java/cacheproxy/raft/LogFileTest.java
+++ b/src/test/java/cacheproxy/raft/LogFileTest.java
@@ -31,7 +31,7 @@
     @TempDir Path folder;
 
     private static LogEntry entry(long index, int term, String content) {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(term)
@@ -39,24 +39,24 @@
                 .build();
     }
 
-    private void written() throws IOException {
+    private void writeSampleLog() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
             assertNull(file.restored(), "there was none");
             file.persistAndFlushLocalEndpoint(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftEndpointPersistentStateBuilder()
                             .setLocalEndpoint(new Endpoint("a"))
                             .setVoting(true)
                             .build());
             file.persistAndFlushInitialGroupMembers(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftGroupMembersViewBuilder()
                             .setLogIndex(0)
                             .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
                             .setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b")))
                             .build());
             file.persistAndFlushTerm(
-                    Codec.MODELS
+                    Codec.MODEL_FACTORY
                             .createRaftTermPersistentStateBuilder()
                             .setTerm(4)
                             .setVotedFor(new Endpoint("b"))
@@ -72,7 +72,7 @@
         }
     }
 
-    private void holdsAll() throws IOException {
+    private void assertSampleLogRestored() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
             RestoredRaftState state = file.restored();
             assertEquals(4, state.getTermPersistentState().getTerm());
@@ -88,29 +88,29 @@
     }
 
     @Test
-    void theNextProcessReadsWhatWasFlushedAndDropsALineThatWasTorn() throws Exception {
-        written();
-        holdsAll();
+    void restoresFlushedStateAndDropsTornLastLine() throws Exception {
+        writeSampleLog();
+        assertSampleLogRestored();
         Files.writeString(
                 folder.resolve("log"), "0bad0bad {\"index\":3,\"te", StandardOpenOption.APPEND);
-        holdsAll();
+        assertSampleLogRestored();
         Files.writeString(
                 folder.resolve("log"),
                 "0bad0bad {\"k\":\"from\",\"index\":1}\n",
                 StandardOpenOption.APPEND);
-        holdsAll();
+        assertSampleLogRestored();
     }
 
     @Test
-    void damageBeforeTheEndRefusesTheStart() throws Exception {
-        written();
+    void refusesToOpenWhenDamagedBeforeLastLine() throws Exception {
+        writeSampleLog();
         Path log = folder.resolve("log");
         Files.writeString(log, Files.readString(log).replaceFirst("\"term\":4", "\"term\":3"));
         assertThrows(IOException.class, () -> LogFile.open(folder), "a vote may be forgotten");
     }
 
     private static SnapshotChunk chunk(long index, int part, int parts, String content) {
-        return Codec.MODELS
+        return Codec.MODEL_FACTORY
                 .createSnapshotChunkBuilder()
                 .setIndex(index)
                 .setTerm(4)
@@ -118,7 +118,7 @@
                 .setSnapshotChunkIndex(part)
                 .setSnapshotChunkCount(parts)
                 .setGroupMembersView(
-                        Codec.MODELS
+                        Codec.MODEL_FACTORY
                                 .createRaftGroupMembersViewBuilder()
                                 .setLogIndex(0)
                                 .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
@@ -127,32 +127,34 @@
                 .build();
     }
 
-    private static String content(SnapshotEntry e) {
-        return e == null
+    private static String content(SnapshotEntry snapshot) {
+        return snapshot == null
                 ? null
-                : ((List<?>) e.getOperation())
+                : ((List<?>) snapshot.getOperation())
                         .stream()
                                 .map(
-                                        c ->
+                                        chunk ->
                                                 new String(
-                                                        (byte[]) ((SnapshotChunk) c).getOperation(),
+                                                        (byte[])
+                                                                ((SnapshotChunk) chunk)
+                                                                        .getOperation(),
                                                         StandardCharsets.UTF_8))
                                 .collect(Collectors.joining());
     }
 
     /** Its snapshot, and the indices of the entries after it. */
-    private String kept() throws IOException {
+    private String restoredState() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
-            RestoredRaftState s = file.restored();
-            return content(s.getSnapshotEntry())
+            RestoredRaftState state = file.restored();
+            return content(state.getSnapshotEntry())
                     + " "
-                    + s.getLogEntries().stream().map(LogEntry::getIndex).toList();
+                    + state.getLogEntries().stream().map(LogEntry::getIndex).toList();
         }
     }
 
     @Test
-    void aSnapshotTakesThePlaceOfEntriesAndHalfOfOneDoesNot() throws Exception {
-        written();
+    void replacesEntriesOnlyByCompleteSnapshot() throws Exception {
+        writeSampleLog();
         try (LogFile file = LogFile.open(folder)) {
             for (long i = 3; i <= 400; i++) {
                 file.persistLogEntries(List.of(entry(i, 4, "x".repeat(100))));
@@ -166,13 +168,15 @@
             file.persistLogEntries(List.of(entry(401, 4, "after")));
             file.persistSnapshotChunk(chunk(395, 0, 2, "half"));
         }
-        assertEquals("one whole [391, 392, 393, 394, 395, 396, 397, 398, 399, 400, 401]", kept());
+        assertEquals(
+                "one whole [391, 392, 393, 394, 395, 396, 397, 398, 399, 400, 401]",
+                restoredState());
         String[] lines = Files.readString(folder.resolve("log")).split("\n");
         int chunkAt = (int) Arrays.stream(lines).takeWhile(l -> !l.contains("\"bytes\"")).count();
         String whole = Files.readString(folder.resolve("log"));
         Files.writeString(folder.resolve("log"), whole.replaceFirst("\"part\":1", "\"part\":0"));
         assertTrue(
-                assertThrows(IOException.class, this::kept)
+                assertThrows(IOException.class, this::restoredState)
                         .getMessage()
                         .contains("log:" + (chunkAt + 2) + ": damaged"));
         Files.writeString(folder.resolve("log"), whole);
@@ -182,12 +186,12 @@
             file.flush();
             file.truncateLogEntriesUntil(400);
         }
-        assertEquals("newer [401]", kept());
+        assertEquals("newer [401]", restoredState());
     }
 
     @Test
-    void aSnapshotsLineThatIsCutOffAnywhereLeavesTheOneBefore() throws Exception {
-        written();
+    void restoresPreviousSnapshotWhenLastOneIsTruncated() throws Exception {
+        writeSampleLog();
         try (LogFile file = LogFile.open(folder)) {
             file.persistSnapshotChunk(chunk(1, 0, 1, "old"));
             file.flush();
@@ -199,16 +203,16 @@
             file.persistSnapshotChunk(chunk(3, 0, 1, "new"));
         }
         byte[] after = Files.readAllBytes(folder.resolve("log"));
-        assertEquals("new []", kept());
+        assertEquals("new []", restoredState());
         for (int cut = before.length; cut < after.length; cut++) {
             Files.write(folder.resolve("log"), Arrays.copyOf(after, cut));
-            assertEquals("old [2, 3]", kept(), "cut at " + cut);
+            assertEquals("old [2, 3]", restoredState(), "cut at " + cut);
         }
     }
 
     @Test
-    void aFullOrClosedDiskIsSaidAndWhatWasKeptStays() throws Exception {
-        written();
+    void reportsFullOrReadOnlyDiskAndKeepsConfirmedData() throws Exception {
+        writeSampleLog();
         Path full = Path.of("/dev/full");
         FaultyFiles files = new FaultyFiles();
         try (LogFile file = LogFile.open(folder, files)) {
@@ -244,19 +248,19 @@
                     "as where the folder is read-only");
             Files.delete(folder.resolve("log.new"));
         }
-        assertEquals("null [1, 2]", kept(), "the cut was not confirmed");
+        assertEquals("null [1, 2]", restoredState(), "the cut was not confirmed");
         try (LogFile file = LogFile.open(folder)) {
             file.truncateLogEntriesUntil(1);
             file.persistLogEntries(List.of(entry(3, 4, "three")));
         }
-        assertEquals("null [2, 3]", kept());
+        assertEquals("null [2, 3]", restoredState());
     }
 
     @Test
-    void theLastEpochIsKeptApart() throws Exception {
-        assertNull(LogFile.last(folder));
-        LogFile.keep(folder, new Epoch(7, "p", "[log]\n"));
-        LogFile.keep(folder, new Epoch(8, "q", "[nodes]\n"));
-        assertEquals(new Epoch(8, "q", "[nodes]\n"), LogFile.last(folder));
+    void storesLastEpochSeparately() throws Exception {
+        assertNull(LogFile.lastEpoch(folder));
+        LogFile.store(folder, new Epoch(7, "p", "[log]\n"));
+        LogFile.store(folder, new Epoch(8, "q", "[nodes]\n"));
+        assertEquals(new Epoch(8, "q", "[nodes]\n"), LogFile.lastEpoch(folder));
     }
 }
--- a/src/test/java/cacheproxy/raft/LinksTest.java
+++ b/src/test/java/cacheproxy/raft/PeerConnectionsTest.java
@@ -6,7 +6,7 @@
 import cacheproxy.lab.virtual.HashIdentity;
 import cacheproxy.syscalls.Errno;
 import cacheproxy.syscalls.FaultSchedule;
-import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.FaultySelectorProvider;
 import cacheproxy.syscalls.SystemCall;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -26,27 +26,27 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A link to a voter whose system calls fail is made again. */
-class LinksTest {
+class PeerConnectionsTest {
 
     private static final String VOTER = "voter";
     private static final int FAILURES = 3;
-    private static final int PATIENCE_MS = 30_000;
+    private static final int TIMEOUT_MS = 30_000;
 
-    private final FaultSchedule calls = new FaultSchedule();
+    private final FaultSchedule faults = new FaultSchedule();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
-                    1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
+                    1, NioIoHandler.newFactory(new FaultySelectorProvider(new FaultSchedule())));
     private final EventLoop loop = group.next();
     private ServerSocket voter;
-    private Links links;
+    private PeerConnections peerConnections;
 
     @BeforeEach
-    void make() throws Exception {
+    void setUp() throws Exception {
         voter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        voter.setSoTimeout(PATIENCE_MS);
-        FaultyProvider provider = new FaultyProvider(calls);
-        links =
-                new Links(
+        voter.setSoTimeout(TIMEOUT_MS);
+        FaultySelectorProvider provider = new FaultySelectorProvider(faults);
+        peerConnections =
+                new PeerConnections(
                         loop,
                         new HashIdentity("proxy", Set.of()),
                         Map.of(VOTER, (InetSocketAddress) voter.getLocalSocketAddress()),
@@ -56,7 +56,7 @@
     }
 
     @AfterEach
-    void stop() throws Exception {
+    void tearDown() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).await();
         voter.close();
     }
@@ -65,42 +65,42 @@
      * Waits for the next connection that begins with its key: of one that fails late the voter sees
      * a connection and its end.
      */
-    private Socket linked() throws Exception {
-        Socket link = voter.accept();
-        link.setSoTimeout(PATIENCE_MS);
-        while (link.getInputStream().read() < 0) {
-            link.close();
-            link = voter.accept();
-            link.setSoTimeout(PATIENCE_MS);
+    private Socket acceptConnection() throws Exception {
+        Socket connection = voter.accept();
+        connection.setSoTimeout(TIMEOUT_MS);
+        while (connection.getInputStream().read() < 0) {
+            connection.close();
+            connection = voter.accept();
+            connection.setSoTimeout(TIMEOUT_MS);
         }
-        return link;
+        return connection;
     }
 
     @ParameterizedTest
     @EnumSource(names = {"SOCKET", "CONFIGURE", "CONNECT", "FINISH_CONNECT"})
-    void oneThatCannotBeMadeIsTriedAgain(SystemCall call) throws Exception {
-        calls.fail(call, Errno.ENOBUFS, FAILURES);
-        loop.submit(links::start).get();
-        linked().close();
-        assertEquals(FAILURES, calls.failed(call));
+    void retriesConnectionThatCannotBeMade(SystemCall call) throws Exception {
+        faults.fail(call, Errno.ENOBUFS, FAILURES);
+        loop.submit(peerConnections::start).get();
+        acceptConnection().close();
+        assertEquals(FAILURES, faults.failureCount(call));
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
-    void oneThatBreaksIsMadeAgain(Errno errno) throws Exception {
-        loop.submit(links::start).get();
-        try (Socket first = linked()) {
-            calls.breakConnections(errno);
-            linked().close();
+    void reconnectsAfterConnectionBreaks(Errno errno) throws Exception {
+        loop.submit(peerConnections::start).get();
+        try (Socket first = acceptConnection()) {
+            faults.breakConnections(errno);
+            acceptConnection().close();
         }
     }
 
     @Test
-    void theyEndWhileNoSocketCanBeMade() throws Exception {
-        calls.fail(SystemCall.SOCKET, Errno.EMFILE, Long.MAX_VALUE);
-        loop.submit(links::start).get();
-        loop.submit(links::close).get();
-        assertTrue(calls.failed(SystemCall.SOCKET) > 0);
-        assertEquals(0, calls.open());
+    void closesWhileNoSocketCanBeMade() throws Exception {
+        faults.fail(SystemCall.SOCKET, Errno.EMFILE, Long.MAX_VALUE);
+        loop.submit(peerConnections::start).get();
+        loop.submit(peerConnections::close).get();
+        assertTrue(faults.failureCount(SystemCall.SOCKET) > 0);
+        assertEquals(0, faults.openCount());
     }
 }
--- a/src/test/java/cacheproxy/raft/PolicyRecoveryTest.java
+++ b/src/test/java/cacheproxy/raft/PolicyRecoveryTest.java
@@ -5,7 +5,7 @@
 
 import cacheproxy.config.Options;
 import cacheproxy.config.OptionsFile;
-import cacheproxy.epoch.Message.Ending;
+import cacheproxy.epoch.Message.ProposalStatus;
 import cacheproxy.gossip.KeyFiles;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -32,7 +32,7 @@
  */
 class PolicyRecoveryTest {
 
-    private static final long PATIENCE_S = 60;
+    private static final long TIMEOUT_S = 60;
     private static final List<String> NAMES = List.of("a", "b", "c");
 
     @TempDir Path folder;
@@ -54,12 +54,12 @@
 
     private void startAll() throws Exception {
         long pid = ProcessHandle.current().pid();
-        InetAddress own =
+        InetAddress loopbackAddress =
                 InetAddress.getByAddress(new byte[] {127, 94, (byte) (pid >> 8), (byte) pid});
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < NAMES.size(); i++) {
-            try (ServerSocket free = new ServerSocket(0, 1, own)) {
-                addresses.add(own.getHostAddress() + ":" + free.getLocalPort());
+            try (ServerSocket free = new ServerSocket(0, 1, loopbackAddress)) {
+                addresses.add(loopbackAddress.getHostAddress() + ":" + free.getLocalPort());
             }
         }
         for (String name : NAMES) {
@@ -124,20 +124,20 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         loop.submit(() -> services.forEach(PolicyService::close)).sync();
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(PATIENCE_S, TimeUnit.SECONDS);
+        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private static void await(String what, Callable<Boolean> done) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!done.call()) {
             assertTrue(System.nanoTime() < end, what);
             Thread.sleep(20);
         }
     }
 
-    private Ending propose(String name, int tally) throws Exception {
+    private ProposalStatus propose(String name, int tally) throws Exception {
         String content = "[log]\ntally_s = " + tally + "\n";
         return PolicySocket.ask(socket(name), "propose", content, 0).ending();
     }
@@ -147,12 +147,11 @@
     }
 
     @Test
-    void aVoterWhoseDiskFailedVotesAgainOnceItWorksAndTheGroupBearsTheLossOfAnother()
-            throws Exception {
+    void votesAgainAfterDiskRecoversAndToleratesLossOfAnotherVoter() throws Exception {
         startAll();
-        await("all agree", () -> propose("c", 11) == Ending.IN_FORCE);
+        await("all agree", () -> propose("c", 11) == ProposalStatus.IN_FORCE);
         disk.broken = true;
-        await("two of three are enough", () -> propose("a", 12) == Ending.IN_FORCE);
+        await("two of three are enough", () -> propose("a", 12) == ProposalStatus.IN_FORCE);
         await("the fault is told", () -> count("storage_failed") == 1);
         await(
                 "it runs what the others run",
@@ -160,29 +159,29 @@
                         PolicySocket.ask(socket("c"), "status", "", 0)
                                 .text()
                                 .contains("its folder can't be used"));
-        assertEquals(Ending.REFUSED, propose("c", 13), "it takes no change");
+        assertEquals(ProposalStatus.REFUSED, propose("c", 13), "it takes no change");
         loop.submit(services.remove(1)::close).sync();
-        await("one of three is not", () -> propose("a", 14) == Ending.NO_MAJORITY);
+        await("one of three is not", () -> propose("a", 14) == ProposalStatus.NO_MAJORITY);
         assertEquals(0, count("storage_recovered"));
         disk.broken = false;
         await("the end of the fault is told", () -> count("storage_recovered") == 1);
-        await("two of three again", () -> propose("c", 15) == Ending.IN_FORCE);
+        await("two of three again", () -> propose("c", 15) == ProposalStatus.IN_FORCE);
         assertEquals(1, count("storage_failed"));
         String status = PolicySocket.ask(socket("c"), "status", "", 0).text();
         assertTrue(!status.contains("can't be used"), status);
-        long inForce = LogFile.last(folder.resolve("c")).number();
+        long inForce = LogFile.lastEpoch(folder.resolve("c")).number();
         assertTrue(status.contains("epoch " + inForce + " in force"), status + inForce);
     }
 
     @Test
-    void aVoterThatStartsOnAFullDiskVotesOnceThereIsRoom() throws Exception {
+    void votesOnceDiskThatFailedAtStartRecovers() throws Exception {
         disk.broken = true;
         startAll();
-        await("two of three are enough", () -> propose("a", 11) == Ending.IN_FORCE);
+        await("two of three are enough", () -> propose("a", 11) == ProposalStatus.IN_FORCE);
         assertEquals(1, count("storage_failed"));
         disk.broken = false;
         await("the end of the fault is told", () -> count("storage_recovered") == 1);
         loop.submit(services.remove(0)::close).sync();
-        await("two of three again", () -> propose("c", 12) == Ending.IN_FORCE);
+        await("two of three again", () -> propose("c", 12) == ProposalStatus.IN_FORCE);
     }
 }
--- a/src/test/java/cacheproxy/raft/StreamSocketsTest.java
+++ b/src/test/java/cacheproxy/raft/StreamSocketsTest.java
@@ -6,13 +6,13 @@
 
 import cacheproxy.gossip.KeyFiles;
 import cacheproxy.gossip.KeyRing;
+import cacheproxy.stream.Acknowledgements.FullyAcknowledged;
 import cacheproxy.stream.Change;
 import cacheproxy.stream.Change.Purge;
-import cacheproxy.stream.Deliveries.Everywhere;
 import cacheproxy.stream.Entry;
 import cacheproxy.stream.Message.Snapshot;
+import cacheproxy.stream.RetainedLog;
 import cacheproxy.stream.Subscriber;
-import cacheproxy.stream.Window;
 import cacheproxy.stream.wire.StreamClient;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -53,16 +53,16 @@
 
     private static final int PROXIES = 40;
     private static final int CONTROLS = 4;
-    private static final long PATIENCE_S = 60;
+    private static final long TIMEOUT_S = 60;
     private static final int SNAPSHOT_EVERY = 50;
-    private static final Window.Bounds BOUNDS = new Window.Bounds(1000, 1 << 20);
+    private static final RetainedLog.Bounds BOUNDS = new RetainedLog.Bounds(1000, 1 << 20);
 
     private static final class Proxy implements StreamClient.Sink {
         final Subscriber subscriber;
         final StreamClient client;
         final Queue<Change> changes = new ConcurrentLinkedQueue<>();
         final Queue<Snapshot> resets = new ConcurrentLinkedQueue<>();
-        volatile String served;
+        volatile String connectedServer;
 
         Proxy(int index, EventLoop loop, Map<String, InetSocketAddress> servers) {
             subscriber =
@@ -70,7 +70,7 @@
                             new Subscriber.Parts(
                                     "proxy-" + index,
                                     List.copyOf(servers.keySet()),
-                                    Subscriber.PACE_BYTES_PER_S,
+                                    Subscriber.RATE_BYTES_PER_S,
                                     Subscriber.BURST_BYTES,
                                     new Random(index)),
                             0,
@@ -93,8 +93,8 @@
         }
 
         @Override
-        public void event(Subscriber.What what, String server) {
-            served = what == Subscriber.What.CONNECTED ? server : null;
+        public void event(Subscriber.SubscriberEvent what, String server) {
+            connectedServer = what == Subscriber.SubscriberEvent.CONNECTED ? server : null;
         }
     }
 
@@ -102,10 +102,10 @@
     private final EventLoopGroup loops =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final EventLoop loop = loops.next();
-    private final Map<String, StreamService> machines = new ConcurrentHashMap<>();
-    private final Map<String, InetSocketAddress> links = new LinkedHashMap<>();
+    private final Map<String, StreamService> services = new ConcurrentHashMap<>();
+    private final Map<String, InetSocketAddress> peerAddresses = new LinkedHashMap<>();
     private final Map<String, InetSocketAddress> servers = new LinkedHashMap<>();
-    private final Queue<Everywhere> everywhere = new ConcurrentLinkedQueue<>();
+    private final Queue<FullyAcknowledged> fullyAcknowledged = new ConcurrentLinkedQueue<>();
 
     private static double now() {
         return System.nanoTime() / 1e6;
@@ -116,16 +116,16 @@
     }
 
     /** On the machines' loop. */
-    private <T> T on(Callable<T> call) {
+    private <T> T onLoop(Callable<T> call) {
         try {
-            return loop.submit(call).get(PATIENCE_S, TimeUnit.SECONDS);
+            return loop.submit(call).get(TIMEOUT_S, TimeUnit.SECONDS);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
     private static void await(String what, BooleanSupplier done) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!done.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, what);
             Thread.sleep(10);
@@ -137,72 +137,74 @@
         // An address of this process's own, so that nobody else takes a port between this and its
         // bind.
         long pid = ProcessHandle.current().pid();
-        InetAddress own =
+        InetAddress loopbackAddress =
                 InetAddress.getByAddress(new byte[] {127, 93, (byte) (pid >> 8), (byte) pid});
         for (int i = 0; i < CONTROLS; i++) {
             String name = "control-" + i;
             KeyFiles.generate(name, folder.resolve(name + ".key"), folder.resolve("ring"));
-            try (ServerSocket free = new ServerSocket(0, 1, own)) {
-                links.put(name, new InetSocketAddress(own, free.getLocalPort()));
+            try (ServerSocket free = new ServerSocket(0, 1, loopbackAddress)) {
+                peerAddresses.put(
+                        name, new InetSocketAddress(loopbackAddress, free.getLocalPort()));
             }
         }
-        for (String name : links.keySet()) {
-            servers.put(name, begin(name, anyPort()));
+        for (String name : peerAddresses.keySet()) {
+            servers.put(name, startService(name, anyPort()));
         }
     }
 
-    private InetSocketAddress begin(String name, InetSocketAddress at) throws Exception {
-        return begin(name, at, new DurableFiles());
+    private InetSocketAddress startService(String name, InetSocketAddress address)
+            throws Exception {
+        return startService(name, address, new DurableFiles());
     }
 
-    private InetSocketAddress begin(String name, InetSocketAddress at, DurableFiles files)
-            throws Exception {
-        StreamService made =
+    private InetSocketAddress startService(
+            String name, InetSocketAddress address, DurableFiles files) throws Exception {
+        StreamService service =
                 new StreamService(
                         new StreamService.Parts(
                                 new KeyRing(folder.resolve(name + ".key"), folder.resolve("ring")),
-                                links,
-                                links.get(name),
+                                peerAddresses,
+                                peerAddresses.get(name),
                                 folder.resolve(name),
                                 BOUNDS,
                                 loop,
                                 name.hashCode(),
                                 SNAPSHOT_EVERY),
-                        everywhere::add,
+                        fullyAcknowledged::add,
                         files);
-        machines.put(name, made);
-        return made.listen(at);
+        services.put(name, service);
+        return service.listen(address);
     }
 
-    private void end(String name) {
-        StreamService gone = machines.remove(name);
-        on(
+    private void stop(String name) {
+        StreamService stopped = services.remove(name);
+        onLoop(
                 () -> {
-                    gone.close();
+                    stopped.close();
                     return null;
                 });
     }
 
     @AfterEach
-    void end() throws Exception {
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(PATIENCE_S, TimeUnit.SECONDS);
+    void stop() throws Exception {
+        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private ControlMachine leader() {
-        return on(
+        return onLoop(
                 () ->
-                        machines.values().stream()
+                        services.values().stream()
                                 .map(StreamService::machine)
-                                .filter(ControlMachine::leads)
+                                .filter(ControlMachine::isLeader)
                                 .findFirst()
                                 .orElse(null));
     }
 
-    private List<Proxy> proxies(Map<String, InetSocketAddress> ofWhich)
+    private List<Proxy> startProxies(Map<String, InetSocketAddress> knownServers)
             throws InterruptedException {
         List<Proxy> all = new ArrayList<>();
         for (int i = 0; i < PROXIES; i++) {
-            all.add(new Proxy(i, loops.next(), ofWhich));
+            all.add(new Proxy(i, loops.next(), knownServers));
         }
         await("all are served", () -> all.stream().allMatch(p -> !p.resets.isEmpty()));
         return all;
@@ -214,13 +216,13 @@
     private void publish(int from, int to) throws Exception {
         for (int i = from; i < to; i++) {
             Purge purge = new Purge("/k" + i, false);
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             for (long seq = -1; seq <= 0; ) {
                 assertTrue(System.nanoTime() < end, "nobody takes " + purge);
                 CompletableFuture<Long> answer = new CompletableFuture<>();
                 ControlMachine leader = leader();
                 if (leader != null) {
-                    on(
+                    onLoop(
                             () -> {
                                 leader.publish(purge, s -> answer.complete(s == null ? -1 : s));
                                 return null;
@@ -238,29 +240,31 @@
         }
     }
 
-    private static boolean has(Proxy p, int count) {
-        return p.changes.stream().distinct().count() == count;
+    private static boolean hasReceived(Proxy proxy, int count) {
+        return proxy.changes.stream().distinct().count() == count;
     }
 
     @Test
-    void theProxiesOfALostControlMachineMoveInAChangeAndNothingIsMissed() throws Exception {
-        List<Proxy> all = proxies(servers);
+    void proxiesOfLostControlMachineReconnectAndMissNoChange() throws Exception {
+        List<Proxy> all = startProxies(servers);
         publish(0, 10);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 10) && p.served != null));
+        await(
+                "all have all",
+                () -> all.stream().allMatch(p -> hasReceived(p, 10) && p.connectedServer != null));
         // The leader, so that the others have to agree on another too.
         String lost =
-                on(
+                onLoop(
                         () ->
-                                machines.entrySet().stream()
-                                        .filter(e -> e.getValue().machine().leads())
+                                services.entrySet().stream()
+                                        .filter(e -> e.getValue().machine().isLeader())
                                         .findFirst()
                                         .orElseThrow()
                                         .getKey());
-        assertTrue(all.stream().anyMatch(p -> lost.equals(p.served)), "it serves some");
+        assertTrue(all.stream().anyMatch(p -> lost.equals(p.connectedServer)), "it serves some");
         publish(10, 11);
-        end(lost);
+        stop(lost);
         publish(11, 120);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 120)));
+        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 120)));
         List<Change> first = List.copyOf(all.get(0).changes);
         for (Proxy p : all) {
             assertEquals(first, List.copyOf(p.changes), "the same, in the same order");
@@ -268,21 +272,21 @@
         }
         await(
                 "entries are seen to be everywhere",
-                () -> everywhere.stream().anyMatch(e -> e.seq() >= 119));
+                () -> fullyAcknowledged.stream().anyMatch(e -> e.seq() >= 119));
         // It comes back with what it has on its disk, and takes what it lacks: the others' logs
         // were cut by snapshots meanwhile.
-        begin(lost, servers.get(lost));
+        startService(lost, servers.get(lost));
         await(
                 "it has caught up",
-                () -> on(() -> machines.get(lost).machine().head() == leaderHead()));
+                () -> onLoop(() -> services.get(lost).machine().head() == leaderHead()));
         publish(120, 122);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 122)));
+        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 122)));
     }
 
     private long leaderHead() {
-        return machines.values().stream()
+        return services.values().stream()
                 .map(StreamService::machine)
-                .filter(ControlMachine::leads)
+                .filter(ControlMachine::isLeader)
                 .mapToLong(ControlMachine::head)
                 .findFirst()
                 .orElse(-1);
@@ -293,124 +297,125 @@
      * first.
      */
     @Test
-    void withoutTheMoveTheProxiesOfALostControlMachineStayBehindAndAreNamed() throws Exception {
+    void proxiesWithoutAnotherServerStayBehindAndAreReported() throws Exception {
         await("one leads", () -> leader() != null);
         String lost =
-                on(
+                onLoop(
                         () ->
-                                machines.entrySet().stream()
-                                        .filter(e -> !e.getValue().machine().leads())
+                                services.entrySet().stream()
+                                        .filter(e -> !e.getValue().machine().isLeader())
                                         .findFirst()
                                         .orElseThrow()
                                         .getKey());
-        List<Proxy> fixed = proxies(Map.of(lost, servers.get(lost)));
+        List<Proxy> pinned = startProxies(Map.of(lost, servers.get(lost)));
         publish(0, 1);
-        await("all have it", () -> fixed.stream().allMatch(p -> has(p, 1)));
-        await("and are known", () -> on(() -> stragglers(1000)) == PROXIES);
-        end(lost);
+        await("all have it", () -> pinned.stream().allMatch(p -> hasReceived(p, 1)));
+        await("and are known", () -> onLoop(() -> laggingSubscriberCount(1000)) == PROXIES);
+        stop(lost);
         publish(1, 5);
-        await("they find nobody", () -> fixed.stream().allMatch(p -> p.served == null));
-        assertEquals(PROXIES, on(() -> stragglers(5)));
-        assertTrue(fixed.stream().allMatch(p -> has(p, 1)));
+        await("they find nobody", () -> pinned.stream().allMatch(p -> p.connectedServer == null));
+        assertEquals(PROXIES, onLoop(() -> laggingSubscriberCount(5)));
+        assertTrue(pinned.stream().allMatch(p -> hasReceived(p, 1)));
     }
 
-    private int stragglers(long seq) {
-        return machines.values().stream()
+    private int laggingSubscriberCount(long seq) {
+        return services.values().stream()
                 .map(StreamService::machine)
-                .filter(ControlMachine::leads)
-                .mapToInt(m -> m.stragglers(seq).size())
+                .filter(ControlMachine::isLeader)
+                .mapToInt(m -> m.laggingSubscribers(seq).size())
                 .findFirst()
                 .orElse(-1);
     }
 
     @Test
-    void allFourEndAtOnceAndWhatWasConfirmedIsThereAgain() throws Exception {
-        List<Proxy> all = proxies(servers);
+    void confirmedEntriesSurviveRestartOfAllControlMachines() throws Exception {
+        List<Proxy> all = startProxies(servers);
         publish(0, 70);
-        List.copyOf(machines.keySet()).forEach(this::end);
+        List.copyOf(services.keySet()).forEach(this::stop);
         for (String name : servers.keySet()) {
-            begin(name, servers.get(name));
+            startService(name, servers.get(name));
         }
         publish(70, 75);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 75)));
+        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 75)));
         assertTrue(all.stream().allMatch(p -> p.resets.size() == 1));
         // One whose file is damaged does not start; its others go on.
         String damaged =
-                on(
+                onLoop(
                         () ->
-                                machines.entrySet().stream()
-                                        .filter(e -> !e.getValue().machine().leads())
+                                services.entrySet().stream()
+                                        .filter(e -> !e.getValue().machine().isLeader())
                                         .findFirst()
                                         .orElseThrow()
                                         .getKey());
-        end(damaged);
+        stop(damaged);
         Path log = folder.resolve(damaged).resolve("log");
         Files.writeString(log, Files.readString(log).replaceFirst("\"term\":", "\"term\":1"));
         assertTrue(
-                assertThrows(IOException.class, () -> begin(damaged, servers.get(damaged)))
+                assertThrows(IOException.class, () -> startService(damaged, servers.get(damaged)))
                         .getMessage()
                         .contains("damaged"));
         publish(75, 76);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 76)));
+        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 76)));
     }
 
     @Test
-    void aControlMachineWhoseDiskFailedForAWhileTakesPartAgainAndNothingIsMissed()
-            throws Exception {
-        List<Proxy> all = proxies(servers);
+    void controlMachineRejoinsAfterDiskRecoversAndNoChangeIsMissed() throws Exception {
+        List<Proxy> all = startProxies(servers);
         publish(0, 20);
-        String struck =
-                on(
+        String faulty =
+                onLoop(
                         () ->
-                                machines.entrySet().stream()
-                                        .filter(e -> !e.getValue().machine().leads())
+                                services.entrySet().stream()
+                                        .filter(e -> !e.getValue().machine().isLeader())
                                         .findFirst()
                                         .orElseThrow()
                                         .getKey());
-        end(struck);
+        stop(faulty);
         FaultyFiles disk = new FaultyFiles();
-        begin(struck, servers.get(struck), disk);
+        startService(faulty, servers.get(faulty), disk);
         publish(20, 70);
         await(
                 "it has caught up",
-                () -> on(() -> machines.get(struck).machine().head() == leaderHead()));
-        ControlMachine failed = on(() -> machines.get(struck).machine());
+                () -> onLoop(() -> services.get(faulty).machine().head() == leaderHead()));
+        ControlMachine failed = onLoop(() -> services.get(faulty).machine());
         disk.broken = true;
         publish(70, 75);
-        await("its disk has failed", () -> on(() -> disk.faults > 0));
+        await("its disk has failed", () -> onLoop(() -> disk.faults > 0));
         publish(75, 80);
-        assertTrue(on(() -> machines.get(struck).machine() == failed && !failed.leads()));
+        assertTrue(onLoop(() -> services.get(faulty).machine() == failed && !failed.isLeader()));
         disk.broken = false;
         await(
                 "it has begun anew and caught up",
                 () ->
-                        on(
+                        onLoop(
                                 () ->
-                                        machines.get(struck).machine() != failed
-                                                && machines.get(struck).machine().head()
+                                        services.get(faulty).machine() != failed
+                                                && services.get(faulty).machine().head()
                                                         == leaderHead()));
         publish(80, 82);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 82)));
+        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 82)));
         assertTrue(all.stream().allMatch(p -> p.resets.size() == 1));
     }
 
     /** A machine whose sockets open and then say nothing, as one that hangs. */
     @Test
-    void aControlMachineThatSaysNothingIsLeft() throws Exception {
-        try (ServerSocket mute = new ServerSocket(0, 100, InetAddress.getLoopbackAddress())) {
+    void proxiesLeaveSilentControlMachine() throws Exception {
+        try (ServerSocket silentServer =
+                new ServerSocket(0, 100, InetAddress.getLoopbackAddress())) {
             servers.put(
                     "mute",
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), mute.getLocalPort()));
-            List<Proxy> all = proxies(servers);
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), silentServer.getLocalPort()));
+            List<Proxy> all = startProxies(servers);
             publish(0, 3);
-            await("all have all", () -> all.stream().allMatch(p -> has(p, 3)));
+            await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 3)));
         }
     }
 
     @Test
-    void strangersAreShutAndHoldNobody() throws Exception {
-        List<Proxy> all = proxies(servers);
-        InetSocketAddress at = servers.values().iterator().next();
+    void closesMalformedConnectionsWithoutAffectingProxies() throws Exception {
+        List<Proxy> all = startProxies(servers);
+        InetSocketAddress address = servers.values().iterator().next();
         for (byte[] bytes :
                 new byte[][] {
                     "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
@@ -418,8 +423,8 @@
                     {0, 0, 0, 1, 9},
                     {0, 0, 0, 4, 1, 1, 0, 0}
                 }) {
-            try (Socket stranger = new Socket(at.getAddress(), at.getPort())) {
-                stranger.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            try (Socket stranger = new Socket(address.getAddress(), address.getPort())) {
+                stranger.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
                 stranger.getOutputStream().write(bytes);
                 int read;
                 try {
@@ -431,6 +436,6 @@
             }
         }
         publish(0, 3);
-        await("all have all", () -> all.stream().allMatch(p -> has(p, 3)));
+        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 3)));
     }
 }
--- a/src/test/java/cacheproxy/raft/VoterRecoveryTest.java
+++ b/src/test/java/cacheproxy/raft/VoterRecoveryTest.java
@@ -30,34 +30,35 @@
 
     private static final List<String> NAMES = List.of("a", "b", "c");
     private static final double TICK_MS = 20;
-    private static final double LINK_MS = 3;
+    private static final double LINK_DELAY_MS = 3;
 
-    private record Later(double at, long order, Runnable task) {}
+    private record ScheduledTask(double at, long order, Runnable task) {}
 
     @TempDir Path folder;
     private double now = 1000;
     private long order;
-    private final PriorityQueue<Later> agenda =
+    private final PriorityQueue<ScheduledTask> eventQueue =
             new PriorityQueue<>(
-                    Comparator.comparingDouble(Later::at).thenComparingLong(Later::order));
-    private final Map<String, Machine> machines = new HashMap<>();
+                    Comparator.comparingDouble(ScheduledTask::at)
+                            .thenComparingLong(ScheduledTask::order));
+    private final Map<String, SimulatedVoter> voters = new HashMap<>();
 
     /** Whom each voter has told that it votes for it, by its name and the term. */
     private final Map<String, String> votes = new HashMap<>();
 
-    private final List<String> votedTwice = new ArrayList<>();
+    private final List<String> doubleVotes = new ArrayList<>();
 
     /** What the author of an epoch was told that it became. */
-    private final Map<Long, String> confirmed = new HashMap<>();
+    private final Map<Long, String> confirmedProposals = new HashMap<>();
 
-    private void in(double ms, Runnable task) {
-        agenda.add(new Later(now + ms, order++, task));
+    private void scheduleIn(double ms, Runnable task) {
+        eventQueue.add(new ScheduledTask(now + ms, order++, task));
     }
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         double end = now + ms;
-        while (!agenda.isEmpty() && agenda.peek().at() <= end) {
-            Later next = agenda.remove();
+        while (!eventQueue.isEmpty() && eventQueue.peek().at() <= end) {
+            ScheduledTask next = eventQueue.remove();
             now = next.at();
             next.task().run();
         }
@@ -65,7 +66,7 @@
     }
 
     /** A voter as a process has it, with the same use of its file. */
-    private final class Machine implements RaftNodeExecutor {
+    private final class SimulatedVoter implements RaftNodeExecutor {
         final String name;
         final FaultyFiles files = new FaultyFiles();
         final StorageRecovery storage;
@@ -76,23 +77,23 @@
         boolean down;
 
         /** What a process does about its file's faults is not done. */
-        boolean unattended;
+        boolean recoveryDisabled;
 
         int sent;
-        int lives;
+        int incarnation;
 
-        Machine(String name) throws IOException {
+        SimulatedVoter(String name) throws IOException {
             this.name = name;
             storage =
                     new StorageRecovery(folder.resolve(name), (event, fields) -> events.add(event));
-            begin(LogFile.open(folder.resolve(name), files));
+            startNode(LogFile.open(folder.resolve(name), files));
             tick();
         }
 
-        private void begin(LogFile opened) {
+        private void startNode(LogFile opened) {
             file = opened;
             epochs = new Epochs();
-            lives++;
+            incarnation++;
             log =
                     new RaftLog(
                             new RaftLog.Parts(
@@ -101,7 +102,7 @@
                                     epochs,
                                     this,
                                     () -> now,
-                                    name.hashCode() * 31L + lives,
+                                    name.hashCode() * 31L + incarnation,
                                     opened,
                                     opened.restored()),
                             this::send,
@@ -116,13 +117,13 @@
             sent++;
             String kind = message.get("t").getAsString();
             if (kind.equals("vote")) {
-                votesFor(name, message);
+                recordVote(name, message);
             } else if (kind.equals("voted") && message.get("granted").getAsBoolean()) {
-                votesFor(to, message);
+                recordVote(to, message);
             }
-            Machine other = machines.get(to);
-            in(
-                    LINK_MS,
+            SimulatedVoter other = voters.get(to);
+            scheduleIn(
+                    LINK_DELAY_MS,
                     () -> {
                         if (!other.down && !other.storage.failed()) {
                             other.log.received(name, message);
@@ -130,28 +131,30 @@
                     });
         }
 
-        private void votesFor(String candidate, JsonObject message) {
-            String had = votes.putIfAbsent(name + " in " + message.get("raft_term"), candidate);
-            if (had != null && !had.equals(candidate)) {
+        private void recordVote(String candidate, JsonObject message) {
+            String previous =
+                    votes.putIfAbsent(name + " in " + message.get("raft_term"), candidate);
+            if (previous != null && !previous.equals(candidate)) {
                 // Not thrown here, as the library would catch it.
-                votedTwice.add(name + " for " + had + " and " + candidate + ": " + message);
+                doubleVotes.add(name + " for " + previous + " and " + candidate + ": " + message);
             }
         }
 
         private void tick() {
-            if (!down && !unattended) {
-                if (!storage.failed() && (file.failed() || log.broken())) {
+            if (!down && !recoveryDisabled) {
+                if (!storage.failed() && (file.failed() || log.isTerminated())) {
                     storage.failed(
-                            now, file.failed() ? file.fault() : PolicyService.nodeEnded(folder));
+                            now,
+                            file.failed() ? file.fault() : PolicyService.nodeTerminated(folder));
                     log.stop();
-                    file.discard();
+                    file.closeQuietly();
                 }
-                storage.tick(now, () -> begin(file.reopen()));
+                storage.tick(now, () -> startNode(file.reopen()));
                 if (!storage.failed()) {
                     log.tick(now);
                 }
             }
-            in(TICK_MS, this::tick);
+            scheduleIn(TICK_MS, this::tick);
         }
 
         @Override
@@ -166,11 +169,11 @@
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            int life = lives;
-            in(
+            int taskIncarnation = incarnation;
+            scheduleIn(
                     unit.toMicros(delay) / 1000.0,
                     () -> {
-                        if (!down && life == lives) {
+                        if (!down && taskIncarnation == incarnation) {
                             task.run();
                         }
                     });
@@ -179,42 +182,42 @@
 
     private void startAll() throws IOException {
         for (String name : NAMES) {
-            machines.put(name, new Machine(name));
+            voters.put(name, new SimulatedVoter(name));
         }
     }
 
-    private Machine leader() {
-        return machines.values().stream()
-                .filter(m -> !m.down && !m.storage.failed() && m.log.led())
+    private SimulatedVoter leader() {
+        return voters.values().stream()
+                .filter(m -> !m.down && !m.storage.failed() && m.log.isLeadershipConfirmed())
                 .findFirst()
                 .orElse(null);
     }
 
-    private void confirmed(Outcome outcome, String proposal) {
-        if (outcome.refusal() == null) {
-            confirmed.put(outcome.epoch(), proposal);
+    private void recordIfConfirmed(Outcome outcome, String proposal) {
+        if (outcome.rejectionReason() == null) {
+            confirmedProposals.put(outcome.epoch(), proposal);
         }
     }
 
     /** All that was confirmed is in force everywhere, and nobody has voted twice in a term. */
-    private void holds(String day) {
-        assertEquals(List.of(), votedTwice, day);
-        for (Machine machine : machines.values().stream().filter(m -> !m.down).toList()) {
-            assertEquals(leader().epochs.history(), machine.epochs.history(), day);
-            for (Epochs.Epoch epoch : machine.epochs.history()) {
-                String told = confirmed.getOrDefault(epoch.number(), epoch.proposal());
-                assertEquals(told, epoch.proposal(), day);
+    private void assertConsistent(String scenario) {
+        assertEquals(List.of(), doubleVotes, scenario);
+        for (SimulatedVoter voter : voters.values().stream().filter(m -> !m.down).toList()) {
+            assertEquals(leader().epochs.history(), voter.epochs.history(), scenario);
+            for (Epochs.Epoch epoch : voter.epochs.history()) {
+                String expected = confirmedProposals.getOrDefault(epoch.number(), epoch.proposal());
+                assertEquals(expected, epoch.proposal(), scenario);
             }
         }
-        long last = confirmed.keySet().stream().max(Long::compare).orElseThrow();
-        assertTrue(leader().epochs.inForce() >= last, day);
+        long last = confirmedProposals.keySet().stream().max(Long::compare).orElseThrow();
+        assertTrue(leader().epochs.inForce() >= last, scenario);
     }
 
     /** Asks whoever leads until an epoch is prepared and activated; false after so long. */
-    private boolean progress(double withinMs) {
+    private boolean makesProgress(double withinMs) {
         long[] done = new long[1];
-        for (double end = now + withinMs; now < end && done[0] == 0; pass(200)) {
-            Machine leader = leader();
+        for (double end = now + withinMs; now < end && done[0] == 0; advance(200)) {
+            SimulatedVoter leader = leader();
             if (leader != null) {
                 long base = leader.epochs.inForce();
                 String proposal = "p" + order;
@@ -222,7 +225,7 @@
                         new Prepare(proposal, base, "[log]\n"),
                         outcome -> {
                             if (outcome != null) {
-                                confirmed(outcome, proposal);
+                                recordIfConfirmed(outcome, proposal);
                                 long prepared = leader.epochs.prepared();
                                 leader.log.append(new Epochs.Activate(prepared), o -> done[0]++);
                             }
@@ -233,92 +236,92 @@
     }
 
     @Test
-    void aVoterWhoseDiskFailedForAWhileTakesPartAgainAndItsGroupGoesOn() throws Exception {
+    void voterRejoinsAfterDiskRecoversAndGroupKeepsCommitting() throws Exception {
         startAll();
-        assertTrue(progress(20_000));
-        List<Machine> others = new ArrayList<>(machines.values());
-        Machine leader = leader();
+        assertTrue(makesProgress(20_000));
+        List<SimulatedVoter> others = new ArrayList<>(voters.values());
+        SimulatedVoter leader = leader();
         others.remove(leader);
-        Machine faulty = others.get(0);
+        SimulatedVoter faulty = others.get(0);
         faulty.files.broken = true;
-        assertTrue(progress(10_000), "two of three are enough");
-        pass(3000);
+        assertTrue(makesProgress(10_000), "two of three are enough");
+        advance(3000);
         assertEquals(List.of("storage_failed"), faulty.events);
         others.get(1).down = true;
         long votesBefore = votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count();
-        assertFalse(progress(20_000), "one of three is not");
+        assertFalse(makesProgress(20_000), "one of three is not");
         assertEquals(
                 votesBefore,
                 votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count(),
                 "it votes for nobody");
         faulty.files.broken = false;
-        assertTrue(progress(StorageRecovery.LONGEST_WAIT_MS + 20_000), "it takes part again");
+        assertTrue(makesProgress(StorageRecovery.MAX_BACKOFF_MS + 20_000), "it takes part again");
         assertEquals(List.of("storage_failed", "storage_recovered"), faulty.events);
-        pass(2000);
-        holds("with one down");
+        advance(2000);
+        assertConsistent("with one down");
     }
 
     /** The library goes on with a node whose store has thrown, and so the store has to refuse. */
     @Test
-    void aNodeThatTheLibraryRunsOnAfterItsStoreFailedSendsNothing() throws Exception {
+    void nodeStillRunningAfterStoreFailureSendsNothing() throws Exception {
         startAll();
-        assertTrue(progress(20_000));
+        assertTrue(makesProgress(20_000));
         for (boolean leads : List.of(true, false)) {
-            Machine struck =
-                    machines.values().stream()
+            SimulatedVoter faulty =
+                    voters.values().stream()
                             .filter(m -> (m == leader()) == leads)
                             .findFirst()
                             .orElseThrow();
-            struck.files.syncsUntilFault = 0;
-            struck.unattended = true;
-            progress(1000);
-            assertTrue(struck.file.failed());
-            assertFalse(struck.log.broken(), "the library's node runs on");
-            int sent = struck.sent;
-            pass(5000);
-            assertEquals(sent, struck.sent);
-            struck.unattended = false;
-            assertTrue(progress(30_000));
-            pass(2000);
-            assertEquals(leader().epochs.inForce(), struck.epochs.inForce());
+            faulty.files.syncsUntilFault = 0;
+            faulty.recoveryDisabled = true;
+            makesProgress(1000);
+            assertTrue(faulty.file.failed());
+            assertFalse(faulty.log.isTerminated(), "the library's node runs on");
+            int sent = faulty.sent;
+            advance(5000);
+            assertEquals(sent, faulty.sent);
+            faulty.recoveryDisabled = false;
+            assertTrue(makesProgress(30_000));
+            advance(2000);
+            assertEquals(leader().epochs.inForce(), faulty.epochs.inForce());
         }
     }
 
     /** Disks that are full now and then, and one that is down now and then; then a quiet time. */
     @Test
-    void onDrawnDaysNoTermIsVotedTwiceAndAllTakePartInTheEnd() throws Exception {
+    void noDoubleVotesAndAllVotersRejoinUnderRandomFaults() throws Exception {
         for (int seed = 1; seed <= 12; seed++) {
             Random random = new Random(seed);
-            machines.clear();
+            voters.clear();
             votes.clear();
-            confirmed.clear();
-            agenda.clear();
+            confirmedProposals.clear();
+            eventQueue.clear();
             folder = folder.resolveSibling("day-" + seed);
             startAll();
             for (int fault = 0; fault < 12; fault++) {
-                Machine struck = machines.get(NAMES.get(random.nextInt(3)));
+                SimulatedVoter faulty = voters.get(NAMES.get(random.nextInt(3)));
                 long count = random.nextInt(4);
                 switch (random.nextInt(5)) {
-                    case 0 -> struck.files.bytesUntilFull = random.nextInt(600);
-                    case 1 -> struck.files.syncsUntilFault = count;
-                    case 2 -> struck.files.broken = true;
-                    case 3 -> struck.files.truncateFails = true;
-                    default -> struck.down = true;
+                    case 0 -> faulty.files.bytesUntilFull = random.nextInt(600);
+                    case 1 -> faulty.files.syncsUntilFault = count;
+                    case 2 -> faulty.files.broken = true;
+                    case 3 -> faulty.files.truncateFails = true;
+                    default -> faulty.down = true;
                 }
-                progress(2000 + random.nextInt(3000));
-                for (Machine machine : machines.values()) {
-                    machine.files.mend();
-                    if (machine.down) {
-                        machine.down = false;
-                        machine.begin(LogFile.open(folder.resolve(machine.name), machine.files));
+                makesProgress(2000 + random.nextInt(3000));
+                for (SimulatedVoter voter : voters.values()) {
+                    voter.files.repair();
+                    if (voter.down) {
+                        voter.down = false;
+                        voter.startNode(LogFile.open(folder.resolve(voter.name), voter.files));
                     }
                 }
-                pass(random.nextInt(2000));
+                advance(random.nextInt(2000));
             }
-            pass(StorageRecovery.LONGEST_WAIT_MS);
-            assertTrue(progress(20_000), "day " + seed);
-            pass(5000);
-            holds("day " + seed);
+            advance(StorageRecovery.MAX_BACKOFF_MS);
+            assertTrue(makesProgress(20_000), "day " + seed);
+            advance(5000);
+            assertConsistent("day " + seed);
         }
     }
 }
--- a/src/test/java/cacheproxy/store/CallTimeTest.java
+++ b/src/test/java/cacheproxy/store/CallTimeTest.java
@@ -12,11 +12,11 @@
 /** Calls are in one order in all processes of a machine. */
 class CallTimeTest {
 
-    private static final int PATIENCE_S = 120;
+    private static final int TIMEOUT_S = 120;
 
     /** Prints the time of a call made in a process of its own. */
-    static final class Caller {
-        private Caller() {}
+    static final class CallerProcess {
+        private CallerProcess() {}
 
         public static void main(String[] arguments) {
             System.out.print(CallTime.now().nanos());
@@ -24,8 +24,8 @@
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void callsOfTwoProcessesAreInTheOrderInWhichTheyWereMade() throws Exception {
+    @Timeout(TIMEOUT_S)
+    void ordersCallsOfTwoProcesses() throws Exception {
         CallTime before = CallTime.now();
         CallTime between = timeInAnotherProcess();
         CallTime after = CallTime.now();
@@ -40,16 +40,16 @@
                                 java,
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                Caller.class.getName())
+                                CallerProcess.class.getName())
                         .redirectError(ProcessBuilder.Redirect.INHERIT)
                         .start();
-        byte[] said = process.getInputStream().readAllBytes();
+        byte[] output = process.getInputStream().readAllBytes();
         assertEquals(0, process.waitFor());
-        return new CallTime(Long.parseLong(new String(said, StandardCharsets.US_ASCII)));
+        return new CallTime(Long.parseLong(new String(output, StandardCharsets.US_ASCII)));
     }
 
     @Test
-    void aCallIsNotAfterItselfAndAnOverflowOfTheClockKeepsTheOrder() {
+    void callIsNotAfterItselfAndOrderSurvivesClockOverflow() {
         CallTime last = new CallTime(Long.MAX_VALUE);
         CallTime next = new CallTime(Long.MIN_VALUE);
         assertFalse(last.isAfter(last));
--- a/src/test/java/cacheproxy/store/FolderLockTest.java
+++ b/src/test/java/cacheproxy/store/DirectoryLockTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A folder is one process's alone until it lets go. */
-class FolderLockTest {
+class DirectoryLockTest {
 
-    private static final int PATIENCE_S = 120;
+    private static final int TIMEOUT_S = 120;
 
-    @TempDir Path folder;
+    @TempDir Path directory;
 
     /** Prints whether the lock's file could be locked by a process of its own. */
-    static final class Other {
-        private Other() {}
+    static final class LockProbeProcess {
+        private LockProbeProcess() {}
 
         public static void main(String[] arguments) throws IOException {
             Path file = Path.of(arguments[0]);
@@ -39,22 +39,22 @@
                                 java,
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                Other.class.getName(),
-                                folder.resolve("lock").toString())
+                                LockProbeProcess.class.getName(),
+                                directory.resolve("lock").toString())
                         .redirectError(ProcessBuilder.Redirect.INHERIT)
                         .start();
-        byte[] said = process.getInputStream().readAllBytes();
+        byte[] output = process.getInputStream().readAllBytes();
         assertEquals(0, process.waitFor());
-        return Boolean.parseBoolean(new String(said, StandardCharsets.US_ASCII));
+        return Boolean.parseBoolean(new String(output, StandardCharsets.US_ASCII));
     }
 
     @Test
-    @Timeout(PATIENCE_S)
-    void anotherProcessCanLockTheFolderOnlyOnceItIsReleased() throws Exception {
-        try (FolderLock lock = FolderLock.acquire(folder)) {
+    @Timeout(TIMEOUT_S)
+    void otherProcessCanLockDirectoryOnlyAfterRelease() throws Exception {
+        try (DirectoryLock lock = DirectoryLock.acquire(directory)) {
             assertEquals(false, isFreeForAnotherProcess());
         }
         assertEquals(true, isFreeForAnotherProcess());
-        FolderLock.acquire(folder).close();
+        DirectoryLock.acquire(directory).close();
     }
 }
--- a/src/test/java/cacheproxy/store/DurableFilesTest.java
+++ b/src/test/java/cacheproxy/store/DurableFilesTest.java
@@ -26,47 +26,46 @@
  */
 class DurableFilesTest {
 
-    private static final int STEPS_OF_REPLACE = 6;
-    private static final Set<PosixFilePermission> OWNER =
+    private static final int REPLACE_STEP_COUNT = 6;
+    private static final Set<PosixFilePermission> OWNER_ONLY =
             PosixFilePermissions.fromString("rw-------");
     private static final String OLD = "old content";
     private static final String NEW = "content that is new";
 
-    @TempDir Path folder;
+    @TempDir Path directory;
     private final FaultyFiles faulty = new FaultyFiles();
     private final DurableFiles files = new DurableFiles(faulty);
 
     private Path file() {
-        return folder.resolve("file");
+        return directory.resolve("file");
     }
 
     private void replace(String content) throws FileWriteException {
-        files.replace(file(), content.getBytes(StandardCharsets.UTF_8), OWNER);
+        files.replace(file(), content.getBytes(StandardCharsets.UTF_8), OWNER_ONLY);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aKillOrACrashAfterAnyStepLeavesTheOldContentOrTheNewOne(boolean losesNames)
-            throws Exception {
-        for (int steps = 0; steps <= STEPS_OF_REPLACE; steps++) {
+    void killOrCrashAfterAnyStepLeavesOldOrNewContent(boolean losesNames) throws Exception {
+        for (int steps = 0; steps <= REPLACE_STEP_COUNT; steps++) {
             replace(OLD);
             FaultyFiles machine = new FaultyFiles();
             machine.killAfter(steps);
             boolean returned = false;
             try {
                 byte[] content = NEW.getBytes(StandardCharsets.UTF_8);
-                new DurableFiles(machine).replace(file(), content, OWNER);
+                new DurableFiles(machine).replace(file(), content, OWNER_ONLY);
                 returned = true;
             } catch (Killed e) {
-                assertTrue(steps < STEPS_OF_REPLACE, "killed after " + steps);
+                assertTrue(steps < REPLACE_STEP_COUNT, "killed after " + steps);
             }
-            String killed = Files.readString(file());
+            String contentAfterKill = Files.readString(file());
             machine.crash(losesNames);
-            for (String content : List.of(killed, Files.readString(file()))) {
+            for (String content : List.of(contentAfterKill, Files.readString(file()))) {
                 assertTrue(List.of(OLD, NEW).contains(content), steps + ": " + content);
                 assertTrue(!returned || content.equals(NEW), "what returned holds");
             }
-            assertEquals(steps == STEPS_OF_REPLACE, returned);
+            assertEquals(steps == REPLACE_STEP_COUNT, returned);
         }
     }
 
@@ -74,7 +73,7 @@
     @EnumSource(
             value = Step.class,
             names = {"CREATE", "WRITE", "FORCE", "RENAME", "DELETE"})
-    void aStepThatFailsLeavesTheOldContentAndNothingBesideIt(Step step) throws Exception {
+    void failedStepLeavesOldContentAndNoOtherFile(Step step) throws Exception {
         replace("old");
         faulty.fail(step, 1);
         FileWriteException failure = assertThrows(FileWriteException.class, () -> replace("new"));
@@ -82,7 +81,7 @@
         String expected = ": could not be written and is as it was: No space left on device";
         assertEquals(file() + expected, failure.getMessage());
         assertEquals("old", Files.readString(file()));
-        try (var names = Files.list(folder)) {
+        try (var names = Files.list(directory)) {
             assertEquals(List.of(file()), names.toList(), "no half of a key is left behind");
         }
         replace("new");
@@ -90,21 +89,21 @@
     }
 
     @Test
-    void aFolderThatCannotBeSyncedIsTold() throws Exception {
+    void reportsFailedDirectorySync() throws Exception {
         replace("old");
-        faulty.fail(Step.FORCE_FOLDER, 1);
+        faulty.fail(Step.SYNC_DIRECTORY, 1);
         assertTrue(assertThrows(FileWriteException.class, () -> replace("new")).isReplaced());
         assertEquals("new", Files.readString(file()));
     }
 
     @Test
-    void whatAKillLeftBesideIsReplacedWithTheRightPermissions() throws Exception {
-        Path unfinished = folder.resolve("file.new");
+    void replacesUnfinishedFileWithRightPermissions() throws Exception {
+        Path unfinished = directory.resolve("file.new");
         Files.writeString(unfinished, "half");
         Files.setPosixFilePermissions(unfinished, PosixFilePermissions.fromString("rw-rw-rw-"));
         replace("new");
         assertEquals("new", Files.readString(file()));
-        assertEquals(OWNER, Files.getPosixFilePermissions(file()));
+        assertEquals(OWNER_ONLY, Files.getPosixFilePermissions(file()));
         assertFalse(Files.exists(unfinished));
     }
 }
--- a/src/test/java/cacheproxy/store/FaultyFiles.java
+++ b/src/test/java/cacheproxy/store/FaultyFiles.java
@@ -22,11 +22,11 @@
 
     /** The operations that can fail. */
     public enum Step {
-        CREATE_FOLDER,
+        CREATE_DIRECTORY,
         CREATE,
         WRITE,
-        FORCE,
-        FORCE_FOLDER,
+        SYNC,
+        SYNC_DIRECTORY,
         RENAME,
         DELETE
     }
@@ -43,23 +43,23 @@
     }
 
     /** A change of a name, lost at a crash as long as its folder has not been synced. */
-    private record NameChange(Path folder, Undo undo) {}
+    private record NameChange(Path directory, Undo undo) {}
 
-    private final Map<Step, Integer> failures = new EnumMap<>(Step.class);
-    private final Deque<NameChange> namesNotSynced = new ArrayDeque<>();
-    private final Map<Path, byte[]> contentsNotSynced = new HashMap<>();
+    private final Map<Step, Integer> remainingFailures = new EnumMap<>(Step.class);
+    private final Deque<NameChange> unsyncedNames = new ArrayDeque<>();
+    private final Map<Path, byte[]> unsyncedContents = new HashMap<>();
     private int stepsUntilKill = Integer.MAX_VALUE;
     private boolean killed;
-    private boolean held;
+    private boolean hanging;
 
     /** Lets a step fail so many times from now on; 0 ends that. */
     public synchronized void fail(Step step, int times) {
-        failures.put(step, times);
+        remainingFailures.put(step, times);
     }
 
     /** Lets no further step begin as long as this holds, as a disk that hangs. */
-    public synchronized void hold(boolean holds) {
-        held = holds;
+    public synchronized void setHanging(boolean hang) {
+        hanging = hang;
         notifyAll();
     }
 
@@ -78,23 +78,23 @@
      * is said.
      */
     public synchronized void crash(boolean losesNames) throws IOException {
-        for (Map.Entry<Path, byte[]> lost : contentsNotSynced.entrySet()) {
+        for (Map.Entry<Path, byte[]> lost : unsyncedContents.entrySet()) {
             if (Files.exists(lost.getKey())) {
-                Files.write(lost.getKey(), half(lost.getValue()));
+                Files.write(lost.getKey(), firstHalf(lost.getValue()));
             }
         }
-        while (losesNames && !namesNotSynced.isEmpty()) {
-            namesNotSynced.removeLast().undo().run();
+        while (losesNames && !unsyncedNames.isEmpty()) {
+            unsyncedNames.removeLast().undo().run();
         }
     }
 
-    private static byte[] half(byte[] content) {
+    private static byte[] firstHalf(byte[] content) {
         return Arrays.copyOf(content, content.length / 2);
     }
 
-    private synchronized void awaitRelease() throws IOException {
+    private synchronized void awaitNotHanging() throws IOException {
         try {
-            while (held) {
+            while (hanging) {
                 wait();
             }
         } catch (InterruptedException e) {
@@ -102,105 +102,106 @@
         }
     }
 
-    private void kill() {
+    private void killIfDue() {
         if (stepsUntilKill-- <= 0) {
             killed = true;
             throw new Killed();
         }
     }
 
-    private void begin(Step step) throws IOException {
-        awaitRelease();
-        kill();
-        int left = failures.getOrDefault(step, 0);
+    private void beginStep(Step step) throws IOException {
+        awaitNotHanging();
+        killIfDue();
+        int left = remainingFailures.getOrDefault(step, 0);
         if (left > 0) {
-            failures.put(step, left - 1);
+            remainingFailures.put(step, left - 1);
             throw new IOException("No space left on device");
         }
     }
 
     @Override
-    public synchronized void createFolder(Path folder) throws IOException {
-        begin(Step.CREATE_FOLDER);
-        if (!Files.exists(folder)) {
-            SYSTEM.createFolder(folder);
-            namesNotSynced.add(new NameChange(folder.getParent(), () -> deleteFolder(folder)));
+    public synchronized void createDirectory(Path directory) throws IOException {
+        beginStep(Step.CREATE_DIRECTORY);
+        if (!Files.exists(directory)) {
+            SYSTEM.createDirectory(directory);
+            unsyncedNames.add(
+                    new NameChange(directory.getParent(), () -> deleteDirectory(directory)));
         }
     }
 
-    private static void deleteFolder(Path folder) throws IOException {
-        try (Stream<Path> names = Files.list(folder)) {
+    private static void deleteDirectory(Path directory) throws IOException {
+        try (Stream<Path> names = Files.list(directory)) {
             for (Path file : names.toList()) {
                 Files.delete(file);
             }
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 
     @Override
     public synchronized void create(Path file) throws IOException {
-        begin(Step.CREATE);
+        beginStep(Step.CREATE);
         SYSTEM.create(file);
-        created(file);
+        recordCreated(file);
     }
 
     @Override
     public synchronized void create(Path file, Set<PosixFilePermission> permissions)
             throws IOException {
-        begin(Step.CREATE);
+        beginStep(Step.CREATE);
         SYSTEM.create(file, permissions);
-        created(file);
+        recordCreated(file);
     }
 
-    private void created(Path file) {
-        namesNotSynced.add(new NameChange(file.getParent(), () -> Files.deleteIfExists(file)));
+    private void recordCreated(Path file) {
+        unsyncedNames.add(new NameChange(file.getParent(), () -> Files.deleteIfExists(file)));
     }
 
     @Override
     public synchronized void write(Path file, byte[] content) throws IOException {
         try {
-            begin(Step.WRITE);
+            beginStep(Step.WRITE);
         } catch (IOException | Killed e) {
-            SYSTEM.write(file, half(content));
+            SYSTEM.write(file, firstHalf(content));
             throw e;
         }
         SYSTEM.write(file, content);
-        contentsNotSynced.put(file, content);
+        unsyncedContents.put(file, content);
     }
 
     @Override
-    public synchronized void force(Path file) throws IOException {
-        begin(Step.FORCE);
-        SYSTEM.force(file);
-        contentsNotSynced.remove(file);
+    public synchronized void sync(Path file) throws IOException {
+        beginStep(Step.SYNC);
+        SYSTEM.sync(file);
+        unsyncedContents.remove(file);
     }
 
     @Override
-    public synchronized void forceFolder(Path folder) throws IOException {
-        begin(Step.FORCE_FOLDER);
-        SYSTEM.forceFolder(folder);
-        namesNotSynced.removeIf(change -> change.folder().equals(folder));
+    public synchronized void syncDirectory(Path directory) throws IOException {
+        beginStep(Step.SYNC_DIRECTORY);
+        SYSTEM.syncDirectory(directory);
+        unsyncedNames.removeIf(change -> change.directory().equals(directory));
     }
 
     @Override
     public synchronized void rename(Path file, Path to) throws IOException {
-        begin(Step.RENAME);
+        beginStep(Step.RENAME);
         byte[] before = Files.exists(to) ? Files.readAllBytes(to) : null;
         SYSTEM.rename(file, to);
-        namesNotSynced.add(new NameChange(to.getParent(), () -> restore(to, before)));
-        byte[] lost = contentsNotSynced.remove(file);
+        unsyncedNames.add(new NameChange(to.getParent(), () -> restore(to, before)));
+        byte[] lost = unsyncedContents.remove(file);
         if (lost != null) {
-            contentsNotSynced.put(to, lost);
+            unsyncedContents.put(to, lost);
         }
     }
 
     @Override
     public synchronized void delete(Path file) throws IOException {
-        begin(Step.DELETE);
+        beginStep(Step.DELETE);
         byte[] before = Files.exists(file) ? Files.readAllBytes(file) : null;
         SYSTEM.delete(file);
         if (before != null) {
-            namesNotSynced.add(new NameChange(file.getParent(), () -> restore(file, before)));
+            unsyncedNames.add(new NameChange(file.getParent(), () -> restore(file, before)));
         }
     }
 
--- a/src/test/java/cacheproxy/stream/FramesTest.java
+++ b/src/test/java/cacheproxy/stream/FrameCodecTest.java
@@ -8,7 +8,7 @@
 import cacheproxy.stream.Change.Purge;
 import cacheproxy.stream.Message.Ack;
 import cacheproxy.stream.Message.Batch;
-import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Heartbeat;
 import cacheproxy.stream.Message.Hello;
 import cacheproxy.stream.Message.Row;
 import cacheproxy.stream.Message.Snapshot;
@@ -22,9 +22,9 @@
 /**
  * What is written is read again, its length is known beforehand, and what is no frame is refused.
  */
-class FramesTest {
+class FrameCodecTest {
 
-    private static final List<Message> ALL =
+    private static final List<Message> MESSAGES =
             List.of(
                     new Hello("proxy-7", -3, -1, 24_576),
                     new Ack(0, Long.MAX_VALUE, -1),
@@ -37,21 +37,22 @@
                                     new Epoch(300, "[log]\nx = 1\n"))),
                     new Batch(1, List.of()),
                     new Snapshot(Long.MIN_VALUE, 16_384, Epoch.NONE),
-                    new Beat(-1, 12, 0),
-                    new Beat(5, 0, Integer.MAX_VALUE),
+                    new Heartbeat(-1, 12, 0),
+                    new Heartbeat(5, 0, Integer.MAX_VALUE),
                     new Tally(List.of()),
                     new Tally(List.of(new Row("a", 5), new Row("proxy-779", 337_000))));
 
     @Test
-    void whatIsWrittenIsReadAgain() {
-        for (Message m : ALL) {
-            assertEquals(m, Frames.decode(ByteBuffer.wrap(Frames.encode(m))));
+    void decodesWhatItEncodes() {
+        for (Message message : MESSAGES) {
+            assertEquals(message, FrameCodec.decode(ByteBuffer.wrap(FrameCodec.encode(message))));
         }
-        assertEquals(34, Frames.bytes(new Purge("/objects/0123456789abcdef/012345", false)));
+        assertEquals(
+                34, FrameCodec.encodedBytes(new Purge("/objects/0123456789abcdef/012345", false)));
     }
 
     @Test
-    void aChangesLengthIsKnownBeforehand() {
+    void computesEncodedLengthOfChange() {
         Random random = new Random(5);
         for (int i = 0; i < 2000; i++) {
             StringBuilder text = new StringBuilder();
@@ -62,38 +63,40 @@
                                         ? random.nextInt(128)
                                         : random.nextInt(0x10000)));
             }
-            Change c =
+            Change change =
                     random.nextBoolean()
                             ? new Epoch(random.nextLong() >>> random.nextInt(63), text.toString())
                             : new Purge(text.toString(), random.nextBoolean());
             ByteBuffer to = ByteBuffer.allocate(2000);
-            Frames.write(to, c);
-            assertEquals(to.position(), Frames.bytes(c), c.toString());
+            FrameCodec.writeChange(to, change);
+            assertEquals(to.position(), FrameCodec.encodedBytes(change), change.toString());
         }
-        assertTrue(Frames.fits(new Epoch(1, "x".repeat(16_384))));
-        assertTrue(!Frames.fits(new Epoch(1, "€".repeat(16_384))));
+        assertTrue(FrameCodec.isEncodable(new Epoch(1, "x".repeat(16_384))));
+        assertTrue(!FrameCodec.isEncodable(new Epoch(1, "€".repeat(16_384))));
     }
 
     @Test
-    void whatIsNoFrameIsRefusedWhereverItIsCutOrSpoilt() {
+    void rejectsTruncatedAndCorruptedFrames() {
         Random random = new Random(3);
-        for (Message m : ALL) {
-            byte[] frame = Frames.encode(m);
-            for (int cut = 0; cut < frame.length; cut++) {
-                ByteBuffer part = ByteBuffer.wrap(Arrays.copyOf(frame, cut));
+        for (Message message : MESSAGES) {
+            byte[] frame = FrameCodec.encode(message);
+            for (int length = 0; length < frame.length; length++) {
+                ByteBuffer part = ByteBuffer.wrap(Arrays.copyOf(frame, length));
                 assertThrows(
                         IllegalArgumentException.class,
-                        () -> Frames.decode(part),
-                        m + " cut at " + cut);
+                        () -> FrameCodec.decode(part),
+                        message + " cut at " + length);
             }
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> Frames.decode(ByteBuffer.wrap(Arrays.copyOf(frame, frame.length + 1))));
+                    () ->
+                            FrameCodec.decode(
+                                    ByteBuffer.wrap(Arrays.copyOf(frame, frame.length + 1))));
             for (int i = 0; i < 500; i++) {
-                byte[] spoilt = frame.clone();
-                spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 + random.nextInt(255));
+                byte[] corrupted = frame.clone();
+                corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
                 try {
-                    Frames.decode(ByteBuffer.wrap(spoilt));
+                    FrameCodec.decode(ByteBuffer.wrap(corrupted));
                 } catch (IllegalArgumentException expected) {
                     // Or another message: only nothing else may be thrown.
                     continue;
--- a/src/test/java/cacheproxy/stream/SubscriberTest.java
+++ b/src/test/java/cacheproxy/stream/SubscriberTest.java
@@ -9,10 +9,10 @@
 import cacheproxy.stream.Change.Purge;
 import cacheproxy.stream.Message.Ack;
 import cacheproxy.stream.Message.Batch;
-import cacheproxy.stream.Message.Beat;
+import cacheproxy.stream.Message.Heartbeat;
 import cacheproxy.stream.Message.Hello;
 import cacheproxy.stream.Message.Snapshot;
-import cacheproxy.stream.Subscriber.What;
+import cacheproxy.stream.Subscriber.SubscriberEvent;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -26,13 +26,13 @@
 
     private static final List<String> SERVERS = List.of("a", "b", "c", "d");
 
-    private final class Seen implements Subscriber.Out {
+    private final class RecordingSubscriberActions implements Subscriber.SubscriberActions {
         final List<String> connects = new ArrayList<>();
         final List<Message> sent = new ArrayList<>();
         final List<Long> applied = new ArrayList<>();
-        final List<What> events = new ArrayList<>();
+        final List<SubscriberEvent> events = new ArrayList<>();
         int attempt;
-        boolean keeps = true;
+        boolean storesEntries = true;
 
         @Override
         public void connect(String server, int attempt) {
@@ -53,20 +53,20 @@
 
         @Override
         public boolean apply(List<Entry> entries) {
-            if (keeps) {
+            if (storesEntries) {
                 entries.forEach(e -> applied.add(e.seq()));
             }
-            return keeps;
+            return storesEntries;
         }
 
         @Override
         public boolean reset(Snapshot snapshot) {
-            return keeps;
+            return storesEntries;
         }
 
         @Override
-        public void event(What what, String server) {
-            events.add(what);
+        public void event(SubscriberEvent event, String server) {
+            events.add(event);
         }
     }
 
@@ -77,21 +77,21 @@
                     0,
                     0,
                     now);
-    private final Seen out = new Seen();
+    private final RecordingSubscriberActions actions = new RecordingSubscriberActions();
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         for (double end = now + ms; now < end; now += 10) {
-            subscriber.tick(now, out);
+            subscriber.tick(now, actions);
         }
     }
 
-    private void open() {
-        pass(300);
-        subscriber.connected(now, out.attempt, out);
+    private void openConnection() {
+        advance(300);
+        subscriber.connected(now, actions.attempt, actions);
     }
 
-    private void hear(Message m) {
-        subscriber.received(now, out.attempt, m, out);
+    private void receive(Message message) {
+        subscriber.received(now, actions.attempt, message, actions);
     }
 
     private static Batch batch(long first, int count) {
@@ -103,129 +103,134 @@
     }
 
     @Test
-    void entriesAreAppliedOnceAndInOrderAndAGapEndsTheConnection() {
-        open();
-        assertEquals(new Hello("proxy-1", 0, -1, 10_000), out.sent.get(0));
-        hear(batch(1, 1));
-        assertEquals(List.of(), out.applied, "before it knows where it is nothing is taken");
-        open();
-        hear(new Snapshot(9, 4, Epoch.NONE));
-        hear(batch(5, 3));
-        hear(batch(5, 3));
-        hear(batch(4, 6));
-        hear(new Snapshot(9, 6, Epoch.NONE));
-        assertEquals(List.of(5L, 6L, 7L, 8L, 9L), out.applied);
-        subscriber.received(now, out.attempt - 1, batch(10, 1), out);
+    void appliesEntriesOnceInOrderAndDisconnectsOnGap() {
+        openConnection();
+        assertEquals(new Hello("proxy-1", 0, -1, 10_000), actions.sent.get(0));
+        receive(batch(1, 1));
+        assertEquals(List.of(), actions.applied, "before it knows where it is nothing is taken");
+        openConnection();
+        receive(new Snapshot(9, 4, Epoch.NONE));
+        receive(batch(5, 3));
+        receive(batch(5, 3));
+        receive(batch(4, 6));
+        receive(new Snapshot(9, 6, Epoch.NONE));
+        assertEquals(List.of(5L, 6L, 7L, 8L, 9L), actions.applied);
+        subscriber.received(now, actions.attempt - 1, batch(10, 1), actions);
         assertEquals(9, subscriber.applied(), "from a connection that is over");
-        hear(batch(11, 1));
-        assertEquals(What.GAP, out.events.get(out.events.size() - 1));
-        open();
-        assertEquals(9, ((Hello) out.sent.get(out.sent.size() - 1)).cursor());
-        assertEquals(2, out.events.stream().filter(What.GAP::equals).count());
+        receive(batch(11, 1));
+        assertEquals(SubscriberEvent.SEQUENCE_GAP, actions.events.get(actions.events.size() - 1));
+        openConnection();
+        assertEquals(9, ((Hello) actions.sent.get(actions.sent.size() - 1)).cursor());
+        assertEquals(
+                2, actions.events.stream().filter(SubscriberEvent.SEQUENCE_GAP::equals).count());
     }
 
     @Test
-    void whatCouldNotBeKeptIsNotConfirmedAndComesAgain() {
-        open();
-        hear(new Snapshot(9, 0, Epoch.NONE));
-        out.keeps = false;
-        hear(batch(1, 2));
+    void doesNotAcknowledgeEntriesThatCouldNotBeStored() {
+        openConnection();
+        receive(new Snapshot(9, 0, Epoch.NONE));
+        actions.storesEntries = false;
+        receive(batch(1, 2));
         assertEquals(0, subscriber.applied());
-        assertEquals(What.UNKEPT, out.events.get(out.events.size() - 1));
-        out.keeps = true;
-        open();
-        hear(batch(1, 2));
-        assertEquals(List.of(1L, 2L), out.applied);
+        assertEquals(SubscriberEvent.NOT_STORED, actions.events.get(actions.events.size() - 1));
+        actions.storesEntries = true;
+        openConnection();
+        receive(batch(1, 2));
+        assertEquals(List.of(1L, 2L), actions.applied);
     }
 
     @Test
-    void itKnowsHowOldItsViewMayBe() {
-        open();
-        hear(new Snapshot(9, 0, Epoch.NONE));
-        pass(600);
+    void computesAgeOfItsView() {
+        openConnection();
+        receive(new Snapshot(9, 0, Epoch.NONE));
+        advance(600);
         Ack ask =
                 (Ack)
-                        out.sent.stream()
+                        actions.sent.stream()
                                 .filter(m -> m instanceof Ack a && a.stamp() >= 0)
                                 .reduce((x, y) -> y)
                                 .orElseThrow();
-        hear(new Beat(ask.stamp(), 2, 30));
+        receive(new Heartbeat(ask.stamp(), 2, 30));
         assertEquals(Double.NEGATIVE_INFINITY, subscriber.asOf(), "entries are on the way");
-        hear(batch(1, 1));
+        receive(batch(1, 1));
         assertEquals(Double.NEGATIVE_INFINITY, subscriber.asOf());
-        hear(batch(2, 1));
+        receive(batch(2, 1));
         assertEquals(ask.stamp() - 30, subscriber.asOf());
-        hear(new Beat(ask.stamp() - 400, 2, 0));
+        receive(new Heartbeat(ask.stamp() - 400, 2, 0));
         assertEquals(ask.stamp() - 30, subscriber.asOf(), "never back");
     }
 
     @Test
-    void aSilentServerIsLeftAndSoIsOneThatIsBehindWhileThereAreOthers() {
-        open();
-        String first = out.connects.get(0);
-        pass(1300);
-        assertEquals(What.LOST, out.events.get(out.events.size() - 1));
-        open();
-        assertFalse(out.connects.get(out.connects.size() - 1).equals(first));
-        hear(new Beat(-1, 0, 60_000));
-        assertEquals(What.STALE, out.events.get(out.events.size() - 1));
+    void leavesSilentServerAndStaleServerIfThereIsAnother() {
+        openConnection();
+        String first = actions.connects.get(0);
+        advance(1300);
+        assertEquals(
+                SubscriberEvent.CONNECTION_LOST, actions.events.get(actions.events.size() - 1));
+        openConnection();
+        assertFalse(actions.connects.get(actions.connects.size() - 1).equals(first));
+        receive(new Heartbeat(-1, 0, 60_000));
+        assertEquals(SubscriberEvent.SERVER_STALE, actions.events.get(actions.events.size() - 1));
         assertNull(subscriber.server());
         for (int i = 0; i < 40; i++) {
-            pass(250);
-            subscriber.connected(now, out.attempt, out);
-            hear(new Beat(-1, 0, 60_000));
+            advance(250);
+            subscriber.connected(now, actions.attempt, actions);
+            receive(new Heartbeat(-1, 0, 60_000));
         }
         assertTrue(
-                out.connects.size() < 24,
-                "where all are behind it goes from one to another less and less: " + out.connects);
+                actions.connects.size() < 24,
+                "where all are behind it goes from one to another less and less: "
+                        + actions.connects);
     }
 
     @Test
-    void allowanceFollowsThePaceAndTheServersShareAlike() {
-        open();
-        hear(new Snapshot(9, 0, Epoch.NONE));
+    void limitsAllowanceToRateAndSpreadsSubscribersEvenly() {
+        openConnection();
+        receive(new Snapshot(9, 0, Epoch.NONE));
         long allowed = 0;
-        double began = now;
-        long taken = Frames.costBytes(new Snapshot(9, 0, Epoch.NONE));
+        double startMs = now;
+        long receivedBytes = FrameCodec.costBytes(new Snapshot(9, 0, Epoch.NONE));
         for (long seq = 1; seq < 20_000; ) {
-            pass(50);
-            hear(new Beat(-1, 0, 0));
+            advance(50);
+            receive(new Heartbeat(-1, 0, 0));
             allowed =
-                    out.sent.stream()
+                    actions.sent.stream()
                             .filter(Ack.class::isInstance)
                             .mapToLong(m -> ((Ack) m).allowedBytes())
                             .max()
                             .orElse(0);
             Batch next = batch(seq, 100);
-            if (taken + Frames.costBytes(next) > allowed) {
-                if (now - began > 20_000) {
+            if (receivedBytes + FrameCodec.costBytes(next) > allowed) {
+                if (now - startMs > 20_000) {
                     break;
                 }
                 continue;
             }
-            taken += Frames.costBytes(next);
-            hear(next);
+            receivedBytes += FrameCodec.costBytes(next);
+            receive(next);
             seq += 100;
             assertTrue(
-                    allowed <= 10_000 + (now - began + 300) * 1000 / 1000,
-                    allowed + " after " + (now - began));
+                    allowed <= 10_000 + (now - startMs + 300) * 1000 / 1000,
+                    allowed + " after " + (now - startMs));
         }
-        assertTrue(taken > 25_000, "" + taken);
-        Map<String, Integer> first = new HashMap<>();
+        assertTrue(receivedBytes > 25_000, "" + receivedBytes);
+        Map<String, Integer> firstConnects = new HashMap<>();
         for (int i = 0; i < 780; i++) {
-            Subscriber s =
+            Subscriber other =
                     new Subscriber(
                             new Subscriber.Parts(
                                     "proxy-" + i, SERVERS, 1000, 10_000, new Random(i)),
                             0,
                             0,
                             0);
-            Seen seen = new Seen();
+            RecordingSubscriberActions recorded = new RecordingSubscriberActions();
             for (double t = 0; t < 300; t += 10) {
-                s.tick(t, seen);
+                other.tick(t, recorded);
             }
-            first.merge(seen.connects.get(0), 1, Integer::sum);
+            firstConnects.merge(recorded.connects.get(0), 1, Integer::sum);
         }
-        assertTrue(first.values().stream().allMatch(n -> n > 160 && n < 235), first.toString());
+        assertTrue(
+                firstConnects.values().stream().allMatch(n -> n > 160 && n < 235),
+                firstConnects.toString());
     }
 }
--- a/src/test/java/cacheproxy/stream/wire/StreamClientTest.java
+++ b/src/test/java/cacheproxy/stream/wire/StreamClientTest.java
@@ -7,7 +7,7 @@
 import cacheproxy.stream.Subscriber;
 import cacheproxy.syscalls.Errno;
 import cacheproxy.syscalls.FaultSchedule;
-import cacheproxy.syscalls.FaultyProvider;
+import cacheproxy.syscalls.FaultySelectorProvider;
 import cacheproxy.syscalls.SystemCall;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -31,15 +31,15 @@
 
     private static final String SERVER = "server";
     private static final int FAILURES = 3;
-    private static final int PATIENCE_MS = 30_000;
+    private static final int TIMEOUT_MS = 30_000;
 
-    private final FaultSchedule calls = new FaultSchedule();
+    private final FaultSchedule faults = new FaultSchedule();
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(
-                    1, NioIoHandler.newFactory(new FaultyProvider(new FaultSchedule())));
+                    1, NioIoHandler.newFactory(new FaultySelectorProvider(new FaultSchedule())));
     private final EventLoop loop = group.next();
 
-    private static final class Ignored implements StreamClient.Sink {
+    private static final class DiscardingSink implements StreamClient.Sink {
         @Override
         public boolean apply(List<Entry> entries) {
             return true;
@@ -65,7 +65,7 @@
         boolean subscribed = false;
         while (!subscribed) {
             try (Socket connection = server.accept()) {
-                connection.setSoTimeout(PATIENCE_MS);
+                connection.setSoTimeout(TIMEOUT_MS);
                 subscribed = connection.getInputStream().read() >= 0;
             }
         }
@@ -73,33 +73,33 @@
 
     @ParameterizedTest
     @EnumSource(names = {"SOCKET", "CONFIGURE", "CONNECT", "FINISH_CONNECT"})
-    void aConnectionThatCannotBeMadeIsTriedAgain(SystemCall call) throws Exception {
+    void retriesConnectionAfterSystemCallFailure(SystemCall call) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            server.setSoTimeout(PATIENCE_MS);
-            calls.fail(call, Errno.ENOBUFS, FAILURES);
+            server.setSoTimeout(TIMEOUT_MS);
+            faults.fail(call, Errno.ENOBUFS, FAILURES);
             Subscriber subscriber =
                     new Subscriber(
                             new Subscriber.Parts(
                                     "proxy",
                                     List.of(SERVER),
-                                    Subscriber.PACE_BYTES_PER_S,
+                                    Subscriber.RATE_BYTES_PER_S,
                                     Subscriber.BURST_BYTES,
                                     new Random(1)),
                             0,
                             0,
                             now());
-            FaultyProvider provider = new FaultyProvider(calls);
+            FaultySelectorProvider provider = new FaultySelectorProvider(faults);
             StreamClient client =
                     new StreamClient(
                             loop,
                             Map.of(SERVER, (InetSocketAddress) server.getLocalSocketAddress()),
                             subscriber,
                             StreamClientTest::now,
-                            new Ignored(),
+                            new DiscardingSink(),
                             () -> new NioSocketChannel(provider));
             loop.submit(client::start).get();
             awaitSubscription(server);
-            assertEquals(FAILURES, calls.failed(call));
+            assertEquals(FAILURES, faults.failureCount(call));
             loop.submit(client::close).get();
         }
     }
--- a/src/test/java/cacheproxy/syscalls/Errno.java
+++ b/src/test/java/cacheproxy/syscalls/Errno.java
@@ -19,16 +19,16 @@
     ETIMEDOUT("Connection timed out"),
     EHOSTUNREACH("No route to host");
 
-    private final String text;
+    private final String message;
 
-    Errno(String text) {
-        this.text = text;
+    Errno(String message) {
+        this.message = message;
     }
 
     /** The exception for this error of {@code call}; a new one each time. */
     public IOException exception(SystemCall call) {
         return switch (call) {
-            case ACCEPT, READ, WRITE, CONFIGURE, EPOLL_CREATE, SELECT -> new IOException(text);
+            case ACCEPT, READ, WRITE, CONFIGURE, EPOLL_CREATE, SELECT -> new IOException(message);
             case SOCKET, BIND, CONNECT, FINISH_CONNECT, RECVFROM, SENDTO -> socketException();
         };
     }
@@ -39,10 +39,10 @@
      */
     public SocketException socketException() {
         return switch (this) {
-            case ETIMEDOUT -> new ConnectException(text);
-            case EHOSTUNREACH -> new NoRouteToHostException(text);
-            case EADDRNOTAVAIL -> new BindException(text);
-            default -> new SocketException(text);
+            case ETIMEDOUT -> new ConnectException(message);
+            case EHOSTUNREACH -> new NoRouteToHostException(message);
+            case EADDRNOTAVAIL -> new BindException(message);
+            default -> new SocketException(message);
         };
     }
 }
--- a/src/test/java/cacheproxy/syscalls/FaultSchedule.java
+++ b/src/test/java/cacheproxy/syscalls/FaultSchedule.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which calls of a {@link FaultyProvider}'s channels fail, and with what. Everything succeeds until
- * a test says otherwise; tests may change it from any thread.
+ * Which calls of a {@link FaultySelectorProvider}'s channels fail, and with what. Everything
+ * succeeds until a test says otherwise; tests may change it from any thread.
  */
 public final class FaultSchedule {
 
@@ -17,14 +17,14 @@
      * The error of a call, for so many calls and until so long; nanoseconds of {@link
      * System#nanoTime}.
      */
-    private record Fault(Errno errno, long calls, long until) {}
+    private record Fault(Errno errno, long remainingCalls, long untilNanos) {}
 
     private final Map<SystemCall, Fault> faults = new EnumMap<>(SystemCall.class);
-    private final Map<SystemCall, Integer> failed = new EnumMap<>(SystemCall.class);
-    private final Set<FaultySocketChannel> sockets = ConcurrentHashMap.newKeySet();
-    private int longestTransfer = Integer.MAX_VALUE;
-    private long writable = Long.MAX_VALUE;
-    private int interrupted;
+    private final Map<SystemCall, Integer> failureCounts = new EnumMap<>(SystemCall.class);
+    private final Set<FaultySocketChannel> openSockets = ConcurrentHashMap.newKeySet();
+    private int maxTransferBytes = Integer.MAX_VALUE;
+    private long remainingWriteBytes = Long.MAX_VALUE;
+    private int pendingInterrupts;
 
     /** The next {@code calls} of these fail. */
     public synchronized void fail(SystemCall call, Errno errno, long calls) {
@@ -42,47 +42,47 @@
     }
 
     /** Whatever was to fail succeeds from now on. */
-    public synchronized void heal() {
+    public synchronized void clearFaults() {
         faults.clear();
-        longestTransfer = Integer.MAX_VALUE;
-        writable = Long.MAX_VALUE;
+        maxTransferBytes = Integer.MAX_VALUE;
+        remainingWriteBytes = Long.MAX_VALUE;
     }
 
     /** No read and no write moves more bytes than this at once. */
-    public synchronized void shorten(int bytes) {
-        longestTransfer = bytes;
+    public synchronized void limitTransfers(int bytes) {
+        maxTransferBytes = bytes;
     }
 
     /** So many bytes may be written still; after them the sockets' buffers are as good as full. */
-    public synchronized void allowWritten(long bytes) {
-        writable = bytes;
+    public synchronized void limitWrittenBytes(long bytes) {
+        remainingWriteBytes = bytes;
     }
 
     /** Whether anything may be written still. */
     public synchronized boolean mayWrite() {
-        return writable > 0;
+        return remainingWriteBytes > 0;
     }
 
     /**
      * The next so many waits return at once and tell of nothing, as those that a signal interrupts.
      */
-    public synchronized void interruptWaits(int waits) {
-        interrupted = waits;
+    public synchronized void interruptWaits(int count) {
+        pendingInterrupts = count;
     }
 
     /** How many of these calls have failed by this schedule so far. */
-    public synchronized int failed(SystemCall call) {
-        return failed.getOrDefault(call, 0);
+    public synchronized int failureCount(SystemCall call) {
+        return failureCounts.getOrDefault(call, 0);
     }
 
     /** Waits that were to be interrupted and have not come yet. */
-    public synchronized int interruptsLeft() {
-        return interrupted;
+    public synchronized int pendingInterrupts() {
+        return pendingInterrupts;
     }
 
     /** Channels that are open now. */
-    public int open() {
-        return sockets.size();
+    public int openCount() {
+        return openSockets.size();
     }
 
     /**
@@ -90,32 +90,32 @@
      * at once for that.
      */
     public void breakConnections(Errno errno) {
-        sockets.forEach(s -> s.breakWith(errno));
+        openSockets.forEach(socket -> socket.breakVisibly(errno));
     }
 
     /** The same, but the loop learns of it only where it reads or writes for another reason. */
-    public void breakConnectionsUnseen(Errno errno) {
-        sockets.forEach(s -> s.breakUnseen(errno));
+    public void breakConnectionsSilently(Errno errno) {
+        openSockets.forEach(socket -> socket.breakSilently(errno));
     }
 
     void opened(FaultySocketChannel socket) {
-        sockets.add(socket);
+        openSockets.add(socket);
     }
 
     void closed(FaultySocketChannel socket) {
-        sockets.remove(socket);
+        openSockets.remove(socket);
     }
 
-    synchronized boolean interruptsWait() {
-        if (interrupted == 0) {
+    synchronized boolean takeInterrupt() {
+        if (pendingInterrupts == 0) {
             return false;
         }
-        interrupted--;
+        pendingInterrupts--;
         return true;
     }
 
     /** Throws if this call is to fail. */
-    void before(SystemCall call) throws IOException {
+    void failIfScheduled(SystemCall call) throws IOException {
         Errno errno = takeFault(call);
         if (errno != null) {
             throw errno.exception(call);
@@ -127,29 +127,30 @@
         if (fault == null) {
             return null;
         }
-        boolean timed = fault.until() != Long.MAX_VALUE;
-        if (fault.calls() == 0 || timed && System.nanoTime() - fault.until() >= 0) {
+        boolean timed = fault.untilNanos() != Long.MAX_VALUE;
+        if (fault.remainingCalls() == 0 || timed && System.nanoTime() - fault.untilNanos() >= 0) {
             faults.remove(call);
             return null;
         }
         if (!timed) {
-            faults.put(call, new Fault(fault.errno(), fault.calls() - 1, fault.until()));
+            faults.put(
+                    call, new Fault(fault.errno(), fault.remainingCalls() - 1, fault.untilNanos()));
         }
-        failed.merge(call, 1, Integer::sum);
+        failureCounts.merge(call, 1, Integer::sum);
         return fault.errno();
     }
 
-    synchronized int longestRead() {
-        return longestTransfer;
+    synchronized int maxReadBytes() {
+        return maxTransferBytes;
     }
 
-    synchronized int longestWrite() {
-        return (int) Math.min(longestTransfer, writable);
+    synchronized int maxWriteBytes() {
+        return (int) Math.min(maxTransferBytes, remainingWriteBytes);
     }
 
-    synchronized void wrote(int bytes) {
-        if (writable != Long.MAX_VALUE) {
-            writable -= bytes;
+    synchronized void recordWritten(int bytes) {
+        if (remainingWriteBytes != Long.MAX_VALUE) {
+            remainingWriteBytes -= bytes;
         }
     }
 }
--- a/src/test/java/cacheproxy/syscalls/FaultyDatagramChannel.java
+++ b/src/test/java/cacheproxy/syscalls/FaultyDatagramChannel.java
@@ -14,133 +14,136 @@
 import java.util.Set;
 
 /** A datagram socket whose {@code recvfrom} and {@code sendto} fail by a schedule. */
-final class FaultyDatagramChannel extends DatagramChannel implements Wrapped {
+final class FaultyDatagramChannel extends DatagramChannel implements WrappedChannel {
 
-    private final DatagramChannel real;
+    private final DatagramChannel delegate;
     private final FaultSchedule schedule;
 
-    FaultyDatagramChannel(SelectorProvider provider, DatagramChannel real, FaultSchedule schedule) {
+    FaultyDatagramChannel(
+            SelectorProvider provider, DatagramChannel delegate, FaultSchedule schedule) {
         super(provider);
-        this.real = real;
+        this.delegate = delegate;
         this.schedule = schedule;
     }
 
     @Override
-    public SelectableChannel real() {
-        return real;
+    public SelectableChannel delegate() {
+        return delegate;
     }
 
     @Override
     public SocketAddress receive(ByteBuffer into) throws IOException {
-        schedule.before(SystemCall.RECVFROM);
-        return real.receive(into);
+        schedule.failIfScheduled(SystemCall.RECVFROM);
+        return delegate.receive(into);
     }
 
     @Override
     public int send(ByteBuffer from, SocketAddress target) throws IOException {
-        schedule.before(SystemCall.SENDTO);
-        return real.send(from, target);
+        schedule.failIfScheduled(SystemCall.SENDTO);
+        return delegate.send(from, target);
     }
 
     @Override
     public int read(ByteBuffer into) throws IOException {
-        schedule.before(SystemCall.RECVFROM);
-        return real.read(into);
+        schedule.failIfScheduled(SystemCall.RECVFROM);
+        return delegate.read(into);
     }
 
     @Override
     public long read(ByteBuffer[] into, int offset, int length) throws IOException {
-        schedule.before(SystemCall.RECVFROM);
-        return real.read(into, offset, length);
+        schedule.failIfScheduled(SystemCall.RECVFROM);
+        return delegate.read(into, offset, length);
     }
 
     @Override
     public int write(ByteBuffer from) throws IOException {
-        schedule.before(SystemCall.SENDTO);
-        return real.write(from);
+        schedule.failIfScheduled(SystemCall.SENDTO);
+        return delegate.write(from);
     }
 
     @Override
     public long write(ByteBuffer[] from, int offset, int length) throws IOException {
-        schedule.before(SystemCall.SENDTO);
-        return real.write(from, offset, length);
+        schedule.failIfScheduled(SystemCall.SENDTO);
+        return delegate.write(from, offset, length);
     }
 
     @Override
     public DatagramChannel bind(SocketAddress local) throws IOException {
-        schedule.before(SystemCall.BIND);
-        real.bind(local);
+        schedule.failIfScheduled(SystemCall.BIND);
+        delegate.bind(local);
         return this;
     }
 
     @Override
     public DatagramChannel connect(SocketAddress remote) throws IOException {
-        schedule.before(SystemCall.CONNECT);
-        real.connect(remote);
+        schedule.failIfScheduled(SystemCall.CONNECT);
+        delegate.connect(remote);
         return this;
     }
 
     @Override
     public DatagramChannel disconnect() throws IOException {
-        real.disconnect();
+        delegate.disconnect();
         return this;
     }
 
     @Override
     public <T> DatagramChannel setOption(SocketOption<T> name, T value) throws IOException {
-        real.setOption(name, value);
+        delegate.setOption(name, value);
         return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-        return real.getOption(name);
+        return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-        return real.supportedOptions();
+        return delegate.supportedOptions();
     }
 
     @Override
     public DatagramSocket socket() {
-        return real.socket();
+        return delegate.socket();
     }
 
     @Override
     public boolean isConnected() {
-        return real.isConnected();
+        return delegate.isConnected();
     }
 
     @Override
     public SocketAddress getRemoteAddress() throws IOException {
-        return real.getRemoteAddress();
+        return delegate.getRemoteAddress();
     }
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-        return real.getLocalAddress();
+        return delegate.getLocalAddress();
     }
 
     @Override
-    public MembershipKey join(InetAddress group, NetworkInterface at) throws IOException {
-        return real.join(group, at);
+    public MembershipKey join(InetAddress group, NetworkInterface networkInterface)
+            throws IOException {
+        return delegate.join(group, networkInterface);
     }
 
     @Override
-    public MembershipKey join(InetAddress group, NetworkInterface at, InetAddress source)
+    public MembershipKey join(
+            InetAddress group, NetworkInterface networkInterface, InetAddress source)
             throws IOException {
-        return real.join(group, at, source);
+        return delegate.join(group, networkInterface, source);
     }
 
     @Override
     protected void implCloseSelectableChannel() throws IOException {
-        real.close();
+        delegate.close();
     }
 
     @Override
     protected void implConfigureBlocking(boolean block) throws IOException {
-        schedule.before(SystemCall.CONFIGURE);
-        real.configureBlocking(block);
+        schedule.failIfScheduled(SystemCall.CONFIGURE);
+        delegate.configureBlocking(block);
     }
 }
--- a/src/test/java/cacheproxy/syscalls/FaultySelector.java
+++ b/src/test/java/cacheproxy/syscalls/FaultySelector.java
@@ -17,21 +17,22 @@
  */
 final class FaultySelector extends AbstractSelector {
 
-    private final Selector real;
+    private final Selector delegate;
     private final FaultSchedule schedule;
 
-    FaultySelector(SelectorProvider provider, Selector real, FaultSchedule schedule) {
+    FaultySelector(SelectorProvider provider, Selector delegate, FaultSchedule schedule) {
         super(provider);
-        this.real = real;
+        this.delegate = delegate;
         this.schedule = schedule;
     }
 
     @Override
     protected SelectionKey register(
             AbstractSelectableChannel channel, int operations, Object attachment) {
-        SelectableChannel target = channel instanceof Wrapped wrapped ? wrapped.real() : channel;
+        SelectableChannel target =
+                channel instanceof WrappedChannel wrapped ? wrapped.delegate() : channel;
         try {
-            return target.register(real, operations, attachment);
+            return target.register(delegate, operations, attachment);
         } catch (ClosedChannelException e) {
             throw new ClosedSelectorException();
         }
@@ -39,23 +40,23 @@
 
     @Override
     public Set<SelectionKey> keys() {
-        return real.keys();
+        return delegate.keys();
     }
 
     @Override
     public Set<SelectionKey> selectedKeys() {
-        return real.selectedKeys();
+        return delegate.selectedKeys();
     }
 
     @Override
     public int selectNow() throws IOException {
-        return real.selectNow();
+        return delegate.selectNow();
     }
 
     @Override
     public int select(long timeout) throws IOException {
-        schedule.before(SystemCall.SELECT);
-        return schedule.interruptsWait() ? 0 : real.select(timeout);
+        schedule.failIfScheduled(SystemCall.SELECT);
+        return schedule.takeInterrupt() ? 0 : delegate.select(timeout);
     }
 
     @Override
@@ -65,12 +66,12 @@
 
     @Override
     public Selector wakeup() {
-        real.wakeup();
+        delegate.wakeup();
         return this;
     }
 
     @Override
     protected void implCloseSelector() throws IOException {
-        real.close();
+        delegate.close();
     }
 }
--- a/src/test/java/cacheproxy/syscalls/FaultyProvider.java
+++ b/src/test/java/cacheproxy/syscalls/FaultySelectorProvider.java
@@ -14,60 +14,62 @@
  * also wait for channels of other providers, so that one event loop can have several schedules.
  * Pipes are the library's own.
  */
-public final class FaultyProvider extends SelectorProvider {
+public final class FaultySelectorProvider extends SelectorProvider {
 
-    private final SelectorProvider library = SelectorProvider.provider();
+    private final SelectorProvider defaultProvider = SelectorProvider.provider();
     private final FaultSchedule schedule;
 
-    public FaultyProvider(FaultSchedule schedule) {
+    public FaultySelectorProvider(FaultSchedule schedule) {
         this.schedule = schedule;
     }
 
     @Override
     public SocketChannel openSocketChannel() throws IOException {
-        schedule.before(SystemCall.SOCKET);
-        return new FaultySocketChannel(this, library.openSocketChannel(), schedule);
+        schedule.failIfScheduled(SystemCall.SOCKET);
+        return new FaultySocketChannel(this, defaultProvider.openSocketChannel(), schedule);
     }
 
     @Override
     public SocketChannel openSocketChannel(ProtocolFamily family) throws IOException {
-        schedule.before(SystemCall.SOCKET);
-        return new FaultySocketChannel(this, library.openSocketChannel(family), schedule);
+        schedule.failIfScheduled(SystemCall.SOCKET);
+        return new FaultySocketChannel(this, defaultProvider.openSocketChannel(family), schedule);
     }
 
     @Override
     public ServerSocketChannel openServerSocketChannel() throws IOException {
-        schedule.before(SystemCall.SOCKET);
-        return new FaultyServerSocketChannel(this, library.openServerSocketChannel(), schedule);
+        schedule.failIfScheduled(SystemCall.SOCKET);
+        return new FaultyServerSocketChannel(
+                this, defaultProvider.openServerSocketChannel(), schedule);
     }
 
     @Override
     public ServerSocketChannel openServerSocketChannel(ProtocolFamily family) throws IOException {
-        schedule.before(SystemCall.SOCKET);
+        schedule.failIfScheduled(SystemCall.SOCKET);
         return new FaultyServerSocketChannel(
-                this, library.openServerSocketChannel(family), schedule);
+                this, defaultProvider.openServerSocketChannel(family), schedule);
     }
 
     @Override
     public AbstractSelector openSelector() throws IOException {
-        schedule.before(SystemCall.EPOLL_CREATE);
-        return new FaultySelector(this, library.openSelector(), schedule);
+        schedule.failIfScheduled(SystemCall.EPOLL_CREATE);
+        return new FaultySelector(this, defaultProvider.openSelector(), schedule);
     }
 
     @Override
     public DatagramChannel openDatagramChannel() throws IOException {
-        schedule.before(SystemCall.SOCKET);
-        return new FaultyDatagramChannel(this, library.openDatagramChannel(), schedule);
+        schedule.failIfScheduled(SystemCall.SOCKET);
+        return new FaultyDatagramChannel(this, defaultProvider.openDatagramChannel(), schedule);
     }
 
     @Override
     public DatagramChannel openDatagramChannel(ProtocolFamily family) throws IOException {
-        schedule.before(SystemCall.SOCKET);
-        return new FaultyDatagramChannel(this, library.openDatagramChannel(family), schedule);
+        schedule.failIfScheduled(SystemCall.SOCKET);
+        return new FaultyDatagramChannel(
+                this, defaultProvider.openDatagramChannel(family), schedule);
     }
 
     @Override
     public Pipe openPipe() throws IOException {
-        return library.openPipe();
+        return defaultProvider.openPipe();
     }
 }
--- a/src/test/java/cacheproxy/syscalls/FaultyServerSocketChannel.java
+++ b/src/test/java/cacheproxy/syscalls/FaultyServerSocketChannel.java
@@ -11,70 +11,70 @@
 import java.util.Set;
 
 /** A listener whose calls fail as its schedule says; what it accepts goes by the same schedule. */
-final class FaultyServerSocketChannel extends ServerSocketChannel implements Wrapped {
+final class FaultyServerSocketChannel extends ServerSocketChannel implements WrappedChannel {
 
-    private final ServerSocketChannel real;
+    private final ServerSocketChannel delegate;
     private final FaultSchedule schedule;
 
     FaultyServerSocketChannel(
-            SelectorProvider provider, ServerSocketChannel real, FaultSchedule schedule) {
+            SelectorProvider provider, ServerSocketChannel delegate, FaultSchedule schedule) {
         super(provider);
-        this.real = real;
+        this.delegate = delegate;
         this.schedule = schedule;
     }
 
     @Override
-    public SelectableChannel real() {
-        return real;
+    public SelectableChannel delegate() {
+        return delegate;
     }
 
     @Override
     public SocketChannel accept() throws IOException {
-        schedule.before(SystemCall.ACCEPT);
-        SocketChannel accepted = real.accept();
+        schedule.failIfScheduled(SystemCall.ACCEPT);
+        SocketChannel accepted = delegate.accept();
         return accepted == null ? null : new FaultySocketChannel(provider(), accepted, schedule);
     }
 
     @Override
     public ServerSocketChannel bind(SocketAddress local, int backlog) throws IOException {
-        schedule.before(SystemCall.BIND);
-        real.bind(local, backlog);
+        schedule.failIfScheduled(SystemCall.BIND);
+        delegate.bind(local, backlog);
         return this;
     }
 
     @Override
     protected void implCloseSelectableChannel() throws IOException {
-        real.close();
+        delegate.close();
     }
 
     @Override
     protected void implConfigureBlocking(boolean block) throws IOException {
-        real.configureBlocking(block);
+        delegate.configureBlocking(block);
     }
 
     @Override
     public <T> ServerSocketChannel setOption(SocketOption<T> name, T value) throws IOException {
-        real.setOption(name, value);
+        delegate.setOption(name, value);
         return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-        return real.getOption(name);
+        return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-        return real.supportedOptions();
+        return delegate.supportedOptions();
     }
 
     @Override
     public ServerSocket socket() {
-        return real.socket();
+        return delegate.socket();
     }
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-        return real.getLocalAddress();
+        return delegate.getLocalAddress();
     }
 }
--- a/src/test/java/cacheproxy/syscalls/FaultySocketChannel.java
+++ b/src/test/java/cacheproxy/syscalls/FaultySocketChannel.java
@@ -11,50 +11,50 @@
 import java.util.Set;
 
 /** A connection whose calls fail, move fewer bytes or find it broken as its schedule says. */
-final class FaultySocketChannel extends SocketChannel implements Wrapped {
+final class FaultySocketChannel extends SocketChannel implements WrappedChannel {
 
-    private final SocketChannel real;
+    private final SocketChannel delegate;
     private final FaultSchedule schedule;
-    private volatile Errno broken;
+    private volatile Errno breakError;
 
-    FaultySocketChannel(SelectorProvider provider, SocketChannel real, FaultSchedule schedule) {
+    FaultySocketChannel(SelectorProvider provider, SocketChannel delegate, FaultSchedule schedule) {
         super(provider);
-        this.real = real;
+        this.delegate = delegate;
         this.schedule = schedule;
         schedule.opened(this);
     }
 
     @Override
-    public SelectableChannel real() {
-        return real;
+    public SelectableChannel delegate() {
+        return delegate;
     }
 
     /** From now on every read and write fails with this; no selector is told. */
-    void breakUnseen(Errno errno) {
-        broken = errno;
+    void breakSilently(Errno errno) {
+        breakError = errno;
     }
 
     /** The same, and the selector sees the connection as ready, as it would for an error. */
-    void breakWith(Errno errno) {
-        breakUnseen(errno);
+    void breakVisibly(Errno errno) {
+        breakSilently(errno);
         try {
-            real.shutdownInput();
+            delegate.shutdownInput();
         } catch (IOException e) {
             // Not connected, or closed meanwhile: the next call tells.
         }
     }
 
     private void failIfBroken(SystemCall call) throws IOException {
-        if (broken != null) {
-            throw broken.exception(call);
+        if (breakError != null) {
+            throw breakError.exception(call);
         }
     }
 
     @Override
     public boolean connect(SocketAddress remote) throws IOException {
         try {
-            schedule.before(SystemCall.CONNECT);
-            return real.connect(remote);
+            schedule.failIfScheduled(SystemCall.CONNECT);
+            return delegate.connect(remote);
         } catch (IOException e) {
             close();
             throw e;
@@ -64,8 +64,8 @@
     @Override
     public boolean finishConnect() throws IOException {
         try {
-            schedule.before(SystemCall.FINISH_CONNECT);
-            return real.finishConnect();
+            schedule.failIfScheduled(SystemCall.FINISH_CONNECT);
+            return delegate.finishConnect();
         } catch (IOException e) {
             close();
             throw e;
@@ -75,11 +75,11 @@
     @Override
     public int read(ByteBuffer into) throws IOException {
         failIfBroken(SystemCall.READ);
-        schedule.before(SystemCall.READ);
+        schedule.failIfScheduled(SystemCall.READ);
         int limit = into.limit();
-        into.limit(into.position() + Math.min(into.remaining(), schedule.longestRead()));
+        into.limit(into.position() + Math.min(into.remaining(), schedule.maxReadBytes()));
         try {
-            return real.read(into);
+            return delegate.read(into);
         } finally {
             into.limit(limit);
         }
@@ -98,12 +98,12 @@
     @Override
     public int write(ByteBuffer from) throws IOException {
         failIfBroken(SystemCall.WRITE);
-        schedule.before(SystemCall.WRITE);
+        schedule.failIfScheduled(SystemCall.WRITE);
         int limit = from.limit();
-        from.limit(from.position() + Math.min(from.remaining(), schedule.longestWrite()));
+        from.limit(from.position() + Math.min(from.remaining(), schedule.maxWriteBytes()));
         try {
-            int written = real.write(from);
-            schedule.wrote(written);
+            int written = delegate.write(from);
+            schedule.recordWritten(written);
             return written;
         } finally {
             from.limit(limit);
@@ -123,53 +123,53 @@
     @Override
     protected void implCloseSelectableChannel() throws IOException {
         schedule.closed(this);
-        real.close();
+        delegate.close();
     }
 
     @Override
     protected void implConfigureBlocking(boolean block) throws IOException {
-        schedule.before(SystemCall.CONFIGURE);
-        real.configureBlocking(block);
+        schedule.failIfScheduled(SystemCall.CONFIGURE);
+        delegate.configureBlocking(block);
     }
 
     @Override
     public SocketChannel bind(SocketAddress local) throws IOException {
-        schedule.before(SystemCall.BIND);
-        real.bind(local);
+        schedule.failIfScheduled(SystemCall.BIND);
+        delegate.bind(local);
         return this;
     }
 
     @Override
     public <T> SocketChannel setOption(SocketOption<T> name, T value) throws IOException {
-        real.setOption(name, value);
+        delegate.setOption(name, value);
         return this;
     }
 
     @Override
     public <T> T getOption(SocketOption<T> name) throws IOException {
-        return real.getOption(name);
+        return delegate.getOption(name);
     }
 
     @Override
     public Set<SocketOption<?>> supportedOptions() {
-        return real.supportedOptions();
+        return delegate.supportedOptions();
     }
 
     @Override
     public SocketChannel shutdownInput() throws IOException {
-        real.shutdownInput();
+        delegate.shutdownInput();
         return this;
     }
 
     @Override
     public SocketChannel shutdownOutput() throws IOException {
-        real.shutdownOutput();
+        delegate.shutdownOutput();
         return this;
     }
 
     @Override
     public Socket socket() {
-        return broken == null ? real.socket() : new BrokenSocket();
+        return breakError == null ? delegate.socket() : new BrokenSocket();
     }
 
     /** Tells nothing of the end that {@link #breakWith} has the selector see. */
@@ -181,37 +181,37 @@
 
         @Override
         public boolean isOutputShutdown() {
-            return real.socket().isOutputShutdown();
+            return delegate.socket().isOutputShutdown();
         }
 
         @Override
         public SocketAddress getLocalSocketAddress() {
-            return real.socket().getLocalSocketAddress();
+            return delegate.socket().getLocalSocketAddress();
         }
 
         @Override
         public SocketAddress getRemoteSocketAddress() {
-            return real.socket().getRemoteSocketAddress();
+            return delegate.socket().getRemoteSocketAddress();
         }
     }
 
     @Override
     public boolean isConnected() {
-        return real.isConnected();
+        return delegate.isConnected();
     }
 
     @Override
     public boolean isConnectionPending() {
-        return real.isConnectionPending();
+        return delegate.isConnectionPending();
     }
 
     @Override
     public SocketAddress getRemoteAddress() throws IOException {
-        return real.getRemoteAddress();
+        return delegate.getRemoteAddress();
     }
 
     @Override
     public SocketAddress getLocalAddress() throws IOException {
-        return real.getLocalAddress();
+        return delegate.getLocalAddress();
     }
 }
