--- a/src/main/java/cacheproxy/DecisionModule.java
+++ b/src/main/java/cacheproxy/DecisionModule.java
@@ -28,104 +28,119 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of cacheproxy; its events, actions and types stand in Router.java beside this
- * file.
+ * Decision logic of the proxy. Its events, actions and types are declared in Router.java, in the
+ * same directory.
  *
- * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hash; on a miss it
- * draws a token and fetches from the origin. A write draws on arrival. One hysteresis level,
- * stepped once an interval from the outcomes of our own fetches, sets how fast the token bank
- * refills; an empty bank refuses at once and its last token is kept for higher worth. Everything
- * else below is health, time and the rules.
+ * <p>A read goes to the less loaded of the two cache nodes that rank highest for its key by
+ * rendezvous hashing; after a miss it takes a token and is fetched from the origin. A write takes a
+ * token on arrival. One hysteresis controller, updated once per control interval from the outcomes
+ * of this proxy's own fetches, sets the refill rate of the token bucket. An empty bucket rejects at
+ * once, and its last token is reserved for requests of higher priority. The rest of this class
+ * covers node health, timing and repetition rules.
  */
 public final class DecisionModule implements Router {
 
     private static final double MS_PER_S = 1000;
 
     /**
-     * Length of a control interval: long enough for a sample, short against an overload of seconds.
+     * Length of a control interval: long enough for a sufficient sample of fetches, short compared
+     * with an overload of several seconds.
      */
     static final double CONTROL_INTERVAL_MS = 1000;
 
-    /** When a refused client may come again where no bank sets a pace. */
+    /** Retry-After advice for a rejected request while no token bucket limits the rate. */
     static final double DEFAULT_RETRY_AFTER_MS = 100;
 
-    /**
-     * Usual times of a fetch that a request must have left for one, and the part that goes with
-     * less.
-     */
+    /** A request is fetched only if its remaining time is at least this many mean fetch times. */
     static final double MIN_REMAINING_FETCH_TIMES = 2;
 
+    /** Fraction of the requests with less remaining time that are fetched anyway. */
     static final double SHORT_BUDGET_FETCH_FRACTION = 0.05;
 
-    /** What an interval leaves of the usual time of a fetch, before its own answers count. */
+    /**
+     * Factor by which the mean fetch time decays per control interval before new fetches update it.
+     */
     static final double FETCH_TIME_DECAY = 0.7;
 
-    /** Tokens the bank holds: a few, so that a pause buys no burst. */
+    /** Capacity of the token bucket in tokens: small, so that a pause does not allow a burst. */
     static final double TOKEN_BUCKET_CAPACITY = 4;
 
-    /** Weight of a new value in running means; faster at nodes that are paced. */
+    /** Weight of a new value in running means. */
     static final double SMOOTHING = 0.1;
 
+    /** The same at nodes with a concurrency limit below 1, which get few attempts to learn from. */
     static final double PACED_SMOOTHING = 0.3;
 
-    /** Failures in a row before a node is spared, and how long, doubling up to the last. */
+    /**
+     * Consecutive failures that eject a node. The ejection time doubles from {@link
+     * #BASE_EJECTION_MS} to {@link #MAX_EJECTION_MS}.
+     */
     static final int EJECTION_FAILURES = 2;
 
     /**
-     * Running share of errors above which a node is spared though it answers, and the weight of an
-     * outcome: one that spoils half of its answers has no failures in a row. Prevents a repeat for
-     * each of them; could harm where errors come from the requests and not the node.
+     * Running error rate above which a node is ejected although it answers: a node that fails half
+     * of its answers rarely has consecutive failures. Without this, each of these errors costs a
+     * retry. Can eject a healthy node if the requests cause the errors.
      */
     static final double EJECTION_ERROR_RATE = 0.35;
 
+    /**
+     * Weight of an outcome in the error rate that is compared with {@link #EJECTION_ERROR_RATE}.
+     */
     static final double RECENT_ERROR_SMOOTHING = 0.1;
 
     /**
-     * Weight of an attempt in a node's running share of broken connections: about two seconds'
-     * worth.
+     * Weight of an attempt in a node's rates of broken connections and of errors: they cover about
+     * the last two seconds.
      */
     static final double FAILURE_RATE_SMOOTHING = 0.02;
 
     /**
-     * Share of connections that break at the median cache node from which on the network is at
-     * fault.
+     * Rate of broken connections, or of errors, at the median cache node above which the network is
+     * considered faulty.
      */
     static final double NETWORK_FAULT_RATE = 0.01;
 
     /**
-     * How unlikely a run of broken connections must be by the fleet's usual share to tell of its
-     * node.
+     * A streak of broken connections ejects its node only if the streak's probability at the
+     * fleet's median break rate is below this.
      */
     static final double OUTLIER_SIGNIFICANCE = 1e-5;
 
-    /** Part of the usual aim that a node's queue may take. */
+    /**
+     * Fraction of the latency objective (harmonic mean over requests) that queueing at one node may
+     * use.
+     */
     static final double MAX_QUEUE_FRACTION = 0.6;
 
     /**
-     * Power of their number by which balancers share a node's queue; over a half, as jams must end.
+     * The queue of a node is divided among the proxies by this power of their number. The exponent
+     * is above 0.5 because queues that have built up must drain.
      */
     static final double PROXY_COUNT_EXPONENT = 0.58;
 
-    /** How long a refused key is taken to be still missing, and how many such keys are kept. */
+    /** How long the key of a rejected fetch is assumed to be missing from the cache. */
     static final double KNOWN_MISS_TTL_MS = 3000;
 
+    /** Number of such keys that are remembered. */
     static final int MAX_KNOWN_MISSES = 1024;
 
-    /** How far from the middle a listed size may go, and a model's learned weight. */
+    /** Largest ratio of a node's listed size to the median size, and of the median to a size. */
     static final double MAX_SIZE_RATIO = 4;
 
+    /** Largest learned weight of a node model; its inverse is the smallest. */
     static final double MAX_MODEL_WEIGHT = 2;
 
     /**
-     * A new node is taken to need this part of the shortest aim for a request until it has answered
-     * some.
+     * Initial estimate of a node's service time, as a fraction of the shortest latency objective.
      */
     static final double INITIAL_SERVICE_TIME_FRACTION = 0.2;
 
     /**
-     * One of so many nodes may be spared at once. With half of them spared the others took twice
-     * their load, turned slow and stayed so, while some of the spared still answered most of what
-     * they got. Could harm where more nodes than that are dead: requests go on trying them.
+     * At most one in this many nodes may be ejected at a time. With half of the nodes ejected the
+     * others got twice their load, became slow and stayed slow, although some of the ejected nodes
+     * still answered most requests. If more nodes than that are dead, requests are still sent to
+     * some of them.
      */
     static final int MIN_NODES_PER_EJECTION = 3;
 
@@ -133,118 +148,130 @@
     static final double MAX_EJECTION_MS = 4000;
 
     /**
-     * How soon a node that peers doubt is probed again; a failed probe spares it for longer than
-     * that.
+     * Delay until a node that peers suspect, or that fails our probes, is probed again. Shorter
+     * than the ejection that a failed probe causes.
      */
     static final double REPROBE_DELAY_MS = 400;
 
     /**
-     * Of a cache attempt's remaining time, the part it may use while another attempt is still
+     * Fraction of the remaining time that a look-up may use while a further attempt is still
      * possible.
      */
     static final double NON_FINAL_TIMEOUT_FRACTION = 0.6;
 
     /**
-     * Part of the aim after which a request is taken for lost, where answers come sooner but for
-     * losses.
+     * Fraction of the latency objective after which an attempt is considered lost, at a node that
+     * either answers sooner than this or not at all.
      */
     static final double LOSS_TIMEOUT_FRACTION = 0.4;
 
-    /** Mean deviations by which an answer may be late and still be usual, as in TCP. */
-    static final double LATE_DEVIATIONS = 4;
-
     /**
-     * Weight of an attempt in a node's running share of silence; shares that count as losses and as
-     * dead.
+     * Mean deviations above the mean response time up to which a response is not late, as in TCP.
      */
+    static final double LATE_DEVIATIONS = 4;
+
+    /** Weight of an attempt in a node's timeout rate. */
     static final double TIMEOUT_RATE_SMOOTHING = 0.2;
 
+    /** Timeout rate above which a node counts as dead. */
     static final double DEAD_TIMEOUT_RATE = 0.5;
+
+    /** Timeout rate above which a node is considered to lose requests. */
     static final double LOSSY_NODE_TIMEOUT_RATE = 0.05;
 
     /**
-     * Weight of an attempt in the running share of silence over all nodes, and the share that
-     * counts as the network's losses. One attempt in a hundred lost at every node never shows at
-     * one of them for long.
+     * Weight of an attempt in the timeout rate over all nodes. The weight is small because a loss
+     * of one attempt in a hundred at every node is too rare to raise the rate of a single node for
+     * long.
      */
     static final double FLEET_TIMEOUT_RATE_SMOOTHING = 0.002;
 
+    /** Timeout rate over all nodes above which the network is considered lossy. */
     static final double LOSSY_NETWORK_TIMEOUT_RATE = 0.004;
 
     /**
-     * Times the mean hinted work from which on a request is heavy: silence then tells of its work.
+     * A request whose hinted work is more than this multiple of the mean is heavy: a missing answer
+     * may then be due to its own work.
      */
     static final double HEAVY_WORK_MULTIPLE = 4;
 
-    /** Open connections a node that cost the held price. */
+    /** Number of open connections per node that {@code connectionCost} is stated for. */
     static final double CONNECTIONS_PER_COST = 100;
 
     /**
-     * Keys of the latest requests, ours or told by peers, that are remembered, to tell a hot key.
+     * Number of recent keys that are remembered to detect hot keys, if proxies do not exchange
+     * keys.
      */
     static final int LOCAL_RECENT_KEYS = 64;
 
+    /** The same if proxies exchange keys. */
     static final int SHARED_RECENT_KEYS = 256;
 
     /**
-     * In a large fleet so many keys a node are remembered, as there a smaller share is hot: in a
-     * thousand nodes a key with a hundredth of all requests needs ten. The more nodes, the more
-     * pairs a key that came again by luck would be given; a longer memory is what tells luck.
+     * Recent keys that are remembered per cache node, if that is more. In a large fleet a key with
+     * a smaller share of the requests is hot: among a thousand nodes, a key with a hundredth of all
+     * requests needs ten. But the more nodes there are, the more pairs of nodes would be given to a
+     * key that recurs by chance; a longer memory tells chance from a hot key.
      */
     static final int RECENT_KEYS_PER_NODE = 4;
 
-    /** One in so many caches is what a hot key may be spread over, however few the balancers. */
+    /**
+     * A hot key may be spread over at least one in this many cache nodes, however few proxies there
+     * are.
+     */
     static final double MIN_HOT_KEY_SPREAD_DIVISOR = 4;
 
     /**
-     * How many peers hear of a request's key on average: a sample of all requests, at a bounded
-     * price.
+     * Mean number of peers that receive the key of a request. The keys are a sample of all
+     * requests, which bounds the cost of the messages.
      */
     static final double MEAN_KEY_RECIPIENTS = 24;
 
-    /** Keys told at once, as each message has a price of its own. */
+    /** Keys per message to the peers, as each message has a fixed cost. */
     static final int KEYS_PER_MESSAGE = 4;
 
     /**
-     * Sends to cache nodes, as a multiple of those answered, beyond which requests are turned away,
-     * and how steeply. Prevents collapse, where time-outs bring repeats that bring time-outs;
-     * failed connections and attempts left young don't count. Could harm where a few nodes are long
-     * silent: all pay a little.
+     * Ratio of look-ups sent to look-ups answered above which requests are rejected. Prevents the
+     * collapse in which time-outs cause retries that cause more time-outs. Failed connections and
+     * attempts cancelled early are not counted as sent. If a few nodes stay silent for long, a few
+     * requests to all nodes are rejected.
      */
     static final double MAX_SENDS_PER_ANSWER = 1.1;
 
+    /** Exponent that determines how steeply the admitted share falls beyond that ratio. */
     static final double SHEDDING_EXPONENT = 3;
 
     /**
-     * Part of the requests that goes on however little is answered. Without it a start whose first
-     * attempts all come too late refuses for ten seconds: too little goes out to outweigh the first
-     * silence.
+     * Smallest admitted share of requests, however few are answered. Without it, a proxy whose
+     * first attempts all miss their deadline rejects for ten seconds, because it sends too few
+     * further requests to outweigh these.
      */
     static final double MIN_ADMITTED_SHARE = 0.3;
 
     /**
-     * Answers a second that are taken for granted, so that a fleet that answers none is tried
-     * again.
+     * Answers per second that are assumed in addition, so that a fleet that answers nothing is
+     * tried again.
      */
     static final double ASSUMED_ANSWERS_PER_S = 0.05;
 
     /**
-     * Part of its due that a cold node gets, for what the stated warm-up and our view leave out.
+     * Factor on the share of requests that a node in slow start gets; a margin for what the stated
+     * slow-start time and this proxy's own view do not cover.
      */
     static final double SLOW_START_MARGIN = 0.7;
 
     /**
-     * Times a key that we did not see is taken to have come, as it may be hot for others, at a cold
-     * node.
+     * Assumed number of occurrences of a key that is not among the recent keys, at nodes in slow
+     * start: the key may be hot at other proxies.
      */
     static final double UNSEEN_KEY_COUNT = 0.25;
 
-    /** Pairs a hot key is given, for each node's worth of our requests that ask for it. */
+    /** Pairs of nodes for a hot key, per average node's load of our requests that ask for it. */
     static final double HOT_KEY_PAIRS_PER_NODE_LOAD = 2;
 
     /**
-     * How long a node back from an outage waits for a key of its own; then it gets the next read,
-     * and a miss.
+     * How long a node back from maintenance waits for a request by ordinary placement. After that
+     * it gets the next read, which misses.
      */
     static final double MAX_RESTORED_IDLE_MS = 2000;
 
@@ -266,35 +293,43 @@
     private final ServiceClass unknownClass;
     private final boolean hasOrigin;
 
-    /** The cache nodes that may be sent to, in the order of their ids. */
+    /** The cache nodes that may be used, ordered by ID. */
     private List<NodeView> caches = new ArrayList<>();
 
     /**
-     * Nodes that the list no longer names as up; those with attempts out stay in {@link #nodes}.
+     * Nodes that the endpoint list does not state as up. Those with attempts in flight stay in
+     * {@link #nodes}.
      */
     private final Set<NodeView> unlisted = new LinkedHashSet<>();
 
-    /** Of {@link #caches}, in their order, side by side: a pick reads all of them. */
+    /**
+     * Hashes of the IDs of {@link #caches}, in the same order, in one array because every pick
+     * reads all of them.
+     */
     private long[] cacheHashes = {};
 
+    /** Upper bounds of the weights of {@link #caches}, in the same order. */
     private double[] maxWeights = {};
 
-    /** Whether the caches have changed since the two were made of them. */
+    /** Whether {@link #caches} has changed since the two arrays were computed. */
     private boolean cachesChanged;
 
     private NodeView origin;
     private final MaintenanceRegistry maintenance = new MaintenanceRegistry();
 
-    /** Nodes whose outage has ended and that nothing was sent to since. */
+    /** Nodes back from maintenance that have had no attempt since, and the time of their return. */
     private final Map<NodeView, Double> restoredAt = new HashMap<>();
 
+    /** Reads that wait for capacity at their key's nodes. */
     private List<PendingRequest> waitingForCapacity = new ArrayList<>();
+
     private double intervalEndMs;
     private double meanPriorityWeight;
     private double meanWork;
 
     /**
-     * Running mean of 1 / aim over requests: the usual aim is harmonic, as short aims suffer first.
+     * Running mean of 1 / latency objective over requests. The mean objective is thus harmonic, as
+     * requests with short objectives are the first to miss them.
      */
     private double meanInverseObjective;
 
@@ -302,14 +337,17 @@
     private final boolean exchangesKeys;
 
     /**
-     * Whether a connection from each balancer would cost a node more than opening one for each
-     * request: gaps between uses have no memory, so then none is worth holding. Prevents full
-     * tables, which refuse, and the work that they take; could harm where opening is far dearer
-     * than its price.
+     * Whether idle connections are closed at once: true if one open connection from each proxy
+     * costs a node more than opening one per request. The gaps between uses are memoryless, so then
+     * keeping an idle connection never saves cost. Prevents full connection tables, which reject
+     * connections, and the work that they cause. Wrong if opening a connection costs far more than
+     * its stated price.
      */
     private final boolean closesIdleConnections;
 
+    /** Keys of our own requests that were not sent to the peers yet. */
     private final ByteBuffer outgoingKeys;
+
     private final DecayingRate cacheSendRate = new DecayingRate();
     private final DecayingRate cacheAnswerRate = new DecayingRate();
     private final DecayingRate requestRate = new DecayingRate();
@@ -319,23 +357,26 @@
             slowStartAdmission = SLOW_START_MARGIN;
 
     /**
-     * Share of attempts whose connection breaks at the median cache node. What breaks everywhere is
-     * the network's doing (short idle times, a lossy middlebox, resets) and tells nothing of a node
-     * or of the origin's load, so neither is judged by it; a node or an origin that breaks more
-     * than that still is. Could harm where one cause overruns all nodes at once and they cut
-     * connections instead of waiting.
+     * Rate of broken connections at the median cache node. Breaks that occur everywhere are due to
+     * the network (short idle timeouts, a lossy middlebox, resets) and say nothing about one node
+     * or the load of the origin, so neither is judged by them; a node or an origin with more breaks
+     * than that is. Wrong if one cause overloads all nodes at once and they close connections
+     * instead of answering late.
      */
     private double medianBreakRate;
 
-    /** The same of answers that are errors or make no sense. */
+    /** Rate of errors and malformed answers at the median cache node; used in the same way. */
     private double medianErrorRate;
 
+    /** Timeout rate over all nodes, and the mean fetch time. */
     private double fleetTimeoutRate, meanFetchMs;
+
     private final SlowStartBudget slowStart;
     private final GroupedRatio modelServiceTimesMs = new GroupedRatio();
     private boolean subscribed, capacityReduced;
     private int discoveryFailures;
 
+    /** Creates the logic of one proxy; {@code seed} determines its random decisions. */
     public DecisionModule(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
@@ -358,8 +399,7 @@
         this.meanInverseObjective = 1 / Math.max(1, shortestObjectiveMs);
         double shortestDeadlineMs =
                 settings.classes().stream().mapToDouble(ServiceClass::deadlineMs).min().orElse(1);
-        // A class that the settings do not name is taken to be worth little and never safe to
-        // repeat.
+        // A class that the settings do not name gets the lowest priority and is never repeated.
         this.unknownClass =
                 new ServiceClass(
                         "",
@@ -393,7 +433,8 @@
         if (kind == EndpointListKind.FAILED) {
             subscribed = false;
             discoveryFailures++;
-            // The first try comes soon: what a silent watch misses counts as told 6 s on.
+            // The first retry comes soon, because changes missed by a silent watch count as
+            // notified after 6 s.
             double retryDelayMs =
                     CONTROL_INTERVAL_MS * Math.min(8, Math.pow(4, discoveryFailures - 2));
             out.scheduleTimer(now + retryDelayMs * (0.5 + random.nextDouble()), "subscribe");
@@ -479,7 +520,7 @@
                                 - meanInverseObjective);
         out.scheduleTimer(pending.answerBy, "r" + request.id());
         if (!hasTime(now, pending)) {
-            // A try may come with no time left at all: a timer would answer it too late.
+            // A retry may arrive with no time left at all; a timer would answer it too late.
             rejectOrFail(now, pending, out);
         } else if (isKnownMiss(now, pending)
                 && !joinPendingFetch(pending)
@@ -530,8 +571,8 @@
                         default -> false;
                     };
             if (!wasFetch && answered) {
-                // An error too is an answer: a node that spoils some of its own is no fleet that is
-                // overrun.
+                // An error is an answer too: a node that returns some errors is not evidence of an
+                // overloaded fleet.
                 cacheAnswerRate.add(now, 1);
             } else if (!wasFetch
                     && (end.outcome().isConnectionFailure()
@@ -643,8 +684,9 @@
     }
 
     /**
-     * Peers doubt a node, or no longer do. Hearsay alone moves no request: it makes us probe at
-     * once, and wait briefly for attempts there; what the probe shows is then acted upon.
+     * Peers have begun or ceased to suspect a node. Their report alone moves no request: it only
+     * triggers an immediate probe and shortens the timeout of attempts there. The result of the
+     * probe is then acted upon.
      */
     @Override
     public void suspicionChanged(double now, String node, boolean suspected, Actions out) {
@@ -656,7 +698,8 @@
     }
 
     /**
-     * What waits at a node that neither peers nor our probe get a word of goes to another in time.
+     * Cancels late attempts at a node that answers neither peers nor our probes, so that another
+     * node is tried in time.
      */
     private void cancelLateAttempts(double now, NodeView node, Actions out) {
         for (PendingRequest pending :
@@ -673,6 +716,7 @@
         }
     }
 
+    /** Probes a node that peers suspect or that fails our probes, unless a probe is in flight. */
     private void probe(NodeView node, Actions out) {
         boolean shouldProbe = caches.contains(node) && (node.suspected || node.failsProbes);
         if (shouldProbe && settings.limits().probes() && !node.probing) {
@@ -697,7 +741,7 @@
                                 controller.refillRate()))
                 + (admittedShare >= 1
                         ? ""
-                        : String.format(Locale.ROOT, ", %.0f%% go on", 100 * admittedShare));
+                        : String.format(Locale.ROOT, ", %.0f%% admitted", 100 * admittedShare));
     }
 
     @Override
@@ -710,7 +754,10 @@
         return requests.size() + fetchWaiters.size() + waitingForCapacity.size();
     }
 
-    /** Sends a read to the less busy of its two top nodes, or holds it while we fetch its key. */
+    /**
+     * Sends a read to the less loaded of its two top nodes, or queues it behind a fetch of its key
+     * by this proxy.
+     */
     private void lookUp(double now, PendingRequest pending, Actions out) {
         if (joinPendingFetch(pending)) {
             return;
@@ -718,8 +765,8 @@
         NodeView node = chooseNode(now, pending);
         if (node != null) {
             double remainingMs = pending.answerBy - now;
-            // A heavy request that is repeated has its work done from the start once more, and is
-            // late.
+            // A heavy request that is retried would redo its work from the start and miss its
+            // deadline.
             boolean anotherAttemptPossible =
                     pending.attempts + 2 < settings.limits().maxAttempts()
                             && pending.request.key() >= 0
@@ -743,8 +790,7 @@
     }
 
     /**
-     * How long an attempt is waited for: its first briefly where silence would mean that it is
-     * lost.
+     * Timeout of an attempt: short for the first one where no answer would mean that it is lost.
      */
     private double attemptTimeoutMs(
             double now, PendingRequest pending, NodeView node, boolean firstAttempt) {
@@ -761,9 +807,9 @@
     }
 
     /**
-     * Reads that found their pair crowded wait here for a small part of their aim; higher worth
-     * first, then newest. Prevents refusals while nodes idle between bursts; a lasting overload
-     * costs each read the wait.
+     * Retries the reads that found no capacity at their two nodes and wait here for a small part of
+     * their latency objective: higher priority first, then newest. Prevents rejections while nodes
+     * idle between bursts. In a lasting overload each read pays the wait.
      */
     private void retryWaitingReads(double now, Actions out) {
         List<PendingRequest> waiting = waitingForCapacity;
@@ -787,7 +833,7 @@
                 && node.isUsable(now)
                 && mayRetry(now, pending)
                 && pending.sameNodeRetries++ == 0) {
-            // The node is fine and may hold the key: another would miss, and a miss is one more
+            // The node is healthy and may have the key; another node would miss, which costs a
             // fetch.
             lookUp(now, pending, out);
             return;
@@ -810,8 +856,8 @@
     }
 
     /**
-     * Fetches from the origin if a token is had; joins a fetch of ours that is out for the same
-     * key.
+     * Fetches from the origin if a token is available. Joins a fetch of the same key by this proxy
+     * if one is in flight.
      */
     private void fetch(double now, PendingRequest pending, Actions out) {
         if (origin == null
@@ -845,10 +891,10 @@
     }
 
     /**
-     * Whether a fetch would most likely end after its client has gone. Retries come with little
-     * time left; in a jam their fetches fill the origin's queue and nobody reads the answers. A few
-     * are tried all the same, and what is remembered of a jam fades, as answers alone tell that it
-     * has passed. Could harm where the origin's times spread widely.
+     * Whether a fetch would most likely end after its client has timed out. Retries arrive with
+     * little time left; in an overload their fetches fill the origin's queue and nobody reads the
+     * answers. A small fraction is fetched anyway, and the mean fetch time decays, because only
+     * answers show that the overload has passed. Wrong if the origin's response times vary widely.
      */
     private boolean wouldMissDeadline(double now, PendingRequest pending) {
         return pending.draw >= SHORT_BUDGET_FETCH_FRACTION
@@ -864,9 +910,9 @@
     }
 
     /**
-     * Whether a read is all but sure to need a fetch: while throttled, its key was refused lately.
-     * It draws on arrival, so that clients' retries cost no further misses. Could harm where
-     * another has filled it.
+     * Whether a read is almost certain to need a fetch: fetches are throttled and one of its key
+     * was rejected recently. Such a read takes its token on arrival, so that clients' retries cause
+     * no further misses. Wrong if another proxy has filled the cache meanwhile.
      */
     private boolean isKnownMiss(double now, PendingRequest pending) {
         boolean neverMissing =
@@ -876,10 +922,10 @@
     }
 
     /**
-     * Whether a node took no connection and said so at once: its table is full, of idle ones
-     * perhaps, which says nothing of the work that it has. One out of reach fails after the time
-     * for connecting. Could harm where an origin closes its door as the first sign of overload:
-     * late fetches alone then throttle.
+     * Whether a node refused a connection at once. Its connection table is full, perhaps of idle
+     * connections, which says nothing about its load. An unreachable node fails only after the
+     * connect timeout. If an origin refuses connections as the first sign of overload, only late
+     * fetches cause throttling.
      */
     private boolean isConnectionRefused(AttemptEnd end) {
         return end.outcome() == Outcome.CONNECT_FAILED
@@ -889,8 +935,8 @@
     private void afterFetch(double now, PendingRequest pending, AttemptEnd end, Actions out) {
         Outcome outcome = end.outcome();
         boolean retryable = outcome != Outcome.OK && outcome != Outcome.REJECTED;
-        // What the network breaks is repeated while throttled too: the token that it draws bounds
-        // the load.
+        // Fetches that the network broke are retried while throttled too: the token that a retry
+        // takes bounds the load.
         boolean retryAllowed =
                 controller.level == 0
                         || isConnectionRefused(end)
@@ -903,6 +949,10 @@
         }
     }
 
+    /**
+     * Queues a read behind a fetch of its key by this proxy; returns false if there is none to join
+     * or it has joined one before.
+     */
     private boolean joinPendingFetch(PendingRequest pending) {
         boolean unshareable = pending.request.key() < 0 || pending.request.write();
         List<PendingRequest> waiting = unshareable ? null : fetchWaiters.get(pending.request.key());
@@ -915,10 +965,11 @@
     }
 
     /**
-     * After a fetch, those held for it go to the filled node, or on as if they had come just now.
-     * Where the origin was out of reach and the one that fetched has given up, so have they: one
-     * after the other would find out the same, with the last waiting for all. Could harm where it
-     * is back at that moment.
+     * Resumes the reads that waited for a fetch. After a successful fetch they go to the node that
+     * it filled; otherwise they proceed as if they had just arrived. If the origin was unreachable
+     * and the request that fetched has given up, they are rejected too: one after another would run
+     * into the same failure, and the last would wait for all of them. Wrong if the origin becomes
+     * reachable at that moment.
      */
     private void resumeWaiting(
             double now,
@@ -946,9 +997,10 @@
     }
 
     /**
-     * While nodes are out or cold their keys crowd the others. A read with a crowded pair then goes
-     * to a node with half of its places free, unless fetches are throttled. Could harm where all
-     * are overrun.
+     * Chooses a node for a read. While nodes are absent or in slow start, their keys crowd the
+     * others. A read without capacity at its two nodes may then go to any node with half of its
+     * concurrency limit free, unless fetches are throttled. Can add load if all nodes are
+     * overloaded.
      */
     private NodeView chooseNode(double now, PendingRequest pending) {
         NodeView node = chooseNode(now, pending, false);
@@ -966,7 +1018,8 @@
         long keyHash = mix(pending.placementKey);
         for (int i = 0; i < cacheHashes.length; i++) {
             double uniform = unit(cacheHashes[i] ^ keyHash);
-            // As ln(u) <= u - 1: what could not win with its whole share needs no logarithm.
+            // Since ln(u) <= u - 1, a node that could not win even with its largest weight needs no
+            // logarithm.
             if (maxWeights[i] <= secondScore * (1 - uniform)) {
                 continue;
             }
@@ -1021,10 +1074,11 @@
     }
 
     /**
-     * A key that came again within our latest requests is hot: it counts as several keys, each with
-     * a pair of its own, as many as keep each node's part of it under a part of its usual work.
-     * Prevents jams where one key needs more than a pair and no balancer has enough in flight to
-     * see it. Could harm where a key comes again by luck: it costs a miss for each pair.
+     * Records the key of a request and spreads a hot key. A key that occurs among the recent keys
+     * is hot: it is treated as several keys, each with its own pair of nodes, so many that each
+     * node's part of its requests stays below a fraction of the node's usual load. Prevents queues
+     * where one key needs more than two nodes and no single proxy has enough requests in flight to
+     * notice. A key that recurs by chance costs one miss per pair.
      */
     private void recordKey(PendingRequest pending, Actions out) {
         int key = (int) mix(pending.request.key());
@@ -1082,14 +1136,20 @@
         out.send(pending.request.id(), node.entry.id(), Math.max(1, timeoutMs));
     }
 
-    /** How many requests of mean work it counts as, by its hint; one that is over counts as one. */
+    /**
+     * The request's work in units of mean work, by its hint; a request that has ended counts as
+     * one.
+     */
     private double workUnitsOf(PendingRequest pending) {
         return pending == null || meanWork <= 0
                 ? 1
                 : SlowStartBudget.workUnits(pending.request.workMs() / meanWork);
     }
 
-    /** The one final answer that we give: a refusal where it is a true promise, else a failure. */
+    /**
+     * Gives the final answer: a rejection if the request can safely be sent again, otherwise a
+     * failure.
+     */
     private void rejectOrFail(double now, PendingRequest pending, Actions out) {
         requests.remove(pending.request.id());
         cancelWork(now, pending, out);
@@ -1111,7 +1171,7 @@
         }
     }
 
-    /** Stops what is still out for a request that is over, and lets others fetch its key. */
+    /** Cancels the attempt in flight of a request that has ended, and lets others fetch its key. */
     private void cancelWork(double now, PendingRequest pending, Actions out) {
         if (pending.inFlight && settings.limits().cancel()) {
             out.cancel(pending.request.id(), pending.attempts - 1);
@@ -1142,6 +1202,10 @@
         return pending.answerBy - now > answerMarginMs;
     }
 
+    /**
+     * Ends a control interval: updates the hysteresis level, the token rate and the admitted
+     * shares.
+     */
     private void endControlInterval(double now) {
         if (now < intervalEndMs) {
             return;
@@ -1158,8 +1222,8 @@
         tokenBucket.setRate(now, controller.refillRate());
         updateModelWeights();
         double answered = cacheAnswerRate.perS(now) + ASSUMED_ANSWERS_PER_S;
-        // Young attempts tell nothing yet; a balancer with few requests would refuse on their
-        // account.
+        // Recent attempts carry no information yet; counting them, a proxy with few requests would
+        // reject.
         long recentAttempts =
                 requests.values().stream().filter(pending -> pending.isYoung(now)).count();
         answeredShare =
@@ -1197,9 +1261,9 @@
     }
 
     /**
-     * A fetch that is out past its aim is bad already; waiting for its end would tell of a full
-     * origin only once its queue has been as long as the clients' patience. Also tells of an origin
-     * that has stopped.
+     * Counts a fetch as bad as soon as it has missed its latency objective. Waiting for its end
+     * would reveal an overloaded origin only once its queue is as long as the clients' timeouts.
+     * Also detects an origin that has stopped answering.
      */
     private void countOverdueFetches(double now) {
         for (PendingRequest pending : requests.values()) {
@@ -1215,10 +1279,10 @@
     }
 
     /**
-     * Where the list tells no sizes, nodes of a model that answers slower get fewer keys. By model
-     * and slowly, so that all balancers come to nearly the same weights and keys keep their nodes.
-     * Prevents slow models from being crowded while fast ones idle; could harm where a model is
-     * slow for a short while.
+     * Gives fewer keys to nodes of a model that answers more slowly, if the endpoint list states no
+     * sizes. Weights are learned per model and slowly, so that all proxies reach nearly the same
+     * weights and keys keep their nodes. Prevents overload of slow models while fast ones idle.
+     * Wrong if a model is slow only for a short time.
      */
     private void updateModelWeights() {
         if (settings.weights() == Weights.SIZE) {
@@ -1241,7 +1305,10 @@
         refreshMaxWeights();
     }
 
-    /** Class gain, by work where value is, cut for what a tenant sends beyond its quota. */
+    /**
+     * The class's gain, multiplied by the work if the settings say so, and reduced for requests
+     * beyond the tenant's quota.
+     */
     private double priorityWeight(double now, Request request, ServiceClass service) {
         double weight = service.gain();
         weight *= settings.weightByWork() && request.workMs() > 0 ? request.workMs() : 1;
@@ -1251,11 +1318,11 @@
     }
 
     /**
-     * Makes anew of all nodes what {@link #place} keeps up with a change: the work grows with the
-     * fleet.
+     * Rebuilds from all nodes what {@link #updateCacheList} maintains incrementally; the cost grows
+     * with the fleet.
      */
     private void rebuildCacheList() {
-        // Ids that left never come back, and on a long day there is no end to new ones.
+        // IDs of nodes that left are not reused, and over a long run their number is unbounded.
         nodes.values().removeIf(node -> !node.listed && hasDeparted(node));
         unlisted.clear();
         List<NodeView> cacheNodes = new ArrayList<>();
@@ -1278,8 +1345,8 @@
     }
 
     /**
-     * Puts one node whose entry has changed into the caches or takes it out. A release changes
-     * thousands of nodes one by one within seconds, so this must not walk all of them.
+     * Adds one node whose entry has changed to the cache nodes, or removes it. A rollout changes
+     * thousands of nodes one by one within seconds, so this must not iterate over all of them.
      */
     private void updateCacheList(NodeView node) {
         if (node.isOrigin() || node == origin) {
@@ -1314,8 +1381,8 @@
     }
 
     /**
-     * What a pick and a step read of all caches is made when it is read, once for all changes
-     * before.
+     * Recomputes the arrays derived from {@link #caches}: when they are read, once for all changes
+     * since the last time.
      */
     private void refreshCacheArrays() {
         if (!cachesChanged) {
@@ -1335,7 +1402,8 @@
     }
 
     /**
-     * Listed sizes, kept within a span of their median, so that an absurd one shuts no node out.
+     * Takes the listed sizes, limited to a range around their median, so that an absurd size
+     * excludes no node.
      */
     private void applyListedSizes() {
         double[] sizes =
@@ -1347,7 +1415,7 @@
         }
     }
 
-    /** What we know of a node. */
+    /** What this proxy knows about a node. */
     final class NodeView {
         final long hash;
         Node entry;
@@ -1355,9 +1423,14 @@
         double weight = 1;
         int inFlight;
         double consecutiveFailures;
+
+        /**
+         * Estimated service time of one request, and running rates of errors (fast and slow),
+         * broken connections and timeouts.
+         */
         double serviceTimeMs, recentErrorRate, breakRate, errorRate, timeoutRate;
 
-        /** Times of its answered attempts. */
+        /** Response times of its answered attempts. */
         final MeanDeviationEstimator responseTimes = new MeanDeviationEstimator(SMOOTHING);
 
         int ejections;
@@ -1366,7 +1439,7 @@
         boolean suspected, probing, failsProbes;
         double ejectedUntil;
 
-        /** Requests it has served, each as its work in requests of mean work. */
+        /** Work that it has served, in units of a request of mean work. */
         final DecayingRate servedWork = new DecayingRate();
 
         final Incarnation incarnation;
@@ -1378,6 +1451,7 @@
             this.serviceTimeMs = INITIAL_SERVICE_TIME_FRACTION * shortestObjectiveMs;
         }
 
+        /** Applies an entry of the endpoint list; a new incarnation starts without failures. */
         void update(double now, Node newEntry, boolean firstList) {
             if (incarnation.recordStatedStart(now, newEntry.startedAtMs(), firstList)) {
                 consecutiveFailures = 0;
@@ -1396,17 +1470,19 @@
             return hasOrigin && settings.originModel().equals(entry.model());
         }
 
+        /** Whether it is not ejected; on probation it takes one attempt at a time. */
         boolean isUsable(double now) {
             return now >= ejectedUntil && (!onProbation || inFlight == 0);
         }
 
         /**
-         * Whether it may take one more of ours now. Prevents jams: a node that holds too many turns
-         * slow and stays so. A queue most of the usual aim long is shared among the balancers by a
-         * power of their number, as their bursts seldom meet. Less than one place means a pause
-         * after each: a jammed node gets its rest also from many balancers that each send little.
-         * Low worth leaves the last of several places free. Could harm where one balancer carries
-         * nearly all traffic: it then refuses sooner than the node needs.
+         * Whether it has capacity for one more request from this proxy. Prevents overload: a node
+         * with too many requests becomes slow and stays slow. A queue as long as most of the
+         * latency objective is shared among the proxies by a power of their number, because their
+         * bursts rarely coincide. A limit below 1 means a pause after each request, so that an
+         * overloaded node recovers even if many proxies each send little. Requests of low priority
+         * leave the last of several places free. If one proxy carries nearly all traffic, it
+         * rejects earlier than the node requires.
          */
         boolean hasCapacity(double now, boolean lowPriority) {
             double limit =
@@ -1418,6 +1494,10 @@
                     : inFlight == 0 && now - lastAttemptEndMs >= serviceTimeMs * (1 / limit - 1);
         }
 
+        /**
+         * How many requests this proxy may have in flight there; below 1, the fraction of time with
+         * one in flight.
+         */
         private double concurrencyLimit() {
             double proxyCount = Math.max(1, settings.proxies());
             return MAX_QUEUE_FRACTION
@@ -1427,13 +1507,14 @@
         }
 
         /**
-         * Its capacity beside others of its model; a learned weight tells models apart, not nodes.
+         * Its capacity relative to others of its model. A learned weight distinguishes models, not
+         * nodes.
          */
         double relativeSize() {
             return settings.weights() == Weights.SIZE ? weight : 1;
         }
 
-        /** What the settings allow it now, in units of a warm node's capacity. */
+        /** Its currently permitted capacity, in units of a warm node of relative size 1. */
         double capacity(double now) {
             return relativeSize() * slowStartWeight(now) / weight;
         }
@@ -1442,6 +1523,7 @@
             return incarnation.ageMs(now) < settings.rules().slowStartMs();
         }
 
+        /** Its weight in the rendezvous hash, which grows linearly during slow start. */
         double slowStartWeight(double now) {
             double ageMs = incarnation.ageMs(now);
             double slowStartMs = settings.rules().slowStartMs();
@@ -1454,22 +1536,24 @@
         }
 
         /**
-         * Whether a cold node may take this request. Its cut weight already bounds the chance that
-         * a key is sent there; this bounds it for what a weight cannot: a key hotter than the
-         * node's part of all keys, and a crowd of requests and repeats that the fleet does not
-         * answer and that all see a free place at once. A chance and not a count, as counts round
-         * up and the balancers are many; drawn from the request's id, so that waiting buys no
-         * second draw. A key that none of our requests named may still be hot; fewer of those
-         * known, less of it goes here. Could harm where keys look hot by luck.
+         * Whether the node, if it is in slow start, may take this request. Its reduced weight
+         * already bounds the probability that a key is placed there. This bounds two cases that a
+         * weight cannot: a key whose share of requests exceeds the node's share of keys, and many
+         * requests and retries that the fleet does not answer and that all see a free place at
+         * once. It is a probability because counts are rounded up and there are many proxies; it is
+         * drawn from the request's ID, so that waiting gives no second draw. A key that none of our
+         * recent requests named may still be hot: the fewer keys are known, the fewer of these
+         * requests are admitted. Can reject requests for keys that look hot by chance.
          */
         boolean admitsDuringSlowStart(double now, PendingRequest pending) {
             return admitsDuringSlowStart(now, pending, true);
         }
 
         /**
-         * Whether a cold node may take this request in another's place. A busy node's requests go
-         * there by no weight, so they are bounded by our part of what all proxies may send it.
-         * Could harm where only cold nodes are free: beyond their budget requests are refused.
+         * Whether the node, if it is in slow start, may take this request in place of another node.
+         * Requests of a busy node are not placed by weight, so they are bounded by this proxy's
+         * share of what all proxies may send. If only nodes in slow start have capacity, requests
+         * beyond their budget are rejected.
          */
         boolean admitsOverflow(double now, PendingRequest pending) {
             return admitsDuringSlowStart(now, pending, false);
@@ -1488,7 +1572,8 @@
 
         private boolean withinSlowStartBudget(
                 double now, PendingRequest pending, boolean byPlacement) {
-            // By the middle of the window that ends now, as it gains capacity meanwhile.
+            // The capacity at the middle of the window that ends now, as it grows during the
+            // window.
             double capacity = capacity(now - settings.rules().slowStartWindowMs() / 2);
             return slowStart.allows(
                     now,
@@ -1500,6 +1585,7 @@
                     byPlacement);
         }
 
+        /** Updates the node's health by the outcome of an attempt. */
         void recordOutcome(double now, AttemptEnd end, List<NodeView> cacheNodes) {
             inFlight = Math.max(0, inFlight - 1);
             lastAttemptEndMs = now;
@@ -1529,7 +1615,8 @@
                     fleetTimeoutRate += FLEET_TIMEOUT_RATE_SMOOTHING * (1 - fleetTimeoutRate);
                     recordServiceTime(Math.max(end.elapsedMs(), serviceTimeMs * (inFlight + 1)));
                     timeoutRate += TIMEOUT_RATE_SMOOTHING * (1 - timeoutRate);
-                    // A node that drops one request in four often drops two in a row and is of use.
+                    // A node that drops one request in four often drops two in a row and is still
+                    // useful.
                     countFailure(now, cacheNodes, timeoutRate > DEAD_TIMEOUT_RATE ? 1 : 0);
                 }
                 case ERROR -> {
@@ -1543,11 +1630,12 @@
         }
 
         /**
-         * Whether it answers quickly or not at all: then silence means that the request is lost,
-         * and it is repeated within its aim. Guards against machines and links that drop some of
-         * what they are sent while the list calls them fine. A node that is slow answers late
-         * before it falls silent, and keeps its time; so does one that answers nothing, as it needs
-         * rest and no repeats. Could harm where a few requests take far longer than all others.
+         * Whether it answers quickly or not at all: a missing answer then means that the request is
+         * lost, and it is retried within its latency objective. Handles machines and links that
+         * drop some requests while the endpoint list states them as healthy. A node that is merely
+         * slow answers late before it stops answering, and keeps the full timeout; so does a node
+         * that answers nothing, because it needs less load and no retries. Wrong if a few requests
+         * take far longer than all others.
          */
         boolean losesRequests(double latencyObjectiveMs) {
             return (timeoutRate > LOSSY_NODE_TIMEOUT_RATE
@@ -1559,8 +1647,8 @@
         }
 
         /**
-         * Learns from an attempt's time; faster while paced, as few attempts are left to learn
-         * from.
+         * Updates the service time from the duration of an attempt, faster below a concurrency
+         * limit of 1, as few attempts are left to learn from.
          */
         private void recordServiceTime(double elapsedMs) {
             double sampleMs = elapsedMs >= 0 ? elapsedMs / (inFlight + 1) : serviceTimeMs;
@@ -1570,10 +1658,10 @@
         }
 
         /**
-         * Spares a node after failures in a row, whatever their kind: silent, cut off, full or
-         * stalled, while the list still calls it fine. Never more than a part of the nodes, or
-         * those left would be overrun. Could harm where time-outs come from the requests and not
-         * the node.
+         * Counts a failure and ejects the node after consecutive failures of any kind: no answer,
+         * connection closed, connection table full, or stalled, while the endpoint list still
+         * states it as healthy. Only a part of all nodes is ejected at a time, or the rest would be
+         * overloaded. Wrong if time-outs are caused by the requests and not by the node.
          */
         private void countFailure(double now, List<NodeView> cacheNodes, double amount) {
             consecutiveFailures += amount;
@@ -1583,10 +1671,10 @@
         }
 
         /**
-         * Broken connections in a row that tell of this node and not of luck. Where a twelfth of
-         * all breaks, a fleet sees two in a row every second, and sparing for them moves keys to
-         * where they miss. Could harm where a node dies while the network breaks: a few more
-         * attempts then break at once.
+         * Consecutive broken connections that are unlikely to be chance and therefore eject this
+         * node. If one connection in twelve breaks, a fleet sees two breaks in a row every second,
+         * and an ejection for them moves keys to nodes that miss. If a node dies while the network
+         * is faulty, a few more attempts fail at once.
          */
         private double ejectionBreakCount() {
             return medianBreakRate <= 0
@@ -1598,7 +1686,7 @@
                                             / Math.log(Math.min(0.5, medianBreakRate))));
         }
 
-        /** An own probe was answered: nothing in a row is left that would spare it. */
+        /** Clears the failure state after one of our own probes was answered. */
         void clearFailures() {
             consecutiveFailures = 0;
             onProbation = false;
@@ -1607,8 +1695,8 @@
         }
 
         /**
-         * Its outage is over. It was started anew meanwhile: cold from now if no list has told of
-         * it.
+         * Ends its maintenance. The node was restarted meanwhile: unless a list has stated a new
+         * start, its slow start begins now.
          */
         void endMaintenance(double now, double maintenanceSince) {
             clearFailures();
@@ -1616,6 +1704,10 @@
             restoredAt.put(this, now);
         }
 
+        /**
+         * Ejects the node for a time that doubles with {@code doublings}, unless too many are
+         * ejected. The origin is never ejected.
+         */
         private void eject(double now, List<NodeView> cacheNodes, int doublings) {
             if (isOrigin()) {
                 return;
--- a/src/main/java/cacheproxy/HysteresisController.java
+++ b/src/main/java/cacheproxy/HysteresisController.java
@@ -3,80 +3,97 @@
 import static cacheproxy.measure.Samples.excessOverChance;
 
 /**
- * The hysteresis level of admission and the base rate that its refill rates are multiples of. Fetch
- * outcomes are counted over an interval and judged at its end: the level rises where many were bad
- * and falls where few were. Rates are fetches a second.
+ * Hysteresis controller for fetch admission. It keeps the level and the base rate; the token
+ * bucket's refill rate is a multiple of the base rate. Fetch outcomes are counted over a control
+ * interval and evaluated at its end: the level rises if many were bad and falls if few were. Rates
+ * are fetches per second.
  */
 final class HysteresisController {
 
-    /** Shares of bad fetches above which the level rises and below which it falls. */
+    /** Share of bad fetches above which the level rises. */
     static final double RISE_THRESHOLD = 0.10;
 
+    /** Share of bad fetches below which the level falls. */
     static final double FALL_THRESHOLD = 0.05;
 
-    /** Fewer outcomes than this in an interval are a thin sample. */
+    /** Fewer outcomes than this in an interval are too small a sample. */
     static final int MIN_SAMPLE_SIZE = 4;
 
-    /** Standard deviations by which broken fetches may exceed what breaks elsewhere. */
+    /**
+     * Standard deviations by which failed fetches must exceed the number expected from the cache
+     * nodes' failure rate.
+     */
     static final double CHANCE_DEVIATIONS = 2;
 
     /**
-     * Intervals that a thin sample with a bad fetch waits to grow where balancers outnumber nodes.
+     * Intervals over which a small sample with a bad fetch is accumulated if there are more proxies
+     * than nodes.
      */
     static final int MAX_ACCUMULATED_INTERVALS = 6;
 
-    /** Refill rates of levels 1 and up, as multiples of the base. */
+    /** Refill rates of levels 1 and up, as multiples of the base rate. */
     static final double[] RATE_MULTIPLES = {1.25, 1.0, 0.8, 0.6, 0.45, 0.3};
 
-    /** What is left of the base after an interval at level 0 that did not reach it. */
+    /** Factor on the base rate after an interval at level 0 that did not reach it. */
     static final double BASE_DECAY = 0.98;
 
     /**
-     * Growth of the base in an interval that could go to level 0 but in which the bank still
-     * refused: level 0 would let all that in at once and throttle again. Could harm where the
-     * origin recovers at a bound.
+     * Factor on the base rate after an interval that could return to level 0 but in which the token
+     * bucket still rejected requests: level 0 would admit all of them at once and throttle again.
+     * Delays recovery if the origin recovers abruptly.
      */
     static final double BASE_GROWTH = 1.15;
 
     /**
-     * Intervals with a sample that the base is learned from before the level may rise for the first
-     * time. A base that has seen little is far too low: a start with a few late fetches then
-     * refused most misses for half a minute. Could harm where a balancer starts while the origin is
-     * slow.
+     * Intervals with a sufficient sample that the base rate is learned from before the level may
+     * rise for the first time. A base rate learned from fewer is far too low: a start with a few
+     * late fetches then rejected most misses for half a minute. Delays throttling if a proxy starts
+     * while the origin is slow.
      */
     static final int MIN_LEARNING_INTERVALS = 4;
 
-    /** Smoothing of the rate whose peak the base is: one interval's peak is mostly luck. */
+    /**
+     * Smoothing of the rate whose peak is the base rate, as the peak of a single interval is mostly
+     * chance.
+     */
     static final double RATE_SMOOTHING = 0.3;
 
-    /** No base is lower, in fetches a second: a balancer that saw little must still try. */
+    /**
+     * Smallest base rate in fetches per second: a proxy that has seen little traffic must still
+     * fetch.
+     */
     static final double MIN_BASE_RATE = 1;
 
     int level;
+
+    /**
+     * The smallest base rate in effect; below {@link #MIN_BASE_RATE} if there are more proxies than
+     * nodes.
+     */
     double minBaseRate = MIN_BASE_RATE;
+
     double baseRate = MIN_BASE_RATE;
 
     /**
-     * Fetches of this interval that were cut off, and those answered with an error; {@link #judge}
-     * says how many count as bad.
+     * Fetches of this interval whose connection broke, and those answered with an error; {@link
+     * #countUnexplainedFailures} determines how many of them are bad.
      */
     int brokenFetches, errorFetches;
 
     private double smoothedRate = -1;
     private int good, bad, accumulatedIntervals, learnedIntervals;
 
-    /** Counts a fetch that tells of the origin's load. */
+    /** Counts a fetch whose outcome depends on the origin's load. */
     void count(boolean wasGood) {
         good += wasGood ? 1 : 0;
         bad += wasGood ? 0 : 1;
     }
 
     /**
-     * Of broken and of spoilt fetches only those count, as bad, that neither the share which the
-     * caches have too nor chance explains: a network that breaks connections or answers says
-     * nothing of the origin's load, while an origin that cuts off what it can't take must still be
-     * throttled. Could harm where origin and caches are overrun alike: late answers and time-outs
-     * alone then throttle.
+     * Counts as bad those broken and failed fetches that are explained neither by the cache nodes'
+     * failure rates nor by chance. A network that breaks connections or answers says nothing about
+     * the origin's load, but an origin that closes connections it cannot serve must be throttled.
+     * If origin and caches are overloaded alike, only late answers and time-outs throttle.
      */
     void countUnexplainedFailures(double medianBreakRate, double medianErrorRate) {
         int all = good + bad + brokenFetches + errorFetches;
@@ -87,7 +104,7 @@
         errorFetches = 0;
     }
 
-    /** Ends an interval in which the token bucket refused so many. */
+    /** Ends a control interval in which the token bucket rejected {@code failedTakes} requests. */
     void endInterval(double intervalMs, int failedTakes) {
         int all = good + bad;
         if (level == 0) {
@@ -119,7 +136,7 @@
         bad = 0;
     }
 
-    /** The refill rate of the token bucket; infinite at level 0. */
+    /** The refill rate of the token bucket in tokens per second; infinite at level 0. */
     double refillRate() {
         return level == 0 ? Double.POSITIVE_INFINITY : baseRate * RATE_MULTIPLES[level - 1];
     }
--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Starts the program: {@code serve} is one real proxy, {@code benchlink} the same decisions on the
- * bench's wire, {@code rehearse} a start that ends at once. These three are taken apart by hand, so
- * that a start on part of a core pays nothing for the command line; everything else goes to {@link
- * cacheproxy.cli.Cli}.
+ * Entry point. {@code serve} runs a proxy, {@code benchlink} runs the decision module behind the
+ * simulator's wire protocol, and {@code rehearse} starts a proxy and stops it at once. These three
+ * are parsed by hand, so that a start on a fraction of a core does not load the command-line
+ * library; everything else is passed to {@link cacheproxy.cli.Cli}.
  */
 public final class Main {
 
@@ -35,7 +35,7 @@
                 && (args.length == 1 || args.length == 3 && args[1].equals("--options"))) {
             serve(args.length == 1 ? null : args[2]);
         } else if (command.equals("rehearse") && args.length == 1) {
-            // As serve does, so that the class archive holds what that loads.
+            // As serve does, so that the class archive contains the classes that this loads.
             Log.configure(Options.DEFAULTS.log());
             Service.rehearse();
         } else if (command.equals("benchlink") && args.length == 1) {
@@ -51,22 +51,21 @@
             return cacheproxy.cli.Cli.run(args);
         } catch (NoClassDefFoundError e) {
             System.err.println(
-                    "usage: java -jar cache-proxy.jar serve|benchlink|rehearse; ./flintmill knows further commands");
+                    "usage: java -jar cache-proxy.jar serve|benchlink|rehearse, or ./flintmill");
             return EXIT_USAGE;
         }
     }
 
     private static void serve(String optionsFile) throws InterruptedException {
-        // Before the first client can be told that the proxy is ready: without a handler SIGHUP
-        // ends the process.
+        // Installed before the proxy can report ready: without a handler SIGHUP ends the process.
         CompletableFuture<Service> started = new CompletableFuture<>();
         Map<String, String> environment = System.getenv();
         Runnable reload = () -> started.thenAccept(s -> s.reload(environment));
         ConfigFileWatch configWatch =
                 HangupSignal.handle(reload) ? null : new ConfigFileWatch(environment);
-        // SIGTERM runs this hook; the process ends when the hook does, so it waits until nothing is
-        // owed. One that comes before
-        // clients can, finds nothing owed and forbids that they ever do.
+        // SIGTERM runs this hook. The process ends when the hook returns, so the hook waits until
+        // every request is answered. If it runs before clients can connect, no answer is owed and
+        // the startup is cancelled.
         CompletableFuture<Service> startup = new CompletableFuture<>();
         Runtime.getRuntime()
                 .addShutdownHook(
@@ -94,7 +93,7 @@
             System.exit(EXIT_FAILED);
         } catch (NoClassDefFoundError e) {
             System.err.println(
-                    "flintmill: --options needs the tools beside the program: start it by ./flintmill serve");
+                    "flintmill: --options needs the command-line libraries: use ./flintmill serve");
             System.exit(EXIT_FAILED);
         }
         started.complete(service);
--- a/src/main/java/cacheproxy/PendingRequest.java
+++ b/src/main/java/cacheproxy/PendingRequest.java
@@ -9,11 +9,14 @@
 import java.util.List;
 
 /**
- * A request that was taken and has no final answer yet. Times are the router's, in milliseconds.
+ * A request that was accepted and has no final answer yet. Times are in milliseconds of the
+ * router's clock.
  */
 final class PendingRequest {
 
-    /** Part of its latency objective that a read may wait for capacity at its key's two nodes. */
+    /**
+     * Fraction of its latency objective that a read may wait for capacity at its key's two nodes.
+     */
     static final double CAPACITY_WAIT_FRACTION = 0.25;
 
     final Request request;
@@ -26,26 +29,24 @@
     final double waitUntil;
 
     /**
-     * In [0, 1), from its ID: one draw for all that is decided by chance, so that a client's wait
-     * buys no second one.
+     * Number in [0, 1) derived from its ID, used for every random decision about it, so that a
+     * client's wait gives no second draw.
      */
     final double draw;
 
-    /**
-     * What the rendezvous hash is taken of: the key, or for a hot key, one of the variants that it
-     * is spread over.
-     */
+    /** Input of the rendezvous hash: the key or, for a hot key, one of its variants. */
     long placementKey;
 
     /** Share of recent requests that named its key. */
     double keyFrequency;
 
-    /** How many variants a hot key is spread over. */
+    /** Number of variants that a hot key is spread over. */
     int variants = 1;
 
+    /** Nodes at which a look-up has ended. */
     final List<DecisionModule.NodeView> tried = new ArrayList<>(2);
 
-    /** Nodes that answered that they lack the key. */
+    /** Nodes that answered with a miss. */
     final List<DecisionModule.NodeView> missed = new ArrayList<>(2);
 
     /** The node of the latest attempt; null before the first. */
@@ -53,16 +54,16 @@
 
     double priorityWeight;
 
-    /** When the latest attempt began. */
+    /** Start of the latest attempt. */
     double sentAt;
 
-    /** When the first attempt began that may have run: a window for repeats opens then. */
+    /** Start of the first attempt that may have run; the repeat window begins then. */
     double firstSentAt;
 
     int attempts;
     int fetchAttempts;
 
-    /** Attempts that went once more to the node at which the one before had failed on the way. */
+    /** Retries at the same node after the network broke the attempt there. */
     int sameNodeRetries;
 
     /** Whether every attempt that has ended is known not to have run. */
@@ -73,39 +74,43 @@
     /** Whether its work is many times the mean. */
     boolean heavy;
 
-    /** Whether an attempt is out. */
+    /** Whether an attempt is in flight. */
     boolean inFlight;
 
-    /** Whether its fetch has missed the latency objective and is out still. */
+    /** Whether its fetch has missed the latency objective and is still in flight. */
     boolean overdue;
 
-    /** Whether its answer has begun to go to the client. */
+    /** Whether the proxy has begun to send its answer to the client. */
     boolean streaming;
 
     /** Whether the latest choice was its key's second node. */
     boolean pickedSecond;
 
-    /** Whether the latest choice found no capacity at its key's nodes. */
+    /**
+     * Whether the latest choice saw a usable node of its key that was not tried yet. If none was
+     * chosen, these nodes lack capacity.
+     */
     boolean hasUntriedNode;
 
-    /** Whether it has joined another request's fetch. */
+    /** Whether it waits, or has waited, for another request's fetch of its key. */
     boolean joinedFetch;
 
+    /** Whether its next fetch needs no further token. */
     boolean hasToken;
 
-    /** Whether it is the one that fetches its key, for which others may wait. */
+    /** Whether its own fetch of its key is in flight, for which others may wait. */
     boolean leadsFetch;
 
     /**
-     * Whether it had an attempt with the short timeout: the next one gets the usual, as many may be
-     * slow at once.
+     * Whether it had an attempt with the short timeout. The next one gets the normal timeout, as
+     * many nodes may be slow at once.
      */
     boolean hadShortTimeout;
 
     /**
-     * Takes a request in.
+     * Creates the state of a request that arrives at {@code now}.
      *
-     * @param marginMs how long before its deadline it has to be answered
+     * @param marginMs how long before its deadline it must be answered
      */
     PendingRequest(Request request, ServiceClass service, double now, double marginMs) {
         this.request = request;
@@ -118,7 +123,10 @@
                 now + CAPACITY_WAIT_FRACTION * Math.min(service.latencyObjectiveMs(), budget);
     }
 
-    /** Whether its attempt is at a cache node and too young to tell of that node's health. */
+    /**
+     * Whether its attempt is at a cache node and too recent to say anything about that node's
+     * health.
+     */
     boolean isYoung(double now) {
         return inFlight && !node.isOrigin() && 2 * (now - sentAt) < service.latencyObjectiveMs();
     }
--- a/src/main/java/cacheproxy/Router.java
+++ b/src/main/java/cacheproxy/Router.java
@@ -4,56 +4,58 @@
 import java.util.Map;
 
 /**
- * What a proxy tells its router, and what the router asks of its proxy. One router serves one
- * proxy; a call reports one event, and everything the router wants done goes to the {@link Actions}
- * sink before it returns. Routers keep no clock and no threads: {@code now} is the proxy's clock in
- * milliseconds and never runs back.
+ * Interface between a proxy and its decision logic. One router serves one proxy. Each method
+ * reports one event, and the router passes all resulting actions to the {@link Actions} before it
+ * returns. Routers have no clock and no threads: {@code now} is the proxy's clock in milliseconds
+ * and never decreases.
  */
 public interface Router {
 
     /**
-     * How long a proxy may be held up between reading its clock and writing, in milliseconds: what
-     * it writes against a limit in time begins so much before that limit.
+     * Maximum time in milliseconds that a proxy may be delayed between reading its clock and
+     * writing: a write that must precede a time limit starts at least this long before it.
      */
     double MAX_PROCESSING_DELAY_MS = 150;
 
-    /** What repeating a request does. */
+    /** The effect of running a request more than once. */
     enum Effect {
-        /** May be repeated and refused freely. */
+        /** May be repeated and rejected freely. */
         SAFE,
-        /** Carries a key by which a group of nodes discards repeats for a while. */
+        /**
+         * Carries an idempotency key by which a group of nodes discards repeats for a limited time.
+         */
         KEYED,
         /** Must never run twice. */
         UNSAFE
     }
 
-    /** Which nodes discard each other's repeats of a keyed request. */
+    /** The group of nodes that discard each other's repeats of a keyed request. */
     enum Group {
         ALL,
         ZONE,
         CELL
     }
 
-    /** What the server list says of a node. */
+    /** A node's state in the endpoint list. */
     enum Availability {
         UP,
         DRAINING,
         GONE
     }
 
-    /** What a delivery of the server list holds. */
+    /** The content of an update of the endpoint list. */
     enum EndpointListKind {
-        /** Only entries that changed. */
+        /** Delta: only entries that changed. */
         DELTA,
-        /** Every node; one that is not named is gone. */
+        /** Snapshot of every node; a node that is not named is gone. */
         SNAPSHOT,
-        /** Every node as this proxy last knew them before a restart; may be stale. */
+        /** The stored snapshot from before a restart of this proxy; may be stale. */
         STORED_SNAPSHOT,
-        /** A call to discovery failed or the subscription broke; no entries. */
+        /** A call to discovery failed or the watch broke; no entries. */
         FAILED
     }
 
-    /** How a node's weight is meant. */
+    /** The meaning of the weights in the endpoint list. */
     enum Weights {
         NONE,
         SIZE,
@@ -78,19 +80,20 @@
             this.provesNotRun = provesNotRun;
         }
 
-        /** Whether this outcome shows that the request had no effect at the node. */
+        /** Whether this outcome proves that the request had no effect at the node. */
         public boolean provesNotRun() {
             return provesNotRun;
         }
 
-        /** Whether its connection broke or never came up. */
+        /** Whether its connection broke or was never established. */
         public boolean isConnectionFailure() {
             return this == RESET || this == CONNECT_FAILED;
         }
     }
 
     /**
-     * A request class: its aim, the time its clients wait, its worth and what repeating it does.
+     * A class of requests: its latency objective, the time after which its clients time out, its
+     * gain (the basis of its priority weight), and how it may be repeated.
      */
     record ServiceClass(
             String name,
@@ -104,10 +107,14 @@
             double repeatWindowMs,
             boolean stream) {}
 
-    /** A tenant and the request rate, over all proxies, that stays inside its share. */
+    /** A tenant and its quota in requests per second over all proxies. */
     record Tenant(String name, double quotaPerS) {}
 
-    /** What the site permits. */
+    /**
+     * What a site permits: attempts per request, cancelling attempts, probing nodes, messages
+     * between proxies, Retry-After advice and its maximum, a second copy of a request in flight,
+     * and the connect timeout.
+     */
     record Limits(
             int maxAttempts,
             boolean cancel,
@@ -118,7 +125,12 @@
             boolean secondCopies,
             double connectTimeoutMs) {}
 
-    /** The figures behind the rules. */
+    /**
+     * Parameters of the operating rules. In slow start a node's weight grows linearly from {@code
+     * slowStartInitialFraction} to 1 within {@code slowStartMs}, and within {@code
+     * slowStartWindowMs} all proxies together may send it {@code slowStartLoadMultiple} times the
+     * work that it can do by then.
+     */
     record Rules(
             double drainGraceMs,
             double slowStartInitialFraction,
@@ -129,18 +141,18 @@
             double askWithinMs) {}
 
     /**
-     * Connections: after how long idle ones close by themselves, the price of 100 open ones a node
-     * all day, and the price of opening one for every request.
+     * Cost of connections: the time after which idle ones close, the cost of 100 open ones per node
+     * for a day, and the cost of opening one for every request.
      */
     record Connections(double idleTimeoutMs, double connectionCost, double handshakeCost) {
 
-        /** Idle ones stay and none has a price. */
+        /** Idle connections stay open and none has a cost. */
         public static final Connections FREE = new Connections(Double.POSITIVE_INFINITY, 0, 0);
     }
 
     /**
-     * What a router is told before its first event. {@code originModel} is null where no node is
-     * the origin.
+     * Configuration that a router gets before its first event. {@code originModel} is null if no
+     * node is the origin.
      */
     record Settings(
             int index,
@@ -158,7 +170,7 @@
             String originModel,
             Connections connections) {
 
-        /** Settings of a site where connections have no price. */
+        /** Settings of a site where connections have no cost. */
         public Settings(
                 int index,
                 int proxies,
@@ -190,17 +202,19 @@
                     Connections.FREE);
         }
 
-        /** Refuses settings without which nothing can be decided, naming the field. */
+        /** Rejects settings without which no decision is possible; the message names the field. */
         public Settings {
             if (classes == null || classes.isEmpty()) {
-                throw new IllegalArgumentException("settings: classes: at least one is needed");
+                throw new IllegalArgumentException(
+                        "settings: classes: at least one class is required");
             }
             for (ServiceClass serviceClass : classes) {
                 if (!(serviceClass.deadlineMs() > 0)) {
                     throw new IllegalArgumentException(
                             "settings: classes: "
                                     + serviceClass.name()
-                                    + ": deadlineMs > 0 needed");
+                                    + ": deadlineMs must be greater than 0, found "
+                                    + serviceClass.deadlineMs());
                 }
             }
             classes = List.copyOf(classes);
@@ -209,9 +223,9 @@
     }
 
     /**
-     * One entry of the server list; {@code startedAtMs} is 0 for a node that started long ago. It
-     * is a Unix time of a clock that need not agree with ours, so it identifies a run of the node
-     * and is no age.
+     * One entry of the endpoint list. {@code startedAtMs} is 0 for a node that started long ago. It
+     * is a Unix time of a clock that need not agree with ours, so it identifies an incarnation of
+     * the node and does not give its age.
      */
     record Node(
             String id,
@@ -223,10 +237,10 @@
             Availability availability) {}
 
     /**
-     * A client's request. {@code key} is negative where it names none; {@code workMs} is 0 without
-     * a hint; {@code budgetMs}, the time until the client gives up this try, is negative where only
-     * the class tells. It begins with the request's last byte, which may take up to {@code
-     * uploadMs} more to come.
+     * A client's request. {@code key} is negative if it names none; {@code workMs} is 0 without a
+     * hint. {@code budgetMs}, the time until the client gives up this try, is negative if only the
+     * class states it; it begins with the request's last byte, which may take up to {@code
+     * uploadMs} more to arrive.
      */
     record Request(
             String id,
@@ -239,7 +253,7 @@
             boolean repeat,
             double uploadMs) {
 
-        /** A request that is here with its last byte. */
+        /** A request that has been received completely. */
         public Request(
                 String id,
                 String service,
@@ -254,7 +268,8 @@
     }
 
     /**
-     * How an attempt ended. {@code finished} says that the request has its final answer already.
+     * The end of an attempt. {@code finished} states that the request already has its final answer.
+     * {@code cacheStatus} is the node's report: 0 none, 1 hit, 2 miss, 3 pending.
      */
     record AttemptEnd(
             String request,
@@ -266,63 +281,63 @@
             int cacheStatus,
             Map<String, Double> load) {}
 
-    /** Where a router's wishes go. */
+    /** Actions that a router requests of its proxy. */
     interface Actions {
 
         /** Starts the request's next attempt. */
         void send(String request, String node, double timeoutMs);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt. */
         void cancel(String request, int attempt);
 
-        /** Final answer: turned away, harmless to try again; 0 gives no advice on when. */
+        /** Final answer: rejected, safe to send again; 0 gives no advice on when. */
         void reject(String request, double retryAfterMs);
 
-        /** Final answer: failed, with no promise about its effect. */
+        /** Final answer: failed; whether the request had an effect is unknown. */
         void fail(String request);
 
-        /** Asks for {@link Router#timer} at a clock time. */
+        /** Schedules a call of {@link Router#timerFired} at a clock time. */
         void scheduleTimer(double atMs, String token);
 
         /** Asks discovery to send changes from now on. */
         void subscribe();
 
-        /** Asks a node for its load. */
+        /** Probes a node and asks for its load. */
         void probe(String node);
 
-        /** Sends a short message to every other proxy; it may be lost. */
+        /** Sends a short message to every other proxy; delivery is not guaranteed. */
         void sendToPeers(byte[] contents);
 
         /**
-         * Closes this proxy's idle connections to a node, and ends what waits for one there as
-         * never sent.
+         * Closes this proxy's idle connections to a node. Attempts that wait for a connection there
+         * end as never sent.
          */
         void closeIdleConnections(String node);
     }
 
-    /** The proxy has started; comes first. */
+    /** The proxy has started. This is the first event. */
     void started(double now, Actions out);
 
-    /** The server list, or news of it. */
+    /** An update of the endpoint list has arrived, or the call for it has failed. */
     void endpointListReceived(
             double now, EndpointListKind kind, long version, List<Node> entries, Actions out);
 
-    /** A request came in; exactly one final answer is owed from here on. */
+    /** A request has arrived; from now on exactly one final answer is owed. */
     void requestReceived(double now, Request request, Actions out);
 
     /** The first part of a streamed answer has reached the client. */
     void streamStarted(double now, String request, int attempt, String node, Actions out);
 
-    /** An attempt ended. */
+    /** An attempt has ended. */
     void attemptEnded(double now, AttemptEnd end, Actions out);
 
-    /** The client is gone; nothing is owed any more. */
+    /** The client has disconnected; no answer is owed any more. */
     void clientDisconnected(double now, String request, Actions out);
 
-    /** A timer that was asked for is due. */
+    /** A scheduled timer is due. */
     void timerFired(double now, String token, Actions out);
 
-    /** A probe's result. */
+    /** A probe has completed. */
     void probeCompleted(
             double now,
             String node,
@@ -332,48 +347,48 @@
             Actions out);
 
     /**
-     * So many peers that chance and a single one's error are ruled out say that a node fails them,
-     * or no longer say so. It is hearsay: what is sent where may change only once our own probe has
-     * shown the same.
+     * Peers have begun or ceased to report that a node fails them: enough of them to rule out
+     * chance and the error of a single peer. This is indirect evidence: routing may change only
+     * once our own probe has confirmed it.
      */
     default void suspicionChanged(double now, String node, boolean suspected, Actions out) {}
 
     /**
-     * Whether any list ever named this cache node: only such a one can be taken out. Changes
-     * nothing.
+     * Whether any endpoint list named this cache node; only such a node can be put into
+     * maintenance. Has no side effects.
      */
     default boolean isKnownCacheNode(String node) {
         return false;
     }
 
     /**
-     * The operators take a cache node out, or put it back: from the return on nothing new goes
-     * there until it is put back, whatever the list says. False where no list ever named such a
-     * cache node; then nothing has changed.
+     * Operators begin or end the maintenance of a cache node. Once this returns, no new request is
+     * sent to the node until its maintenance ends, whatever the endpoint list states. Returns false
+     * without any effect if no endpoint list named such a cache node.
      */
     default boolean setMaintenance(double now, String node, boolean begins, Actions out) {
         return false;
     }
 
-    /** A message from another proxy. */
+    /** A message from another proxy has arrived. */
     void peerMessageReceived(double now, int from, byte[] contents, Actions out);
 
     /**
-     * How it is doing, in a few words for the log; equal as long as nothing that matters there has
-     * changed.
+     * A short description of the throttling state for the log; it stays equal as long as nothing of
+     * interest there has changed.
      */
     default String describeState() {
         return "";
     }
 
-    /** The control level, for the log: 0 where fetches are not throttled. */
+    /** The control level for the log: 0 while fetches are not throttled. */
     default int controlLevel() {
         return 0;
     }
 
     /**
-     * Entries that it keeps for requests it has been told of: 0 when all of them are over, or
-     * something has leaked.
+     * Number of entries retained for requests: 0 once all requests have ended, unless there is a
+     * leak.
      */
     default int entryCount() {
         return 0;
--- a/src/main/java/cacheproxy/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/SlowStartBudget.java
@@ -11,41 +11,41 @@
 import java.util.Map;
 
 /**
- * This proxy's part of what nodes in slow start may be sent.
+ * Limits what this proxy sends to nodes in slow start.
  *
- * <p>All proxies together may send such a node, within a window, {@code fallMultiple} times what it
- * can do by then. Nobody is told its capacity. Two guides bound it from below, and the higher one
- * is taken: what warm nodes serve, by its stated warmth, and what it has answered itself within the
- * window. Both are counted for this proxy alone, so the parts of all proxies add up to the whole,
- * however few or many there are and however uneven their traffic is. The first one alone would go
- * by demand and not by capacity: where few warm nodes are left it starves a fleet that could serve
- * all.
+ * <p>Within a window, all proxies together may send such a node {@code slowStartLoadMultiple} times
+ * the work that it can do by then. Its capacity is not known. Two lower bounds are computed and the
+ * higher one is used: what warm nodes serve, scaled by the node's stated warm-up, and what the node
+ * itself has answered within the window. Both are counted for this proxy alone, so that the shares
+ * of all proxies add up to the total, however many proxies there are and however uneven their
+ * traffic is. The first bound alone would follow demand and not capacity: if few warm nodes are
+ * left, it starves a fleet that could serve all requests.
  *
- * <p>A part of less than one request is rounded by a draw that is made once for a proxy, a node and
- * its start: of a hundred proxies with a tenth of a request each, ten may send one. It has no
+ * <p>A share of less than one request is rounded by a draw that is made once per proxy, node and
+ * start of the node: of a hundred proxies with a tenth of a request each, ten may send one. Has no
  * clock: times are the caller's, in milliseconds.
  */
 final class SlowStartBudget {
 
     /**
-     * What is left of the highest figure after a control interval: half of it after some 23 s, a
-     * usual slow start.
+     * Factor per control interval on the highest observed rate; it halves in about 23 s, the length
+     * of a typical slow start.
      */
     private static final double RATE_DECAY_PER_INTERVAL = 0.97;
 
     /**
-     * Part of what warm nodes serve that is used, as nodes of one model differ and requests come in
-     * bursts.
+     * Fraction of the warm nodes' rate that is used, as nodes of one model differ and requests
+     * arrive in bursts.
      */
     static final double WARM_RATE_MARGIN = 0.75;
 
-    /** The same of what the node itself has answered. */
+    /** Fraction of the node's own answered work that is used, for the same reasons. */
     static final double ANSWERED_WORK_MARGIN = 0.8;
 
-    /** Work of a miss as a part of that of a hit, which is what the rule counts. */
+    /** Work of a miss as a fraction of that of a hit, the unit of the limit. */
     private static final double MISS_WORK_FRACTION = 0.3;
 
-    /** What a request counts as at least: a hint may be far too low. */
+    /** Smallest work that a request counts as: a hint may be far too low. */
     private static final double MIN_WORK_UNITS = 0.25;
 
     private final double loadMultiple;
@@ -55,16 +55,18 @@
     private final Map<String, Double> servedPerMs = new HashMap<>();
 
     /**
-     * Requests that the nodes of a model serve a millisecond and a unit of capacity, as seen in
-     * this control interval.
+     * Requests that the warm nodes of a model served per millisecond and unit of capacity in this
+     * control interval.
      */
     private final GroupedRatio servedByWarmNodes = new GroupedRatio();
 
+    /** The same of all nodes of a model. */
     private final GroupedRatio servedByAllNodes = new GroupedRatio();
 
     /**
-     * {@code proxy} is this proxy's number, which with its seed tells its draws from those of the
-     * others.
+     * Creates the budget of one proxy.
+     *
+     * @param proxy this proxy's number; with the seed it makes the draws differ between proxies
      */
     SlowStartBudget(Router.Rules rules, int proxy, long seed) {
         this.loadMultiple = rules.slowStartLoadMultiple();
@@ -72,16 +74,16 @@
         this.salt = mix(seed ^ mix(proxy));
     }
 
-    /** Whether the settings bound what such a node is sent; else nothing need be counted. */
+    /** Whether the settings limit what such a node is sent; otherwise nothing is counted. */
     private boolean isEnabled() {
         return loadMultiple > 0;
     }
 
     /**
-     * Takes in what one node answers this proxy.
+     * Records what one node serves for this proxy.
      *
-     * @param servedPerMs requests of mean work a millisecond
-     * @param capacity of the node now, in the unit that {@link #allows} is given it in
+     * @param servedPerMs requests of mean work per millisecond
+     * @param capacity the node's current capacity, in the unit used by {@link #allows}
      */
     void observe(String model, boolean warmingUp, double servedPerMs, double capacity) {
         if (!isEnabled()) {
@@ -94,10 +96,10 @@
     }
 
     /**
-     * Ends a control interval, in which each node was observed once. A model of which all nodes are
-     * cold goes by what they answer at their part of the ramp.
+     * Ends a control interval, in which each node was observed once. For a model whose nodes are
+     * all warming up, the rate is what these answer, relative to their current capacity.
      *
-     * @param startedBefore nodes that started before this time are warm, and forgotten
+     * @param startedBefore nodes that started before this time are warm; their accounts are removed
      */
     void endInterval(double startedBefore) {
         for (String model : servedByAllNodes.groups()) {
@@ -111,10 +113,10 @@
     }
 
     /**
-     * Takes in what nodes of a model answer for this proxy, per unit of capacity, in requests of
-     * mean work a millisecond; called once in a control interval. The highest figure is kept for a
-     * while: it is what the nodes have shown that they can do, and a lower one may only mean that
-     * less was asked of them, or that this budget held requests back.
+     * Records the rate at which nodes of a model answer this proxy, per unit of capacity, in
+     * requests of mean work per millisecond; called once per control interval. The highest rate
+     * decays slowly: it shows what the nodes can do, and a lower one may only mean that they were
+     * asked less or that this budget rejected requests.
      */
     void recordServedRate(String model, double requestsPerMs) {
         if (requestsPerMs > 0) {
@@ -126,11 +128,12 @@
     /**
      * Whether a node that started at {@code startedAt} may be sent one more request.
      *
-     * @param ordinary whether it is the node's by ordinary placement: where this proxy's part is
-     *     less than one request, the ramp's own chance bounds those, and one in a window may go
-     * @param capacity that the settings allow it by now, in the units of {@link #measured}
-     * @param size of the request, in requests of mean work; one that no part would ever hold needs
-     *     the whole part
+     * @param byPlacement whether the node was chosen by ordinary placement: if this proxy's share
+     *     is less than one request, these are bounded by the admission probability of slow start,
+     *     and one per window is allowed
+     * @param capacity the currently permitted capacity, in the unit of {@link #recordServedRate}
+     * @param size the request's work, in units of mean work; one that exceeds the whole share needs
+     *     all of it
      */
     boolean allows(
             double now,
@@ -141,8 +144,8 @@
             double size,
             boolean byPlacement) {
         if (!isEnabled() || servedPerMs.isEmpty()) {
-            // Before any node has answered, as in the first second of a process, the ramp's chance
-            // alone bounds it.
+            // Before any node has answered, as in the first second of a process, only the admission
+            // probability limits it.
             return true;
         }
         double warmNodeLimit = loadMultiple * capacity * servedPerMs(model) * windowMs;
@@ -150,7 +153,7 @@
         double answered = 0;
         Account account = account(node, startedAt);
         if (account != null) {
-            // What was sent a whole window ago is free again.
+            // Work sent exactly one window ago no longer counts.
             double windowStart = Math.nextUp(now - windowMs);
             sent = account.sentWork.sumSince(windowStart);
             answered = account.answeredWork.sumSince(windowStart);
@@ -166,7 +169,7 @@
     /**
      * Counts a request that was sent there.
      *
-     * @param size of the request, in requests of mean work
+     * @param size the request's work, in units of mean work
      */
     void recordSent(double now, String node, double startedAt, double size) {
         if (!isEnabled()) {
@@ -181,10 +184,10 @@
     }
 
     /**
-     * Counts a request that it has answered: what it does within a window it can do again.
+     * Counts a request that it has answered: work done within a window can be done again.
      *
-     * @param hit whether it had what was asked for; a miss shows less of what it can do
-     * @param size of the request, in requests of mean work
+     * @param size the request's work, in units of mean work
+     * @param hit whether the node had the key; a miss shows less of its capacity
      */
     void recordAnswered(double now, String node, double startedAt, double size, boolean hit) {
         Account account = account(node, startedAt);
@@ -193,7 +196,7 @@
         }
     }
 
-    /** How many requests of mean work one counts as whose work is so many times the mean. */
+    /** The work that a request counts as, given the ratio of its hinted work to the mean. */
     static double workUnits(double timesMeanWork) {
         return Math.max(MIN_WORK_UNITS, timesMeanWork);
     }
@@ -206,7 +209,10 @@
         }
     }
 
-    /** A model of which no node was ever warm here is taken for the mean of the others. */
+    /**
+     * The highest rate of a model; the mean of the others if no node of the model was ever warm
+     * here.
+     */
     private double servedPerMs(String model) {
         Double known = servedPerMs.get(model);
         return known != null
@@ -214,17 +220,21 @@
                 : servedPerMs.values().stream().mapToDouble(served -> served).average().orElse(0);
     }
 
+    /**
+     * A number in (0, 1], fixed per proxy, node and start, that is added to shares below one
+     * request.
+     */
     private double roundingOffset(String node, double startedAt) {
         return unit(mix(hashText(node) ^ mix(salt ^ Double.doubleToLongBits(startedAt))));
     }
 
-    /** That of this start of a node; null where nothing was sent there since. */
+    /** The account of this start of a node; null if nothing was sent there since. */
     private Account account(String node, double startedAt) {
         Account account = accounts.get(node);
         return account != null && account.startedAt == startedAt ? account : null;
     }
 
-    /** What was sent to one node since its latest start, and what it has answered of that. */
+    /** Work sent to one node since its latest start, and the part of it that was answered. */
     private static final class Account {
 
         private final double startedAt;
--- a/src/main/java/cacheproxy/TokenBucket.java
+++ b/src/main/java/cacheproxy/TokenBucket.java
@@ -1,8 +1,8 @@
 package cacheproxy;
 
 /**
- * A token bucket whose refill rate changes with the hysteresis level. Times are milliseconds of the
- * caller's clock and never run back.
+ * Token bucket whose refill rate changes with the hysteresis level. Times are milliseconds of the
+ * caller's clock and never decrease.
  */
 final class TokenBucket {
 
@@ -11,28 +11,28 @@
     private final double capacity;
     double tokens;
 
-    /** Tokens a second; infinite where nothing is limited. */
+    /** Tokens per second; infinite while fetches are not throttled. */
     double ratePerS = Double.POSITIVE_INFINITY;
 
-    /** Draws that were refused since the rate was last set. */
+    /** Failed calls of {@link #tryTake} since the rate was last set. */
     int failedTakes;
 
     private double refilledAt;
 
-    /** A full one. */
+    /** Creates a full bucket. */
     TokenBucket(double capacity) {
         this.capacity = capacity;
         this.tokens = capacity;
     }
 
-    /** Sets the refill rate and counts refusals anew. */
+    /** Sets the refill rate and resets the count of failed takes. */
     void setRate(double now, double perS) {
         refill(now);
         ratePerS = perS;
         failedTakes = 0;
     }
 
-    /** Takes a token; a request of low priority only while more than one is there. */
+    /** Takes a token if there is one. A request of low priority leaves the last token. */
     boolean tryTake(double now, boolean lowPriority) {
         refill(now);
         if (tokens < (lowPriority ? 2 : 1)) {
--- a/src/main/java/cacheproxy/maintenance/package-info.java
+++ b/src/main/java/cacheproxy/maintenance/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which cache nodes the operators have taken out, kept apart from what discovery says of them. No
- * clock, sockets or threads; the module asks it on every list. Start reading at {@link
- * cacheproxy.maintenance.Outages}.
+ * Cache nodes in maintenance by operators' command, separate from their state in discovery. No
+ * clock, sockets or threads; the decision module queries it for every endpoint list. Start reading
+ * at {@link cacheproxy.maintenance.MaintenanceRegistry}.
  */
 package cacheproxy.maintenance;
--- a/src/main/java/cacheproxy/measure/DecayingRate.java
+++ b/src/main/java/cacheproxy/measure/DecayingRate.java
@@ -1,22 +1,27 @@
 package cacheproxy.measure;
 
-/** An exponentially forgetting rate; times are in milliseconds and never run back. */
+/** Exponentially decaying rate. Times are in milliseconds and never decrease. */
 public final class DecayingRate {
+    /** Time constant of the decay. */
     private static final double TIME_CONSTANT_MS = 3000;
+
     private double firstUpdateMs = -1, sum, lastUpdateMs;
 
-    /** Counts so many; a negative amount takes back what was counted before. */
+    /** Counts {@code amount} events; a negative amount takes back events counted before. */
     public void add(double now, double amount) {
         perS(now);
         sum = Math.max(0, sum + amount);
     }
 
-    /** The rate by now, a second. */
+    /** The current rate per second. */
     public double perS(double now) {
         return perS(now, 0);
     }
 
-    /** The rate without so many of the latest; early on each of them weighs far more than later. */
+    /**
+     * The current rate per second without the {@code excluded} latest events, which early on weigh
+     * far more than later.
+     */
     public double perS(double now, long excluded) {
         sum *= Math.exp(-(now - lastUpdateMs) / TIME_CONSTANT_MS);
         lastUpdateMs = now;
--- a/src/main/java/cacheproxy/measure/GroupedRatio.java
+++ b/src/main/java/cacheproxy/measure/GroupedRatio.java
@@ -7,7 +7,7 @@
 
 /**
  * Ratios of two sums, one ratio for each named group and one for all groups together. With a
- * divisor of 1 for each value it is the arithmetic mean. Costs a map entry for each group.
+ * divisor of 1 for each value it is the arithmetic mean. Uses one map entry per group.
  */
 public final class GroupedRatio {
 
@@ -55,7 +55,7 @@
         return all.ratio();
     }
 
-    /** Forgets all groups. */
+    /** Removes all groups. */
     public void clear() {
         groups.clear();
         all = new Sums();
--- a/src/main/java/cacheproxy/measure/Incarnations.java
+++ b/src/main/java/cacheproxy/measure/Incarnations.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 
 /**
- * The present incarnation of every node that a list has named. It is kept when the node leaves the
- * list, so that one that comes back with the same stated start has kept its age.
+ * The current incarnation of every node that an endpoint list has named. It is retained when the
+ * node leaves the list, so that a node that returns with the same stated start keeps its age.
  */
 public final class Incarnations {
 
-    /** Nodes that are remembered: more than the largest fleet has, 3,200. The oldest go first. */
+    /**
+     * Number of nodes that are remembered: more than the largest fleet, which has 3,200. The oldest
+     * are removed first.
+     */
     static final int MAX_NODES = 4096;
 
     private final Map<String, Incarnation> byNode =
@@ -23,26 +26,31 @@
     private double startedAt = Double.NEGATIVE_INFINITY;
     private boolean nodesReceived;
 
-    /** Our own process has started. */
+    /** Records the start of our own process. */
     public void started(double now) {
         startedAt = now;
     }
 
     /**
-     * Whether a list that comes now may tell of starts long before our own: as long as discovery
-     * has told nothing, and while what it had before we started may still be on its way.
+     * Whether a list that arrives now may state starts long before our own. True while no node is
+     * known, and until discovery has sent nodes, but for no longer than {@link
+     * Incarnation#MAX_NOTIFICATION_DELAY_MS} after our start: updates from before it may be delayed
+     * that long.
      */
     public boolean isFirstList(double now) {
         return byNode.isEmpty()
                 || !nodesReceived && now - startedAt <= Incarnation.MAX_NOTIFICATION_DELAY_MS;
     }
 
-    /** Discovery has told of nodes, other than by a list saved before our process began. */
+    /**
+     * Records that discovery has sent nodes, other than in a list stored before our process
+     * started.
+     */
     public void markNodesReceived() {
         nodesReceived = true;
     }
 
-    /** The incarnation of a node; one that started long ago where no list has named the node. */
+    /** The incarnation of a node; one that started long ago if no list has named the node. */
     public Incarnation of(String node) {
         return byNode.computeIfAbsent(node, id -> new Incarnation());
     }
--- a/src/main/java/cacheproxy/measure/MeanDeviationEstimator.java
+++ b/src/main/java/cacheproxy/measure/MeanDeviationEstimator.java
@@ -1,18 +1,21 @@
 package cacheproxy.measure;
 
-/** A running mean of times and of how far they lie from it, as TCP keeps for its time-outs. */
+/**
+ * Running mean and mean deviation of response times, as TCP keeps them for its retransmission
+ * timeout.
+ */
 public final class MeanDeviationEstimator {
 
     private final double weight;
     private double mean;
     private double deviation;
 
-    /** {@code weight} is that of a new time. */
+    /** Creates an estimator in which a new time has the given weight. */
     public MeanDeviationEstimator(double weight) {
         this.weight = weight;
     }
 
-    /** Takes in a time; a negative one is none. */
+    /** Adds a time; a negative one is ignored. */
     public void add(double time) {
         if (time >= 0) {
             deviation += weight * (Math.abs(time - mean) - deviation);
@@ -20,7 +23,7 @@
         }
     }
 
-    /** The latest that is still usual: so many mean deviations past the mean. */
+    /** The mean plus the given number of mean deviations: the latest time that is not late. */
     public double upperBound(double deviations) {
         return mean + deviations * deviation;
     }
--- a/src/main/java/cacheproxy/measure/Quotas.java
+++ b/src/main/java/cacheproxy/measure/Quotas.java
@@ -3,20 +3,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much of their shares tenants use. */
+/** Compares the request rates of tenants with their quotas. */
 public final class Quotas {
 
     private final Map<String, Double> quotas = new HashMap<>();
     private final Map<String, DecayingRate> used = new HashMap<>();
 
-    /** Sets the requests a second that stay inside a tenant's share. */
+    /** Sets a tenant's quota in requests per second. */
     public void set(String tenant, double perS) {
         quotas.put(tenant, perS);
     }
 
     /**
-     * Counts a request of a tenant's and tells whether it stays inside; those without a quota
-     * always do.
+     * Counts a request of a tenant and returns whether the tenant stays within its quota; always
+     * true for a tenant without a quota.
      */
     public boolean recordRequest(double now, String tenant) {
         Double quota = quotas.get(tenant);
--- a/src/main/java/cacheproxy/measure/RecentKeys.java
+++ b/src/main/java/cacheproxy/measure/RecentKeys.java
@@ -5,27 +5,25 @@
 import java.util.Map;
 
 /**
- * The latest keys that came by, and how often each stands among them. Adding one and counting one
- * cost a look-up.
+ * Ring buffer of recent keys with the number of occurrences of each. Adding or counting a key costs
+ * a hash table look-up.
  */
 public final class RecentKeys {
 
     private final Map<Integer, Integer> counts = new HashMap<>();
     private int[] ring;
 
-    /**
-     * Keys taken in so far: a busy balancer hears more of them in its life than an int can count.
-     */
+    /** Keys added so far. A busy proxy adds more of them over its lifetime than fit into an int. */
     private long added;
 
-    /** Remembers so many. */
+    /** Creates a buffer for {@code keys} keys. */
     public RecentKeys(int keys) {
         ring = new int[keys];
     }
 
     /**
-     * Takes in all keys of a buffer from its start and rewinds it; what is no whole key at its end
-     * is dropped.
+     * Adds all keys of a buffer, from its start, and rewinds it. An incomplete key at the end is
+     * ignored.
      */
     public void addAll(ByteBuffer keys) {
         for (keys.rewind(); keys.remaining() >= Integer.BYTES; ) {
@@ -39,17 +37,17 @@
         keys.rewind();
     }
 
-    /** How many are remembered by now. */
+    /** Number of keys in the buffer. */
     public int size() {
         return (int) Math.min(added, ring.length);
     }
 
-    /** How many of them are this one. */
+    /** Occurrences of a key in the buffer. */
     public int count(int key) {
         return counts.getOrDefault(key, 0);
     }
 
-    /** Remembers so many from now on if they were fewer, and forgets those that there were. */
+    /** Enlarges the buffer to {@code keys} keys if it is smaller, which clears it. */
     public void ensureCapacity(int keys) {
         if (keys > ring.length) {
             ring = new int[keys];
--- a/src/main/java/cacheproxy/measure/Samples.java
+++ b/src/main/java/cacheproxy/measure/Samples.java
@@ -3,30 +3,28 @@
 import java.util.Arrays;
 import java.util.stream.DoubleStream;
 
-/**
- * What samples tell: the middle of many values, and how far a count is from what chance explains.
- */
+/** Statistics of samples: the median, and how far a count exceeds what chance explains. */
 public final class Samples {
 
     private Samples() {}
 
-    /** The lower of the two in the middle where their number is even; 0 of none. */
+    /** The lower of the two middle values if their number is even; 0 if there are none. */
     public static double median(DoubleStream values) {
         double[] sorted = values.sorted().toArray();
         return sorted.length == 0 ? 0 : sorted[(sorted.length - 1) / 2];
     }
 
     /**
-     * How many of a count are left when so many were expected and chance may have added so many
-     * deviations.
+     * How much of a count remains after subtracting the expected count and {@code deviations}
+     * standard deviations of it, assuming a Poisson distribution.
      */
     public static int excessOverChance(int count, double expected, double deviations) {
         return (int) Math.ceil(Math.max(0, count - expected - deviations * Math.sqrt(expected)));
     }
 
     /**
-     * Values as multiples of their median, none over {@code span} or under its inverse; 1 for what
-     * is no size at all.
+     * The values as multiples of their median, limited to the range from {@code 1 / span} to {@code
+     * span}; 1 for a value that is not a positive number.
      */
     public static double[] clampedMedianRatios(double[] values, double span) {
         double[] sizes =
--- a/src/main/java/cacheproxy/measure/SlidingSum.java
+++ b/src/main/java/cacheproxy/measure/SlidingSum.java
@@ -4,8 +4,8 @@
 import java.util.Deque;
 
 /**
- * A sum over a sliding window. Times are the caller's and never run back, neither those of amounts
- * nor those of windows; what a window has left behind is forgotten.
+ * Sum over a sliding window. Times are the caller's and never decrease, neither those of amounts
+ * nor those of windows; amounts before the window are discarded.
  */
 public final class SlidingSum {
 
@@ -14,7 +14,7 @@
     private final Deque<Amount> amounts = new ArrayDeque<>();
     private double sum;
 
-    /** Adds an amount at a time. */
+    /** Adds an amount at the given time. */
     public void add(double at, double size) {
         amounts.add(new Amount(at, size));
         sum += size;
@@ -28,7 +28,7 @@
         return amounts.isEmpty() ? 0 : sum;
     }
 
-    /** Forgets all of it. */
+    /** Removes all amounts. */
     public void clear() {
         amounts.clear();
         sum = 0;
--- a/src/main/java/cacheproxy/measure/package-info.java
+++ b/src/main/java/cacheproxy/measure/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What decisions go by: rates and hashes. Nothing here decides, and nothing knows a clock, a socket
- * or a thread. Start reading at {@link cacheproxy.measure.DecayingRate}.
+ * Rates, statistics and hashes that decisions are based on. This package makes no decisions and
+ * uses no clock, sockets or threads. Start reading at {@link cacheproxy.measure.DecayingRate}.
  */
 package cacheproxy.measure;
