--- a/src/test/java/cacheproxy/AdmissionTest.java
+++ b/src/test/java/cacheproxy/AdmissionTest.java
@@ -8,9 +8,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The level, the base, the bank. */
+/**
+ * Tests throttling of fetches: the level and base rate of the hysteresis controller, the token
+ * bucket, and which requests are rejected first.
+ */
 class AdmissionTest {
 
+    /** Returns a controller after one control interval with the given fetches. */
     private static HysteresisController afterInterval(int good, int bad, int startLevel) {
         var controller = new HysteresisController();
         controller.level = startLevel;
@@ -45,6 +49,10 @@
                 afterInterval(0, 50, HysteresisController.RATE_MULTIPLES.length).level);
     }
 
+    /**
+     * Returns a controller at level 1 of a site with more proxies than nodes, after an interval
+     * with two bad fetches: fewer than the minimum sample size.
+     */
     private static HysteresisController afterSmallBadSample() {
         var controller = new HysteresisController();
         controller.minBaseRate = HysteresisController.MIN_BASE_RATE / 2;
@@ -67,7 +75,7 @@
         for (int i = 1; i < HysteresisController.MAX_ACCUMULATED_INTERVALS; i++) {
             expired.endInterval(1000, 0);
         }
-        assertEquals(0, expired.level, "too old to wait for more");
+        assertEquals(0, expired.level, "the sample expires");
     }
 
     @Test
@@ -156,7 +164,7 @@
         }
         assertTrue(harness.actions.rejected.size() > before);
         assertTrue(dearFetches > cheapFetches, dearFetches + " dear, " + cheapFetches + " cheap");
-        assertTrue(harness.actions.log.stream().anyMatch(l -> l.matches("refuse q\\d+ [1-9].*")));
+        assertTrue(harness.actions.log.stream().anyMatch(l -> l.matches("reject q\\d+ [1-9].*")));
     }
 
     @Test
@@ -244,12 +252,12 @@
         }
         assertTrue(
                 fetched[1] > 2 * fetched[0],
-                fetched[0] + " past the quota, " + fetched[1] + " within");
+                fetched[0] + " fetches over the quota, " + fetched[1] + " within it");
     }
 
     /**
-     * Asks for a key that no cache has, with so much time left, and returns how many attempts went
-     * to the origin.
+     * Sends a read of a key that no cache node has, with the given time budget, and returns the
+     * number of attempts at the origin.
      */
     private static long fetchAttempts(RouterHarness harness, String id, double budgetMs) {
         harness.router.requestReceived(
@@ -280,7 +288,7 @@
             assertEquals(
                     1,
                     sent + harness.actions.rejected.size() - before,
-                    "neither sent nor refused at once");
+                    "neither fetched nor rejected");
             late += sent;
             if (sent > 0) {
                 harness.endAttempt("late" + i, Outcome.CANCELLED, 20);
@@ -290,12 +298,12 @@
             harness.advance(20);
         }
         assertEquals(200, inTime);
-        assertTrue(late > 0 && late < 30, late + " of 200 went all the same");
+        assertTrue(late > 0 && late < 30, late + " of 200 late fetches were sent");
     }
 
     /**
-     * Of two clients one leaves after so long, and the nodes answer the other: how much is turned
-     * away untried.
+     * Returns the number of rejected requests if every second client disconnects after the given
+     * time and the nodes answer all other requests.
      */
     private static int rejectionsIfClientsLeaveAfter(double leavesAfterMs) {
         RouterHarness harness = RouterHarness.withCaches(6);
@@ -319,6 +327,6 @@
         assertEquals(0, rejectionsIfClientsLeaveAfter(20));
         assertTrue(
                 rejectionsIfClientsLeaveAfter(290) > 200,
-                "half of all sends came to nothing in nearly the whole aim");
+                "half of the look-ups got no answer in 290 of 300 ms");
     }
 }
--- a/src/test/java/cacheproxy/ArchitectureRulesTest.java
+++ b/src/test/java/cacheproxy/ArchitectureRulesTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who may use whom; a wrong import fails the build. */
+/** Checks the allowed dependencies between packages; a forbidden one fails the build. */
 class ArchitectureRulesTest {
 
     private static final JavaClasses CLASSES =
@@ -28,7 +28,7 @@
         "io.netty.."
     };
 
-    /** What may jump, as anybody may step the machine's wall clock. */
+    /** Calls that depend on the wall clock, which jumps when it is set. */
     private static final Set<String> WALL_CLOCK =
             Set.of(
                     "java.lang.System.currentTimeMillis",
@@ -57,7 +57,7 @@
                 noClasses()
                         .that()
                         .haveNameMatching(
-                                "cacheproxy\\.(Decide|SlowStartBudget|HysteresisController|TokenBucket).*")
+                                "cacheproxy\\.(DecisionModule|SlowStartBudget|HysteresisController|TokenBucket).*")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(CLOCKS_SOCKETS_THREADS));
@@ -77,7 +77,7 @@
                 noClasses()
                         .that()
                         .haveNameMatching(
-                                "cacheproxy\\.(Decide|Router|SlowStartBudget|HysteresisController|TokenBucket).*")
+                                "cacheproxy\\.(DecisionModule|Router|SlowStartBudget|HysteresisController|TokenBucket).*")
                         .should()
                         .callMethod(System.class, "nanoTime")
                         .orShould()
@@ -121,8 +121,8 @@
     }
 
     /**
-     * {@code Clock} reads it once, to compare with the host list; the laboratory decides nothing in
-     * a proxy.
+     * Two exceptions: {@code Clock} reads the wall clock once, to compare start times in the
+     * endpoint list with it, and the laboratory makes no decisions in a proxy.
      */
     @Test
     void durationsAreNotTakenFromTheWallClock() {
@@ -209,14 +209,14 @@
                         .dependOnClassesThat()
                         .resideInAnyPackage(
                                 "cacheproxy.proxy..", "cacheproxy.lab..", "cacheproxy.cli.."));
-        // Where gossip is off nothing of it may be loaded, and what the proxy's other classes name
-        // is.
+        // While gossip is disabled, none of its classes may be loaded. Classes that other classes
+        // of the proxy refer to would be.
         check(
                 noClasses()
                         .that()
                         .resideInAPackage("cacheproxy.proxy..")
                         .and()
-                        .haveNameNotMatching(".*\\.Sharing(\\$.*)?")
+                        .haveNameNotMatching(".*\\.GossipIntegration(\\$.*)?")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage("cacheproxy.gossip..", "cacheproxy.membership.."));
@@ -225,7 +225,7 @@
                         .that()
                         .resideInAPackage("cacheproxy.proxy..")
                         .and()
-                        .haveNameNotMatching(".*\\.Governing(\\$.*)?")
+                        .haveNameNotMatching(".*\\.PolicyIntegration(\\$.*)?")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
@@ -286,7 +286,7 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAPackage("cacheproxy.stream.."));
-        // The policy, where it is on, needs the log alone.
+        // The policy, where it is enabled, needs only the Raft log.
         check(
                 noClasses()
                         .that()
@@ -316,8 +316,8 @@
 
     @Test
     void hollowControlPlanesUseProductionClasses() {
-        // It joins gossip and raft as they are: nothing below them, and nothing that stands in for
-        // them.
+        // The package uses the production gossip and Raft classes, neither their internals nor
+        // simulated replacements.
         check(
                 noClasses()
                         .that()
--- a/src/test/java/cacheproxy/BadInputTest.java
+++ b/src/test/java/cacheproxy/BadInputTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Odd input neither breaks a rule nor the module. */
+/** Tests that malformed or contradictory input breaks neither a rule nor the decision module. */
 class BadInputTest {
 
     @Test
@@ -37,7 +37,7 @@
             harness.endAttempt(harness.request("dear", key), Outcome.OK);
             harness.advance(100);
         }
-        assertTrue(harness.actions.sentTo("c0") > 0, "it is back under its name");
+        assertTrue(harness.actions.sentTo("c0") > 0, "c0 is used again once it is listed as up");
     }
 
     @Test
--- a/src/test/java/cacheproxy/EjectionTest.java
+++ b/src/test/java/cacheproxy/EjectionTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * However many nodes fail, those that are left must not be overrun: only a part is spared at once.
+ * Tests that only a limited fraction of the nodes is ejected at a time, however many fail, so that
+ * the others are not overloaded.
  */
 class EjectionTest {
 
--- a/src/test/java/cacheproxy/ErrorAttributionTest.java
+++ b/src/test/java/cacheproxy/ErrorAttributionTest.java
@@ -7,17 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers that come spoilt from all nodes alike tell nothing of the origin's load; those of the
- * origin alone do.
+ * Tests that errors from all nodes alike do not throttle fetches, as they say nothing about the
+ * origin's load, whereas errors from the origin alone do.
  */
 class ErrorAttributionTest {
 
     private static final int INTERVALS = 20;
     private static final int REQUESTS_PER_S = 50;
 
-    /** Every so many attempts one is spoilt: more than a level rises above. */
+    /** One in 7 attempts ends with an error: more than the 10 % above which the level rises. */
     private static final int ATTEMPTS_PER_ERROR = 7;
 
+    /**
+     * Runs reads that miss at the cache nodes, with errors from the origin and optionally from the
+     * cache nodes too; returns the router's state.
+     */
     private static String stateWithErrors(boolean cachesFailToo) {
         RouterHarness harness = RouterHarness.withCaches(6);
         int lookUps = 0;
--- a/src/test/java/cacheproxy/HeavyRequestTest.java
+++ b/src/test/java/cacheproxy/HeavyRequestTest.java
@@ -6,11 +6,12 @@
 import cacheproxy.Router.Request;
 import org.junit.jupiter.api.Test;
 
-/** A request that is known to be heavy is not taken for lost while it is being worked on. */
+/** Tests that a request with a hint of heavy work is not considered lost while it is processed. */
 class HeavyRequestTest {
 
     private static final double USUAL_WORK_MS = 10;
 
+    /** Sends a read with the given work hint and returns the timeout of its first attempt. */
     private static double attemptTimeoutMs(RouterHarness harness, String id, double workMs) {
         harness.router.requestReceived(
                 harness.now,
--- a/src/test/java/cacheproxy/HotKeyTest.java
+++ b/src/test/java/cacheproxy/HotKeyTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * In a large fleet a hot key is given as many nodes as it needs, and a key that comes again by luck
- * keeps its pair.
+ * Tests that a large fleet spreads a hot key over as many nodes as its request rate needs, and that
+ * a key that recurs by chance stays at its two nodes.
  */
 class HotKeyTest {
 
@@ -17,6 +17,7 @@
     private static final long HOT_KEY = 7;
     private static final long RECURRING_KEY = 99;
 
+    /** Sends a read that hits and returns the node that it was sent to. */
     private static String serve(RouterHarness harness, long key) {
         String id = harness.request("dear", key);
         String node = harness.lastNodeOf(id);
@@ -44,20 +45,20 @@
         }
         assertTrue(
                 hotKeyNodes.size() >= CACHES / 40,
-                "a twentieth of the requests at "
+                "a key with 5 % of the requests at "
                         + hotKeyNodes.size()
                         + " of "
                         + CACHES
                         + " nodes");
         assertTrue(
                 hotKeyNodes.size() <= CACHES / 8,
-                "a twentieth of the requests at "
+                "a key with 5 % of the requests at "
                         + hotKeyNodes.size()
                         + " of "
                         + CACHES
                         + " nodes");
         assertTrue(
                 recurringKeyNodes.size() <= 2,
-                "a key that came a few times went to " + recurringKeyNodes);
+                "a key with a few requests was sent to " + recurringKeyNodes);
     }
 }
--- a/src/test/java/cacheproxy/IncarnationAgeTest.java
+++ b/src/test/java/cacheproxy/IncarnationAgeTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Slow start where the wall clocks of the cache nodes, of discovery and of the proxy disagree. */
+/** Tests slow start if the wall clocks of cache nodes, discovery and the proxy disagree. */
 class IncarnationAgeTest {
 
     private static final double HOUR_MS = 3_600_000;
@@ -20,23 +20,27 @@
     private static final int READS = 400;
     private static final double READ_INTERVAL_MS = 5;
 
-    /** A node's part of the reads if all are warm. */
+    /** Reads per node if all nodes are warm. */
     private static final double READS_PER_WARM_NODE = READS / (double) NODES;
 
     private long nextKey;
 
-    /** A proxy that has no list yet; by its clock a time of an hour ago is not negative. */
+    /**
+     * Returns a proxy that has no endpoint list yet. Its clock is advanced so that a time of an
+     * hour ago is not negative.
+     */
     private static RouterHarness proxyWithoutNodes() {
         RouterHarness harness = new RouterHarness(RouterHarness.settings(true, false));
         harness.advance(3 * HOUR_MS);
         return harness;
     }
 
+    /** Returns a list entry of c0 with the given stated start. */
     private static Node c0StartedAt(double statedMs) {
         return RouterHarness.node("c0", statedMs, Availability.UP);
     }
 
-    /** The whole list: c0 with its stated start, and others that are warm. */
+    /** Delivers a complete endpoint list: c0 with its stated start and three warm nodes. */
     private static void sendList(RouterHarness harness, EndpointListKind kind, double statedMs) {
         List<Node> nodes =
                 List.of(
@@ -48,13 +52,14 @@
         harness.router.endpointListReceived(harness.now, kind, 1, nodes, harness.actions);
     }
 
+    /** Returns a proxy whose first endpoint list states that c0 started so long ago. */
     private static RouterHarness proxyWithC0OfAge(double statedAgeMs) {
         RouterHarness harness = proxyWithoutNodes();
         sendList(harness, EndpointListKind.SNAPSHOT, harness.now - statedAgeMs);
         return harness;
     }
 
-    /** How many of some reads go to c0; they take two of the ten seconds of slow start. */
+    /** Sends reads for 2 s, of the 10 s of slow start, and returns how many were sent to c0. */
     private long sentToC0(RouterHarness harness) {
         long before = harness.actions.sentTo("c0");
         for (int i = 0; i < READS; i++) {
@@ -66,7 +71,9 @@
 
     private void assertInSlowStart(RouterHarness harness) {
         long sent = sentToC0(harness);
-        assertTrue(sent > 0 && sent < 0.5 * READS_PER_WARM_NODE, "cold: " + sent + " of " + READS);
+        assertTrue(
+                sent > 0 && sent < 0.5 * READS_PER_WARM_NODE,
+                "in slow start: " + sent + " of " + READS);
     }
 
     private void assertWarm(RouterHarness harness) {
@@ -141,7 +148,7 @@
         assertTrue(sent < 0.6 * READS_PER_WARM_NODE, "in slow start: " + sent + " of " + READS);
     }
 
-    /** The whole of the router's actions is compared, so the age is the same to the last digit. */
+    /** Compares all actions of the two routers, which include times, so the ages are equal. */
     @Test
     void notificationDelayDoesNotChangeAge() {
         RouterHarness atOnce = proxyWithC0OfAge(TEN_MINUTES_MS);
--- a/src/test/java/cacheproxy/IntermittentErrorsTest.java
+++ b/src/test/java/cacheproxy/IntermittentErrorsTest.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A node that spoils every second answer never fails twice in a row; it is spared all the same. */
+/**
+ * Tests that a node that answers every second request with an error is ejected, although it never
+ * fails twice in a row.
+ */
 class IntermittentErrorsTest {
 
     @Test
--- a/src/test/java/cacheproxy/LossyNetworkTest.java
+++ b/src/test/java/cacheproxy/LossyNetworkTest.java
@@ -7,22 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A network that loses one request in a hundred, at every node alike, shows at none of them for
- * long.
+ * Tests retries in a network that loses one request in a hundred at every node. These losses are
+ * too rare to raise the timeout rate of a single node for long; only the rate over all nodes shows
+ * them.
  */
 class LossyNetworkTest {
 
     private static final int CACHES = 6;
     private static final int REQUESTS_PER_LOSS = 100;
 
-    /**
-     * Less than a first attempt's usual part of the client's time, and more than the short time.
-     */
+    /** Between the short timeout and the usual timeout of a first attempt. */
     private static final double LONG_TIMEOUT_MS = 200;
 
     /**
-     * Reads that hit, of which every hundredth is lost at first; returns how many of the last
-     * waited long.
+     * Sends reads that hit, of which every hundredth loses its first attempt. Returns how many of
+     * the last reads had a long timeout.
      */
     private static int longTimeouts(RouterHarness harness, int requests, int last) {
         int longTimeouts = 0;
@@ -56,11 +55,12 @@
         }
         String id = runFetch(harness, 200_000, Outcome.TIMEOUT);
         assertEquals("db", harness.lastNodeOf(id));
-        assertEquals(0, harness.actions.finalAnswers(id), "given up after one loss");
+        assertEquals(0, harness.actions.finalAnswers(id), "no answer after one lost fetch");
         harness.endAttempt(id, Outcome.TIMEOUT, 120);
         assertEquals(1, harness.actions.finalAnswers(id), "at most two fetches");
     }
 
+    /** Sends a read that misses at the cache nodes and ends its fetch; returns its ID. */
     private static String runFetch(RouterHarness harness, long key, Outcome outcome) {
         String id = harness.request("dear", key);
         while (!harness.lastNodeOf(id).equals("db")) {
@@ -70,8 +70,7 @@
         harness.advance(3);
         harness.endAttempt(id, outcome);
         assertTrue(
-                shortTimeout || key < 100_010,
-                "the origin answers quickly, so silence means a loss");
+                shortTimeout || key < 100_010, "long timeout although the origin answers quickly");
         return id;
     }
 }
--- a/src/test/java/cacheproxy/MaintenanceTest.java
+++ b/src/test/java/cacheproxy/MaintenanceTest.java
@@ -18,13 +18,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that the operators have taken out gets nothing, whatever else happens, and is in use again
- * once it is put back.
+ * Tests that a node in maintenance gets no requests, whatever the endpoint list says, and that it
+ * is used again once maintenance ends.
  */
 class MaintenanceTest {
 
     private static final int NODES = 6;
 
+    /** Sends a request and ends up to four attempts of it with random outcomes. */
     private static void sendRandomRequest(RouterHarness harness, Random random) {
         boolean write = random.nextInt(10) == 0;
         String id = harness.request(write ? "keyed" : "dear", random.nextInt(200), write);
@@ -94,11 +95,14 @@
                     used.add(attempt.node());
                 }
             }
-            assertTrue(used.size() > NODES / 2, "the others serve");
+            assertTrue(used.size() > NODES / 2, "nodes that are not in maintenance are used");
         }
     }
 
-    /** The whole list, of which one node may be missing. */
+    /**
+     * Delivers a snapshot without the given node and without those removed before; marks the node
+     * as gone in {@code listed}.
+     */
     private static void sendSnapshotWithout(
             RouterHarness harness, Map<String, Availability> listed, String missing) {
         List<Node> entries = new ArrayList<>(List.of(RouterHarness.origin()));
@@ -122,7 +126,7 @@
         harness.sendDelta(RouterHarness.node("c2", 0, Availability.GONE));
         assertTrue(
                 harness.router.setMaintenance(harness.now, "c2", true, harness.actions),
-                "it was listed once");
+                "c2 was listed before");
         assertTrue(harness.router.isKnownCacheNode("c2"));
         assertFalse(harness.router.isKnownCacheNode("c9") || harness.router.isKnownCacheNode("db"));
     }
@@ -140,8 +144,8 @@
     }
 
     /**
-     * How many of some reads are sent while none is answered, in a fleet of 15, of which one is out
-     * or gone.
+     * Returns how many of 27 reads are sent while none is answered, in a fleet of 15 nodes of which
+     * one is in maintenance or removed from the list.
      */
     private static int sentWithoutC5(long firstKey, boolean inMaintenance) {
         RouterHarness harness = RouterHarness.withCaches(15);
@@ -167,7 +171,7 @@
         }
         assertTrue(
                 sentDuringMaintenance > sentAfterRemoval,
-                sentDuringMaintenance + " and " + sentAfterRemoval + " without the outage");
+                sentDuringMaintenance + " in maintenance, " + sentAfterRemoval + " after removal");
     }
 
     @Test
@@ -185,6 +189,6 @@
             harness.endAttempt(id, Outcome.OK);
         }
         assertTrue(used >= 1, "used " + used);
-        assertTrue(used <= 2, "a cold node is not crowded: " + used);
+        assertTrue(used <= 2, "requests to a node in slow start: " + used);
     }
 }
--- a/src/test/java/cacheproxy/ManyNodesTest.java
+++ b/src/test/java/cacheproxy/ManyNodesTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A change of one node among 3,200 costs no walk over all, and leaves the module where a whole list
- * would.
+ * Tests that a delta of one node among 3,200 allocates nothing for the other nodes, and that deltas
+ * lead to the same decisions as snapshots.
  */
 class ManyNodesTest {
 
@@ -26,7 +26,8 @@
     private static final int DELTAS = 1000;
 
     /**
-     * Of a change: its entry's own and a little; an array of all nodes takes 12,800 bytes at least.
+     * Allows for the entry of the delta and some temporary objects. An array of references to all
+     * nodes would take at least 12,800 bytes.
      */
     private static final long MAX_BYTES_PER_DELTA = 2000;
 
@@ -43,10 +44,11 @@
         long before = threads.getCurrentThreadAllocatedBytes();
         entries.forEach(entry -> harness.sendDelta(entry));
         long bytesPerDelta = (threads.getCurrentThreadAllocatedBytes() - before) / DELTAS;
-        assertTrue(bytesPerDelta < MAX_BYTES_PER_DELTA, bytesPerDelta + " bytes a change");
+        assertTrue(
+                bytesPerDelta < MAX_BYTES_PER_DELTA, bytesPerDelta + " bytes allocated per delta");
     }
 
-    /** The same fleet, told by changes and by whole lists, is sent the same requests. */
+    /** Compares all actions of two routers, one of which gets deltas and the other snapshots. */
     @Test
     void deltasAndSnapshotsLeadToTheSameActions() {
         RouterHarness withDeltas = RouterHarness.withCaches(40);
@@ -78,6 +80,7 @@
                 withDeltas.actions.sent.size() > 2000, withDeltas.actions.sent.size() + " sends");
     }
 
+    /** Returns a random entry: mostly of one of 60 cache nodes, sometimes of the origin. */
     private static Node randomEntry(SplittableRandom random, double now) {
         Availability availability =
                 Availability.values()[random.nextInt(Availability.values().length)];
--- a/src/test/java/cacheproxy/ManyProxiesTest.java
+++ b/src/test/java/cacheproxy/ManyProxiesTest.java
@@ -14,7 +14,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** What changes when one router is one of hundreds, each with a few requests a second. */
+/** Tests a router that is one of hundreds, each with a few requests per second. */
 class ManyProxiesTest {
 
     private static final int PROXIES = 600;
@@ -88,7 +88,7 @@
         }
         assertTrue(
                 !sender.actions.peerMessages.isEmpty() && sender.actions.peerMessages.size() < 200,
-                "a bounded sample");
+                "number of peer messages for 4000 requests: " + sender.actions.peerMessages.size());
         for (int round = 0; round < 6; round++) {
             for (byte[] message : sender.actions.peerMessages) {
                 notified.router.peerMessageReceived(notified.now, 5, message, notified.actions);
@@ -121,7 +121,7 @@
             }
             harness.advance(200);
         }
-        assertTrue(sent < 100, sent + " of 200 sent to a fleet that answers nothing");
+        assertTrue(sent < 100, sent + " of 200 sent while no node answers");
         harness.advance(20_000);
         int sentAfterRecovery = 0;
         for (int i = 0; i < 100; i++) {
@@ -132,7 +132,8 @@
             }
             harness.advance(200);
         }
-        assertTrue(sentAfterRecovery > 60, sentAfterRecovery + " of 100 sent once it answers");
+        assertTrue(
+                sentAfterRecovery > 60, sentAfterRecovery + " of 100 sent once the nodes answer");
     }
 
     @Test
@@ -165,7 +166,7 @@
                     harness.sendDelta(
                             new Node("c0", "cache", "z", 0, 1, harness.now, Availability.UP));
                 }
-                // Half of the traffic is one key; the rest is spread.
+                // Half of the requests are for one key, each of the others for a different key.
                 String id = "f" + i + "n" + requestCount++;
                 harness.router.requestReceived(
                         harness.now,
@@ -194,7 +195,7 @@
                         * 4;
         assertTrue(
                 sentInSlowStart > 0 && sentInSlowStart < limit,
-                sentInSlowStart + " sends to the cold node, at most " + limit);
+                sentInSlowStart + " requests sent to the node in slow start, limit " + limit);
     }
 
     @Test
--- a/src/test/java/cacheproxy/PeerSuspicionTest.java
+++ b/src/test/java/cacheproxy/PeerSuspicionTest.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the module makes of its peers' doubts: hearsay moves no request, its own probe does. */
+/**
+ * Tests the reaction to suspicions of peers: a suspicion alone moves no request, a failed probe by
+ * this proxy does.
+ */
 class PeerSuspicionTest {
 
     private static RouterHarness harness(boolean probes) {
@@ -67,13 +70,13 @@
         assertEquals(
                 1,
                 suspecting.actions.log.stream().filter(l -> l.startsWith("probe")).count(),
-                "only the caches are probed");
+                "only known cache nodes are probed");
         long usual = sentToC0(unsuspecting, 300);
         assertTrue(usual > 20);
         assertEquals(usual, sentToC0(suspecting, 300));
         completeProbe(suspecting, Outcome.OK);
         assertEquals(sentToC0(unsuspecting, 300), sentToC0(suspecting, 300));
-        // Where probes are not allowed nothing comes of a doubt but shorter waits.
+        // If probes are not allowed, a suspicion only shortens timeouts.
         RouterHarness withoutProbes = harness(false);
         withoutProbes.router.suspicionChanged(withoutProbes.now, "c0", true, withoutProbes.actions);
         assertEquals(0, probesOfC0(withoutProbes));
@@ -90,7 +93,7 @@
             harness.advance(DecisionModule.REPROBE_DELAY_MS);
             assertEquals(i + 2, probesOfC0(harness));
         }
-        // The doubt ends, but our own probes still fail.
+        // The suspicion ends, but this proxy's own probes still fail.
         harness.router.suspicionChanged(harness.now, "c0", false, harness.actions);
         completeProbe(harness, Outcome.CONNECT_FAILED);
         assertEquals(0, sentToC0(harness, 200));
@@ -100,7 +103,7 @@
         long probesBefore = probesOfC0(harness);
         harness.advance(20 * DecisionModule.REPROBE_DELAY_MS);
         assertEquals(
-                probesBefore, probesOfC0(harness), "a node that is well again is probed no more");
+                probesBefore, probesOfC0(harness), "a node that has recovered is not probed again");
     }
 
     @Test
@@ -128,7 +131,7 @@
         String read = null;
         String write = null;
         for (int i = 0; i < 100 && write == null; i++) {
-            // Those at other nodes stay out too, or c0 would be the busier of each pair.
+            // Requests at other nodes stay in flight too, or c0 would be the busier of each pair.
             String id = harness.request(read == null ? "dear" : "unsafe", 100 + i);
             if (harness.lastNodeOf(id).equals("c0")) {
                 write = read == null ? null : id;
@@ -156,13 +159,12 @@
         harness.advance(3 * DecisionModule.REPROBE_DELAY_MS);
         long probesBefore = probesOfC0(harness);
         harness.advance(10 * DecisionModule.REPROBE_DELAY_MS);
-        assertEquals(
-                probesBefore, probesOfC0(harness), "one that the list took away is probed no more");
+        assertEquals(probesBefore, probesOfC0(harness), "a node that left the list is not probed");
         harness.sendDelta(RouterHarness.node("c0", harness.now - 60_000, Availability.UP));
-        // However far back its start is stated, it may be in slow start when it is told; that is
-        // over then.
+        // Whatever start is stated, the node may be in slow start when it is listed; wait until
+        // that is over.
         harness.advance(RouterHarness.RULES.slowStartMs());
-        assertEquals(probesBefore, probesOfC0(harness), "nobody doubts the new one");
+        assertEquals(probesBefore, probesOfC0(harness), "the new incarnation is not suspected");
         assertTrue(sentToC0(harness, 200) > 10);
     }
 }
--- a/src/test/java/cacheproxy/RecordingActions.java
+++ b/src/test/java/cacheproxy/RecordingActions.java
@@ -4,14 +4,16 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A fake sink that writes down every action, and a small harness around one router. */
+/** Records the actions of a router. */
 final class RecordingActions implements Router.Actions {
 
     record SentAttempt(String request, String node, double timeoutMs) {}
 
     record ScheduledTimer(double atMs, String token) {}
 
+    /** All actions in order, with their arguments. */
     final List<String> log = new ArrayList<>();
+
     final List<SentAttempt> sent = new ArrayList<>();
     final List<ScheduledTimer> timers = new ArrayList<>();
     final List<String> rejected = new ArrayList<>();
@@ -35,7 +37,7 @@
 
     @Override
     public void reject(String request, double retryAfterMs) {
-        log.add("refuse " + request + " " + retryAfterMs);
+        log.add("reject " + request + " " + retryAfterMs);
         rejected.add(request);
     }
 
@@ -64,7 +66,7 @@
 
     @Override
     public void sendToPeers(byte[] contents) {
-        log.add("tell " + Arrays.toString(contents));
+        log.add("send_to_peers " + Arrays.toString(contents));
         peerMessages.add(contents);
     }
 
@@ -82,6 +84,7 @@
         return sent.stream().filter(s -> s.node().equals(node)).count();
     }
 
+    /** How often the router itself has answered a request: rejections and failures. */
     long finalAnswers(String request) {
         return rejected.stream().filter(request::equals).count()
                 + failed.stream().filter(request::equals).count();
--- a/src/test/java/cacheproxy/RequestRoutingTest.java
+++ b/src/test/java/cacheproxy/RequestRoutingTest.java
@@ -13,7 +13,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Picks, holds, health and sameness. */
+/**
+ * Tests the routing of single requests: choice of the node, waiting for capacity or for a pending
+ * fetch, ejection of failing nodes, and determinism.
+ */
 class RequestRoutingTest {
 
     @Test
@@ -114,10 +117,7 @@
                 }
                 harness.endAttempt(id, Outcome.CONNECT_FAILED);
                 assertEquals("db", harness.lastNodeOf(id));
-                assertEquals(
-                        0,
-                        harness.actions.finalAnswers(id),
-                        "never sent, so it is still owed an answer");
+                assertEquals(0, harness.actions.finalAnswers(id), "the fetch is retried");
                 harness.endAttempt(id, Outcome.OK);
             }
             harness.advance(1000);
@@ -231,14 +231,15 @@
     void slowNodeIsPacedAndUsedFullyOnceItIsFast() {
         RouterHarness harness = RouterHarness.withCaches(1);
         serve(harness, 20, 400, 500);
-        assertTrue(serve(harness, 20, 400, 500) < 15, "paced while slow");
+        assertTrue(serve(harness, 20, 400, 500) < 15, "requests are paced while the node is slow");
         serve(harness, 20, 20, 1000);
-        assertEquals(20, serve(harness, 20, 20, 100), "used again");
+        assertEquals(
+                20, serve(harness, 20, 20, 100), "all requests are sent once the node is fast");
     }
 
     /**
-     * Asks one after another, each answered in {@code elapsed} ms, and tells how many were sent at
-     * once.
+     * Sends reads one after another, each answered in {@code elapsedMs}; a client whose read is not
+     * sent at once disconnects. Returns how many were sent at once.
      */
     private static int serve(
             RouterHarness harness, int requests, double elapsedMs, double intervalMs) {
@@ -257,8 +258,8 @@
     }
 
     /**
-     * All but the first wait for its fetch; one by one each would wait for all the tries before its
-     * own.
+     * All reads but the first wait for its fetch. If each of them then started a fetch of its own,
+     * the last would wait for the failed fetches of all others.
      */
     @Test
     void readsWaitingForFetchAreRejectedWithItIfOriginIsUnreachable() {
--- a/src/test/java/cacheproxy/RouterHarness.java
+++ b/src/test/java/cacheproxy/RouterHarness.java
@@ -15,16 +15,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** One router with a fake sink, told events one by one; time moves only when a test says so. */
+/**
+ * Test harness around one router. Tests report events to the router one by one, and its actions are
+ * recorded. The clock advances only when a test advances it; times are in milliseconds.
+ */
 final class RouterHarness {
 
+    /** Time budget of all requests. */
     static final double BUDGET_MS = 1000;
+
     static final Router.Rules RULES = new Router.Rules(1000, 0.25, 10_000, 2.5, 2000, 20, 10_000);
 
     final RecordingActions actions = new RecordingActions();
     final Router router;
     double now = 100_000;
+
+    /** Number of ended attempts by request ID. */
     private final Map<String, Integer> endedAttempts = new HashMap<>();
+
     private int nextId;
 
     RouterHarness(Settings settings) {
@@ -36,6 +44,7 @@
         return new ServiceClass(name, 300, 0, BUDGET_MS, gain, 0.2, effect, group, 500, false);
     }
 
+    /** Request classes that differ in priority weight, in effect and in deduplication group. */
     static List<ServiceClass> serviceClasses() {
         return List.of(
                 serviceClass("cheap", 1, Effect.SAFE, Group.ALL),
@@ -67,13 +76,14 @@
                 withOrigin ? "origin" : null);
     }
 
-    /** A bench with an origin "db" and {@code caches} warm nodes c0, c1, ... */
+    /** Returns a harness with an origin "db" and {@code caches} warm cache nodes c0, c1, ... */
     static RouterHarness withCaches(int caches) {
         RouterHarness harness = new RouterHarness(settings(true, false));
         harness.sendSnapshot(caches);
         return harness;
     }
 
+    /** Delivers a snapshot of the endpoint list: the origin and warm cache nodes c0, c1, ... */
     void sendSnapshot(int caches) {
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < caches; i++) {
@@ -91,10 +101,12 @@
         return new Node("db", "origin", "z", 0, 1, 0, Availability.UP);
     }
 
+    /** Delivers a delta of the endpoint list. */
     void sendDelta(Node... entries) {
         router.endpointListReceived(now, EndpointListKind.DELTA, 2, List.of(entries), actions);
     }
 
+    /** Sends a read of a key; returns the request's ID. */
     String request(String service, long key) {
         return request(service, key, false);
     }
@@ -106,7 +118,7 @@
         return id;
     }
 
-    /** Ends the request's attempt that is out at the node it was last sent to. */
+    /** Ends the request's current attempt, at the node that it was last sent to, after 10 ms. */
     void endAttempt(String id, Outcome outcome) {
         endAttempt(id, outcome, 10);
     }
@@ -133,7 +145,7 @@
         return actions.sent.stream().filter(s -> s.request().equals(id)).count();
     }
 
-    /** Moves the clock, firing the timers that fall due on the way. */
+    /** Advances the clock and fires the timers that become due. */
     void advance(double ms) {
         double until = now + ms;
         while (true) {
@@ -152,7 +164,7 @@
         now = until;
     }
 
-    /** Drives fetches with the given outcomes through one control interval. */
+    /** Runs one control interval with the given numbers of successful and rejected fetches. */
     void runInterval(int good, int bad) {
         for (int i = 0; i < good + bad; i++) {
             String id = request("dear", 1_000_000 + nextId);
--- a/src/test/java/cacheproxy/RouterInvariantsTest.java
+++ b/src/test/java/cacheproxy/RouterInvariantsTest.java
@@ -11,7 +11,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The four rules, kept by one router alone. */
+/**
+ * Tests the rules that a router must keep for every request and node: one answer by the deadline,
+ * no retry of a request that must not run twice, no request to a node that is draining or gone, and
+ * the budget of a node in slow start. Also tests subscriptions and the validation of settings.
+ */
 class RouterInvariantsTest {
 
     @Test
@@ -103,8 +107,8 @@
     }
 
     /**
-     * The proxy may be held up after it has read its clock: what is decided on just before the
-     * window's end would be sent after it.
+     * The proxy may be delayed between reading its clock and writing. A retry that is decided just
+     * before the end of the repeat window would then be sent after it.
      */
     @Test
     void keyedRequestIsNotRetriedIfProcessingDelayMayExceedRepeatWindow() {
@@ -185,7 +189,7 @@
                         * 2;
         assertTrue(
                 sentInSlowStart > 0 && sentInSlowStart < limit,
-                sentInSlowStart + " sends, at most " + limit);
+                sentInSlowStart + " requests sent, limit " + limit);
     }
 
     @Test
@@ -206,8 +210,8 @@
     }
 
     /**
-     * It was found silent 4.5 s after its last word, and what it misses counts as told 6 s after
-     * that.
+     * A silent watch is considered failed 4.5 s after its last message. What it misses counts as
+     * notified 6 s after that message, so the proxy has 1.5 s to subscribe again.
      */
     @Test
     void failedWatchIsResubscribedAtOnceAndThenWithBackoff() {
@@ -221,7 +225,7 @@
         harness.router.endpointListReceived(
                 harness.now, EndpointListKind.FAILED, 1, List.of(), harness.actions);
         harness.advance(400);
-        assertEquals(2, harness.actions.subscriptions, "all proxies ask one service");
+        assertEquals(2, harness.actions.subscriptions, "backs off, as all proxies use one service");
         harness.advance(1200);
         assertEquals(3, harness.actions.subscriptions);
         harness.router.endpointListReceived(
--- a/src/test/java/cacheproxy/SlowStartBudgetTest.java
+++ b/src/test/java/cacheproxy/SlowStartBudgetTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What one proxy may send a node in slow start, and what that adds up to over all proxies. */
+/** Tests the work that one proxy, and all proxies together, may send to a node in slow start. */
 class SlowStartBudgetTest {
 
     private static final double LOAD_MULTIPLE = 3;
@@ -23,7 +23,10 @@
     private static final Router.Rules RULES =
             new Router.Rules(1000, CAPACITY_FRACTION, 23_000, LOAD_MULTIPLE, WINDOW_MS, 20, 10_000);
 
-    /** What warm nodes have to serve, in requests a millisecond, for a part of so many requests. */
+    /**
+     * Returns the rate of warm nodes, in requests per millisecond, at which this proxy's share per
+     * window is the given number of requests.
+     */
     private static double servedRateFor(double requests) {
         return requests
                 / SlowStartBudget.WARM_RATE_MARGIN
@@ -42,7 +45,7 @@
         return budget.allows(now, "node", MODEL, START_MS, CAPACITY_FRACTION, size, false);
     }
 
-    /** Sends all that is allowed of so many requests; returns how many that was. */
+    /** Sends as many of the requests as the budget allows; returns how many were sent. */
     private static int send(SlowStartBudget budget, double now, int requests, double size) {
         int sent = 0;
         for (int i = 0; i < requests; i++) {
@@ -55,8 +58,8 @@
     }
 
     /**
-     * The worst window while every proxy has more to send than it may, with every traffic share
-     * from 1 to 4.
+     * Checks the window with the most requests while every proxy has more to send than its share.
+     * The proxies have traffic in the ratios 1 to 4.
      */
     @ParameterizedTest(name = "{0} proxies, N {1}")
     @CsvSource({
@@ -114,7 +117,8 @@
     }
 
     /**
-     * Where few warm nodes are left, or little is asked of them, what they serve tells too little.
+     * The rate of warm nodes underestimates the capacity if few warm nodes are left or if they get
+     * few requests.
      */
     @Test
     void answersOfTheNodeRaiseItsShare() {
@@ -170,8 +174,8 @@
     }
 
     /**
-     * Else a new process would refuse relief, and a fleet that has just started nearly all, for
-     * want of a figure.
+     * Without a served rate, a budget of 0 would make a new process reject requests that overflow
+     * to the node, and a fleet that has just started reject nearly all requests.
      */
     @Test
     void budgetAllowsEverythingBeforeTheFirstServedRate() {
@@ -189,11 +193,11 @@
                 8 * 0.97,
                 send(budget, START_MS, 100, 1),
                 1,
-                "what it asked for may be less for a moment");
+                "a lower rate in one interval may be due to fewer requests");
         for (int interval = 0; interval < 200; interval++) {
             budget.recordServedRate(MODEL, 0.01 * perMs);
         }
-        assertEquals(0, send(budget, START_MS + WINDOW_MS, 100, 1), "it answers no more than that");
+        assertEquals(0, send(budget, START_MS + WINDOW_MS, 100, 1), "the rate stayed low");
     }
 
     @Test
@@ -208,8 +212,8 @@
     }
 
     /**
-     * Reads that no warm node answers any more, next to a cold one that has none of what is asked
-     * for.
+     * The warm nodes stop answering, and the only other node is in slow start and misses every
+     * read.
      */
     @Test
     void routerRejectsIfTheOnlyFreeNodeIsAtItsSlowStartBudget() {
@@ -237,7 +241,7 @@
                         + (1 - RouterHarness.RULES.slowStartInitialFraction())
                                 * ageMs
                                 / RouterHarness.RULES.slowStartMs();
-        // Before its start each of the four was sent ten a second by this proxy.
+        // Before c3 restarted, this proxy sent 10 requests per second to each of the four nodes.
         double limit =
                 RouterHarness.RULES.slowStartLoadMultiple()
                         * capacityFraction
--- a/src/test/java/cacheproxy/SourceLimitsTest.java
+++ b/src/test/java/cacheproxy/SourceLimitsTest.java
@@ -11,10 +11,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whoever is on call must be able to read the module at night. */
+/**
+ * Checks the size and the dependencies of the decision source files, so that an on-call engineer
+ * can read them quickly during an incident.
+ */
 class SourceLimitsTest {
 
-    private static final Path MODULE = Path.of("src/main/java/cacheproxy/Decide.java");
+    private static final Path MODULE = Path.of("src/main/java/cacheproxy/DecisionModule.java");
     private static final Path DEPLOY = Path.of("deploy/balancer.toml");
     private static final int MOST_MODULE_TOKENS = 9_327;
     private static final int MAX_FILE_LINES = 400;
@@ -44,7 +47,7 @@
     @Test
     void everyOtherDecisionFileStaysShort() throws IOException {
         List<Path> files = decisionFiles();
-        assertTrue(files.contains(MODULE), "the deploy file names the module");
+        assertTrue(files.contains(MODULE), MODULE + " is missing in " + DEPLOY);
         for (Path file : files) {
             long lines = nonBlankLines(file);
             assertTrue(
@@ -53,7 +56,10 @@
         }
     }
 
-    /** What the deploy file names as decision logic, and the packages that hold the rest of it. */
+    /**
+     * Returns the decision logic: the files that the deploy file lists, and those of the packages
+     * measure and maintenance.
+     */
     private static List<Path> decisionFiles() throws IOException {
         String policy =
                 Files.readAllLines(DEPLOY).stream()
@@ -90,7 +96,7 @@
     @Test
     void moduleNamesItsInterfaceAndUsesOnlyTheJdk() throws IOException {
         String text = Files.readString(MODULE);
-        assertTrue(text.indexOf("Router.java") < text.indexOf("class Decide"));
+        assertTrue(text.indexOf("Router.java") < text.indexOf("class DecisionModule"));
         assertTrue(
                 text.lines()
                         .filter(l -> l.startsWith("import "))
--- a/src/test/java/cacheproxy/StartupInFlightTest.java
+++ b/src/test/java/cacheproxy/StartupInFlightTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * In a proxy's first second much of what it has sent is still on its way: that is no silence of the
- * fleet.
+ * Tests that look-ups still in flight in a proxy's first second are not counted as unanswered. The
+ * proxy has sent few others by then, so they would make it reject requests.
  */
 class StartupInFlightTest {
 
--- a/src/test/java/cacheproxy/UnassignedPort.java
+++ b/src/test/java/cacheproxy/UnassignedPort.java
@@ -7,9 +7,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Loopback ports outside the range from which Linux assigns one to whoever asks for any. A process
- * that is told to listen at one finds it free although other tests open and close servers
- * meanwhile.
+ * Loopback ports outside the ephemeral port range of Linux. A process that is started with such a
+ * port can bind it, as servers that other tests open in the meantime get ephemeral ports.
  */
 public final class UnassignedPort {
 
@@ -18,7 +17,7 @@
 
     private UnassignedPort() {}
 
-    /** An address that nobody listens at. */
+    /** Returns a loopback address at which no process listens. */
     public static InetSocketAddress address() {
         for (int attempt = 0; attempt < PORT_COUNT; attempt++) {
             int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, FIRST_PORT + PORT_COUNT);
@@ -26,9 +25,10 @@
                     new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return (InetSocketAddress) socket.getLocalSocketAddress();
             } catch (IOException e) {
-                // In use; another is tried.
+                // The port is in use; try another.
             }
         }
-        throw new IllegalStateException("no port is free");
+        throw new IllegalStateException(
+                "no free loopback port found in " + PORT_COUNT + " attempts");
     }
 }
--- a/src/test/java/cacheproxy/measure/IncarnationTest.java
+++ b/src/test/java/cacheproxy/measure/IncarnationTest.java
@@ -98,7 +98,8 @@
     void firstListPeriodEndsWithDiscoveryUpdateOrMaxDelay() {
         Incarnations incarnations = new Incarnations();
         incarnations.started(NOW_MS);
-        assertTrue(incarnations.isFirstList(NOW_MS + 10 * MAX_DELAY_MS), "none has come");
+        assertTrue(
+                incarnations.isFirstList(NOW_MS + 10 * MAX_DELAY_MS), "no list has been received");
         incarnations.of("saved");
         assertTrue(incarnations.isFirstList(NOW_MS + MAX_DELAY_MS));
         assertFalse(incarnations.isFirstList(NOW_MS + MAX_DELAY_MS + 1));
