--- a/src/main/java/cacheproxy/raft/Codec.java
+++ b/src/main/java/cacheproxy/raft/Codec.java
@@ -33,8 +33,9 @@
 import java.util.List;
 
 /**
- * Raft's, the policy's and the change stream's messages, log entries and snapshots as JSON, each
- * with its kind in {@code t}. What is malformed throws a RuntimeException.
+ * Converts Raft messages, policy messages, log entries and snapshot chunks to JSON and back.
+ * Messages have their kind in {@code t}, log entries in {@code op}. Malformed input throws a
+ * RuntimeException.
  */
 final class Codec {
 
@@ -64,7 +65,7 @@
                 .build();
     }
 
-    /** A part of a snapshot; what it holds is bytes. */
+    /** Encodes one chunk of a snapshot; its operation is a byte array. */
     static JsonObject chunk(SnapshotChunk chunk) {
         JsonObject json = new JsonObject();
         json.addProperty(
@@ -141,7 +142,8 @@
                             json.get("content").getAsString());
             case "activate" -> new Epochs.Activate(json.get("epoch").getAsLong());
             case "begin" -> new Epochs.NewTermEntry();
-            default -> throw new IllegalArgumentException("no such entry: " + json.get("op"));
+            default ->
+                    throw new IllegalArgumentException("unknown log entry kind: " + json.get("op"));
         };
     }
 
@@ -174,9 +176,9 @@
                 .build();
     }
 
-    // Raft's messages.
+    // Raft messages.
 
-    /** Null for a kind that is not sent here. */
+    /** Encodes a Raft message; returns null for a kind that is not sent between voters. */
     static JsonObject raftMessage(RaftMessage message) {
         JsonObject json = new JsonObject();
         if (message instanceof AppendEntriesRequest typed) {
@@ -244,7 +246,7 @@
         return json;
     }
 
-    /** A message of Raft from this sender; null where it is none. */
+    /** Decodes a Raft message of this sender; returns null if the JSON is not a Raft message. */
     static RaftMessage raftMessage(String sender, JsonObject json) {
         if (!json.has("raft_term")) {
             return null;
@@ -362,11 +364,11 @@
                             .setQuerySequenceNumber(json.get("query").getAsLong())
                             .setFlowControlSequenceNumber(json.get("flow").getAsLong())
                             .build();
-            default -> throw new IllegalArgumentException("no such message: " + json.get("t"));
+            default -> throw new IllegalArgumentException("unknown Raft message: " + json.get("t"));
         };
     }
 
-    // The policy's messages.
+    // Policy messages.
 
     static JsonObject epoch(Epoch epoch) {
         JsonObject json = new JsonObject();
@@ -452,7 +454,8 @@
                             Message.ProposalStatus.valueOf(json.get("ending").getAsString()),
                             json.get("epoch").getAsLong(),
                             json.get("text").getAsString());
-            default -> throw new IllegalArgumentException("no such message: " + json.get("t"));
+            default ->
+                    throw new IllegalArgumentException("unknown policy message: " + json.get("t"));
         };
     }
 }
--- a/src/main/java/cacheproxy/raft/ControlMachine.java
+++ b/src/main/java/cacheproxy/raft/ControlMachine.java
@@ -24,20 +24,31 @@
 import java.util.stream.Stream;
 
 /**
- * One control machine of the change stream but for its sockets and its file, so that it runs in
- * virtual time too: the log that it shares with the others, the window, and those it serves. The
- * one that leads takes changes and sums who has which; the others ask it how far the stream has
- * come, so that they can say how old their own view is. All calls are made on the executor's
- * thread.
+ * One control machine of the change stream, without sockets and files, so that it also runs in
+ * virtual time: its copy of the replicated log, the retained log, and the subscribers that it
+ * serves. The leader accepts changes and collects which subscribers have acknowledged which entry.
+ * The other control machines ask the leader for its last entry, so that they can report how old
+ * their own view is. All calls are made on the executor's thread.
  */
 public final class ControlMachine {
 
+    /** How often a follower asks the leader for its last entry. */
     private static final double HEAD_QUERY_INTERVAL_MS = 200;
+
+    /**
+     * A subscriber that was not heard for this long is not waited for, and is reported as lagging.
+     */
     private static final double SUBSCRIBER_TIMEOUT_MS = 2600;
+
+    /** A subscriber that was not heard for this long counts as replaced and is forgotten. */
     private static final double SUBSCRIBER_RETENTION_MS = 7_200_000;
+
     private static final int MAX_ROWS_PER_MESSAGE = 1000;
 
-    /** What one is made of, as {@link StreamLog.Parts} says; {@code bounds} are the window's. */
+    /**
+     * What a control machine is made of, as in {@link StreamLog.Parts}; {@code bounds} limit the
+     * retained log.
+     */
     public record Parts(
             String name,
             List<String> controls,
@@ -49,15 +60,24 @@
             RestoredRaftState restored,
             int snapshotEvery) {}
 
-    /** What it asks for. */
+    /** The effects that a control machine asks its owner for. */
     public interface Out extends Publisher.PublisherActions {
-        /** Sends to another control machine; what is lost is asked again. */
+        /**
+         * Sends a message to another control machine. Messages may be lost: every query is sent
+         * again later.
+         */
         void sendToControl(String control, JsonObject message);
 
-        /** An entry has come to be everywhere; told where it leads. */
+        /** Every present subscriber has acknowledged an entry; called on the leader only. */
         void fullyAcknowledged(FullyAcknowledged entry);
     }
 
+    /**
+     * A follower's query that has no answer yet.
+     *
+     * @param at when it arrived, by this machine's clock, in milliseconds
+     * @param stamp the asking machine's own time, which goes back with the answer
+     */
     private record PendingQuery(double at, double stamp) {}
 
     private final DoubleSupplier nowMs;
@@ -70,13 +90,16 @@
     private final Map<String, PendingQuery> pendingQueries = new HashMap<>();
     private double lastQueryAtMs = Double.NEGATIVE_INFINITY;
 
-    /** The last entry whose way {@link #deliveries} was given to watch. */
+    /** The last entry that was passed to {@link #acknowledgements} for tracking. */
     private long lastTracked;
 
-    /** Since when it leads without a break; infinite while it does not. */
+    /** Since when this machine has led without interruption; infinite while it does not lead. */
     private double leaderSinceMs = Double.POSITIVE_INFINITY;
 
-    /** What the leader has said: its last entry when this one asked. */
+    /**
+     * The leader's last entry, from its answer to a query sent at {@link #leaderStamp}; {@link
+     * Long#MAX_VALUE} if there is no answer that this machine has yet to catch up with.
+     */
     private long leaderHead = Long.MAX_VALUE;
 
     private double leaderStamp;
@@ -106,17 +129,17 @@
         log.start();
     }
 
-    /** Ends it; what it writes last is written once the answer is there. */
+    /** Stops the Raft node; its last writes are done when the returned future completes. */
     public CompletableFuture<?> stop() {
         return log.stop();
     }
 
     private void onLogAdvanced() {
         if (log == null) {
-            // A snapshot that the start begins with: nobody is connected yet.
+            // A restored snapshot is installed during construction: nobody is connected yet.
             return;
         }
-        // Whether it leads or not: the one that leads may be lost before an entry is everywhere.
+        // Followers track entries too: the leader may be lost before all have acknowledged one.
         for (lastTracked = Math.max(lastTracked, retainedLog.base());
                 lastTracked < retainedLog.head(); ) {
             acknowledgements.entryCommitted(nowMs.getAsDouble(), ++lastTracked);
@@ -125,12 +148,13 @@
         updateFreshness();
     }
 
-    /** Called every some ten milliseconds. */
+    /** Does the periodic work; called every few tens of milliseconds. */
     public void tick(double now) {
         log.tick(now, this::leadershipConfirmed);
         leaderSinceMs = log.isLeader() ? Math.min(leaderSinceMs, now) : Double.POSITIVE_INFINITY;
         if (now - leaderSinceMs >= SUBSCRIBER_TIMEOUT_MS) {
-            // Before that, who is served by another machine may not have been heard of here.
+            // A new leader first waits until the subscribers of the other machines have been
+            // reported to it.
             acknowledgements.takeFullyAcknowledged(now).forEach(out::fullyAcknowledged);
         } else if (!log.isLeader()
                 && now - lastQueryAtMs >= HEAD_QUERY_INTERVAL_MS
@@ -147,7 +171,10 @@
         return json;
     }
 
-    /** How far is it, and this is how far those have come whom this one serves. */
+    /**
+     * Asks the leader for its last entry, and reports to it what this machine's subscribers have
+     * acknowledged.
+     */
     private void queryLeader(double now, String leader) {
         JsonObject query = message("how-far");
         query.addProperty("stamp", now);
@@ -171,8 +198,8 @@
     }
 
     /**
-     * A majority has said that this one led at that time: all that was committed then is in its
-     * window.
+     * A majority has confirmed that this machine led at that time, so all entries that were
+     * committed by then are in its retained log. Answers the queries that arrived until then.
      */
     private void leadershipConfirmed(double at) {
         publisher.setFreshAsOf(at);
@@ -191,6 +218,7 @@
         pendingQueries.values().removeIf(query -> query.at() <= at);
     }
 
+    /** Marks the view as fresh once it includes the leader's last entry at the time of asking. */
     private void updateFreshness() {
         if (retainedLog.head() >= leaderHead) {
             publisher.setFreshAsOf(leaderStamp);
@@ -198,20 +226,22 @@
         }
     }
 
-    /** A message from another control machine. */
+    /** Handles a message from another control machine. */
     public void received(String from, JsonObject json) {
         if (log.received(from, json)) {
             return;
         }
         switch (json.get("t").getAsString()) {
-            // The first that has no answer yet: were it the last, one who asks in step with the
-            // leader's own questions would never have one.
+            // Keeps the first unanswered query. If a later one replaced it, a machine that always
+            // asks between the leader's query to the majority and the confirmation would never get
+            // an answer.
             case "how-far" ->
                     pendingQueries.putIfAbsent(
                             from,
                             new PendingQuery(nowMs.getAsDouble(), json.get("stamp").getAsDouble()));
             case "so-far" -> {
-                // One of an earlier version says nothing of it and had none watched but its own.
+                // A leader of an earlier version does not send "everywhere"; there only the leader
+                // tracks entries, so all up to its head are dropped here.
                 acknowledgements.fullyAcknowledgedUpTo(
                         json.has("everywhere")
                                 ? json.get("everywhere").getAsLong()
@@ -230,56 +260,58 @@
                     acknowledgements.addTally(nowMs.getAsDouble(), tally.rows());
                 }
             }
-            default -> throw new IllegalArgumentException("no such message: " + json.get("t"));
+            default ->
+                    throw new IllegalArgumentException("unknown control message: " + json.get("t"));
         }
     }
 
-    /** A message of one whom it serves, on a connection. */
+    /** Handles a message of a subscriber on a connection. */
     public void received(long connection, Message message) {
         publisher.received(nowMs.getAsDouble(), connection, message, out);
     }
 
-    /** Those it serves. */
+    /** Returns the publisher that serves this machine's subscribers. */
     public Publisher publisher() {
         return publisher;
     }
 
-    /** Adds a change, as {@link StreamLog#append} does. */
+    /** Appends a change to the stream, as {@link StreamLog#append} does. */
     public void publish(Change change, Consumer<Long> callback) {
         log.append(change, callback);
     }
 
-    /** Whether it leads. */
+    /** Whether this machine leads the log. */
     public boolean isLeader() {
         return log.isLeader();
     }
 
     /**
-     * Whether it has ended by itself, as where its file can't be written. It serves what it has;
-     * its readers see that it falls behind, and go.
+     * Whether the Raft node has terminated, for example because its file could not be written. The
+     * machine still serves the entries that it has; its subscribers see that its view becomes old
+     * and switch to another machine.
      */
     public boolean isTerminated() {
         return log.isTerminated();
     }
 
-    /** Its last entry. */
+    /** Returns the sequence number of the last entry. */
     public long head() {
         return retainedLog.head();
     }
 
-    /** The stream's name; 0 before there is one. */
+    /** Returns the identifier of the stream; 0 before the stream has been created. */
     public long lineage() {
         return retainedLog.lineage();
     }
 
-    /** The last entry before those that it still holds. */
+    /** Returns the sequence number of the last entry before the retained ones. */
     public long base() {
         return retainedLog.base();
     }
 
     /**
-     * Where it leads: those who lack an entry, and those who have not been heard for a while, by
-     * name.
+     * Returns the names of the subscribers that have not acknowledged an entry, and of those that
+     * were not heard within the subscriber time-out. Complete on the leader only.
      */
     public List<String> laggingSubscribers(long seq) {
         double now = nowMs.getAsDouble();
--- a/src/main/java/cacheproxy/raft/CorruptLogException.java
+++ b/src/main/java/cacheproxy/raft/CorruptLogException.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 
 /**
- * A line that was confirmed can't be read back. No attempt is made to go on without it: a voter
- * that has forgotten its vote could give it twice. Trying again does not help; an operator has to
- * decide.
+ * Thrown when a line of a file that had been confirmed as written is damaged or missing. The voter
+ * does not continue without it: if it had lost its vote it could vote twice in one term. Retrying
+ * does not help; an operator has to repair or replace the file.
  */
 public final class CorruptLogException extends IOException {
 
@@ -16,7 +16,7 @@
     private final int line;
 
     /**
-     * @param line the number of the first damaged line, from 1 on
+     * @param line the number of the first damaged line, counted from 1
      */
     CorruptLogException(Path file, int line, String why) {
         super(file + ":" + line + ": " + why);
@@ -24,12 +24,12 @@
         this.line = line;
     }
 
-    /** The damaged file. */
+    /** Returns the damaged file. */
     public Path file() {
         return file;
     }
 
-    /** The number of the first damaged line, from 1 on. */
+    /** Returns the number of the first damaged line, counted from 1. */
     public int line() {
         return line;
     }
--- a/src/main/java/cacheproxy/raft/DurableFiles.java
+++ b/src/main/java/cacheproxy/raft/DurableFiles.java
@@ -10,12 +10,12 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The calls to the file system by which a file outlasts a crash of the machine. Each throws what
- * the system says; tests put calls that fail in their place.
+ * The file system calls that make a file survive a crash of the machine. Errors of the file system
+ * are thrown unchanged. Tests override the calls to inject faults.
  */
 class DurableFiles {
 
-    /** Opens a file for writing, empty. */
+    /** Opens a file for writing; creates it or truncates it to zero length. */
     FileChannel create(Path file) throws IOException {
         return FileChannel.open(
                 file,
@@ -24,22 +24,25 @@
                 StandardOpenOption.WRITE);
     }
 
-    /** The whole content of a file. */
+    /** Reads the whole content of a file. */
     byte[] read(Path file) throws IOException {
         return Files.readAllBytes(file);
     }
 
-    /** Gives a file another's name and place, at once; it lasts from the sync of the folder on. */
+    /**
+     * Renames a file atomically, replacing the target. The rename is durable only after {@link
+     * #syncFolder} on the target's folder.
+     */
     void rename(Path from, Path to) throws IOException {
         FileOperations.SYSTEM.rename(from, to);
     }
 
-    /** Makes the names in a folder last. */
+    /** Syncs a folder, so that files created in it and renames into it are durable. */
     void syncFolder(Path folder) throws IOException {
         FileOperations.SYSTEM.syncDirectory(folder);
     }
 
-    /** Writes a text whole, however short the single writes are. */
+    /** Writes the whole text as UTF-8, with as many writes as that takes. */
     static void write(FileChannel to, String text) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
         while (bytes.hasRemaining()) {
--- a/src/main/java/cacheproxy/raft/EventLoopExecutor.java
+++ b/src/main/java/cacheproxy/raft/EventLoopExecutor.java
@@ -4,7 +4,7 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** The library's tasks on a loop of Netty. */
+/** Runs MicroRaft's tasks on a Netty event loop. */
 record EventLoopExecutor(EventLoop loop) implements RaftNodeExecutor {
     @Override
     public void execute(Runnable task) {
--- a/src/main/java/cacheproxy/raft/LogFile.java
+++ b/src/main/java/cacheproxy/raft/LogFile.java
@@ -23,20 +23,22 @@
 import java.util.zip.CRC32;
 
 /**
- * What a voter must not forget, as lines of a checksum and JSON in one file. It grows until a
- * snapshot takes the place of entries; then, and at a start, it is written anew beside itself and
- * renamed, without what was replaced. Synced where the library asks. A last line that is torn was
- * never confirmed to anyone and is dropped; damage before it refuses the start, as a voter that has
- * forgotten its vote could give it twice.
+ * The persistent state of a voter in one file of lines; each line is a checksum and a JSON object.
+ * Lines are appended until a snapshot replaces entries. Then, and when the file is opened, the
+ * current state is written to a new file, which is renamed over the old one. The file is synced
+ * where MicroRaft requires it. A torn last line was never confirmed to anyone and is dropped. The
+ * file cannot be opened if an earlier line is damaged, because a voter that has lost its vote could
+ * vote twice in one term.
  *
- * <p>After a write, sync or rename that failed nothing is written to that file any more, as half a
- * line may stand at its end, and as the system tells of a sync that failed only once: every later
- * call throws {@link StorageUnavailableException}. Opening the file again reads what is there, and
- * writes it whole to another file before anything more is confirmed.
+ * <p>After a failed write, sync or rename this object writes nothing more, because the file may end
+ * in a partial line, and because the operating system reports a failed sync only once. Every later
+ * call throws {@link StorageUnavailableException}. Opening the file again reads its content and
+ * writes all of it to a new file before anything else is confirmed.
  */
 final class LogFile implements RaftStore, Closeable {
 
-    /** What the file holds. */
+    // The state that the file contains.
+
     private Endpoint endpoint;
 
     private boolean voting;
@@ -45,21 +47,21 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
 
     /**
-     * Parts of snapshots by the index that they stand for; all but the last whole one go with the
-     * next rewriting.
+     * Snapshot chunks by the log index of their snapshot and the chunk's number. The next rewrite
+     * drops all snapshots before the last complete one.
      */
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
     private final Path file;
     private final DurableFiles files;
 
-    /** Where lines go; null until the file has been written anew. */
+    /** The file that lines are appended to; null until the first rewrite. */
     private FileChannel channel;
 
-    /** How much of the file is known to be on the disk. */
+    /** The length up to which the file is known to be on the disk. */
     private long syncedBytes;
 
-    /** Why this object takes no more; null while it does. */
+    /** The first failed write or sync; null while this object accepts updates. */
     private StorageUnavailableException fault;
 
     private LogFile(Path file, DurableFiles files) throws IOException {
@@ -76,8 +78,8 @@
     }
 
     /**
-     * Reads what is there and writes it anew; the file that was there stays until that has
-     * succeeded.
+     * Reads the file in this folder, if there is one, and rewrites it. The old file stays in place
+     * until the new one is complete on the disk.
      */
     static LogFile open(Path folder, DurableFiles files)
             throws CorruptLogException, StorageUnavailableException {
@@ -93,13 +95,13 @@
     }
 
     /**
-     * Opens the file anew after this object has failed, from what is on the disk. A file that is
-     * gone, as with its disk, is not begun anew: a voter that has forgotten its vote could give it
-     * twice.
+     * Opens the file again after this object has failed, with the state that is on the disk. Does
+     * not create a file that is missing (as when its disk is not mounted), and rejects one with an
+     * older term than was confirmed: a voter that has lost its vote could vote twice in one term.
      */
     LogFile reopen() throws CorruptLogException, StorageUnavailableException {
         if (!Files.exists(file)) {
-            throw new StorageUnavailableException(file, "is gone");
+            throw new StorageUnavailableException(file, "the file is missing");
         }
         LogFile reopened = open(file.getParent(), files);
         if (reopened.term() < term()) {
@@ -107,22 +109,22 @@
             throw new CorruptLogException(
                     file,
                     1,
-                    "term " + term() + " was confirmed, and term " + reopened.term() + " is there");
+                    "term " + term() + " was confirmed, but term " + reopened.term() + " was read");
         }
         return reopened;
     }
 
-    /** Closes it where nobody waits for what closing may say. */
+    /** Closes the file and ignores errors. */
     void closeQuietly() {
         try {
             close();
         } catch (IOException e) {
-            // It is not written any more.
+            // Nothing is written to this file any more.
         }
     }
 
     private void read(Path file) throws IOException {
-        // A line that was cut off within a character is as torn as any: its checksum tells.
+        // A line may be cut off within a UTF-8 character; its checksum does not match then.
         String content = new String(files.read(file), StandardCharsets.UTF_8);
         String[] lines = content.split("\n", -1);
         boolean endsWithLine = lines[lines.length - 1].isEmpty();
@@ -132,7 +134,7 @@
                 if (i == lines.length - 2 && endsWithLine) {
                     return;
                 }
-                throw new CorruptLogException(file, i + 1, "damaged");
+                throw new CorruptLogException(file, i + 1, "damaged: checksum does not match");
             }
             try {
                 applyLine(JsonParser.parseString(json).getAsJsonObject());
@@ -159,7 +161,7 @@
             case "until" -> entries.headMap(line.get("index").getAsLong(), true).clear();
             case "chunk" -> store(Codec.chunk(line));
             case "no-chunks" -> snapshots.remove(line.get("index").getAsLong());
-            default -> throw new IllegalStateException("no such line: " + line.get("k"));
+            default -> throw new IllegalStateException("unknown kind of line: " + line.get("k"));
         }
     }
 
@@ -169,7 +171,7 @@
                 .put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
-    /** The last snapshot of which all parts are there; null without one. */
+    /** Returns the chunks of the last complete snapshot; null if there is none. */
     private TreeMap<Integer, SnapshotChunk> lastCompleteSnapshot() {
         return snapshots.descendingMap().values().stream()
                 .filter(c -> c.size() == c.firstEntry().getValue().getSnapshotChunkCount())
@@ -178,8 +180,8 @@
     }
 
     /**
-     * What holds, as a new file in the old one's place. The old one stays until all of the new one
-     * is on the disk.
+     * Writes the current state to a new file and renames it over the old one. The old file stays in
+     * place until the new one is complete on the disk.
      */
     private void rewrite() throws IOException {
         TreeMap<Integer, SnapshotChunk> chunks = lastCompleteSnapshot();
@@ -245,15 +247,16 @@
         DurableFiles.write(channel, checksum(json) + " " + json + "\n");
     }
 
-    /** A change of what the file holds: written first, and then in memory. */
+    /** A change of the state: it is written to the file first and then applied in memory. */
     private interface Change {
         void apply() throws IOException;
     }
 
-    /** Makes a change; the first that fails is the last that is tried. */
+    /** Applies a change; after the first that fails all later ones are rejected. */
     private void change(Change change) throws StorageUnavailableException {
         if (fault != null) {
-            throw new StorageUnavailableException(file, "failed before, open it again");
+            throw new StorageUnavailableException(
+                    file, "an earlier write or sync failed; reopen the file");
         }
         try {
             change.apply();
@@ -265,22 +268,24 @@
     }
 
     /**
-     * Takes away what was written and not synced, as far as the system lets: nobody was told of it.
+     * Truncates the file to its synced length, if the file system allows it: later content has not
+     * been confirmed to anyone.
      */
     private void discardUnsynced() {
         try (FileChannel abandoned = channel) {
             abandoned.truncate(syncedBytes);
         } catch (IOException e) {
-            // The next to open the file drops half a line, and reads whole ones.
+            // The unsynced lines stay. Opening the file again reads the complete ones and drops a
+            // torn last line.
         }
     }
 
-    /** Whether a write or a sync has failed, so that this object takes no more. */
+    /** Whether a write or sync has failed, so that this object rejects all updates. */
     boolean failed() {
         return fault != null;
     }
 
-    /** The first write or sync that failed; null where none has. */
+    /** Returns the first failure of a write or sync; null if there was none. */
     StorageUnavailableException fault() {
         return fault;
     }
@@ -290,7 +295,7 @@
         syncedBytes = channel.position();
     }
 
-    /** What an earlier process left; null where there was none. */
+    /** Returns the state that an earlier process has stored; null if it is absent or incomplete. */
     RestoredRaftState restored() {
         if (endpoint == null || members == null || term == null) {
             return null;
@@ -336,7 +341,7 @@
                 new ArrayList<>(entries.tailMap(first.getIndex(), false).values()));
     }
 
-    /** The term that was read; 0 without one. */
+    /** Returns the last stored term; 0 if there is none. */
     int term() {
         return term == null ? 0 : term.get("term").getAsInt();
     }
@@ -448,8 +453,8 @@
     }
 
     /**
-     * The last epoch in force, kept apart: a proxy runs it from its start on, whoever it reaches.
-     * Null where there is none.
+     * Reads the last epoch in force, which has a file of its own: a proxy applies it at its start,
+     * before it has reached any voter. Returns null if there is none.
      */
     static Epoch lastEpoch(Path folder) throws IOException {
         Path file = folder.resolve("in-force");
@@ -458,7 +463,7 @@
                     ? Codec.epoch(JsonParser.parseString(Files.readString(file)).getAsJsonObject())
                     : null;
         } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-            throw new CorruptLogException(file, 1, "damaged");
+            throw new CorruptLogException(file, 1, "damaged: not a JSON object with an epoch");
         }
     }
 
@@ -467,8 +472,8 @@
     }
 
     /**
-     * Keeps the epoch in force; where that fails, the one that was kept before or this one is
-     * there, whole.
+     * Stores the epoch in force. After a failure the file contains either the previously stored
+     * epoch or this one, complete.
      */
     static void store(Path folder, Epoch epoch, DurableFiles files)
             throws StorageUnavailableException {
--- a/src/main/java/cacheproxy/raft/PeerConnections.java
+++ b/src/main/java/cacheproxy/raft/PeerConnections.java
@@ -42,12 +42,17 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Sealed messages between proxies on TCP: each proxy keeps one connection to each voter; answers
- * come back on it. Both ends begin with a key drawn for the connection, agree on a secret (X25519)
- * and prove who they are by a signature over both keys (Ed25519, the gossip's); every later frame
- * carries an HMAC over a count and itself, so that none can be played again. A signature for each
- * frame took a fifth of a core. A connection that falls silent is closed and made anew. What can't
- * be sent is dropped, as all that is sent is asked again.
+ * Authenticated messages between proxies and voters, or between control machines, over TCP. Each
+ * process keeps one connection to each voter; answers are sent back on the connection that the
+ * question came from.
+ *
+ * <p>Each end sends a public key generated for the connection. Both derive a shared secret (X25519)
+ * and prove their identity by signing both keys with their gossip key (Ed25519). Every later frame
+ * carries an HMAC over a frame counter and its content, so a frame cannot be replayed. Frames are
+ * not signed one by one, because that took a fifth of a core. The content is not encrypted.
+ *
+ * <p>A connection on which nothing is received is closed and reconnected. Messages that cannot be
+ * sent are dropped: senders repeat whatever is not answered.
  */
 final class PeerConnections {
 
@@ -59,12 +64,15 @@
     private static final int MAX_QUEUED_MESSAGES = 64;
     private static final int CONNECT_TIMEOUT_MS = 500;
 
-    /** Questions go out several times a second, and each has an answer. */
+    /**
+     * A connection is closed when nothing was received for this long. In normal operation several
+     * questions a second are sent, and each is answered.
+     */
     private static final long READ_TIMEOUT_MS = 1500;
 
     private static final long RECONNECT_DELAY_MS = 200;
 
-    /** Takes a message whose sender is proven. */
+    /** Receives messages of authenticated senders. */
     interface MessageListener {
         void received(String from, JsonObject message);
     }
@@ -81,7 +89,8 @@
     private boolean closed;
 
     /**
-     * @param opens is given each connection before anything of ours is in its pipeline
+     * @param channelInitializer called with each new connection before the handlers of this class
+     *     are added to its pipeline
      */
     PeerConnections(
             EventLoop loop,
@@ -93,7 +102,8 @@
     }
 
     /**
-     * For tests: connects over channels that may fail to be made, as where no descriptor is left.
+     * For tests: connects over channels of this factory, which may fail to create one, as when the
+     * process is out of file descriptors.
      */
     PeerConnections(
             EventLoop loop,
@@ -118,7 +128,7 @@
         }
     }
 
-    /** Takes connections; only a voter has any. */
+    /** Accepts connections at an address; called only on voters. */
     void listen(InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -135,15 +145,12 @@
                         .await();
         if (!bound.isSuccess()) {
             throw new IOException(
-                    "cannot listen on "
-                            + address
-                            + " for the policy: "
-                            + bound.cause().getMessage());
+                    "cannot listen for peers on " + address + ": " + bound.cause().getMessage());
         }
         serverChannel = bound.channel();
     }
 
-    /** On the loop: connects to every voter but this proxy itself. */
+    /** Connects to every voter except this process itself. Called on the event loop. */
     void start() {
         voters.keySet().stream().filter(v -> !v.equals(identity.name())).forEach(this::connect);
     }
@@ -157,7 +164,9 @@
         incoming.values().forEach(l -> l.channel.close());
     }
 
-    /** On the loop: a question, to a voter. */
+    /**
+     * Sends a message to a voter on this process's own connection to it. Called on the event loop.
+     */
     void sendToVoter(String voter, JsonObject message) {
         Link link = outgoing.get(voter);
         if (link != null) {
@@ -165,7 +174,7 @@
         }
     }
 
-    /** On the loop: an answer, on the connection that the proxy keeps to us. */
+    /** Sends an answer on the connection that a proxy opened to us. Called on the event loop. */
     void sendToProxy(String proxy, JsonObject message) {
         Link link = incoming.get(proxy);
         if (link != null) {
@@ -193,8 +202,8 @@
                                 })
                         .connect(voters.get(voter));
         if (connecting.isDone() && !connecting.isSuccess()) {
-            // No socket could be made, as descriptors are out: there is no channel whose end would
-            // be told.
+            // No socket could be created, for example without free file descriptors. There is no
+            // channel whose close future would trigger the reconnect below.
             outgoing.remove(voter);
             scheduleReconnect(voter);
             return;
@@ -220,9 +229,9 @@
                         link);
     }
 
-    /** One connection. */
+    /** One connection, outgoing or accepted. */
     private final class Link extends SimpleChannelInboundHandler<ByteBuf> {
-        /** Whom it was made to; null where it was taken. */
+        /** The voter that this connection was opened to; null for an accepted connection. */
         private final String expectedPeer;
 
         private final KeyPair localKeys = sessionKey();
@@ -262,8 +271,8 @@
         }
 
         /**
-         * The session's keys follow from both ends' fresh ones; what proves who the other end is,
-         * is its signature over both.
+         * Derives the session's MAC keys from the remote end's public key and ours, and sends our
+         * identity: the signature over both public keys.
          */
         private void establishSession(ChannelHandlerContext ctx, byte[] remotePublicKey)
                 throws GeneralSecurityException {
@@ -309,7 +318,7 @@
                     .array();
         }
 
-        /** The other end says who it is, and proves it. */
+        /** Reads the identity frame of the remote end and verifies its signature. */
         private boolean verifyIdentity(ByteBuf frame) {
             String name =
                     frame.readCharSequence(frame.readUnsignedByte(), StandardCharsets.UTF_8)
@@ -366,7 +375,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Silence, a reset, or a frame that is none: a new connection begins anew.
+            // A read timeout, a reset or a malformed frame: the peer has to connect again.
             ctx.close();
         }
     }
--- a/src/main/java/cacheproxy/raft/PolicyService.java
+++ b/src/main/java/cacheproxy/raft/PolicyService.java
@@ -27,31 +27,32 @@
 import java.util.function.Consumer;
 
 /**
- * One proxy's part in the fleet's policy as a process has it: the member, where it votes the log
- * and its file, the links, and the socket that operators ask. All of it runs on the proxy's own
- * loop, but for what the file's syncs take. Where the file can't be used the proxy serves on by the
- * last epoch that it has, votes no more and says so. It tries the file again now and then, and once
- * that works it votes again from what is on the disk, as after a restart.
+ * Runs one proxy's part in the fleet's policy: the policy member, on a voter also the log and its
+ * file, the connections to the voters, and the operators' socket. Everything runs on the proxy's
+ * event loop, which file syncs block while they last. If the storage folder fails, the proxy serves
+ * with the last epoch that it has, stops voting and logs an event. It retries the folder with
+ * backoff, and once that succeeds it votes again with the state on the disk, as after a restart.
  */
 public final class PolicyService implements PolicyMember.Out {
 
     private static final long TICK_MS = 20;
     private static final double NS_PER_MS = 1e6;
 
-    /** What the proxy does with it. */
+    /** Callbacks to the proxy. */
     public interface Hooks {
         /**
-         * An epoch is in force; {@code options} are the proxy's own with what the policy says in
-         * their place.
+         * An epoch has come into force.
+         *
+         * @param options the proxy's own options, overridden by those that the policy sets
          */
         void apply(Options options);
 
-        /** An event for the log. */
+        /** Writes an event to the log; {@code fields} are names and values in turn. */
         void event(String name, Object... fields);
 
         /**
-         * A connection is being set up, made or taken; what is put into its pipeline here sees each
-         * byte as the wire does.
+         * A connection, outgoing or accepted, is being set up. Handlers that are added to its
+         * pipeline here see the bytes as they are on the wire.
          */
         default void connectionOpened(Channel connection) {}
     }
@@ -68,18 +69,21 @@
     private final long seed;
     private Epochs epochs = new Epochs();
 
-    /** The voter's file, the last one while none can be opened; null before the first. */
+    /**
+     * The voter's log file; after a failure the failed one until another is open. Null before the
+     * first.
+     */
     private LogFile file;
 
-    /** Null where this proxy does not vote, for the moment or at all. */
+    /** Null while this proxy does not vote: it is no voter, or its storage has failed. */
     private RaftLog log;
 
     private PolicyMember member;
 
-    /** The last epoch that was put in force here; null before the first. */
+    /** The last epoch that came into force here; null before the first. */
     private Epoch inForce;
 
-    /** What the folder lacks of that: the epoch in force where it could not be kept; else null. */
+    /** The epoch in force if it could not be stored in the folder; null if it is stored. */
     private Epoch unsavedEpoch;
 
     private int incarnation;
@@ -115,10 +119,11 @@
     }
 
     /**
-     * Begins. Throws where the addresses or the keys can't be had; where the folder can't be used
-     * it goes on without a vote.
+     * Opens and starts the service. Throws if an address or the keys are invalid, or if a socket
+     * cannot be bound. If only the storage folder is unusable, the service starts without voting.
      *
-     * @param temporary the folder for temporary files, for where the options name none
+     * @param temporary the folder for temporary files, in which the storage folder is created if
+     *     the options don't name one
      */
     public static PolicyService open(
             EventLoop loop, Options ownOptions, Path temporary, long seed, Hooks hooks)
@@ -126,7 +131,7 @@
         return open(loop, ownOptions, temporary, seed, hooks, new DurableFiles());
     }
 
-    /** {@link #open} with the calls to the file system that the voter's file is written by. */
+    /** As {@link #open}, with the file system calls that the voter's files are written with. */
     static PolicyService open(
             EventLoop loop,
             Options ownOptions,
@@ -156,12 +161,12 @@
     private static InetSocketAddress address(String text) throws IOException {
         InetSocketAddress address = NumericAddress.parse(text);
         if (address == null) {
-            throw new IOException("policy: " + text + " is no numeric address and port");
+            throw new IOException("policy: " + text + " is not a numeric IP address with a port");
         }
         return address;
     }
 
-    /** Milliseconds of the machine's monotonic clock. */
+    /** Returns the time of the monotonic clock in milliseconds. */
     private static double now() {
         return System.nanoTime() / NS_PER_MS;
     }
@@ -215,8 +220,8 @@
     }
 
     /**
-     * Makes a voter of this proxy, from what its file holds. Nothing is sent once that file has
-     * failed: the library goes on with a node whose store has thrown.
+     * Starts a voter with the state in its file. Once that file has failed nothing is sent, because
+     * MicroRaft keeps a node running whose store has thrown.
      */
     private void startVoting(LogFile opened) {
         file = opened;
@@ -243,7 +248,7 @@
         member = newMember();
     }
 
-    /** Ends the vote until the file can be written again; this proxy goes on without one. */
+    /** Stops voting until the file can be written again; the proxy continues as a non-voter. */
     private void stopVoting() {
         storageRecovery.failed(now(), file.failed() ? file.fault() : nodeTerminated(folder));
         log.stop();
@@ -253,12 +258,12 @@
         member = newMember();
     }
 
-    /** Why a voter that ended by itself, with a file that did not fail, is begun anew. */
+    /** Returns the cause to report if the Raft node has terminated without a fault of its file. */
     static StorageUnavailableException nodeTerminated(Path folder) {
-        return new StorageUnavailableException(folder, "the raft node has ended by itself");
+        return new StorageUnavailableException(folder, "the Raft node terminated unexpectedly");
     }
 
-    /** Keeps what could not be kept, and votes again; throws where the folder still fails. */
+    /** Stores the unsaved epoch and votes again; throws if the folder still fails. */
     private void recoverStorage() throws IOException {
         if (unsavedEpoch != null) {
             LogFile.store(folder, unsavedEpoch, files);
@@ -276,7 +281,8 @@
         if (closed) {
             return;
         }
-        // First the next one: a fault in this must not end all later ones.
+        // The next tick is scheduled first, so that an exception in this one does not stop all
+        // later ones.
         loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
         if (log != null && (file.failed() || log.isTerminated())) {
             stopVoting();
@@ -303,7 +309,7 @@
 
     private void received(String from, JsonObject json) {
         if (log == null && Codec.raftMessage(from, json) != null) {
-            // For a voter; there is none here for the moment.
+            // A message for a voter, but this proxy does not vote at present.
             return;
         }
         if (log == null || !log.received(from, json)) {
@@ -311,7 +317,7 @@
         }
     }
 
-    /** Ends it; called on the loop. */
+    /** Closes the connections and the socket and stops voting. Called on the event loop. */
     public void close() {
         closed = true;
         peerConnections.close();
@@ -323,7 +329,7 @@
         }
     }
 
-    // What the member wants.
+    // Callbacks of the policy member.
 
     @Override
     public void send(String to, Message message) {
@@ -342,7 +348,7 @@
             LogFile.store(folder, epoch, files);
             unsavedEpoch = null;
         } catch (StorageUnavailableException e) {
-            // It runs here all the same, and is kept once the folder can be written.
+            // The epoch is applied here all the same, and stored once the folder can be written.
             unsavedEpoch = epoch;
             storageRecovery.failed(now(), e);
         }
@@ -353,8 +359,8 @@
         try {
             hooks.apply(OptionsFile.withPolicy(epoch.content(), ownOptions));
         } catch (BadFileException e) {
-            // Checked before it was proposed, by the same checker: a proxy of another version may
-            // know less.
+            // The proposing proxy checked the policy with the same parser, but this proxy may be of
+            // another version that does not know all of its keys.
             hooks.event("policy_not_understood", "epoch", epoch.number(), "cause", e.getMessage());
         }
     }
@@ -369,7 +375,7 @@
                 String.format(Locale.ROOT, "at:%.3f", atMs));
     }
 
-    // What operators ask.
+    // Requests of operators.
 
     private void answerOperator(JsonObject request, Consumer<JsonObject> callback) {
         switch (request.get("ask").getAsString()) {
@@ -382,15 +388,15 @@
                     callback.accept(
                             PolicySocket.answer(
                                     PolicySocket.REFUSED,
-                                    "no epoch "
+                                    "epoch "
                                             + request.get("epoch")
-                                            + " is known here; nothing was changed"));
+                                            + " is not in the history; nothing was changed"));
                 } else {
                     propose(earlier.content(), callback);
                 }
             }
             default ->
-                    callback.accept(PolicySocket.answer(PolicySocket.REFUSED, "no such question"));
+                    callback.accept(PolicySocket.answer(PolicySocket.REFUSED, "unknown request"));
         }
     }
 
@@ -407,7 +413,7 @@
             callback.accept(
                     PolicySocket.answer(
                             PolicySocket.REFUSED,
-                            "this voter's folder "
+                            "this voter's storage folder "
                                     + folder
                                     + " can't be used; nothing was changed"));
             return;
@@ -435,7 +441,8 @@
                         voters.size(),
                         member.leader(now).isEmpty() ? "unknown" : member.leader(now),
                         storageRecovery.failed() ? "; its folder can't be used" : ""));
-        // What a voter was told; others hear only of voters.
+        // The proxies that have reported to this voter. On a proxy that does not vote the map is
+        // empty.
         member.proxyReports().entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
                 .filter(entry -> !entry.getKey().equals(identity.name()))
@@ -464,7 +471,7 @@
             lines.add(epoch.content().stripTrailing());
         }
         return lines.isEmpty()
-                ? "no epoch yet: each proxy runs its own file"
+                ? "no epoch yet: each proxy uses its own options file"
                 : String.join("\n", lines);
     }
 }
--- a/src/main/java/cacheproxy/raft/PolicySocket.java
+++ b/src/main/java/cacheproxy/raft/PolicySocket.java
@@ -19,21 +19,29 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** A socket that takes one question as a line of JSON, and answers with an exit code and a text. */
+/**
+ * The operators' socket: each connection carries one request as a line of JSON, and the answer is a
+ * JSON object with an exit code and a text.
+ */
 public final class PolicySocket {
 
-    /**
-     * Exit codes beside 0: refused for good, a bad policy, no majority, and an end that can't be
-     * told yet.
-     */
+    // Exit codes; 0 means that the request succeeded or the proposal is in force.
+
+    /** The request was refused, and nothing will be changed. */
     static final int REFUSED = 1;
 
+    /** The proposed policy is invalid. */
     static final int INVALID_POLICY = 2;
+
+    /** No majority of voters can be reached. */
     private static final int NO_MAJORITY = 3;
+
+    /** The outcome is not known yet; the proposal may still come into force. */
     private static final int UNKNOWN = 4;
+
     private static final int MAX_REQUEST_BYTES = 1 << 18;
 
-    /** A proposal is answered within its own patience. */
+    /** Longer than the 10 s after which a proposal is answered at the latest. */
     private static final int READ_TIMEOUT_S = 20;
 
     private PolicySocket() {}
@@ -64,7 +72,9 @@
                                                 } catch (JsonParseException
                                                         | IllegalStateException
                                                         | NullPointerException e) {
-                                                    reply(ctx, answer(REFUSED, "no question"));
+                                                    reply(
+                                                            ctx,
+                                                            answer(REFUSED, "malformed request"));
                                                 }
                                             }
 
@@ -97,10 +107,10 @@
         };
     }
 
-    /** What came back: the exit code and what to print. */
+    /** The answer to a request: the exit code, and the text for the operator. */
     public record Answer(int exit, String text) {
 
-        /** How a proposal ended; a bad policy is refused. */
+        /** Returns how a proposal ended; an invalid policy counts as refused. */
         public ProposalStatus ending() {
             return switch (exit) {
                 case 0 -> ProposalStatus.IN_FORCE;
@@ -112,8 +122,12 @@
     }
 
     /**
-     * Asks the proxy behind a socket; for the command line and the laboratory. {@code content} and
-     * {@code epoch} as the question needs.
+     * Sends a request to the proxy behind a socket and waits for the answer; for the command line
+     * and the testbed.
+     *
+     * @param question {@code status}, {@code history}, {@code propose} or {@code revert}
+     * @param content the policy text for {@code propose}; empty otherwise
+     * @param epoch the epoch for {@code revert}; 0 otherwise
      */
     public static Answer ask(Path path, String question, String content, long epoch)
             throws IOException {
@@ -126,7 +140,7 @@
                     JsonParser.parseString(LocalSocket.ask(path, request + "\n")).getAsJsonObject();
             return new Answer(answer.get("exit").getAsInt(), answer.get("text").getAsString());
         } catch (JsonParseException | IllegalStateException e) {
-            throw new IOException("no whole answer");
+            throw new IOException("the answer of the policy socket is incomplete or malformed");
         }
     }
 }
--- a/src/main/java/cacheproxy/raft/RaftLog.java
+++ b/src/main/java/cacheproxy/raft/RaftLog.java
@@ -15,14 +15,15 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A voter's copy of the policy's log. It runs on the caller's executor and clock, and so in virtual
- * time as well; all calls are made on that executor's thread, and {@link Epochs} is changed on it.
+ * A voter's copy of the replicated policy log. It runs on the caller's executor and clock, so it
+ * also works in virtual time. All calls are made on that executor's thread, and committed entries
+ * are applied to {@link Epochs} on it.
  */
 public final class RaftLog implements PolicyMember.Log {
 
     /**
-     * A snapshot would be taken at so many entries; changes are refused well before, as none are
-     * kept.
+     * MicroRaft would take a snapshot after this many entries. The policy log has no snapshots, so
+     * changes are refused {@link #RESERVED_ENTRIES} entries earlier.
      */
     private static final int MAX_ENTRIES = 20_000;
 
@@ -36,8 +37,11 @@
     private long applied;
 
     /**
-     * What a voter is made of; {@code nowMs} never runs back, {@code restored} is null where it has
-     * never run.
+     * What a policy log is made of.
+     *
+     * @param epochs the state that committed entries are applied to
+     * @param nowMs a monotonic clock, in milliseconds
+     * @param restored the state that an earlier process has stored; null if there is none
      */
     public record Parts(
             String name,
@@ -50,8 +54,8 @@
             RestoredRaftState restored) {}
 
     /**
-     * @param send takes what goes to another voter
-     * @param committed runs after entries have been applied to the epochs
+     * @param send sends a message to the voter of that name
+     * @param onCommitted runs after each committed entry has been applied to the epochs
      */
     public RaftLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable onCommitted) {
         this.epochs = parts.epochs();
@@ -81,17 +85,20 @@
         voter.stop();
     }
 
-    /** Whether it has ended by itself, as where its file can't be written. */
+    /** Whether the Raft node has terminated, for example because its file could not be written. */
     public boolean isTerminated() {
         return voter.isTerminated();
     }
 
-    /** A message from another voter; false where it is none of Raft's. */
+    /** Handles a message from another voter; returns false if it is not a Raft message. */
     public boolean received(String from, JsonObject json) {
         return voter.received(from, json);
     }
 
-    /** Confirms now and then that it leads; called every few ms. */
+    /**
+     * If this voter leads, lets a majority confirm that at a fixed interval. Called every few
+     * milliseconds.
+     */
     public void tick(double now) {
         if (voter.confirmationDue(now, LEADERSHIP_CONFIRM_INTERVAL_MS)) {
             voter.confirm(confirmed -> {});
@@ -133,8 +140,7 @@
         if (applied > MAX_ENTRIES - RESERVED_ENTRIES) {
             callback.accept(
                     new Outcome(
-                            0,
-                            "the log is full after " + applied + " entries; nothing was changed"));
+                            0, "policy log is full: " + applied + " entries; nothing was changed"));
             return;
         }
         voter.append(change, callback);
@@ -151,12 +157,12 @@
 
         @Override
         public void takeSnapshot(long index, Consumer<Object> chunks) {
-            throw new IllegalStateException("snapshots are not kept");
+            throw new IllegalStateException("the policy log does not support snapshots");
         }
 
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
-            throw new IllegalStateException("snapshots are not kept");
+            throw new IllegalStateException("the policy log does not support snapshots");
         }
 
         @Override
--- a/src/main/java/cacheproxy/raft/StorageRecovery.java
+++ b/src/main/java/cacheproxy/raft/StorageRecovery.java
@@ -4,22 +4,22 @@
 import java.nio.file.Path;
 
 /**
- * When a folder that could not be written is tried again: after 0.25 s, then after twice as long
- * each time, 8 s at most. An event tells of the first failure, and one of the end of the fault.
- * Decides only when; what is tried is the caller's. Used by one thread.
+ * Schedules retries of a storage folder that has failed: the first after 0.25 s, then with a delay
+ * that doubles after each failed retry, up to 8 s. Logs one event for the first failure and one for
+ * the recovery. Decides only when to retry; the caller supplies the action. Used by one thread.
  */
 final class StorageRecovery {
 
     static final double INITIAL_BACKOFF_MS = 250;
     static final double MAX_BACKOFF_MS = 8000;
 
-    /** What makes the folder useful again. */
+    /** An attempt to use the folder again. */
     interface Attempt {
-        /** Throws where the folder still can't be used. */
+        /** Throws if the folder still can't be used. */
         void run() throws IOException;
     }
 
-    /** Takes events for the log. */
+    /** Writes events to the log. */
     interface Events {
         void event(String name, Object... fields);
     }
@@ -38,16 +38,17 @@
         this.events = events;
     }
 
-    /** Whether the folder can't be used, as far as is known. */
+    /** Whether the folder has failed and has not recovered yet. */
     boolean failed() {
         return failed;
     }
 
     /**
-     * The folder could not be used. One that fails soon after it recovered is tried no sooner than
-     * before, so that a disk that is full at every other write fills no log.
+     * Reports that the folder could not be used. If it fails again within {@link #MAX_BACKOFF_MS}
+     * of a recovery, the backoff is not reset, so that a disk that fails intermittently does not
+     * flood the log with events.
      *
-     * @param nowMs the time in milliseconds, on a clock that never runs back
+     * @param nowMs the time of a monotonic clock, in milliseconds
      */
     void failed(double nowMs, IOException cause) {
         if (failed) {
@@ -68,7 +69,10 @@
         events.event("storage_failed", "cause", message, "folder", folder, "tries_again", !corrupt);
     }
 
-    /** Makes an attempt where it is due; none any more after damage, which does not mend itself. */
+    /**
+     * Makes an attempt if one is due. After a {@link CorruptLogException} no more attempts are
+     * made, because retrying does not repair a damaged file.
+     */
     void tick(double nowMs, Attempt attempt) {
         if (!failed || corrupt || nowMs < nextAttemptAtMs) {
             return;
--- a/src/main/java/cacheproxy/raft/StreamLog.java
+++ b/src/main/java/cacheproxy/raft/StreamLog.java
@@ -20,44 +20,48 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A control machine's copy of the change stream's log: what a majority of them has on its disks, in
- * order, goes into the {@link Window}. The log is cut by snapshots, and a snapshot is the window,
- * so a control machine that was away takes the window and its readers lose nothing.
+ * A control machine's copy of the change stream's replicated log. Entries that a majority of the
+ * control machines has on disk are appended, in order, to the retained log. The replicated log is
+ * truncated by snapshots, and a snapshot contains the whole retained log, so a control machine that
+ * was down restores the retained log from it and its subscribers miss nothing.
  */
 public final class StreamLog {
 
-    /** Entries until the next snapshot: 43 minutes at 3.9 a second. */
+    /** The number of entries between snapshots: 43 minutes at 3.9 entries per second. */
     public static final int SNAPSHOT_INTERVAL_ENTRIES = 10_000;
 
     /**
-     * A second of the library's passes in a quarter of one: a leader that falls silent is missed
-     * after half a second.
+     * MicroRaft's clock runs at four times real time: it counts heartbeat time-outs in whole
+     * seconds, and this way the loss of a leader is noticed after half a second.
      */
     private static final int TIME_SCALE = 4;
 
     /**
-     * Of the library's time: a quarter of a second, and each control machine a tenth more than the
-     * one before. Three of three have to agree when one is lost, so two who stand at once undo each
-     * other.
+     * Election time-out in MicroRaft's time: 0.25 s of real time for the first control machine, and
+     * 0.1 s more for each further one. The time-outs differ because after the loss of one of four
+     * machines all remaining three have to agree, so two concurrent candidates both fail.
      */
     private static final long ELECTION_TIMEOUT_MS = 1000;
 
     private static final long ELECTION_TIMEOUT_STEP_MS = 400;
 
-    /** A part of a snapshot stays well below what one frame between control machines may hold. */
+    /** Well below the maximum size of a frame between control machines (256 KiB). */
     private static final int SNAPSHOT_CHUNK_BYTES = 48 << 10;
 
     private static final double LEADERSHIP_CONFIRM_INTERVAL_MS = 200;
 
-    /** The first entry of all: the stream's name, drawn by the first leader. */
+    /** The first entry of the log: creates the stream with an identifier from its first leader. */
     record CreateStream(long lineage) {}
 
-    /** A new leader's first entry. */
+    /** A new leader's first entry; changes nothing. */
     private static final Object NEW_TERM_ENTRY = new Epochs.NewTermEntry();
 
     /**
-     * What a control machine's copy is made of; {@code nowMs} never runs back, {@code restored} is
-     * null where it has never run.
+     * What a copy of the log is made of.
+     *
+     * @param nowMs a monotonic clock, in milliseconds
+     * @param restored the state that an earlier process has stored; null if there is none
+     * @param snapshotEvery the number of entries between snapshots
      */
     public record Parts(
             String name,
@@ -77,8 +81,8 @@
     private boolean creatingStream;
 
     /**
-     * @param send takes what goes to another control machine
-     * @param advanced runs after the window has grown or begun anew
+     * @param send sends a message to the control machine of that name
+     * @param onAdvanced runs after the retained log has grown or has been replaced by a snapshot
      */
     public StreamLog(Parts parts, BiConsumer<String, JsonObject> send, Runnable onAdvanced) {
         retainedLog = parts.retainedLog();
@@ -107,34 +111,35 @@
         voter.start();
     }
 
-    /** Ends it; what it writes last is written once the answer is there. */
+    /** Stops the Raft node; its last writes are done when the returned future completes. */
     public CompletableFuture<?> stop() {
         return voter.stop();
     }
 
-    /** Whether it has ended by itself, as where its file can't be written. */
+    /** Whether the Raft node has terminated, for example because its file could not be written. */
     public boolean isTerminated() {
         return voter.isTerminated();
     }
 
-    /** A message from another control machine; false where it is none of Raft's. */
+    /** Handles a message from another control machine; returns false if it is no Raft message. */
     public boolean received(String from, JsonObject json) {
         return voter.received(from, json);
     }
 
-    /** Who leads, as far as is known here; empty where nobody does. */
+    /** Returns the name of the leader as far as known here; empty if none is known. */
     public String leader() {
         return voter.leader();
     }
 
-    /** Whether this one leads. */
+    /** Whether this control machine leads. */
     public boolean isLeader() {
         return voter.isLeader();
     }
 
     /**
-     * Asks a majority whether this one leads, five times a second while it does; {@code then} is
-     * told when it has said yes, for the time of asking.
+     * While this machine leads, lets a majority confirm that five times a second.
+     *
+     * @param callback called after each confirmation, with the time at which it was asked for
      */
     public void tick(double now, Consumer<Double> callback) {
         if (voter.confirmationDue(now, LEADERSHIP_CONFIRM_INTERVAL_MS)) {
@@ -156,9 +161,11 @@
     }
 
     /**
-     * Adds a change; {@code then} is told its place, 0 where it was there before, -1 where it was
-     * refused, and null where that is not known: the leader was lost meanwhile, and the same change
-     * may be asked for again.
+     * Appends a change.
+     *
+     * @param callback called with the sequence number of the new entry; 0 if the change was in the
+     *     log already; -1 if it was refused; null if the outcome is not known because the leader
+     *     was lost meanwhile, in which case the same change may be submitted again
      */
     public void append(Change change, Consumer<Long> callback) {
         if (!voter.isLeader() || retainedLog.lineage() == 0 || !FrameCodec.isEncodable(change)) {
@@ -177,8 +184,8 @@
             } else if (operation instanceof Change change
                     && !(change instanceof Change.Epoch epoch
                             && epoch.number() <= retainedLog.endSnapshot().epoch().number())) {
-                // An epoch that is there was asked for again, as its author did not hear; a purge
-                // may be there twice.
+                // An epoch that is in the log already was submitted again by an author that got no
+                // answer, and is not appended twice. A purge may be appended twice.
                 seq = retainedLog.head() + 1;
                 retainedLog.append(new Entry(seq, change));
             }
--- a/src/main/java/cacheproxy/raft/StreamService.java
+++ b/src/main/java/cacheproxy/raft/StreamService.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A {@link ControlMachine} as a process has it: its file, the sealed links to the others, which are
- * the policy's, and the socket for those it serves. All of it runs on one loop, but for what the
- * file's syncs take.
+ * Runs a {@link ControlMachine} in a process, with its log file, the authenticated connections to
+ * the other control machines (of the same kind as those of the policy), and the server for its
+ * subscribers. Everything runs on one event loop, which file syncs block while they last.
  */
 public final class StreamService implements ControlMachine.Out {
 
@@ -31,8 +31,13 @@
     private static final double NS_PER_MS = 1e6;
 
     /**
-     * Who it is, the control machines' addresses for one another, where it listens for them, and
-     * its folder.
+     * What a control machine's service is made of.
+     *
+     * @param identity the name and keys of this control machine
+     * @param controls the addresses at which the control machines accept connections of each other
+     * @param peerListenAddress where this one accepts connections of the other control machines
+     * @param folder the storage folder
+     * @param snapshotEvery the number of entries between snapshots
      */
     public record Parts(
             Identity identity,
@@ -55,16 +60,17 @@
     private ScheduledFuture<?> tickTask;
 
     /**
-     * Reads what it kept; throws where that is damaged, or its folder can't be written.
+     * Restores the stored state; throws if that is damaged or the folder can't be written.
      *
-     * @param everywhere told, where this one leads, of entries that have come to be everywhere
+     * @param onFullyAcknowledged called on the leader when all present subscribers have
+     *     acknowledged an entry
      */
     public StreamService(Parts parts, Consumer<FullyAcknowledged> onFullyAcknowledged)
             throws IOException {
         this(parts, onFullyAcknowledged, new DurableFiles());
     }
 
-    /** As above, with the calls to the file system that the log is written by. */
+    /** As above, with the file system calls that the log is written with. */
     StreamService(Parts parts, Consumer<FullyAcknowledged> onFullyAcknowledged, DurableFiles files)
             throws IOException {
         this.parts = parts;
@@ -105,7 +111,12 @@
         return System.nanoTime() / NS_PER_MS;
     }
 
-    /** Begins; the address is the one bound for those it serves, where port 0 was asked for. */
+    /**
+     * Starts the service and listens for subscribers.
+     *
+     * @param address where to listen; with port 0 the system selects one
+     * @return the address that was bound
+     */
     public InetSocketAddress listen(InetSocketAddress address)
             throws IOException, InterruptedException {
         peerConnections.listen(parts.peerListenAddress());
@@ -139,7 +150,10 @@
         machine.tick(now());
     }
 
-    /** Begins anew from what is on the disk; its readers connect again and go on. */
+    /**
+     * Restarts the control machine with the state on the disk; its subscribers reconnect and
+     * continue after their last entry.
+     */
     private void rejoin() throws IOException {
         file = file.reopen();
         machine = newMachine();
@@ -151,7 +165,7 @@
         machine.received(from, json);
     }
 
-    /** What it does; on the loop. */
+    /** Returns the current control machine, which a recovery replaces. Called on the event loop. */
     public ControlMachine machine() {
         return machine;
     }
@@ -178,7 +192,7 @@
         onFullyAcknowledged.accept(entry);
     }
 
-    /** Ends it; on the loop. */
+    /** Closes all connections, stops the machine and then closes its file. Called on the loop. */
     public void close() {
         tickTask.cancel(false);
         server.close();
@@ -190,7 +204,7 @@
                                 file.close();
                             } catch (IOException e) {
                                 LOG.warn(
-                                        "stream.disk name={} {}",
+                                        "stream_log_close_failed name={} cause={}",
                                         parts.identity().name(),
                                         e.getMessage());
                             }
--- a/src/main/java/cacheproxy/raft/Voter.java
+++ b/src/main/java/cacheproxy/raft/Voter.java
@@ -26,32 +26,43 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A node of MicroRaft on the caller's executor and clock, whatever its log means: it runs in
- * virtual time as well. All calls are made on that executor's thread, and so are the state
- * machine's.
+ * A MicroRaft node on the caller's executor and clock, so that it also runs in virtual time. It is
+ * independent of the content of the log. All calls are made on the executor's thread, including
+ * those to the state machine.
  */
 final class Voter {
 
     private static final long HEARTBEAT_PERIOD_S = 1;
     private static final long HEARTBEAT_TIMEOUT_S = 2;
 
-    /** A question that has no answer by then is asked again. */
+    /** A confirmation of the leadership that has no answer after this time is requested again. */
     private static final double CONFIRMATION_TIMEOUT_MS = 2000;
 
-    /** What is asked so that a majority confirms the leader; it is no entry. */
+    /** The query by which a majority confirms the leader; it adds no log entry. */
     private static final Object LEADERSHIP_QUERY = new Object();
 
     private final RaftNode node;
     private final Endpoint self;
     private final int restoredTerm;
+
+    /** The last term in which a majority has confirmed this node as the leader. */
     private int confirmedTerm = -1;
+
+    /** When a confirmation of the leadership was last requested. */
     private double lastConfirmationAtMs = Double.NEGATIVE_INFINITY;
+
     private boolean confirming;
 
     /**
-     * What a voter is made of; {@code nowMs} never runs back, {@code restored} is null where it has
-     * never run. The library counts its time-outs in whole seconds: {@code speed} says how many of
-     * them pass for it in one, and {@code electionMs} are of these.
+     * What a voter is made of.
+     *
+     * @param nowMs a monotonic clock, in milliseconds
+     * @param restored the state that an earlier process has stored; null if there is none
+     * @param snapshotEvery the number of entries between snapshots
+     * @param timeScale how fast MicroRaft's clock runs: this many of its seconds pass in one of
+     *     {@code nowMs}. MicroRaft counts heartbeat time-outs in whole seconds only, so this is how
+     *     they are made shorter
+     * @param electionTimeoutMs the election time-out in milliseconds of MicroRaft's clock
      */
     record Parts(
             String name,
@@ -65,7 +76,7 @@
             int timeScale,
             long electionTimeoutMs) {}
 
-    /** For the library's timeouts: the machine's clock may be set, this one may not. */
+    /** The clock for MicroRaft's time-outs; unlike the system's clock it is never set back. */
     private static final class MonotonicClock extends Clock {
         private final DoubleSupplier nowMs;
         private final int timeScale;
@@ -91,6 +102,7 @@
         }
     }
 
+    /** Shortens the delays of scheduled tasks by the time scale. */
     private record TimeScalingExecutor(RaftNodeExecutor executor, int timeScale)
             implements RaftNodeExecutor {
         @Override
@@ -109,6 +121,7 @@
         }
     }
 
+    /** Sends Raft messages as JSON. */
     private record JsonTransport(BiConsumer<String, JsonObject> sender) implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
@@ -124,7 +137,7 @@
         }
     }
 
-    /** Keeps questions from the machine. */
+    /** Passes log entries to the state machine, but not the leadership query. */
     private record QueryFilter(StateMachine machine) implements StateMachine {
         @Override
         public Object runOperation(long index, Object operation) {
@@ -148,7 +161,7 @@
     }
 
     /**
-     * @param send takes what goes to another voter
+     * @param send sends a message to the voter of that name
      */
     Voter(Parts parts, StateMachine machine, BiConsumer<String, JsonObject> send) {
         this.self = new Endpoint(parts.name());
@@ -196,17 +209,20 @@
         node.start();
     }
 
-    /** Ends it; what it writes last is written once the answer is there. */
+    /** Stops the node; its last writes are done when the returned future completes. */
     CompletableFuture<?> stop() {
         return node.terminate();
     }
 
-    /** Whether it has ended by itself, as where its file can't be written. */
+    /**
+     * Whether the node has terminated: after {@link #stop}, or by itself, for example because its
+     * file could not be written.
+     */
     boolean isTerminated() {
         return RaftNodeStatus.isTerminal(node.getStatus());
     }
 
-    /** A message from another voter; false where it is none of Raft's. */
+    /** Handles a message from another voter; returns false if it is not a Raft message. */
     boolean received(String from, JsonObject json) {
         RaftMessage message = Codec.raftMessage(from, json);
         if (message != null && !isTerminated()) {
@@ -215,7 +231,12 @@
         return message != null;
     }
 
-    /** Whether it is time to confirm again that it leads. */
+    /**
+     * Whether this node leads and it is time to confirm that again. If so, the caller has to call
+     * {@link #confirm}: the time of this call counts as that of the request.
+     *
+     * @param intervalMs the interval between two confirmations
+     */
     boolean confirmationDue(double now, double intervalMs) {
         boolean due =
                 isLeader()
@@ -233,21 +254,27 @@
         return !isTerminated() && self.equals(node.getTerm().getLeaderEndpoint());
     }
 
-    /** Whether a majority has confirmed in this term that it leads. */
+    /** Whether this node leads and a majority has confirmed that in this term. */
     boolean isLeadershipConfirmed() {
         return isLeader() && confirmedTerm == term();
     }
 
+    /** Returns the name of the leader as far as known here; empty if none is known. */
     String leader() {
         RaftEndpoint leader = isTerminated() ? null : node.getTerm().getLeaderEndpoint();
         return leader == null ? "" : (String) leader.getId();
     }
 
+    /** Returns the current term, which is never below the restored one. */
     int term() {
         return Math.max(restoredTerm, node.getTerm().getTerm());
     }
 
-    /** Asks a majority whether it still leads. */
+    /**
+     * Asks a majority whether this node still leads.
+     *
+     * @param callback called with true if it is confirmed, in the term of this call; else false
+     */
     void confirm(Consumer<Boolean> callback) {
         int term = term();
         confirming = true;
@@ -264,8 +291,9 @@
     }
 
     /**
-     * Adds an entry; {@code then} is told what the machine made of it, or null where that is not
-     * known.
+     * Appends an entry to the log.
+     *
+     * @param callback called with the state machine's result, or null if the outcome is not known
      */
     <T> void append(Object operation, Consumer<T> callback) {
         node.<T>replicate(operation)
--- a/src/main/java/cacheproxy/raft/VoterLogGenerator.java
+++ b/src/main/java/cacheproxy/raft/VoterLogGenerator.java
@@ -10,14 +10,17 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** A voter's log as long service leaves it, for scale tests: what a start has to read and apply. */
+/** Generates a voter's log with a long history of epochs, for scale tests of a voter's start. */
 public final class VoterLogGenerator {
 
     private VoterLogGenerator() {}
 
     /**
-     * Writes so many epochs, two entries each, in force all of them, into a voter's folder; {@code
-     * content} gives the text of each, from 1 on.
+     * Writes the log of a voter into its folder: {@code epochs} epochs of two entries each (prepare
+     * and activate), numbered from 1. Opened again, the voter applies them all, and the last one is
+     * in force.
+     *
+     * @param content returns the policy text of an epoch, given its number
      */
     public static void write(
             Path folder, String self, List<String> voters, int epochs, IntFunction<String> content)
--- a/src/main/java/cacheproxy/raft/package-info.java
+++ b/src/main/java/cacheproxy/raft/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Carries {@code cacheproxy.epoch} and {@code cacheproxy.stream} between processes: consensus by
- * MicroRaft, its messages as sealed frames on TCP, its log in a file, and the socket that operators
- * ask. Decides nothing about epochs or who is sent what. Start reading at {@link PolicyService} and
- * {@link StreamService}.
+ * Connects {@code cacheproxy.epoch} and {@code cacheproxy.stream} to other processes and to the
+ * disk: consensus by MicroRaft, its messages as authenticated frames over TCP, its log in a file,
+ * and the operators' socket. Rules about epochs and about what is sent to which subscriber are not
+ * here. Start reading at {@link PolicyService} and {@link StreamService}.
  */
 package cacheproxy.raft;
--- a/src/test/java/cacheproxy/raft/ControlMachineTest.java
+++ b/src/test/java/cacheproxy/raft/ControlMachineTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A control machine that leads alone, its tasks run by hand. */
+/** Tests a control machine that leads a group of one; the test runs its tasks explicitly. */
 class ControlMachineTest {
 
     private record ScheduledTask(double at, long order, Runnable task) {}
@@ -105,7 +105,11 @@
         return json;
     }
 
-    /** Each question comes between the leader's own one to the majority and its answer. */
+    /**
+     * Guards against a machine that never gets an answer: each of its queries arrives between the
+     * leader's query to the majority and the confirmation, so it would be replaced by the next one
+     * each time if the leader kept the last query instead of the first.
+     */
     @Test
     void answersQueriesSentInStepWithLeadershipQuery() {
         machine.start();
@@ -122,6 +126,6 @@
         assertEquals(
                 List.of(0.0, 2.0, 4.0, 6.0, 8.0),
                 sentMessages.stream().map(o -> o.get("stamp").getAsDouble()).toList(),
-                "by the next answer; what came while one waited is passed over");
+                "each pending query is answered; those that arrive meanwhile are ignored");
     }
 }
--- a/src/test/java/cacheproxy/raft/FaultyFiles.java
+++ b/src/test/java/cacheproxy/raft/FaultyFiles.java
@@ -10,36 +10,41 @@
 import java.nio.file.Path;
 
 /**
- * Files whose calls fail as they are told to: a write after so many bytes, a sync, a rename or a
- * folder's sync after so many that succeeded. The last three fail once, as Linux reports a failed
- * sync once. Nothing is synced in fact: a process that ends loses nothing that it wrote.
+ * Files with injected faults: writes fail after a number of bytes; a file sync, a rename or a
+ * folder sync fails after a number of successful calls. The last three fail once only, as Linux
+ * reports a failed sync once only. Files are not actually synced, since a process that ends loses
+ * nothing that it wrote.
  */
 class FaultyFiles extends DurableFiles {
 
-    /** No call of the kind fails. */
+    /** Value of a counter below for which no call of that kind fails. */
     static final long NEVER = Long.MAX_VALUE;
 
-    /** Bytes that may still be written until a write is cut short and the next ones fail. */
+    /** Bytes that can still be written; the write that exceeds them is short, later ones fail. */
     long bytesUntilFull = NEVER;
 
-    /** Syncs of a file, renames and syncs of a folder that still succeed; one fails then. */
+    /** File syncs that still succeed before one fails. */
     long syncsUntilFault = NEVER;
 
+    /** Renames that still succeed before one fails. */
     long renamesUntilFault = NEVER;
+
+    /** Folder syncs that still succeed before one fails. */
     long folderSyncsUntilFault = NEVER;
 
-    /** A write takes so many bytes at most. */
+    /** The most bytes that one write accepts. */
     int maxBytesPerWrite = Integer.MAX_VALUE;
 
-    /** A file can't be made shorter, so that what was written of a line stays. */
+    /** Whether truncating a file fails, so that a partially written line stays in it. */
     boolean truncateFails;
 
-    /** Every call that changes something fails. */
+    /** Whether every call that changes something fails. */
     volatile boolean broken;
 
+    /** The number of calls that have failed. */
     int faults;
 
-    /** All calls succeed again. */
+    /** Removes all faults, so that all calls succeed again. */
     void repair() {
         bytesUntilFull = NEVER;
         syncsUntilFault = NEVER;
--- a/src/test/java/cacheproxy/raft/LogFileFaultsTest.java
+++ b/src/test/java/cacheproxy/raft/LogFileFaultsTest.java
@@ -27,22 +27,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A voter's file on a disk that fails at every byte, sync, rename and sync of the folder, and a
- * process killed at every byte: what was confirmed is there when the file is opened again, what was
- * not may be or not, and nothing else is lost by it.
+ * Tests a voter's file with a fault at every byte written, file sync, rename and folder sync, and
+ * with the process killed at every byte. When the file is opened again, confirmed data has to be
+ * there; unconfirmed data may be there or not; nothing else may be lost.
  */
 class LogFileFaultsTest {
 
     private static final List<RaftEndpoint> MEMBERS = List.of(new Endpoint("a"), new Endpoint("b"));
 
-    /** One call of the library. */
+    /** One call that MicroRaft makes. */
     private interface Step {
         void run(LogFile file) throws IOException;
     }
 
     /**
-     * Every kind of call; those named in {@link #CONFIRMING} have reached the disk when they
-     * return.
+     * A sequence with every kind of call. The steps with an index in {@link #CONFIRMING_STEPS} have
+     * reached the disk when they return.
      */
     private static final List<Step> STEPS =
             List.of(
@@ -63,19 +63,19 @@
 
     private static final List<Integer> CONFIRMING_STEPS = List.of(0, 1, 3, 7, 9, 10, 11, 13);
 
-    /** The one that puts another file in the place of the one that was written so far. */
+    /** The index of the step that replaces the file by a new one. */
     private static final int TRUNCATION_STEP = 10;
 
     @TempDir Path temporary;
     private int folders;
 
-    /** What the file holds before the steps, and after each. */
+    /** The content of the file before the first step and after each, as text. */
     private final List<String> states = new ArrayList<>();
 
-    /** The file's size, likewise. */
+    /** The size of the file in bytes, at the same times. */
     private final List<Integer> sizes = new ArrayList<>();
 
-    /** The file as it was before the cut, whole. */
+    /** All bytes of the file before the step that replaces it. */
     private byte[] logBeforeTruncation;
 
     private static LogEntry entry(long index, int term, String content) {
@@ -116,7 +116,7 @@
                 .build();
     }
 
-    /** A folder with a file of a voter that has run before. */
+    /** Creates a folder with the file of a voter that has run before. */
     private Path newVoterFolder() throws IOException {
         Path folder = temporary.resolve("voter-" + folders++);
         try (LogFile file = LogFile.open(folder, new FaultyFiles())) {
@@ -178,12 +178,19 @@
         assertEquals(states.get(STEPS.size()), reopened(folder));
     }
 
-    /** Whether the state is one between what the steps confirmed and what they had begun. */
+    /** Whether the state is one from the last confirmed step up to the last started step. */
     private boolean isBetween(String state, int confirmed, int started) {
         return states.subList(confirmed, started + 1).contains(state);
     }
 
-    /** Runs the steps until one fails; true where none does. */
+    /**
+     * Runs the steps until one fails, and then checks that later calls are rejected, that the file
+     * opens with a permitted state, and that it can be written again.
+     *
+     * @param faultSwitch called with -1 to arm the fault after opening, and with the number of
+     *     faults to remove it
+     * @return true if no step failed
+     */
     private boolean completesOrRecovers(
             String where, FaultyFiles files, Path folder, LongConsumer faultSwitch)
             throws IOException {
@@ -204,7 +211,7 @@
         } catch (StorageUnavailableException e) {
             assertTrue(file.failed() && files.faults > 0, where);
             faultSwitch.accept(files.faults);
-            // The disk works again, and the library goes on calling: nothing may be confirmed.
+            // The disk works again and MicroRaft keeps calling: nothing may be confirmed.
             for (Step step : STEPS) {
                 assertThrows(StorageUnavailableException.class, () -> step.run(file), where);
             }
@@ -217,7 +224,7 @@
         return false;
     }
 
-    /** What is added after a fault is whole, and all before it is still there. */
+    /** Checks that lines written after a fault are complete and all earlier ones still there. */
     private static void assertWritableAfterFault(
             String where, Path folder, FaultyFiles files, String found) throws IOException {
         try (LogFile file = LogFile.open(folder, files)) {
@@ -233,7 +240,7 @@
         int faults = 0;
         boolean completed = false;
         for (long point = 0; !completed; point++) {
-            assertTrue(point < 10_000, "bounded");
+            assertTrue(point < 10_000, "the steps must complete after a bounded number of runs");
             FaultyFiles files = new FaultyFiles();
             long faultPoint = point;
             completed =
@@ -247,18 +254,18 @@
                                             faultCount < 0 ? faultPoint : FaultyFiles.NEVER));
             faults += completed ? 0 : 1;
         }
-        assertTrue(faults > 0, kind + " did happen");
+        assertTrue(faults > 0, kind + ": the fault must have occurred");
     }
 
     @Test
     void keepsConfirmedDataWhenWriteFailsAtAnyByte() throws Exception {
-        failAtEveryPoint("write cut after", (files, n) -> files.bytesUntilFull = n);
+        failAtEveryPoint("write fails at byte", (files, n) -> files.bytesUntilFull = n);
     }
 
     @Test
     void neverAppendsToPartialLineThatCannotBeTruncated() throws Exception {
         failAtEveryPoint(
-                "write cut after",
+                "short write fails at step",
                 (files, n) -> {
                     files.maxBytesPerWrite = 13;
                     files.truncateFails = true;
@@ -274,7 +281,7 @@
     @Test
     void stopsWritingAfterRenameOrDirectorySyncFails() throws Exception {
         failAtEveryPoint("rename", (files, n) -> files.renamesUntilFault = n);
-        failAtEveryPoint("folder's sync", (files, n) -> files.folderSyncsUntilFault = n);
+        failAtEveryPoint("folder sync", (files, n) -> files.folderSyncsUntilFault = n);
     }
 
     @Test
@@ -332,21 +339,21 @@
             start = whole.indexOf('\n', start) + 1;
         }
         Files.writeString(log, whole.substring(0, whole.length() - 3) + "?}\n0bad");
-        assertEquals(lines, corruption(folder).line(), "it is not the last");
+        assertEquals(lines, corruption(folder).line(), "a torn line follows the damaged one");
     }
 
     private static CorruptLogException corruption(Path folder) {
         return assertThrows(CorruptLogException.class, () -> LogFile.open(folder));
     }
 
-    /** The epoch in force, kept apart from the log. */
+    /** Covers the file of the epoch in force, which is separate from the log. */
     @Test
     void keepsStoredEpochWhenStoringNextFails() throws Exception {
         Epoch old = new Epoch(7, "p", "[log]\n");
         Epoch next = new Epoch(8, "q", "[nodes]\n");
         boolean completed = false;
         for (int n = 0; !completed; n++) {
-            assertTrue(n < 1000, "bounded");
+            assertTrue(n < 1000, "the epoch must be stored after a bounded number of runs");
             LogFile.store(temporary, old);
             FaultyFiles files = new FaultyFiles();
             files.bytesUntilFull = n;
@@ -367,7 +374,7 @@
         assertEquals(next, LogFile.lastEpoch(temporary));
     }
 
-    /** As the version before the faults were looked at wrote it. */
+    /** A log as written by the version before the handling of storage faults was added. */
     private static final String EARLIER_VERSION_LOG =
             """
             0ac77d73 {"name":"a","voting":true,"k":"self"}
@@ -390,7 +397,7 @@
                 "{\"number\":7,\"proposal\":\"p\",\"content\":\"[log]\\n\"}");
         String found = "5/null snapshot 1 2@4dos \u00f1 3@4three";
         assertEquals(found, reopened(temporary));
-        assertEquals(found, reopened(temporary), "and as this version writes it anew");
+        assertEquals(found, reopened(temporary), "after this version has rewritten the file");
         assertEquals(new Epoch(7, "p", "[log]\n"), LogFile.lastEpoch(temporary));
     }
 }
--- a/src/test/java/cacheproxy/raft/LogFileTest.java
+++ b/src/test/java/cacheproxy/raft/LogFileTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What a voter wrote is what the next process reads, but for a line that was being written when it
- * died.
+ * Tests that the next process reads what a voter has written, except for a line that was being
+ * written when the process died.
  */
 class LogFileTest {
 
@@ -41,7 +41,7 @@
 
     private void writeSampleLog() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
-            assertNull(file.restored(), "there was none");
+            assertNull(file.restored(), "a new file has no state");
             file.persistAndFlushLocalEndpoint(
                     Codec.MODEL_FACTORY
                             .createRaftEndpointPersistentStateBuilder()
@@ -106,7 +106,7 @@
         writeSampleLog();
         Path log = folder.resolve("log");
         Files.writeString(log, Files.readString(log).replaceFirst("\"term\":4", "\"term\":3"));
-        assertThrows(IOException.class, () -> LogFile.open(folder), "a vote may be forgotten");
+        assertThrows(IOException.class, () -> LogFile.open(folder), "the vote may be lost");
     }
 
     private static SnapshotChunk chunk(long index, int part, int parts, String content) {
@@ -142,7 +142,7 @@
                                 .collect(Collectors.joining());
     }
 
-    /** Its snapshot, and the indices of the entries after it. */
+    /** Returns the content of the restored snapshot and the indices of the entries after it. */
     private String restoredState() throws IOException {
         try (LogFile file = LogFile.open(folder)) {
             RestoredRaftState state = file.restored();
@@ -164,7 +164,7 @@
             file.persistSnapshotChunk(chunk(390, 1, 2, "whole"));
             file.flush();
             file.truncateLogEntriesUntil(380);
-            assertTrue(Files.size(folder.resolve("log")) < before / 10, "the file is cut");
+            assertTrue(Files.size(folder.resolve("log")) < before / 10, "the file has shrunk");
             file.persistLogEntries(List.of(entry(401, 4, "after")));
             file.persistSnapshotChunk(chunk(395, 0, 2, "half"));
         }
@@ -226,29 +226,29 @@
             assertThrows(
                     StorageUnavailableException.class,
                     () -> file.persistLogEntries(List.of(entry(3, 4, "lost"))),
-                    "until it is opened again");
+                    "a failed file rejects writes until it is opened again");
         }
         Files.createSymbolicLink(folder.resolve("log.new"), full);
         assertThrows(
                 StorageUnavailableException.class,
                 () -> LogFile.open(folder),
-                "there is no room to write it anew");
+                "the disk is full, so the file can't be rewritten on opening");
         Files.delete(folder.resolve("log.new"));
         try (LogFile file = LogFile.open(folder)) {
             Files.createSymbolicLink(folder.resolve("log.new"), full);
             assertThrows(
                     StorageUnavailableException.class,
                     () -> file.truncateLogEntriesUntil(1),
-                    "nor to cut it");
+                    "the disk is full, so the file can't be rewritten on truncation");
             Files.delete(folder.resolve("log.new"));
             Files.createDirectory(folder.resolve("log.new"));
             assertThrows(
                     StorageUnavailableException.class,
                     () -> LogFile.open(folder),
-                    "as where the folder is read-only");
+                    "the new file can't be created, as in a read-only folder");
             Files.delete(folder.resolve("log.new"));
         }
-        assertEquals("null [1, 2]", restoredState(), "the cut was not confirmed");
+        assertEquals("null [1, 2]", restoredState(), "the truncation was not confirmed");
         try (LogFile file = LogFile.open(folder)) {
             file.truncateLogEntriesUntil(1);
             file.persistLogEntries(List.of(entry(3, 4, "three")));
--- a/src/test/java/cacheproxy/raft/PeerConnectionsTest.java
+++ b/src/test/java/cacheproxy/raft/PeerConnectionsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A link to a voter whose system calls fail is made again. */
+/** Tests that a connection to a voter is opened again after its system calls have failed. */
 class PeerConnectionsTest {
 
     private static final String VOTER = "voter";
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Waits for the next connection that begins with its key: of one that fails late the voter sees
-     * a connection and its end.
+     * Waits for the next connection on which the proxy sends its key. Connections that end without
+     * a key are skipped: a connection attempt that fails late looks like that to the voter.
      */
     private Socket acceptConnection() throws Exception {
         Socket connection = voter.accept();
--- a/src/test/java/cacheproxy/raft/PolicyRecoveryTest.java
+++ b/src/test/java/cacheproxy/raft/PolicyRecoveryTest.java
@@ -27,8 +27,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three proxies that vote, on loopback sockets with their keys and files; one has a disk that fails
- * for a while. Verdicts are on what comes to hold within a minute; times are not judged.
+ * Tests three voting proxies with real keys and files over loopback sockets, one of them on a disk
+ * that fails temporarily. The tests only require that each condition is reached within a minute;
+ * they don't check how long it takes.
  */
 class PolicyRecoveryTest {
 
@@ -42,7 +43,7 @@
     private final List<PolicyService> services = new ArrayList<>();
     private final FaultyFiles disk = new FaultyFiles();
 
-    /** Events of the voter with that disk, the last of {@link #NAMES}. */
+    /** Log events of the voter with the failing disk, which is the last of {@link #NAMES}. */
     private final Queue<String> events = new ConcurrentLinkedQueue<>();
 
     @BeforeEach
@@ -149,23 +150,32 @@
     @Test
     void votesAgainAfterDiskRecoversAndToleratesLossOfAnotherVoter() throws Exception {
         startAll();
-        await("all agree", () -> propose("c", 11) == ProposalStatus.IN_FORCE);
+        await(
+                "three voters put an epoch in force",
+                () -> propose("c", 11) == ProposalStatus.IN_FORCE);
         disk.broken = true;
-        await("two of three are enough", () -> propose("a", 12) == ProposalStatus.IN_FORCE);
-        await("the fault is told", () -> count("storage_failed") == 1);
         await(
-                "it runs what the others run",
+                "two voters of three are a majority",
+                () -> propose("a", 12) == ProposalStatus.IN_FORCE);
+        await("the fault is logged", () -> count("storage_failed") == 1);
+        await(
+                "the status reports the fault",
                 () ->
                         PolicySocket.ask(socket("c"), "status", "", 0)
                                 .text()
                                 .contains("its folder can't be used"));
-        assertEquals(ProposalStatus.REFUSED, propose("c", 13), "it takes no change");
+        assertEquals(
+                ProposalStatus.REFUSED, propose("c", 13), "the failed voter accepts no proposal");
         loop.submit(services.remove(1)::close).sync();
-        await("one of three is not", () -> propose("a", 14) == ProposalStatus.NO_MAJORITY);
+        await(
+                "one voter of three is no majority",
+                () -> propose("a", 14) == ProposalStatus.NO_MAJORITY);
         assertEquals(0, count("storage_recovered"));
         disk.broken = false;
-        await("the end of the fault is told", () -> count("storage_recovered") == 1);
-        await("two of three again", () -> propose("c", 15) == ProposalStatus.IN_FORCE);
+        await("the recovery is logged", () -> count("storage_recovered") == 1);
+        await(
+                "two voters of three are a majority",
+                () -> propose("c", 15) == ProposalStatus.IN_FORCE);
         assertEquals(1, count("storage_failed"));
         String status = PolicySocket.ask(socket("c"), "status", "", 0).text();
         assertTrue(!status.contains("can't be used"), status);
@@ -177,11 +187,15 @@
     void votesOnceDiskThatFailedAtStartRecovers() throws Exception {
         disk.broken = true;
         startAll();
-        await("two of three are enough", () -> propose("a", 11) == ProposalStatus.IN_FORCE);
+        await(
+                "two voters of three are a majority",
+                () -> propose("a", 11) == ProposalStatus.IN_FORCE);
         assertEquals(1, count("storage_failed"));
         disk.broken = false;
-        await("the end of the fault is told", () -> count("storage_recovered") == 1);
+        await("the recovery is logged", () -> count("storage_recovered") == 1);
         loop.submit(services.remove(0)::close).sync();
-        await("two of three again", () -> propose("c", 12) == ProposalStatus.IN_FORCE);
+        await(
+                "two voters of three are a majority",
+                () -> propose("c", 12) == ProposalStatus.IN_FORCE);
     }
 }
--- a/src/test/java/cacheproxy/raft/StreamSocketsTest.java
+++ b/src/test/java/cacheproxy/raft/StreamSocketsTest.java
@@ -46,8 +46,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Forty proxies and four control machines with their sealed links and files, on loopback. Verdicts
- * are on what arrives, within a minute; times are not judged.
+ * Tests forty proxies and four control machines with real files and connections over loopback. The
+ * tests only require that each condition is reached within a minute; they don't check how long it
+ * takes.
  */
 class StreamSocketsTest {
 
@@ -115,7 +116,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** On the machines' loop. */
+    /** Runs a call on the control machines' event loop and returns its result. */
     private <T> T onLoop(Callable<T> call) {
         try {
             return loop.submit(call).get(TIMEOUT_S, TimeUnit.SECONDS);
@@ -134,8 +135,8 @@
 
     @BeforeEach
     void start() throws Exception {
-        // An address of this process's own, so that nobody else takes a port between this and its
-        // bind.
+        // A loopback address that only this process uses, so that no other process takes a port
+        // between its selection here and its bind.
         long pid = ProcessHandle.current().pid();
         InetAddress loopbackAddress =
                 InetAddress.getByAddress(new byte[] {127, 93, (byte) (pid >> 8), (byte) pid});
@@ -206,19 +207,20 @@
         for (int i = 0; i < PROXIES; i++) {
             all.add(new Proxy(i, loops.next(), knownServers));
         }
-        await("all are served", () -> all.stream().allMatch(p -> !p.resets.isEmpty()));
+        await("all proxies are served", () -> all.stream().allMatch(p -> !p.resets.isEmpty()));
         return all;
     }
 
     /**
-     * Asks whoever leads until it is confirmed; one that was asked for twice may be there twice.
+     * Publishes purges of the keys from {@code from} up to, but not including, {@code to}. Each is
+     * sent to the current leader until it is confirmed, so it may be in the stream twice.
      */
     private void publish(int from, int to) throws Exception {
         for (int i = from; i < to; i++) {
             Purge purge = new Purge("/k" + i, false);
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             for (long seq = -1; seq <= 0; ) {
-                assertTrue(System.nanoTime() < end, "nobody takes " + purge);
+                assertTrue(System.nanoTime() < end, "no leader accepts " + purge);
                 CompletableFuture<Long> answer = new CompletableFuture<>();
                 ControlMachine leader = leader();
                 if (leader != null) {
@@ -240,6 +242,7 @@
         }
     }
 
+    /** Whether a proxy has received this many different changes. */
     private static boolean hasReceived(Proxy proxy, int count) {
         return proxy.changes.stream().distinct().count() == count;
     }
@@ -249,9 +252,9 @@
         List<Proxy> all = startProxies(servers);
         publish(0, 10);
         await(
-                "all have all",
+                "all proxies have all changes",
                 () -> all.stream().allMatch(p -> hasReceived(p, 10) && p.connectedServer != null));
-        // The leader, so that the others have to agree on another too.
+        // The leader is stopped, so that the others also have to elect a new one.
         String lost =
                 onLoop(
                         () ->
@@ -260,27 +263,33 @@
                                         .findFirst()
                                         .orElseThrow()
                                         .getKey());
-        assertTrue(all.stream().anyMatch(p -> lost.equals(p.connectedServer)), "it serves some");
+        assertTrue(
+                all.stream().anyMatch(p -> lost.equals(p.connectedServer)),
+                "it serves some proxies");
         publish(10, 11);
         stop(lost);
         publish(11, 120);
-        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 120)));
+        await(
+                "all proxies have all changes",
+                () -> all.stream().allMatch(p -> hasReceived(p, 120)));
         List<Change> first = List.copyOf(all.get(0).changes);
         for (Proxy p : all) {
-            assertEquals(first, List.copyOf(p.changes), "the same, in the same order");
+            assertEquals(first, List.copyOf(p.changes), "the same changes in the same order");
             assertEquals(1, p.resets.size());
         }
         await(
-                "entries are seen to be everywhere",
+                "the leader reports entries as fully acknowledged",
                 () -> fullyAcknowledged.stream().anyMatch(e -> e.seq() >= 119));
-        // It comes back with what it has on its disk, and takes what it lacks: the others' logs
-        // were cut by snapshots meanwhile.
+        // It restarts with the state on its disk and has to install a snapshot, because the others'
+        // logs were truncated meanwhile.
         startService(lost, servers.get(lost));
         await(
                 "it has caught up",
                 () -> onLoop(() -> services.get(lost).machine().head() == leaderHead()));
         publish(120, 122);
-        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 122)));
+        await(
+                "all proxies have all changes",
+                () -> all.stream().allMatch(p -> hasReceived(p, 122)));
     }
 
     private long leaderHead() {
@@ -293,12 +302,12 @@
     }
 
     /**
-     * The test above against the fault it is for: proxies that know only the one they were given
-     * first.
+     * Shows that the test above detects its fault: proxies that know only the lost control machine
+     * can't reconnect elsewhere, and stay behind.
      */
     @Test
     void proxiesWithoutAnotherServerStayBehindAndAreReported() throws Exception {
-        await("one leads", () -> leader() != null);
+        await("a leader is elected", () -> leader() != null);
         String lost =
                 onLoop(
                         () ->
@@ -309,11 +318,17 @@
                                         .getKey());
         List<Proxy> pinned = startProxies(Map.of(lost, servers.get(lost)));
         publish(0, 1);
-        await("all have it", () -> pinned.stream().allMatch(p -> hasReceived(p, 1)));
-        await("and are known", () -> onLoop(() -> laggingSubscriberCount(1000)) == PROXIES);
+        await(
+                "all proxies have the change",
+                () -> pinned.stream().allMatch(p -> hasReceived(p, 1)));
+        await(
+                "the leader knows all proxies",
+                () -> onLoop(() -> laggingSubscriberCount(1000)) == PROXIES);
         stop(lost);
         publish(1, 5);
-        await("they find nobody", () -> pinned.stream().allMatch(p -> p.connectedServer == null));
+        await(
+                "no proxy is connected",
+                () -> pinned.stream().allMatch(p -> p.connectedServer == null));
         assertEquals(PROXIES, onLoop(() -> laggingSubscriberCount(5)));
         assertTrue(pinned.stream().allMatch(p -> hasReceived(p, 1)));
     }
@@ -336,9 +351,9 @@
             startService(name, servers.get(name));
         }
         publish(70, 75);
-        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 75)));
+        await("all proxies have all changes", () -> all.stream().allMatch(p -> hasReceived(p, 75)));
         assertTrue(all.stream().allMatch(p -> p.resets.size() == 1));
-        // One whose file is damaged does not start; its others go on.
+        // A control machine with a damaged file does not start; the others keep serving.
         String damaged =
                 onLoop(
                         () ->
@@ -355,7 +370,7 @@
                         .getMessage()
                         .contains("damaged"));
         publish(75, 76);
-        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 76)));
+        await("all proxies have all changes", () -> all.stream().allMatch(p -> hasReceived(p, 76)));
     }
 
     @Test
@@ -385,7 +400,7 @@
         assertTrue(onLoop(() -> services.get(faulty).machine() == failed && !failed.isLeader()));
         disk.broken = false;
         await(
-                "it has begun anew and caught up",
+                "it has restarted and caught up",
                 () ->
                         onLoop(
                                 () ->
@@ -393,11 +408,11 @@
                                                 && services.get(faulty).machine().head()
                                                         == leaderHead()));
         publish(80, 82);
-        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 82)));
+        await("all proxies have all changes", () -> all.stream().allMatch(p -> hasReceived(p, 82)));
         assertTrue(all.stream().allMatch(p -> p.resets.size() == 1));
     }
 
-    /** A machine whose sockets open and then say nothing, as one that hangs. */
+    /** Proxies have to leave a machine that accepts connections but sends nothing, as if hung. */
     @Test
     void proxiesLeaveSilentControlMachine() throws Exception {
         try (ServerSocket silentServer =
@@ -408,7 +423,9 @@
                             InetAddress.getLoopbackAddress(), silentServer.getLocalPort()));
             List<Proxy> all = startProxies(servers);
             publish(0, 3);
-            await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 3)));
+            await(
+                    "all proxies have all changes",
+                    () -> all.stream().allMatch(p -> hasReceived(p, 3)));
         }
     }
 
@@ -436,6 +453,6 @@
             }
         }
         publish(0, 3);
-        await("all have all", () -> all.stream().allMatch(p -> hasReceived(p, 3)));
+        await("all proxies have all changes", () -> all.stream().allMatch(p -> hasReceived(p, 3)));
     }
 }
--- a/src/test/java/cacheproxy/raft/VoterRecoveryTest.java
+++ b/src/test/java/cacheproxy/raft/VoterRecoveryTest.java
@@ -23,8 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three voters in virtual time, each on a file whose writes and syncs fail for a while: one whose
- * disk works again takes part again, and no term is voted twice, whoever is down meanwhile.
+ * Tests three voters in virtual time whose files fail temporarily. A voter has to rejoin once its
+ * disk works again, and no voter may vote for two candidates in one term, whichever others are down
+ * meanwhile.
  */
 class VoterRecoveryTest {
 
@@ -43,12 +44,12 @@
                             .thenComparingLong(ScheduledTask::order));
     private final Map<String, SimulatedVoter> voters = new HashMap<>();
 
-    /** Whom each voter has told that it votes for it, by its name and the term. */
+    /** The candidate that each voter has voted for, by the voter's name and the term. */
     private final Map<String, String> votes = new HashMap<>();
 
     private final List<String> doubleVotes = new ArrayList<>();
 
-    /** What the author of an epoch was told that it became. */
+    /** The proposals that were confirmed to their authors, by the number of their epoch. */
     private final Map<Long, String> confirmedProposals = new HashMap<>();
 
     private void scheduleIn(double ms, Runnable task) {
@@ -65,7 +66,7 @@
         now = end;
     }
 
-    /** A voter as a process has it, with the same use of its file. */
+    /** A voter that uses and reopens its file as {@link PolicyService} does in a process. */
     private final class SimulatedVoter implements RaftNodeExecutor {
         final String name;
         final FaultyFiles files = new FaultyFiles();
@@ -76,7 +77,7 @@
         RaftLog log;
         boolean down;
 
-        /** What a process does about its file's faults is not done. */
+        /** Whether faults of the file are ignored, instead of handled as in a process. */
         boolean recoveryDisabled;
 
         int sent;
@@ -135,7 +136,7 @@
             String previous =
                     votes.putIfAbsent(name + " in " + message.get("raft_term"), candidate);
             if (previous != null && !previous.equals(candidate)) {
-                // Not thrown here, as the library would catch it.
+                // Recorded and not thrown, because MicroRaft would catch the exception.
                 doubleVotes.add(name + " for " + previous + " and " + candidate + ": " + message);
             }
         }
@@ -199,7 +200,7 @@
         }
     }
 
-    /** All that was confirmed is in force everywhere, and nobody has voted twice in a term. */
+    /** Checks that all running voters have all confirmed epochs, and that none voted twice. */
     private void assertConsistent(String scenario) {
         assertEquals(List.of(), doubleVotes, scenario);
         for (SimulatedVoter voter : voters.values().stream().filter(m -> !m.down).toList()) {
@@ -213,7 +214,10 @@
         assertTrue(leader().epochs.inForce() >= last, scenario);
     }
 
-    /** Asks whoever leads until an epoch is prepared and activated; false after so long. */
+    /**
+     * Proposes epochs to the current leader until one is prepared and activated; returns false if
+     * none is within this time.
+     */
     private boolean makesProgress(double withinMs) {
         long[] done = new long[1];
         for (double end = now + withinMs; now < end && done[0] == 0; advance(200)) {
@@ -244,24 +248,28 @@
         others.remove(leader);
         SimulatedVoter faulty = others.get(0);
         faulty.files.broken = true;
-        assertTrue(makesProgress(10_000), "two of three are enough");
+        assertTrue(makesProgress(10_000), "two voters of three are a majority");
         advance(3000);
         assertEquals(List.of("storage_failed"), faulty.events);
         others.get(1).down = true;
         long votesBefore = votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count();
-        assertFalse(makesProgress(20_000), "one of three is not");
+        assertFalse(makesProgress(20_000), "one voter of three is no majority");
         assertEquals(
                 votesBefore,
                 votes.keySet().stream().filter(v -> v.startsWith(faulty.name)).count(),
-                "it votes for nobody");
+                "a failed voter does not vote");
         faulty.files.broken = false;
-        assertTrue(makesProgress(StorageRecovery.MAX_BACKOFF_MS + 20_000), "it takes part again");
+        assertTrue(
+                makesProgress(StorageRecovery.MAX_BACKOFF_MS + 20_000), "the voter has rejoined");
         assertEquals(List.of("storage_failed", "storage_recovered"), faulty.events);
         advance(2000);
-        assertConsistent("with one down");
+        assertConsistent("with one voter down");
     }
 
-    /** The library goes on with a node whose store has thrown, and so the store has to refuse. */
+    /**
+     * MicroRaft keeps a node running whose store has thrown, so the node's messages have to be
+     * discarded until its file has been opened again.
+     */
     @Test
     void nodeStillRunningAfterStoreFailureSendsNothing() throws Exception {
         startAll();
@@ -276,7 +284,7 @@
             faulty.recoveryDisabled = true;
             makesProgress(1000);
             assertTrue(faulty.file.failed());
-            assertFalse(faulty.log.isTerminated(), "the library's node runs on");
+            assertFalse(faulty.log.isTerminated(), "MicroRaft keeps the node running");
             int sent = faulty.sent;
             advance(5000);
             assertEquals(sent, faulty.sent);
@@ -287,7 +295,10 @@
         }
     }
 
-    /** Disks that are full now and then, and one that is down now and then; then a quiet time. */
+    /**
+     * In twelve random scenarios disks fail and voters are down temporarily; then follows a time
+     * without faults, after which all voters have to agree.
+     */
     @Test
     void noDoubleVotesAndAllVotersRejoinUnderRandomFaults() throws Exception {
         for (int seed = 1; seed <= 12; seed++) {
@@ -319,9 +330,9 @@
                 advance(random.nextInt(2000));
             }
             advance(StorageRecovery.MAX_BACKOFF_MS);
-            assertTrue(makesProgress(20_000), "day " + seed);
+            assertTrue(makesProgress(20_000), "scenario with seed " + seed);
             advance(5000);
-            assertConsistent("day " + seed);
+            assertConsistent("scenario with seed " + seed);
         }
     }
 }
