--- a/src/main/java/cacheproxy/admin/AdminOperations.java
+++ b/src/main/java/cacheproxy/admin/AdminOperations.java
@@ -3,37 +3,37 @@
 import java.util.function.Consumer;
 
 /**
- * Who carries the operators' calls out, on the loop that the address is served on. A call that
- * changes something is answered once, on that loop, when it is known to be kept or not: within 1 s,
- * before or after the method returns.
+ * The operations behind the operators' address, invoked on the event loop that serves it. A call
+ * that changes state is answered once, on that loop, when it is known whether the change has been
+ * stored: within 1 s, before or after the method returns.
  */
 public interface AdminOperations {
 
-    /** What an operator is answered: a status, and a line that says what happened. */
+    /** The answer to an operator: an HTTP status and a line of text. */
     record Reply(int status, String text) {
 
-        /** It is so, or has been done. */
+        /** The condition holds, or the operation has been carried out (200). */
         public static Reply ok(String text) {
             return new Reply(200, text);
         }
 
-        /** No such cache node. */
+        /** No such cache node is known (404). */
         public static Reply notFound(String text) {
             return new Reply(404, text);
         }
 
-        /** It is not so, or can't be done now. */
+        /** The condition does not hold, or the operation can't be carried out now (503). */
         public static Reply unavailable(String text) {
             return new Reply(503, text);
         }
     }
 
-    /** Whether this process can serve. */
+    /** Returns whether this process can serve. */
     Reply health();
 
-    /** Takes a cache node out or puts it back. */
+    /** Starts or ends the maintenance of a cache node. */
     void setMaintenance(String node, boolean start, Consumer<Reply> answer);
 
-    /** Empties the proxy or ends that. */
+    /** Starts or ends the drain of this proxy. */
     void setDraining(boolean start, Consumer<Reply> answer);
 }
--- a/src/main/java/cacheproxy/admin/AdminServer.java
+++ b/src/main/java/cacheproxy/admin/AdminServer.java
@@ -35,18 +35,18 @@
 import java.util.function.Consumer;
 
 /**
- * Serves the operators' address: one call to a connection, and few connections, of which the oldest
- * makes room.
+ * HTTP server of the operators' address. Each connection carries one call. The number of
+ * connections is limited; a new one beyond the limit closes the oldest.
  */
 public final class AdminServer {
 
     /**
-     * Connections at once: callers that say nothing may use them up, so one more ends the one that
-     * has been here longest.
+     * Maximum number of open connections. Silent clients may use up all of them, so one more
+     * connection closes the oldest.
      */
     public static final int MAX_CONNECTIONS = 16;
 
-    /** A call is short; one that has not come by then never will. */
+    /** A connection is closed after this time; calls are short and answered within 1 s. */
     private static final long CONNECTION_TIMEOUT_MS = 5000;
 
     private static final int MAX_HEADER_BYTES = 4096;
@@ -61,7 +61,7 @@
         this.operations = operations;
     }
 
-    /** Begins to listen; the future tells of the address. */
+    /** Starts to listen; the future's channel has the bound address. */
     public ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -102,13 +102,13 @@
                         });
     }
 
-    /** What a call names is looked for here; what it does is the desk's. */
+    /** Routes a call by its path and method to the operations. */
     private void dispatch(FullHttpRequest call, Consumer<Reply> answer) {
         String[] path;
         try {
             path = new URI(call.uri()).getRawPath().split("/", -1);
         } catch (URISyntaxException | NullPointerException e) {
-            answer.accept(new Reply(400, "no path: " + call.uri()));
+            answer.accept(new Reply(400, "malformed URI: " + call.uri()));
             return;
         }
         boolean isHealthPath = path.length >= 2 && path[1].equals("healthcheck");
@@ -126,23 +126,23 @@
                         && path[1].equals("cache-nodes")
                         && (path[3].equals("maint") || path[3].equals("ready"));
         if (!isDrainPath && !isNodePath) {
-            answer.accept(new Reply(404, "no such call: " + call.uri()));
+            answer.accept(new Reply(404, "unknown operation: " + call.uri()));
         } else if (!call.method().equals(HttpMethod.POST)) {
             answer.accept(wrongMethod("POST"));
         } else if (isDrainPath) {
             operations.setDraining(path[2].equals("fail"), answer);
         } else {
-            // A part of a path that the whole could be read with can be read.
+            // The whole URI has been parsed above, so a segment of its path can be parsed too.
             String nodeId = URI.create("/" + path[2]).getPath().substring(1);
             operations.setMaintenance(nodeId, path[3].equals("maint"), answer);
         }
     }
 
     private static Reply wrongMethod(String expected) {
-        return new Reply(405, "this call is a " + expected);
+        return new Reply(405, "method not allowed, use " + expected);
     }
 
-    /** One connection's one call. */
+    /** Handles the single call of a connection. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private boolean answered;
 
@@ -151,7 +151,7 @@
             if (!answered) {
                 answered = true;
                 if (call.decoderResult().isFailure()) {
-                    answer(ctx, new Reply(400, "no HTTP request"));
+                    answer(ctx, new Reply(400, "malformed HTTP request"));
                 } else {
                     dispatch(call, reply -> answer(ctx, reply));
                 }
--- a/src/main/java/cacheproxy/epoch/Epochs.java
+++ b/src/main/java/cacheproxy/epoch/Epochs.java
@@ -4,39 +4,45 @@
 import java.util.List;
 
 /**
- * What the replicated log amounts to: the epochs that were in force, in order, and at most one that
- * is prepared. Every voter applies the same changes in the same order and so holds the same. An
- * epoch takes two entries: the first prepares it, and from its commit on no proxy may be granted
- * the older one any more; the second, once nobody can count itself current at the older one, puts
- * it in force.
+ * The state machine of the replicated policy log: the epochs that have been in force, in order, and
+ * at most one prepared epoch. Every voter applies the same changes in the same order and so reaches
+ * the same state. An epoch takes two log entries. The first prepares it; from its commit on, no
+ * voter grants a lease on the older epoch. The second puts the new epoch in force once no proxy can
+ * count itself current at the older one.
  */
 public final class Epochs {
 
-    /** Longest content of one policy, in characters. */
+    /** Maximum length of a policy's content, in characters. */
     public static final int MAX_CONTENT_CHARS = 16_384;
 
-    /** So many are kept; one who lacks more takes the oldest that is kept as a snapshot. */
+    /**
+     * Number of past epochs that are retained. A proxy that is further behind starts from the
+     * oldest retained epoch, as from a snapshot.
+     */
     static final int MAX_RETAINED_EPOCHS = 256;
 
-    /** One policy: its number, from 1 on, the proposal it came from, and its text. */
+    /** One policy: its number (from 1 on), the id of its proposal, and its text. */
     public record Epoch(long number, String proposal, String content) {}
 
-    /** An entry of the log. */
+    /** An entry of the replicated log. */
     public sealed interface Change permits Prepare, Activate, NewTermEntry {}
 
     /**
-     * Prepares the epoch after {@code base}; a base that is not in force any more refuses it, as
-     * its author had seen another.
+     * Prepares the epoch after {@code base}. It is rejected if {@code base} is no longer in force,
+     * because its author based the change on an outdated policy.
      */
     public record Prepare(String proposal, long base, String content) implements Change {}
 
-    /** Puts a prepared epoch in force. */
+    /** Puts the prepared epoch in force. */
     public record Activate(long epoch) implements Change {}
 
-    /** A new leader's first entry; changes nothing. */
+    /** A new leader's first entry; it does not change the state. */
     public record NewTermEntry() implements Change {}
 
-    /** What a change came to: the epoch's number, or why it was refused. */
+    /**
+     * The result of applying a change: the epoch's number, or the reason for its rejection (null if
+     * accepted).
+     */
     public record Outcome(long epoch, String rejectionReason) {}
 
     private final List<Epoch> retained = new ArrayList<>();
@@ -66,14 +72,14 @@
                                 .findFirst()
                                 .orElse(null);
         if (existing != null) {
-            // A leader that was lost may have been asked before: the same proposal is the same
-            // epoch.
+            // A previous leader may already have appended this proposal before it failed; the same
+            // proposal yields the same epoch.
             return new Outcome(existing.number(), null);
         }
         if (prepared != null) {
             return new Outcome(
                     0,
-                    "another change is under way, epoch "
+                    "another change is in progress, epoch "
                             + prepared.number()
                             + "; nothing was changed");
         }
@@ -82,7 +88,7 @@
                     0,
                     "epoch "
                             + inForce
-                            + " is in force, the change was made for epoch "
+                            + " is in force, but the change is based on epoch "
                             + prepare.base()
                             + "; nothing was changed");
         }
@@ -91,8 +97,8 @@
     }
 
     /**
-     * An epoch is in force; called from outside for a proxy that does not vote, once a voter has
-     * said so.
+     * Records an epoch as in force. {@link PolicyMember} calls it at a proxy that is no voter, when
+     * a voter has sent the epoch.
      */
     void recordInForce(Epoch epoch) {
         inForce = epoch.number();
@@ -102,27 +108,27 @@
         }
     }
 
-    /** The number in force; 0 before the first. */
+    /** Returns the number of the epoch in force; 0 before the first. */
     public long inForce() {
         return inForce;
     }
 
-    /** The number that is prepared, or 0. */
+    /** Returns the number of the prepared epoch, or 0 if none is prepared. */
     public long prepared() {
         return prepared == null ? 0 : prepared.number();
     }
 
-    /** An epoch that was in force and is kept; null else. */
+    /** Returns the retained epoch of this number, or null. */
     public Epoch find(long number) {
         return retained.stream().filter(e -> e.number() == number).findFirst().orElse(null);
     }
 
-    /** Those in force after {@code number}, in order, so many at most. */
+    /** Returns the retained epochs after {@code number}, oldest first, at most {@code limit}. */
     public List<Epoch> after(long number, int limit) {
         return retained.stream().filter(e -> e.number() > number).limit(limit).toList();
     }
 
-    /** All that are kept, oldest first. */
+    /** Returns all retained epochs, oldest first. */
     public List<Epoch> history() {
         return List.copyOf(retained);
     }
--- a/src/main/java/cacheproxy/epoch/Leases.java
+++ b/src/main/java/cacheproxy/epoch/Leases.java
@@ -4,21 +4,24 @@
 import java.util.Map;
 
 /**
- * What one voter has promised: a proxy that is granted an epoch may count itself current at it for
- * the lease from when it asked, and the voter supports no later epoch until that has passed, or the
- * proxy has said that it no longer does. As leases (Gray and Cheriton 1989) on each side's own
- * clock: the voter's runs longer by {@link #DRIFT}, so that clocks which differ in pace by less do
- * no harm.
+ * The leases that one voter has granted. A proxy with a lease may count itself current at its epoch
+ * for the lease's length from when it sent the query. The voter supports no later epoch until the
+ * lease has expired or the proxy has reported that it no longer relies on it. These are leases as
+ * by Gray and Cheriton (1989), timed by each side's own clock: the voter's runs longer by {@link
+ * #CLOCK_DRIFT_MARGIN}, so that clocks whose rates differ by less do no harm.
  */
 final class Leases {
 
-    /** Part of a lease by which the voter waits longer. */
+    /** Fraction of a lease's length by which the voter waits longer than the proxy. */
     static final double CLOCK_DRIFT_MARGIN = 0.1;
 
     private final double leaseMs;
     private final Map<String, Double> expiryByProxy = new HashMap<>();
 
-    /** An earlier life's promises are not known; they have passed by then. */
+    /**
+     * When all leases that an earlier incarnation of this voter may have granted have expired; they
+     * are not stored.
+     */
     private final double earlierLeasesExpireAt;
 
     Leases(double leaseMs, double startedAt) {
@@ -34,7 +37,7 @@
         expiryByProxy.remove(proxy);
     }
 
-    /** Whether no promise may still be relied on. */
+    /** Whether no proxy can still rely on a lease of this voter. */
     boolean allExpired(double now) {
         expiryByProxy.values().removeIf(t -> now >= t);
         return expiryByProxy.isEmpty() && now >= earlierLeasesExpireAt;
--- a/src/main/java/cacheproxy/epoch/Message.java
+++ b/src/main/java/cacheproxy/epoch/Message.java
@@ -3,32 +3,35 @@
 import cacheproxy.epoch.Epochs.Epoch;
 import java.util.List;
 
-/** What proxies and voters say to one another about epochs. */
+/** The messages about epochs between proxies and voters. */
 public sealed interface Message
         permits Message.Hello, Message.Welcome, Message.Propose, Message.Proposed {
 
     /**
-     * A proxy asks a voter.
+     * A proxy's query to a voter, which also requests a lease.
      *
-     * @param seq counts this proxy's questions
-     * @param epoch the epoch in force at it
-     * @param fenced the highest epoch that it knows to be prepared; above {@code epoch}, it does
-     *     not count itself current and never will again at {@code epoch}
+     * @param seq sequence number of this proxy's query
+     * @param epoch the epoch in force at the proxy
+     * @param fenced the highest epoch that the proxy knows to be prepared; if it is above {@code
+     *     epoch}, the proxy does not count itself current and never again will at {@code epoch}
      */
     record Hello(long seq, long epoch, long fenced) implements Message {}
 
     /**
-     * A voter's answer.
+     * A voter's answer to a {@link Hello}.
      *
+     * @param seq the sequence number of the query
      * @param granted whether the proxy may count itself current at the epoch that it named
-     * @param inForce the epoch in force by what this voter knows to be committed
-     * @param prepared the epoch that is prepared, or 0
-     * @param clear whether nobody relies on this voter for an epoch before the prepared one
-     * @param next epochs after the proxy's, in order, a few at a time
-     * @param leader whom the voter takes for the log's leader; empty if for nobody
-     * @param term the log's term here
-     * @param applied how far this voter has applied the log
-     * @param led whether the voter itself leads and has proved that to a majority in this term
+     * @param inForce the epoch in force, as far as this voter knows the log to be committed
+     * @param prepared the prepared epoch, or 0
+     * @param olderLeasesExpired whether no proxy holds a lease of this voter on an epoch before the
+     *     prepared one
+     * @param next the epochs that follow the proxy's, oldest first, a few per message
+     * @param leader the log's leader as known to the voter; empty if unknown
+     * @param term the log's term at the voter
+     * @param appliedIndex the log index up to which the voter has applied entries
+     * @param leadershipConfirmed whether the voter leads and a majority has confirmed that in this
+     *     term
      */
     record Welcome(
             long seq,
@@ -48,10 +51,10 @@
         }
     }
 
-    /** To the leader: put this content in force after {@code base}. */
+    /** A request to the leader to put this content in force after epoch {@code base}. */
     record Propose(String id, long base, String content) implements Message {}
 
-    /** How a proposal ended. */
+    /** The outcome of a proposal; the names are sent between proxies. */
     enum ProposalStatus {
         IN_FORCE,
         REFUSED,
@@ -60,8 +63,8 @@
     }
 
     /**
-     * The leader's answer: the epoch that was prepared, or why not; after {@link Ending#UNKNOWN} it
-     * may yet take hold.
+     * The leader's answer to a {@link Propose}: the prepared epoch, or why none was prepared. After
+     * {@link ProposalStatus#UNKNOWN} the proposal may still take effect.
      */
     record Proposed(String id, ProposalStatus status, long epoch, String text) implements Message {}
 }
--- a/src/main/java/cacheproxy/epoch/PolicyMember.java
+++ b/src/main/java/cacheproxy/epoch/PolicyMember.java
@@ -18,78 +18,82 @@
 import java.util.function.Consumer;
 
 /**
- * One proxy's part in the fleet's policy, voter or not. It asks every voter a few times a second,
- * applies the epochs in force that it lacks, in order, and counts itself current while a majority
- * of voters grants it the epoch that it runs. Any two majorities share a voter, and a prepared
- * epoch goes in force only once a majority grants the older one no more and nobody can still rely
- * on it, so no two proxies count themselves current at different epochs, however they are cut off,
- * paused or restarted.
+ * One proxy's part in the fleet's policy protocol, whether it is a voter or not. It queries every
+ * voter a few times a second, applies the epochs in force that it lacks, in order, and counts
+ * itself current while it has leases on its epoch from a majority of voters. Any two majorities
+ * share a voter, and a prepared epoch is put in force only when a majority grants no more leases on
+ * the older one and all those that it granted have expired or been released. So no two proxies
+ * count themselves current at different epochs, regardless of partitions, pauses and restarts.
  *
- * <p>{@code now} is this proxy's own clock in milliseconds, which never runs back; no other is
- * compared with it. Used by one thread.
+ * <p>{@code now} is this proxy's own monotonic clock in milliseconds; it is never compared with
+ * another process's clock. Not thread-safe: all calls are made on one thread.
  */
 public final class PolicyMember {
 
-    /** How often voters are asked; more often while a change is under way. */
+    /** Interval between queries to the voters while this proxy is current and no change is due. */
     private static final double QUERY_INTERVAL_MS = 250;
 
+    /** Interval between queries while a change is in progress or this proxy is not current. */
     private static final double FAST_QUERY_INTERVAL_MS = 100;
 
-    /** How long a grant lasts. */
+    /** Length of a voter's lease, from when the proxy sent the query. */
     private static final double LEASE_MS = 1000;
 
-    /** A voter counts as reachable for so long after its last answer. */
+    /** A voter counts as reachable for this long after its last answer. */
     private static final double VOTER_TIMEOUT_MS = 2000;
 
-    /** How long a proposal is waited for. */
+    /** How long a proposal may take before its outcome is reported as unknown. */
     private static final double PROPOSAL_TIMEOUT_MS = 10_000;
 
     private static final int MAX_EPOCHS_PER_ANSWER = 8;
     private static final int MAX_SENT_QUERIES_PER_VOTER = 16;
 
-    /** What a voter sees of the log that consensus keeps. */
+    /** A voter's view of the replicated log. */
     public interface Log {
         boolean isLeader();
 
         /**
-         * Whether it leads and a majority has confirmed that in this term, so that it has applied
-         * all that any earlier one committed.
+         * Whether this voter leads and a majority has confirmed that in this term, so that it has
+         * applied everything that earlier leaders committed.
          */
         boolean isLeadershipConfirmed();
 
-        /** Whom it takes for the leader; empty if for nobody. */
+        /** Returns the leader as known to this voter; empty if unknown. */
         String leader();
 
         int term();
 
-        /** The index up to which it has applied the log. */
+        /** Returns the log index up to which this voter has applied entries. */
         long appliedIndex();
 
-        /** Asks a majority whether this still leads; {@code then} is told once that is known. */
+        /**
+         * Asks a majority whether this voter still leads; {@code callback} receives the answer when
+         * it is known.
+         */
         void confirmLeadership(Consumer<Boolean> callback);
 
         /**
-         * Appends; {@code then} is told what applying it came to, or null where that can't be
-         * known.
+         * Appends a change; {@code callback} receives the result of applying it, or null if the
+         * result can't be known.
          */
         void append(Epochs.Change change, Consumer<Outcome> callback);
     }
 
-    /** What an operator may want to know. */
+    /** An event for the operators' log, which is written under the constant's name. */
     public enum PolicyEvent {
-        /** An epoch is in force here. */
+        /** An epoch has come into force at this proxy. */
         APPLIED,
         /** This proxy counts itself current from {@code atMs} on. */
         CURRENT,
-        /** It did so until {@code atMs}. */
+        /** This proxy counted itself current until {@code atMs}. */
         NOT_CURRENT,
-        /** A newer epoch is prepared, so that this one is on its way out. */
+        /** A newer epoch is prepared, so this proxy's epoch will be replaced. */
         FENCED,
-        /** A voter told of a higher epoch than runs here. */
+        /** A voter reported a higher epoch than this proxy has applied, without sending it. */
         BEHIND
     }
 
-    /** Where the wishes go. */
+    /** Receives the messages, epochs and events that this member produces. */
     public interface Out {
         void send(String to, Message message);
 
@@ -100,28 +104,34 @@
     }
 
     /**
-     * How a proposal ended: the epoch that is in force, or why none is; {@code text} is for people.
+     * The result of a proposal: its status and the epoch that is in force, if any; {@code text}
+     * explains the result to the operator.
      */
     public record ProposalResult(ProposalStatus status, long epoch, String text) {}
 
-    /** A proxy as a voter last heard it: the epoch in force there, and when it said so. */
+    /** A proxy's last query to this voter: the epoch in force there, and when the query arrived. */
     public record ProxyReport(long epoch, boolean fenced, double atMs) {}
 
     private record SentQuery(long seq, double sentAt) {}
 
-    /** {@code epoch} is what it was prepared as; 0 before. */
+    /** A proposal of this proxy; {@code epoch} is the number it was prepared as, 0 before that. */
     private record PendingProposal(
             Consumer<ProposalResult> callback, double deadline, long epoch) {}
 
     private final String name;
     private final List<String> voters;
 
-    /** Null where this proxy is no voter. */
+    /** Null if this proxy is not a voter. */
     private final Log log;
 
     private final Epochs epochs;
     private final Leases leases;
     private final int startTerm;
+
+    /**
+     * The log index that this voter has to apply after its start before it grants leases; -1 until
+     * a confirmed leader has reported it. The log that it restores may lack committed entries.
+     */
     private long catchUpIndex = -1;
 
     private long inForce;
@@ -141,10 +151,10 @@
     private int proposalCount;
 
     /**
-     * @param log null where this proxy does not vote
-     * @param epochs what the log amounts to; the caller applies committed entries to it and then
-     *     calls {@link #committed}
-     * @param last what was in force here when the last process ended, or null
+     * @param log null if this proxy is not a voter
+     * @param epochs the log's state machine; the caller applies committed entries to it and then
+     *     calls {@link #entriesCommitted}
+     * @param lastEpoch the epoch in force when the previous process of this proxy ended, or null
      */
     public PolicyMember(
             String name, List<String> voters, Log log, Epochs epochs, Epoch lastEpoch, double now) {
@@ -170,19 +180,19 @@
         return inForceSince;
     }
 
-    /** The highest epoch that any voter has called in force or prepared. */
+    /** Returns the highest epoch known here or reported by any voter, in force or prepared. */
     public long highestKnownEpoch() {
         return lastAnswers.values().stream()
                 .mapToLong(w -> Math.max(w.inForce(), w.prepared()))
                 .reduce(Math.max(inForce, fenced), Math::max);
     }
 
-    /** Voters that answered lately. */
+    /** Returns the number of voters that have answered within {@link #VOTER_TIMEOUT_MS}. */
     public long reachableVoters(double now) {
         return lastAnswerAt.values().stream().filter(t -> now - t < VOTER_TIMEOUT_MS).count();
     }
 
-    /** Who leads the log, as far as told; empty if nobody is known to. */
+    /** Returns the log's leader as reported by reachable voters; empty if unknown. */
     public String leader(double now) {
         if (log != null && log.isLeader()) {
             return name;
@@ -197,12 +207,12 @@
                 .orElse("");
     }
 
-    /** Every proxy that has asked this voter, as it last spoke. */
+    /** Returns the last query of every proxy that has queried this voter, by proxy name. */
     public Map<String, ProxyReport> proxyReports() {
         return Map.copyOf(proxyReports);
     }
 
-    /** The time until which a majority's grants hold. */
+    /** Returns the time until which a majority's leases are valid. */
     private double currentUntil() {
         if (fenced > inForce || grantedUntil.size() < majority()) {
             return Double.NEGATIVE_INFINITY;
@@ -214,7 +224,7 @@
                 .orElseThrow();
     }
 
-    /** Whether this proxy runs what the fleet runs, and a majority of voters stands for that. */
+    /** Whether this proxy runs the fleet's epoch, by valid leases from a majority of voters. */
     public boolean isCurrent(double now) {
         return now < currentUntil();
     }
@@ -222,7 +232,7 @@
     private void updateCurrent(double now, Out out) {
         double until = currentUntil();
         if (reportedCurrent && now >= reportedCurrentUntil && now < until) {
-            // It lapsed and came back between two looks.
+            // The leases expired and were renewed between two calls.
             out.event(PolicyEvent.NOT_CURRENT, inForce, reportedCurrentUntil);
             reportedCurrent = false;
         }
@@ -243,8 +253,8 @@
     }
 
     /**
-     * Ends it, as another takes its place: it counts itself current no more, and how the proposals
-     * that it waits for end is not known.
+     * Closes this member because another replaces it: it no longer counts itself current, and its
+     * pending proposals end as {@link ProposalStatus#UNKNOWN}.
      */
     public void close(double now, Out out) {
         markNotCurrent(now, out);
@@ -254,7 +264,7 @@
                             new ProposalResult(
                                     ProposalStatus.UNKNOWN,
                                     0,
-                                    "the voter's storage failed meanwhile: the change may still take hold; "
+                                    "the voter's storage failed: the change may still take effect; "
                                             + "see policy status"));
         }
         pendingProposals.clear();
@@ -279,11 +289,11 @@
                                         (entry.getValue().epoch() > 0
                                                         ? "prepared as epoch "
                                                                 + entry.getValue().epoch()
-                                                                + " and not in force"
+                                                                + " but not in force"
                                                         : "no answer")
                                                 + " after "
                                                 + Math.round(PROPOSAL_TIMEOUT_MS / 1000)
-                                                + " s: the change may still take hold; see policy status"));
+                                                + " s: it may still take effect; see policy status"));
             }
         }
     }
@@ -306,7 +316,7 @@
         }
     }
 
-    /** A message of another proxy, whose name is proven. */
+    /** Handles a message from another proxy whose name has been authenticated. */
     public void received(double now, String from, Message message, Out out) {
         if (message instanceof Hello hello && log != null) {
             answerHello(now, from, hello, out);
@@ -327,7 +337,7 @@
         }
     }
 
-    /** One that is prepared has ended once it is in force here. */
+    /** Ends a proposal; one that has been prepared stays pending until it is in force here. */
     private void completeProposal(String id, ProposalResult result) {
         PendingProposal pending = pendingProposals.remove(id);
         if (pending != null
@@ -354,7 +364,7 @@
         }
     }
 
-    // As a voter.
+    // Voter.
 
     private boolean isCaughtUp() {
         return log.isLeadershipConfirmed()
@@ -393,13 +403,16 @@
         }
     }
 
-    /** The log has been applied further; the epochs say how far. */
+    /** Handles newly committed log entries, which the caller has applied to the epochs. */
     public void entriesCommitted(double now, Out out) {
         applyEpochs(now, epochs.after(inForce, Epochs.MAX_RETAINED_EPOCHS), out);
         fence(now, epochs.prepared(), out);
     }
 
-    /** A leader puts a prepared epoch in force once a majority relies on nothing older. */
+    /**
+     * As the leader, puts the prepared epoch in force once a majority of voters has no valid lease
+     * on an older one.
+     */
     private void activatePrepared(double now, Out out) {
         long prepared = epochs.prepared();
         if (log == null || prepared == 0 || activating || !log.isLeadershipConfirmed()) {
@@ -424,7 +437,7 @@
         }
     }
 
-    // As a proxy.
+    // Proxy.
 
     private void handleWelcome(double now, String from, Welcome welcome, Out out) {
         lastAnswerAt.put(from, now);
@@ -457,15 +470,15 @@
             markNotCurrent(now, out);
             fenced = prepared;
             out.event(PolicyEvent.FENCED, prepared, now);
-            // Told at once, voters need not wait for the lease to run out.
+            // Voters that are notified at once need not wait for the lease to expire.
             queryVoters(now, out);
         }
     }
 
     private void applyEpochs(double now, List<Epoch> next, Out out) {
         for (Epoch epoch : next) {
-            // The first may be the oldest that is kept, as a snapshot; else each follows the one
-            // before.
+            // The first may skip numbers: it is then the oldest retained epoch, as a snapshot. Each
+            // other epoch has to follow the one before.
             if (epoch.number() == inForce + 1 || epoch == next.get(0) && epoch.number() > inForce) {
                 markNotCurrent(now, out);
                 grantedUntil.clear();
@@ -485,8 +498,8 @@
     // Proposals.
 
     /**
-     * Proposes a policy for the epoch after the one in force; {@code then} is told once how it
-     * ended.
+     * Proposes a policy for the epoch after the one in force; {@code callback} receives the result
+     * once.
      */
     public void propose(double now, String content, Out out, Consumer<ProposalResult> callback) {
         String id = name + "-" + Math.round(now) + "-" + ++proposalCount;
@@ -495,7 +508,7 @@
                     new ProposalResult(
                             ProposalStatus.REFUSED,
                             0,
-                            "longer than "
+                            "policy is longer than "
                                     + Epochs.MAX_CONTENT_CHARS
                                     + " characters; nothing was changed"));
             return;
@@ -506,12 +519,12 @@
                     new ProposalResult(
                             ProposalStatus.NO_MAJORITY,
                             0,
-                            "only "
+                            "cannot propose: reached "
                                     + reachableVoters(now)
                                     + " of "
                                     + voters.size()
-                                    + " voters can be reached"
-                                    + (leader.isEmpty() ? ", and none leads" : "")
+                                    + " voters"
+                                    + (leader.isEmpty() ? ", leader unknown" : "")
                                     + "; nothing was changed"));
             return;
         }
@@ -524,8 +537,8 @@
     }
 
     /**
-     * At the leader; before anything is appended a majority has confirmed that it leads, so that a
-     * refusal is final.
+     * Handles a proposal at the leader. A majority has to confirm the leadership before anything is
+     * appended, so that a rejection is final.
      */
     private void handleProposal(double now, Propose proposal, Consumer<ProposalResult> callback) {
         if (!log.isLeader()) {
@@ -554,7 +567,7 @@
                                             new ProposalResult(
                                                     ProposalStatus.UNKNOWN,
                                                     0,
-                                                    "the leader was lost meanwhile: the change may still take hold; see policy status"));
+                                                    "the leader was lost: the change may still take effect; see policy status"));
                                 } else if (outcome.rejectionReason() != null) {
                                     callback.accept(
                                             new ProposalResult(
--- a/src/main/java/cacheproxy/epoch/package-info.java
+++ b/src/main/java/cacheproxy/epoch/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The fleet's policy as numbered epochs: what the replicated log means, who may count itself
- * current, and when a change takes hold. JDK alone; no I/O, no clock, no threads, and no consensus,
- * which {@code cacheproxy.raft} brings. Start reading at {@link PolicyMember}.
+ * The fleet's policy as numbered epochs: the state machine of the replicated log, the leases by
+ * which a proxy counts itself current, and the activation of a change. Depends on the JDK only and
+ * has no I/O, clock or threads; {@code cacheproxy.raft} provides the consensus. Start reading at
+ * {@link PolicyMember}.
  */
 package cacheproxy.epoch;
--- a/src/main/java/cacheproxy/share/QuotaLeases.java
+++ b/src/main/java/cacheproxy/share/QuotaLeases.java
@@ -11,71 +11,86 @@
 import java.util.TreeMap;
 
 /**
- * One proxy's rights to a fleet-wide budget of so many uses a second. The budget is split once, by
- * the operators' count of proxies, into whole rights that each proxy owns whoever it hears; what
- * one does not need it lends to others for a lease (the escrow of bounded counters, Balegas et al.
- * 2015, with the leases of Doorman). Nobody uses what it does not own or hold, so whoever is cut
- * off falls back to its own within a lease, and the sum over all proxies never exceeds the budget
- * in any second:
+ * One proxy's rights to a fleet-wide quota, given in uses per second. The quota is split once, by
+ * the configured number of proxies, into whole rights. Each proxy owns its rights no matter which
+ * peers it can reach, and lends those that it does not need to other proxies as leases (the escrow
+ * of bounded counters, Balegas et al. 2015, with the leases of Doorman). A proxy uses only rights
+ * that it owns or has borrowed, so an isolated proxy falls back to its own within the length of a
+ * lease, and the sum over all proxies never exceeds the quota in any second:
  *
  * <ul>
- *   <li>a right is used at most once in any {@link #WINDOW_MS}, and changes hands only when it has
- *       not been used for that long;
- *   <li>the borrower's lease runs from when it asked, the lender's from when it gave, on each one's
- *       own clock and the lender's longer by {@link #DRIFT} and the window;
- *   <li>a process that starts owns nothing until what an earlier life of it may have lent has run
- *       out.
+ *   <li>a right is used at most once in any {@link #WINDOW_MS}, and is lent or returned only when
+ *       it has not been used for that long;
+ *   <li>the borrower's lease starts when it sent the request, the lender's when it granted the
+ *       lease, each by its own clock; the lender's is longer by the window and by {@link
+ *       #CLOCK_DRIFT_MARGIN};
+ *   <li>a process that starts owns no rights until all leases that an earlier incarnation may have
+ *       granted have expired.
  * </ul>
  *
- * <p>{@code now} is this proxy's own clock in milliseconds, which never runs back and goes on while
- * the process stands still.
+ * <p>{@code now} is this proxy's own monotonic clock in milliseconds, which keeps running while the
+ * process is paused.
  */
 public final class QuotaLeases {
 
-    /** The span in which the budget binds. */
+    /** Length of the window in which the number of uses is limited to the quota. */
     public static final double WINDOW_MS = 1000;
 
+    /** Length of a lease at the borrower, from when it sent the request. */
     public static final double LEASE_MS = 800;
 
-    /** How much faster than another a clock may run. */
+    /** Fraction by which one proxy's clock may run faster than another's. */
     public static final double CLOCK_DRIFT_MARGIN = 0.1;
 
-    /** How often others are asked for what is lacking. */
+    /** Interval between lease requests. */
     public static final double REQUEST_INTERVAL_MS = 200;
 
+    /** Maximum number of lenders asked for additional rights at a time. */
     private static final int MAX_LENDERS_ASKED = 4;
 
-    /**
-     * Demand is remembered for about so long; what is asked for beyond it is a reserve against
-     * chance, which nobody keeps from others.
-     */
+    /** Time constant of the exponential decay of the slow demand mean. */
     private static final double SLOW_DEMAND_DECAY_MS = 2000;
 
+    /** Time constant of the exponential decay of the fast demand mean. */
     private static final double FAST_DEMAND_DECAY_MS = 300;
+
+    /**
+     * Rights requested per unit of expected demand. The excess is a reserve against random
+     * variation; a lender does not withhold such a reserve from others.
+     */
     private static final double DEMAND_HEADROOM = 1.15;
 
-    /** Demand that has faded so far is none. */
+    /** Demand, in rights, that counts as none; the exponential decay never reaches 0. */
     private static final double NEGLIGIBLE_DEMAND = 0.05;
 
-    /** The time after a death by which everything that was lent is free again. */
+    /**
+     * Length of a lease at the lender. So long after a proxy's process ends, every right that it
+     * has lent is free again.
+     */
     public static final double LENDER_LEASE_MS = (LEASE_MS + WINDOW_MS) * (1 + CLOCK_DRIFT_MARGIN);
 
-    /** What goes between two proxies. */
+    /** A message between two proxies. */
     public sealed interface Message permits LeaseRequest, LeaseGrant {}
 
     /**
-     * {@code seq} counts the asker's questions; {@code wants} is all that it would like to hold of
-     * this lender's rights, what it has already included, so that 0 gives everything back.
+     * A borrower's request for a lease.
+     *
+     * @param seq sequence number of the borrower's request
+     * @param wanted total number of this lender's rights that the borrower wants, including those
+     *     it already has; 0 returns all of them
      */
     public record LeaseRequest(long seq, int wanted) implements Message {}
 
     /**
-     * The answer: so many are lent, from when that question was asked; {@code spare} is what more
-     * could have been had.
+     * A lender's answer to a request.
+     *
+     * @param seq the sequence number of the request
+     * @param amount number of rights lent; the lease starts when the request was sent
+     * @param spare number of further rights that the lender could have lent
      */
     public record LeaseGrant(long seq, int amount, int spare) implements Message {}
 
-    /** Where messages go. */
+    /** Sends messages to other proxies. */
     public interface Out {
         void send(String to, Message message);
     }
@@ -90,8 +105,8 @@
     private final SplittableRandom random;
 
     /**
-     * What each borrower may hold: of several answers any may be the one that arrived, so the
-     * largest that has not run out counts.
+     * The unexpired leases granted to each borrower. Any of several grants may be the one that
+     * arrived, so the largest unexpired one counts.
      */
     private final Map<String, List<LentLease>> lentByBorrower = new TreeMap<>();
 
@@ -107,8 +122,8 @@
     private long seq;
 
     /**
-     * @param own the rights that this proxy owns, as {@link #split} says
-     * @param started when its process started, by {@code now}'s clock
+     * @param owned number of rights that this proxy owns, as computed by {@link #split}
+     * @param startedAt when its process started, by the clock of {@code now}
      */
     public QuotaLeases(String name, int owned, double startedAt, long seed) {
         this.name = name;
@@ -118,7 +133,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** The rights of the proxy of an index among so many; they add up to the budget. */
+    /** Returns the rights of the proxy of this index; the rights of all add up to the quota. */
     public static int split(int quota, int proxies, int index) {
         return quota / proxies + (index < quota % proxies ? 1 : 0);
     }
@@ -143,21 +158,21 @@
         return lentByBorrower.keySet().stream().mapToInt(this::lentTo).sum();
     }
 
-    /** The rights in force here now. */
+    /** Returns the number of rights that this proxy may use now, owned and borrowed. */
     public int availableRights(double now) {
         removeExpired(now);
         return (now >= ownedFrom ? owned - totalLent() : 0)
                 + borrowedByLender.values().stream().mapToInt(BorrowedLease::amount).sum();
     }
 
-    /** What it would like to have, in rights. */
+    /** Returns the number of rights that this proxy wants for its demand. */
     public int wantedRights(double now) {
         return (int) Math.ceil(expectedDemand(now) * DEMAND_HEADROOM);
     }
 
     /**
-     * Uses that are asked for here in a window: a slow mean, which chance moves little, but no more
-     * than a quick one allows once demand has gone.
+     * Returns the expected demand in uses per window: a slow mean, on which random variation has
+     * little effect, capped by a fast mean, so that it falls quickly when demand ends.
      */
     private double expectedDemand(double now) {
         double slow =
@@ -171,7 +186,7 @@
         return sum * Math.exp(-Math.max(0, now - demandUpdatedAt) / decayMs);
     }
 
-    /** Uses one right, if one is free; counts as demand either way. */
+    /** Uses one right if one is free; the call counts as demand either way. */
     public boolean tryAcquire(double now) {
         slowDemand = decayed(slowDemand, now, SLOW_DEMAND_DECAY_MS) + 1;
         fastDemand = decayed(fastDemand, now, FAST_DEMAND_DECAY_MS) + 1;
@@ -183,20 +198,24 @@
         return true;
     }
 
-    /** What it needs itself, or has used too lately for another to use. */
+    /** Returns the rights needed for local demand, or used too recently to be lent. */
     private int rightsNeededHere(double now) {
         return Math.max(
                 (int) Math.ceil(expectedDemand(now) - NEGLIGIBLE_DEMAND), recentUses.size());
     }
 
-    /** What is neither lent, nor used in the last window, nor wanted here. */
+    /** Returns the rights that are neither lent, nor used in the last window, nor needed here. */
     private int spareRights(double now) {
         removeExpired(now);
         int free = owned - totalLent() - rightsNeededHere(now);
         return now >= ownedFrom ? Math.max(0, free) : 0;
     }
 
-    /** {@code peers} are those that membership holds to be there. */
+    /**
+     * Renews, returns and requests leases every {@link #REQUEST_INTERVAL_MS}.
+     *
+     * @param peers the proxies that are live by membership
+     */
     public void tick(double now, List<String> peers, Out out) {
         if (now - lastRequestAt < REQUEST_INTERVAL_MS || peers.isEmpty()) {
             return;
@@ -206,7 +225,7 @@
         spareByLender.keySet().retainAll(peers);
         int missing = wantedRights(now) - (now >= ownedFrom ? owned - totalLent() : 0);
         Map<String, Integer> wanted = new TreeMap<>();
-        // Renewed first, with as much as is still wanted of each; what is not is given back.
+        // Existing leases are renewed first, by as much as is still wanted; the rest is returned.
         for (Map.Entry<String, BorrowedLease> entry : borrowedByLender.entrySet()) {
             int renewed = Math.max(0, Math.min(entry.getValue().amount(), missing));
             missing -= renewed;
@@ -225,7 +244,7 @@
         wanted.forEach((peer, amount) -> sendRequest(now, peer, amount, out));
     }
 
-    /** A few to ask for more: those that last had most to spare, and else by chance. */
+    /** Returns a few peers to ask for more: those that last had most to spare, others at random. */
     private List<String> lendersToAsk(List<String> peers) {
         List<String> others = new ArrayList<>(peers);
         others.remove(name);
@@ -242,7 +261,7 @@
         out.send(peer, new LeaseRequest(seq, amount));
     }
 
-    /** A message of another proxy, whose name is proven. */
+    /** Handles a message from another proxy whose name has been authenticated. */
     public void received(double now, String from, Message message, Out out) {
         removeExpired(now);
         if (message instanceof LeaseRequest request) {
@@ -258,16 +277,16 @@
     }
 
     /**
-     * What the borrower has already is taken back only by not renewing it; beyond that the spare is
-     * dealt out evenly among those who ask.
+     * Grants a lease. Rights that the borrower already has are reclaimed only by not renewing them;
+     * beyond these, spare rights are divided evenly among the proxies that have recently asked.
      */
     private LeaseGrant grant(double now, String from, LeaseRequest request) {
         lastRequestByBorrower.values().removeIf(t -> now - t >= LEASE_MS);
         lastRequestByBorrower.put(from, now);
         int alreadyLent = lentTo(from);
         int spare = spareRights(now);
-        // What is lent is in nobody's way here while the mean demand is met; one that was taken
-        // back for chance would lie idle for LENT_MS.
+        // Lent rights are not missed here while the mean demand is met; a right reclaimed because
+        // of a random peak would be unused for LENDER_LEASE_MS.
         int renewed =
                 Math.min(
                         alreadyLent, owned - totalLent() + alreadyLent - (int) expectedDemand(now));
@@ -294,7 +313,7 @@
                 request.seq(), amount, Math.max(0, spare - Math.max(0, amount - alreadyLent)));
     }
 
-    /** Whether this proxy holds rights of others now. */
+    /** Whether this proxy has borrowed rights of others now. */
     public boolean isBorrowing(double now) {
         removeExpired(now);
         return borrowedByLender.values().stream().anyMatch(h -> h.amount() > 0);
--- a/src/main/java/cacheproxy/share/package-info.java
+++ b/src/main/java/cacheproxy/share/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What proxies share in bounds: a fleet-wide budget split into rights that are lent for a time, so
- * that their sum in force never exceeds it under any cut. JDK alone; no I/O, no clock, no threads.
- * Start reading at {@link QuotaLeases}.
+ * Fleet-wide quotas: a quota is split into rights that proxies lend each other as leases, so that
+ * the sum of uses never exceeds the quota under any network partition. Depends on the JDK only and
+ * has no I/O, clock or threads. Start reading at {@link QuotaLeases}.
  */
 package cacheproxy.share;
--- a/src/main/java/cacheproxy/store/CallMarkers.java
+++ b/src/main/java/cacheproxy/store/CallMarkers.java
@@ -11,17 +11,17 @@
 import java.util.regex.Pattern;
 
 /**
- * Which call each state was last written by: the name of an empty file, {@code
- * call-STATE-BOOT-NANOS}, beside the state's own. It only orders writes that live processes still
- * owe, so it need not outlast a crash of the machine, and one of another boot counts for nothing.
- * Used under the folder's lock.
+ * Records which operator's call last wrote each state, as the name of an empty file, {@code
+ * call-STATE-BOOT-NANOS}, beside the state's own file. The markers only order the pending writes of
+ * running processes, so they need not survive a crash of the machine, and those of another boot are
+ * ignored. Used while holding the {@link DirectoryLock}.
  */
 final class CallMarkers {
 
     private static final Pattern NAME_PATTERN =
             Pattern.compile("call-(?<state>.+)-(?<boot>[0-9a-f]{32})-(?<nanos>-?[0-9]{1,19})");
 
-    /** A longer state has a digest in its place: a file's name has 255 bytes at most. */
+    /** A longer state name is replaced by a digest: a file name has at most 255 bytes. */
     private static final int MAX_STATE_CHARS = 190;
 
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
@@ -42,7 +42,11 @@
         }
     }
 
-    /** Whether a later call on a state than this one has been written, among the folder's names. */
+    /**
+     * Whether a later call than {@code call} has written this state.
+     *
+     * @param names the names of all files in the directory
+     */
     boolean isSuperseded(Set<String> names, String state, CallTime call) {
         return names.stream()
                 .map(NAME_PATTERN::matcher)
@@ -59,8 +63,8 @@
     }
 
     /**
-     * Records, without a sync, that a state is now written by this call. An older marker is
-     * renamed, which works on a full disk too.
+     * Records, without a sync, that this call has written the state. An existing marker is renamed,
+     * which works even on a full disk.
      */
     void record(DurableFiles files, Set<String> names, String state, CallTime call)
             throws IOException {
--- a/src/main/java/cacheproxy/store/CallTime.java
+++ b/src/main/java/cacheproxy/store/CallTime.java
@@ -1,18 +1,19 @@
 package cacheproxy.store;
 
 /**
- * When an operator made a call, by the machine's monotonic clock: on Linux all processes share it
- * from one boot to the next, and no setting of the wall clock moves it. So it orders the calls at
- * the two processes of an upgrade, which share a machine, without a word between them.
+ * The time of an operator's call by the machine's monotonic clock. On Linux all processes share
+ * that clock until the next boot, and setting the wall clock does not affect it. So it orders the
+ * calls to the old and the new process of an upgrade, which run on one machine, without any
+ * communication between them.
  */
 public record CallTime(long nanos) {
 
-    /** The time of a call that is being made. */
+    /** Returns the time of a call that is being made now. */
     public static CallTime now() {
         return new CallTime(System.nanoTime());
     }
 
-    /** Whether this call was made after another of the same boot. */
+    /** Whether this call was made after another one of the same boot. */
     public boolean isAfter(CallTime other) {
         return nanos - other.nanos > 0;
     }
--- a/src/main/java/cacheproxy/store/DirectoryLock.java
+++ b/src/main/java/cacheproxy/store/DirectoryLock.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Keeps other processes from changing a folder until it is closed, or until this process ends. It
- * blocks, and binds only those who acquire it too.
+ * An advisory lock on a directory between processes and threads, held until it is closed or this
+ * process ends. Acquiring it blocks; it excludes only those who acquire it too.
  */
 final class DirectoryLock implements Closeable {
 
     private static final String LOCK_FILE = "lock";
 
-    /** A file lock holds between processes, not between the threads of one. */
+    /** A file lock excludes other processes, but not other threads of the same process. */
     private static final ReentrantLock THREAD_LOCK = new ReentrantLock();
 
     private final FileChannel channel;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Closing the file releases its lock. */
+    /** Releases the lock; closing the file releases its file lock. */
     @Override
     public void close() throws IOException {
         try {
--- a/src/main/java/cacheproxy/store/DurableFiles.java
+++ b/src/main/java/cacheproxy/store/DurableFiles.java
@@ -7,15 +7,16 @@
 import java.util.Set;
 
 /**
- * Changes small files so that a crash at any moment leaves the old state or the new one, and the
- * new one once a call has returned; what is called unsynced holds once its folder is synced. Calls
- * block until the disk has taken the change: none belongs on an event loop.
+ * Changes small files atomically and durably: a crash at any moment leaves the old or the new
+ * state, and the new one once a call has returned. Changes by methods named "unsynced" are durable
+ * only after their directory has been synced. Calls block until the disk has stored the change, so
+ * they must not be made on an event loop.
  */
 public final class DurableFiles {
 
     /**
-     * Ends the name that new content has until it is whole; what a crash leaves there is never
-     * read.
+     * Suffix of the temporary file that new content is written to; a temporary file that a crash
+     * leaves behind is never read.
      */
     private static final String UNFINISHED_SUFFIX = ".new";
 
@@ -26,9 +27,9 @@
     }
 
     /**
-     * Replaces a file's whole content. The new file is written and synced under another name first,
-     * with its permissions from the start: a key must not be anyone else's to read, not even for a
-     * moment.
+     * Replaces a file's whole content. The new content is first written and synced to a temporary
+     * file, which is created with the final permissions: a private key must never be readable by
+     * others, not even briefly.
      */
     public void replace(Path file, byte[] content, Set<PosixFilePermission> permissions)
             throws FileWriteException {
@@ -50,7 +51,10 @@
         }
     }
 
-    /** It may hold a part of a private key; where this fails the next replacement deletes it. */
+    /**
+     * Deletes the temporary file, which may contain a part of a private key; if this fails, the
+     * next replacement deletes it.
+     */
     private void deleteUnfinished(Path unfinished, IOException cause) {
         try {
             operations.delete(unfinished);
@@ -59,38 +63,38 @@
         }
     }
 
-    /** Creates an empty file, or leaves the one that is there; {@link #sync} makes it durable. */
+    /** Creates an empty file if it does not exist; {@link #sync} makes it durable. */
     public void createUnsynced(Path file) throws IOException {
         try {
             operations.create(file);
         } catch (FileAlreadyExistsException e) {
-            // It is what was asked for; only the sync may be due.
+            // The requested state already exists; only the sync may be missing.
             return;
         }
     }
 
-    /** Deletes a file that may be missing; {@link #sync} makes it durable. */
+    /** Deletes a file if it exists; {@link #sync} makes it durable. */
     public void deleteUnsynced(Path file) throws IOException {
         operations.delete(file);
     }
 
-    /** Gives a file another name; {@link #sync} makes it durable. */
+    /** Renames a file; {@link #sync} makes it durable. */
     public void renameUnsynced(Path file, Path to) throws IOException {
         operations.rename(file, to);
     }
 
-    /** Syncs what an earlier call has changed in a folder. */
+    /** Syncs the changes that earlier calls have made in a directory. */
     public void sync(Path directory) throws IOException {
         operations.syncDirectory(directory);
     }
 
-    /** Deletes a file; where it is not there the folder is synced all the same. */
+    /** Deletes a file if it exists, and syncs its directory in either case. */
     public void delete(Path file) throws IOException {
         operations.delete(file);
         operations.syncDirectory(directoryOf(file));
     }
 
-    /** Creates a folder with its name synced into the one above it. */
+    /** Creates a directory if it does not exist, and syncs its parent directory. */
     public void createDirectory(Path directory) throws IOException {
         operations.createDirectory(directory);
         operations.syncDirectory(directoryOf(directory));
--- a/src/main/java/cacheproxy/store/FileWriteException.java
+++ b/src/main/java/cacheproxy/store/FileWriteException.java
@@ -4,7 +4,10 @@
 import java.nio.file.FileSystemException;
 import java.nio.file.Path;
 
-/** A file could not be replaced durably; the message names it and says which content it has now. */
+/**
+ * Thrown when a file could not be replaced durably; the message names the file and says which
+ * content it has now.
+ */
 public final class FileWriteException extends IOException {
 
     private static final long serialVersionUID = 1;
@@ -15,15 +18,16 @@
         super(
                 file
                         + (replaced
-                                ? ": is replaced, but may be as before after a crash: "
-                                : ": could not be written and is as it was: ")
+                                ? ": replaced, but a crash may restore the old content: "
+                                : ": could not be written and is unchanged: ")
                         + reason(cause),
                 cause);
         this.replaced = replaced;
     }
 
     /**
-     * The system's words where it gave any; the message of some exceptions is a file's name alone.
+     * Returns the system's reason if there is one; the message of some file system exceptions is
+     * only a file name.
      */
     private static String reason(IOException cause) {
         if (cause instanceof FileSystemException failure) {
@@ -32,7 +36,7 @@
         return cause.getMessage();
     }
 
-    /** Whether the file has its new content already, and only the sync of its name failed. */
+    /** Whether the file already has its new content and only the sync of its directory failed. */
     public boolean isReplaced() {
         return replaced;
     }
--- a/src/main/java/cacheproxy/store/MaintenanceFiles.java
+++ b/src/main/java/cacheproxy/store/MaintenanceFiles.java
@@ -13,48 +13,49 @@
 import java.util.stream.Stream;
 
 /**
- * The nodes that are out, and whether the proxy is drained, as one empty file for each: the old and
- * the new process of an upgrade see one another's, a change of one is whole or not made, and none
- * can undo another's. Its name says all, so there is nothing in it to be damaged. A change holds
- * once its call has returned; these calls wait for the disk and must come from one thread at a
- * time, off the event loop. A change that is made late, as its write failed at first, gives way to
- * a later call that any process has written meanwhile ({@link CallMarkers}).
+ * Stores which nodes are in maintenance and whether the proxy is drained, as one empty file per
+ * state. The old and the new process of an upgrade see each other's files, a change of one state is
+ * atomic, and it can't undo the change of another. The file name carries the state, so no content
+ * can be damaged. A change is durable once its call has returned. These calls block on the disk and
+ * must be made by one thread at a time, not on the event loop. A change that is written late,
+ * because its first write failed, is superseded by a later call that any process has written in the
+ * meantime ({@link CallMarkers}).
  */
 public final class MaintenanceFiles {
 
     private static final String NODE_PREFIX = "out-";
     private static final String DRAINED = "drained";
 
-    /** What is kept: the nodes that are out, and whether the proxy is drained. */
+    /** The stored state: the nodes in maintenance, and whether the proxy is drained. */
     public record MaintenanceState(Set<String> nodes, boolean drained) {}
 
     private final Path directory;
 
-    /** Null for the machine's own. */
+    /** Null for the default file system. */
     private final FileOperations operations;
 
-    /** Null before the first change: a process that reads alone needs no more classes. */
+    /** Null before the first change: a process that only reads loads no further classes. */
     private DurableFiles files;
 
-    /** Null as long as {@code files} is. */
+    /** Null as long as {@code files} is null. */
     private CallMarkers markers;
 
-    /** Whether the folder's own name is known to be on the disk. */
+    /** Whether the directory's own name is known to be synced to the disk. */
     private boolean directorySynced;
 
     public MaintenanceFiles(Path directory) {
         this(directory, null);
     }
 
-    /** With file operations that a test lets fail. */
+    /** For tests: uses the given file operations, which may fail. */
     public MaintenanceFiles(Path directory, FileOperations operations) {
         this.directory = directory;
         this.operations = operations;
     }
 
     /**
-     * What is kept now; throws where that can't be told, as without a free descriptor: nobody may
-     * take it for nothing.
+     * Returns the stored state. Throws if it can't be read, for example without a free file
+     * descriptor: a caller must not mistake that for an empty state.
      */
     public MaintenanceState read() throws IOException {
         Set<String> names = fileNames();
@@ -77,56 +78,62 @@
                     URLDecoder.decode(
                             name.substring(NODE_PREFIX.length()), StandardCharsets.UTF_8));
         } catch (IllegalArgumentException e) {
-            // Another's file: it names no node.
+            // Not a file of this class: its name is no encoded node id.
             return;
         }
     }
 
     /**
-     * Makes the folder if it is not there: whoever starts later can tell that a process has run
-     * here. Without a sync; the first change syncs its name.
+     * Creates the directory if it does not exist, so that a later process can tell that a process
+     * has run here. It is not synced; the first change syncs its name.
      */
     public void create() throws IOException {
         Files.createDirectories(directory);
     }
 
-    /** Keeps that a node is out, by a call made now. */
+    /** Stores that a node is in maintenance, by a call made now. */
     public void startMaintenance(String node) throws IOException {
         startMaintenance(node, CallTime.now());
     }
 
-    /** Keeps that a node is out; throws where it can't be kept or a later call has been written. */
+    /**
+     * Stores that a node is in maintenance; throws if that can't be stored or a later call has been
+     * written.
+     */
     public void startMaintenance(String node, CallTime call) throws IOException {
         writeState(nodeFile(node), true, call);
     }
 
-    /** Forgets that a node is out, by a call made now. */
+    /** Removes a node's maintenance, by a call made now. */
     public void endMaintenance(String node) throws IOException {
         endMaintenance(node, CallTime.now());
     }
 
     /**
-     * Forgets that a node is out; throws where it would be read again or a later call has been
-     * written.
+     * Removes a node's maintenance; throws if it could still be read afterwards or a later call has
+     * been written.
      */
     public void endMaintenance(String node, CallTime call) throws IOException {
         writeState(nodeFile(node), false, call);
     }
 
-    /** Keeps that the operators empty the proxy, or that this is over, by a call made now. */
+    /** Stores that the operators' drain of the proxy has started or ended, by a call made now. */
     public void setDraining(boolean start) throws IOException {
         setDraining(start, CallTime.now());
     }
 
     /**
-     * Keeps that the operators empty the proxy, or that this is over; throws where it can't be kept
-     * or a later call has been written.
+     * Stores that the operators' drain of the proxy has started or ended; throws if that can't be
+     * stored or a later call has been written.
      */
     public void setDraining(boolean start, CallTime call) throws IOException {
         writeState(directory.resolve(DRAINED), start, call);
     }
 
-    /** No other process may write between the look for a later call and the end of this one. */
+    /**
+     * Writes a state under the directory's lock, so that no other process writes between the check
+     * for a later call and the end of this one.
+     */
     private void writeState(Path file, boolean present, CallTime call) throws IOException {
         DurableFiles durable = prepareDirectory();
         try (DirectoryLock lock = DirectoryLock.acquire(directory)) {
@@ -143,7 +150,7 @@
 
     private static void change(DurableFiles durable, Set<String> names, Path file, boolean present)
             throws IOException {
-        // A name that the system would never take must not fail a call that wants it gone.
+        // A name that the system rejects (too long) can't exist, so its removal must not fail.
         if (present) {
             durable.createUnsynced(file);
         } else if (names.contains(file.getFileName().toString())) {
--- a/src/main/java/cacheproxy/store/SupersededException.java
+++ b/src/main/java/cacheproxy/store/SupersededException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A change that was not made, as a later call on the same state has been written before it. */
+/** Thrown when a change was not made because a later call on the same state has been written. */
 public final class SupersededException extends IOException {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cacheproxy/store/SystemFileOperations.java
+++ b/src/main/java/cacheproxy/store/SystemFileOperations.java
@@ -10,7 +10,7 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.Set;
 
-/** The file operations of the machine. */
+/** The file operations of the default file system. */
 final class SystemFileOperations implements FileOperations {
 
     @Override
--- a/src/main/java/cacheproxy/store/package-info.java
+++ b/src/main/java/cacheproxy/store/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What outlasts a process: files that the processes of one proxy share. Nothing here decides or
- * knows a socket; a damaged or foreign file is passed over. Start reading at {@link
- * cacheproxy.store.OutageFiles}; how a file is changed so that it outlasts a crash is {@link
- * cacheproxy.store.DurableFiles}, which key files use too.
+ * State that outlives a process: files that the processes of one proxy share. The package makes no
+ * decisions and uses no sockets; damaged or unknown files are ignored. Start reading at {@link
+ * cacheproxy.store.MaintenanceFiles}. {@link cacheproxy.store.DurableFiles}, which the key files
+ * use too, changes files so that the changes survive a crash.
  */
 package cacheproxy.store;
--- a/src/test/java/cacheproxy/share/QuotaLeasesTest.java
+++ b/src/test/java/cacheproxy/share/QuotaLeasesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Budgets in virtual time: many proxies, late and lost messages, cuts, pauses, restarts and clocks
- * of different pace.
+ * Tests quota leases in virtual time, with many proxies, delayed and lost messages, network
+ * partitions, pauses, restarts and clocks of different rates.
  */
 class QuotaLeasesTest {
 
@@ -141,7 +141,7 @@
             now = end;
         }
 
-        /** The most uses in any second, sliding. */
+        /** Returns the maximum number of uses in any sliding window of one second. */
         int maxUsesPerSecond() {
             int max = 0;
             for (int i = 0, j = 0; i < uses.size(); i++) {
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Clocks run up to 4% slow or fast: by such a proxy's own, a window is that much longer or
-     * shorter than a second.
+     * Clocks run up to 4% slow or fast, so a window by such a proxy's clock is that much longer or
+     * shorter than a second; the uses are counted in the shortest such window.
      */
     private static void assertNeverOverQuota(SimulatedFleet fleet, String scenario) {
         assertTrue(
@@ -168,14 +168,16 @@
                 scenario
                         + ": "
                         + fleet.maxUsesPerSecond()
-                        + " uses in a second, the budget is "
+                        + " uses in a second, the quota is "
                         + fleet.quota);
     }
 
     private static void assertUsesMostOfQuota(SimulatedFleet fleet, double ms, String when) {
         double from = fleet.now;
         fleet.runFor(ms);
-        assertTrue(fleet.usedFraction(from) >= 0.8, when + " used " + fleet.usedFraction(from));
+        assertTrue(
+                fleet.usedFraction(from) >= 0.8,
+                when + ": fraction used " + fleet.usedFraction(from));
     }
 
     private static QuotaLeases.LeaseGrant requestLease(
@@ -209,19 +211,19 @@
         assertEquals(
                 0,
                 lender.availableRights(now + 200),
-                "the answer may be lost, and the ten still held");
+                "the answer may be lost and the ten still borrowed");
         assertEquals(8, lender.availableRights(now + QuotaLeases.LENDER_LEASE_MS + 1));
         assertEquals(
                 0,
                 countAcquired(
                         new QuotaLeases("x", 10, now, 1), now + QuotaLeases.LENDER_LEASE_MS - 1, 1),
-                "a new process owns nothing that an old one may have lent");
+                "a new process owns nothing that its predecessor may have lent");
     }
 
     @Test
     void healthyFleetUsesQuotaWhereverDemandIs() {
         SimulatedFleet fleet = new SimulatedFleet(14, 280, 1);
-        // Three proxies want all of it; later three others.
+        // Three proxies demand the whole quota; later three others do.
         fleet.demandPerSecond = i -> i < 3 ? 120 : 2;
         fleet.runFor(6000);
         assertUsesMostOfQuota(fleet, 10_000, "healthy");
@@ -240,8 +242,8 @@
         fleet.runFor(60_000);
         fleet.isCut = (a, b) -> false;
         fleet.runFor(2000);
-        assertUsesMostOfQuota(fleet, 8000, "2 s after the heal");
-        assertNeverOverQuota(fleet, "7 and 7");
+        assertUsesMostOfQuota(fleet, 8000, "2 s after the partition healed");
+        assertNeverOverQuota(fleet, "partition into 7 and 7");
     }
 
     @Test
@@ -258,8 +260,8 @@
         assertTrue(fleet.quotaLeases[0].isBorrowing(fleet.clock(0)));
         fleet.pausedUntil[0] = fleet.now + 1500;
         fleet.runFor(1500);
-        assertEquals(10, fleet.quotaLeases[0].availableRights(fleet.clock(0)), "on waking");
-        assertNeverOverQuota(fleet, "cut off and paused");
+        assertEquals(10, fleet.quotaLeases[0].availableRights(fleet.clock(0)), "after the pause");
+        assertNeverOverQuota(fleet, "isolated and paused");
     }
 
     @Test
@@ -275,8 +277,8 @@
     }
 
     /**
-     * Faults at random moments, with fewer rights than proxies as well; {@code -Dbudget.seeds=50
-     * -Dbudget.proxies=300} plays more.
+     * Injects faults at random times, also with fewer rights than proxies; {@code -Dbudget.seeds=50
+     * -Dbudget.proxies=300} runs more and larger cases.
      */
     @Test
     void randomFaultsNeverExceedQuota() {
--- a/src/test/java/cacheproxy/store/CallTimeTest.java
+++ b/src/test/java/cacheproxy/store/CallTimeTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Calls are in one order in all processes of a machine. */
+/** Tests that calls have the same order in all processes of a machine. */
 class CallTimeTest {
 
     private static final int TIMEOUT_S = 120;
 
-    /** Prints the time of a call made in a process of its own. */
+    /** Program that prints the time of a call made in its own process. */
     static final class CallerProcess {
         private CallerProcess() {}
 
--- a/src/test/java/cacheproxy/store/DirectoryLockTest.java
+++ b/src/test/java/cacheproxy/store/DirectoryLockTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A folder is one process's alone until it lets go. */
+/** Tests that only one process can lock a directory at a time. */
 class DirectoryLockTest {
 
     private static final int TIMEOUT_S = 120;
 
     @TempDir Path directory;
 
-    /** Prints whether the lock's file could be locked by a process of its own. */
+    /** Program that prints whether its process could lock the lock file. */
     static final class LockProbeProcess {
         private LockProbeProcess() {}
 
--- a/src/test/java/cacheproxy/store/DurableFilesTest.java
+++ b/src/test/java/cacheproxy/store/DurableFilesTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A file that is replaced holds the old content or the new one, whichever step fails or is the
- * last.
+ * Tests that a replaced file has its old or its new content whichever step fails, and after
+ * whichever step the process is killed.
  */
 class DurableFilesTest {
 
@@ -63,7 +63,7 @@
             machine.crash(losesNames);
             for (String content : List.of(contentAfterKill, Files.readString(file()))) {
                 assertTrue(List.of(OLD, NEW).contains(content), steps + ": " + content);
-                assertTrue(!returned || content.equals(NEW), "what returned holds");
+                assertTrue(!returned || content.equals(NEW), "lost after the call returned");
             }
             assertEquals(steps == REPLACE_STEP_COUNT, returned);
         }
@@ -72,17 +72,17 @@
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"CREATE", "WRITE", "FORCE", "RENAME", "DELETE"})
+            names = {"CREATE", "WRITE", "SYNC", "RENAME", "DELETE"})
     void failedStepLeavesOldContentAndNoOtherFile(Step step) throws Exception {
         replace("old");
         faulty.fail(step, 1);
         FileWriteException failure = assertThrows(FileWriteException.class, () -> replace("new"));
         assertFalse(failure.isReplaced());
-        String expected = ": could not be written and is as it was: No space left on device";
+        String expected = ": could not be written and is unchanged: No space left on device";
         assertEquals(file() + expected, failure.getMessage());
         assertEquals("old", Files.readString(file()));
         try (var names = Files.list(directory)) {
-            assertEquals(List.of(file()), names.toList(), "no half of a key is left behind");
+            assertEquals(List.of(file()), names.toList(), "a part of a key was left behind");
         }
         replace("new");
         assertEquals("new", Files.readString(file()));
--- a/src/test/java/cacheproxy/store/FaultyFiles.java
+++ b/src/test/java/cacheproxy/store/FaultyFiles.java
@@ -14,13 +14,12 @@
 import java.util.stream.Stream;
 
 /**
- * The machine's file operations, of which chosen ones fail, with a process that can be killed
- * before each of them and a machine that loses at a crash what was not synced. Safe for use by
- * several threads.
+ * File operations with fault injection: chosen steps fail, the process can be killed before any
+ * step, and a crash of the machine loses everything that was not synced. Thread-safe.
  */
 public final class FaultyFiles implements FileOperations {
 
-    /** The operations that can fail. */
+    /** The operations that can fail; tests name the constants in strings. */
     public enum Step {
         CREATE_DIRECTORY,
         CREATE,
@@ -31,9 +30,7 @@
         DELETE
     }
 
-    /**
-     * Thrown in place of the step at which the process is killed; nothing catches it but a test.
-     */
+    /** Thrown in place of the step at which the process is killed; only tests catch it. */
     public static final class Killed extends Error {
         private static final long serialVersionUID = 1;
     }
@@ -42,7 +39,7 @@
         void run() throws IOException;
     }
 
-    /** A change of a name, lost at a crash as long as its folder has not been synced. */
+    /** A change of a name, which a crash reverts as long as its directory has not been synced. */
     private record NameChange(Path directory, Undo undo) {}
 
     private final Map<Step, Integer> remainingFailures = new EnumMap<>(Step.class);
@@ -52,30 +49,31 @@
     private boolean killed;
     private boolean hanging;
 
-    /** Lets a step fail so many times from now on; 0 ends that. */
+    /** Makes a step fail this many times from now on; 0 ends that. */
     public synchronized void fail(Step step, int times) {
         remainingFailures.put(step, times);
     }
 
-    /** Lets no further step begin as long as this holds, as a disk that hangs. */
+    /** Blocks every further step until reset, as a hanging disk does. */
     public synchronized void setHanging(boolean hang) {
         hanging = hang;
         notifyAll();
     }
 
-    /** Kills the process after so many further steps; a write that comes next is half done. */
+    /** Kills the process after this many further steps; if a write is next, half is written. */
     public synchronized void killAfter(int steps) {
         stepsUntilKill = steps;
     }
 
-    /** Whether a kill has come. */
+    /** Whether the process has been killed. */
     public synchronized boolean isKilled() {
         return killed;
     }
 
     /**
-     * The machine's power fails: contents that were not synced are lost, and names too where this
-     * is said.
+     * Simulates a power failure: half of each content that was not synced is lost.
+     *
+     * @param losesNames whether changes of names that were not synced are reverted too
      */
     public synchronized void crash(boolean losesNames) throws IOException {
         for (Map.Entry<Path, byte[]> lost : unsyncedContents.entrySet()) {
--- a/src/test/java/cacheproxy/store/MaintenanceFilesTest.java
+++ b/src/test/java/cacheproxy/store/MaintenanceFilesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What a call on the files has returned from outlasts a kill and a crash, and a call may be
- * repeated until it returns.
+ * Tests that a change survives a kill and a crash once its call has returned, and that a failed
+ * call may be repeated until it succeeds.
  */
 class MaintenanceFilesTest {
 
@@ -37,7 +37,7 @@
         void invoke(MaintenanceFiles files) throws IOException;
     }
 
-    /** A call, and what is kept before it and after it. */
+    /** A call, the call that sets up the state before it, and the state expected after it. */
     private record CallCase(Call setUp, Call call, MaintenanceState expected) {}
 
     private static final List<CallCase> CALL_CASES =
@@ -63,7 +63,7 @@
         return temp.resolve("shared-" + directoryCount++);
     }
 
-    /** What a new process reads; a folder that was lost holds nothing. */
+    /** Returns the state that a new process reads; that of a lost directory is empty. */
     private static MaintenanceState readAsNewProcess(Path directory) throws IOException {
         MaintenanceFiles next = new MaintenanceFiles(directory);
         next.create();
@@ -96,7 +96,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
+            names = {"CREATE_DIRECTORY", "CREATE", "DELETE", "SYNC_DIRECTORY"})
     void repeatedCallIsDurableOnceItReturns(Step step) throws Exception {
         for (CallCase callCase : CALL_CASES) {
             for (int times : new int[] {1, 3}) {
@@ -148,7 +148,7 @@
         void invoke(MaintenanceFiles files, CallTime time) throws IOException;
     }
 
-    /** A call and its opposite, and what is kept after the call alone. */
+    /** A call, the call that reverses it, and the state expected after the call alone. */
     private record OppositeCalls(TimedCall call, TimedCall opposite, MaintenanceState expected) {}
 
     private static final MaintenanceState EMPTY_STATE = new MaintenanceState(Set.of(), false);
@@ -224,7 +224,7 @@
         return thread;
     }
 
-    /** Until a thread waits for something or has ended. */
+    /** Waits until a thread is blocked or has ended. */
     private static void awaitBlockedOrEnded(Thread thread) throws InterruptedException {
         while (thread.getState() != Thread.State.WAITING && thread.isAlive()) {
             TimeUnit.MILLISECONDS.sleep(1);
