--- a/src/main/java/cacheproxy/gossip/GossipSocket.java
+++ b/src/main/java/cacheproxy/gossip/GossipSocket.java
@@ -34,28 +34,29 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One proxy's gossip on UDP, on the proxy's own event loop. It carries packets and time to {@link
- * Gossip} and its wishes back; it looks no name up, so a member is reached at a numeric address or
- * not at all.
+ * UDP transport of one proxy's gossip, running on the proxy's own event loop. It passes received
+ * packets and the current time to {@link Gossip} and sends the packets that this produces. Names
+ * are never resolved: a member is reachable only at a numeric address.
  */
 public final class GossipSocket implements Gossip.Actions {
 
     /**
-     * A datagram that is longer than any of ours shows as one byte more than that, and is refused
-     * for it.
+     * Size of the receive buffer, one byte above the maximum packet size: a longer datagram is
+     * truncated to this size and rejected as too long.
      */
     private static final int RECEIVE_BUFFER_BYTES = Gossip.MAX_PACKET_BYTES + 1;
 
-    /** What the proxy does with what is heard. */
+    /** Callbacks from gossip to the proxy. */
     public interface Hooks {
+        /** Called when a quorum of the fleet starts or stops suspecting a node. */
         void nodeSuspicionChanged(String node, boolean suspected);
 
-        /** An event for the log. */
+        /** Writes an event to the log. */
         void event(String name, Object... fields);
 
         /**
-         * The socket is being set up; what is put into its pipeline here sees each packet as the
-         * wire does.
+         * Called while the socket is set up. Handlers added to its pipeline here see each packet as
+         * it is on the network.
          */
         default void initializeChannel(Channel socket) {}
     }
@@ -87,9 +88,11 @@
     }
 
     /**
-     * Binds and begins. Throws where the keys can't be used or the address can't be had.
+     * Binds the socket and starts gossip.
      *
-     * @param clock milliseconds that never run back
+     * @param clock a monotonic clock in milliseconds
+     * @throws KeyException if the key file or key ring cannot be used
+     * @throws IOException if the address is invalid or cannot be bound
      */
     public static GossipSocket open(
             EventLoop loop, DoubleSupplier clock, long seed, Options.Gossip options, Hooks hooks)
@@ -97,7 +100,7 @@
         return open(loop, clock, seed, options, hooks, NioDatagramChannel::new);
     }
 
-    /** The same with a socket whose system calls may fail, as tests have it. */
+    /** As above with another channel factory; tests inject system call failures through it. */
     static GossipSocket open(
             EventLoop loop,
             DoubleSupplier clock,
@@ -117,7 +120,7 @@
         InetSocketAddress listen = NumericAddress.parse(options.listen());
         if (listen == null) {
             throw new IOException(
-                    "gossip.listen: " + options.listen() + " is no numeric address and port");
+                    "gossip.listen: " + options.listen() + " is not a numeric address with port");
         }
         ChannelFuture bound =
                 new Bootstrap()
@@ -126,8 +129,8 @@
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
-                        // Nothing is read before there is somebody to tell: the port, which may be
-                        // drawn, is part of who we are.
+                        // Reading starts after the Gossip object exists. That needs the bound port,
+                        // which the system may assign, as part of this proxy's address.
                         .option(ChannelOption.AUTO_READ, false)
                         .handler(
                                 new ChannelInitializer<>() {
@@ -167,7 +170,7 @@
                             Path.of(options.membersSocket()), loop, this::describeMembers);
         }
         hooks.event(
-                "gossip",
+                "gossip_started",
                 "name",
                 keys.name(),
                 "address",
@@ -184,34 +187,34 @@
 
     private void tick() {
         if (channel.isOpen()) {
-            // First the next one: a fault in this must not end all later ones.
+            // Schedules the next tick first, so that an exception in this one does not stop them.
             loop.schedule(this::tick, (long) Gossip.TICK_MS, TimeUnit.MILLISECONDS);
             gossip.tick(clock.getAsDouble(), this);
         }
     }
 
-    /** Where it listens. */
+    /** Returns the address to which the socket is bound. */
     public InetSocketAddress localAddress() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** The same as text. */
+    /** Returns the bound address as {@code host:port}. */
     public String addressText() {
         return NumericAddress.format(localAddress());
     }
 
-    /** Reads the keys again; what is wrong with them changes nothing. */
+    /** Reads the key files again; if they are invalid, the current keys stay in use. */
     public void reload() throws KeyException {
         keys.reload();
         hooks.event("gossip_keys", "key", String.format(Locale.ROOT, "%08x", keys.keyId()));
     }
 
-    /** Tells the others that this proxy goes. */
+    /** Notifies other members that this proxy leaves the fleet. */
     public void leave() {
         gossip.leave(clock.getAsDouble(), this);
     }
 
-    /** Ends it; packets that are on their way still go. */
+    /** Closes the socket; packets already written are still sent. */
     public void close() {
         channel.close();
         if (membersSocket != null) {
@@ -219,9 +222,12 @@
         }
     }
 
-    // What the proxy sees.
+    // Events from the proxy.
 
-    /** The server list or news of it, without the origin. */
+    /**
+     * Applies a full endpoint list or a delta, without the origin. Only nodes that are up are
+     * passed on.
+     */
     public void updateNodes(EndpointListKind kind, List<Node> entries) {
         if (kind == EndpointListKind.SNAPSHOT) {
             nodes.clear();
@@ -248,15 +254,15 @@
         gossip.probeEnded(clock.getAsDouble(), node, outcome, this);
     }
 
-    /** Packets and bytes so far. */
+    /** Returns the packet and byte totals since the start. */
     public Gossip.Counts counts() {
         return gossip.counts();
     }
 
     /**
-     * Everyone that is known, one a line after a head: name, state, address, incarnation, how far
-     * its claims are believed, seconds of this proxy's own awake time since it was last heard, and
-     * who suspects it.
+     * Returns a header line with the local health and then one line per known member: name, status,
+     * address, incarnation, weight of its claims, seconds of this proxy's awake time since its last
+     * packet, and the members that suspect it.
      */
     String describeMembers() {
         double now = clock.getAsDouble();
@@ -287,7 +293,7 @@
         return report.toString();
     }
 
-    // What gossip wants.
+    // Actions requested by gossip.
 
     @Override
     public void send(String to, byte[] packet) {
@@ -324,7 +330,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A member that is gone shows as an error on this socket; the socket itself is fine.
+            // A datagram to a stopped member can cause an ICMP error here; the socket stays usable.
         }
     }
 }
--- a/src/main/java/cacheproxy/gossip/KeyException.java
+++ b/src/main/java/cacheproxy/gossip/KeyException.java
@@ -1,6 +1,6 @@
 package cacheproxy.gossip;
 
-/** A key file or key ring that can't be used; the message names the file and what is wrong. */
+/** A key file or key ring is unusable; the message states the file and the reason. */
 public final class KeyException extends Exception {
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/cacheproxy/gossip/KeyFiles.java
+++ b/src/main/java/cacheproxy/gossip/KeyFiles.java
@@ -27,10 +27,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Keys as files. A key file belongs to one proxy and to its owner's eyes alone; each line is {@code
- * NAME PRIVATE PUBLIC}, the first signs, a second one waits to take its place. A key ring is the
- * same for all; each line is {@code NAME PUBLIC}, and a name may have several while its key is
- * changed. Keys are Ed25519 in base64 of their standard encodings (RFC 8410).
+ * Reads and writes key files and key rings. A key file belongs to one proxy and is accessible only
+ * to its owner; each line is {@code NAME PRIVATE PUBLIC}. The first key signs; a second one is a
+ * new key that is not active yet. A key ring is the same for all proxies; each line is {@code NAME
+ * PUBLIC}, and a name may have several keys during a key rotation. Keys are Ed25519, in base64 of
+ * their standard encodings (RFC 8410).
  */
 public final class KeyFiles {
 
@@ -47,15 +48,15 @@
     private static final Set<PosixFilePermission> RING_FILE_FORBIDDEN =
             EnumSet.of(PosixFilePermission.GROUP_WRITE, PosixFilePermission.OTHERS_WRITE);
 
-    /** A proxy's own key. */
+    /** A key pair of this proxy. */
     public record OwnKey(String name, PrivateKey privateKey, PublicKey publicKey) {}
 
-    /** A key that is trusted. */
+    /** A trusted public key of a proxy, from the key ring. */
     public record TrustedKey(String name, int id, PublicKey publicKey) {}
 
     private KeyFiles() {}
 
-    /** The first four bytes of the public key's SHA-256, never 0. */
+    /** Returns the key's id, the first four bytes of its SHA-256 digest; 1 in place of 0. */
     public static int id(PublicKey key) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(key.getEncoded());
@@ -66,7 +67,7 @@
                             | hash[3] & 0xff;
             return id == 0 ? 1 : id;
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("cannot compute the SHA-256 digest of a key", e);
         }
     }
 
@@ -75,8 +76,9 @@
     }
 
     /**
-     * A proxy's keys, the one that signs first; refused where others than the owner may read or
-     * write the file.
+     * Reads a proxy's own keys, the signing key first.
+     *
+     * @throws KeyException if the file is invalid or accessible to anyone but its owner
      */
     public static List<OwnKey> readOwnKeys(Path file) throws KeyException {
         checkPermissions(
@@ -96,12 +98,18 @@
                                         parsePublicKey(words[2])));
         if (keys.isEmpty() || keys.stream().anyMatch(k -> !k.name().equals(keys.get(0).name()))) {
             throw new KeyException(
-                    file + ": " + (keys.isEmpty() ? "holds no key" : "holds keys of two names"));
+                    file
+                            + ": "
+                            + (keys.isEmpty() ? "contains no key" : "contains keys of two names"));
         }
         return keys;
     }
 
-    /** A ring's keys; refused where others than its owner may write it. */
+    /**
+     * Reads the keys of a ring.
+     *
+     * @throws KeyException if the file is invalid or writable by anyone but its owner
+     */
     public static List<TrustedKey> readRing(Path file) throws KeyException {
         checkPermissions(file, RING_FILE_FORBIDDEN, "only its owner may write it: chmod go-w");
         return readKeys(
@@ -114,8 +122,8 @@
     }
 
     /**
-     * One key a line, of as many words as its form has; blank lines and those that begin with a
-     * hash are left out.
+     * Reads one key per line, with as many words as {@code format} has; blank lines and lines that
+     * begin with {@code #} are skipped.
      */
     private static <T> List<T> readKeys(Path file, String format, KeyLineParser<T> parser)
             throws KeyException {
@@ -130,12 +138,13 @@
             if (words.length != splitLine(format).length
                     || !NAME_PATTERN.matcher(words[0]).matches()) {
                 throw new KeyException(
-                        file + ":" + lineNumber + ": not a key: " + format + " is expected");
+                        file + ":" + lineNumber + ": malformed key: " + format + " is expected");
             }
             try {
                 keys.add(parser.parse(words[0], words));
             } catch (GeneralSecurityException | IllegalArgumentException e) {
-                throw new KeyException(file + ":" + lineNumber + ": not an " + ALGORITHM + " key");
+                throw new KeyException(
+                        file + ":" + lineNumber + ": not a valid " + ALGORITHM + " key");
             }
         }
         return keys;
@@ -180,8 +189,8 @@
     }
 
     /**
-     * A new key; a key file that is there already gets it as its second, which waits until {@link
-     * #use}.
+     * Generates a key and adds it to the key file and the ring. In an existing key file it becomes
+     * the second key, which is not used for signing until {@link #activateNewKey}.
      */
     public static OwnKey generate(String name, Path keyFile, Path ringFile)
             throws KeyException, IOException {
@@ -192,29 +201,29 @@
             throws KeyException, IOException {
         if (!NAME_PATTERN.matcher(name).matches()) {
             throw new KeyException(
-                    name + ": not a name: 1 to 32 letters, digits, dots, underscores and hyphens");
+                    name + ": invalid name: not 1 to 32 letters, digits, '.', '_' and '-'");
         }
         List<OwnKey> ownKeys =
                 Files.exists(keyFile) ? new ArrayList<>(readOwnKeys(keyFile)) : new ArrayList<>();
         if (!ownKeys.isEmpty() && !ownKeys.get(0).name().equals(name)) {
-            throw new KeyException(keyFile + ": is the key of " + ownKeys.get(0).name());
+            throw new KeyException(keyFile + ": contains the key of " + ownKeys.get(0).name());
         }
         if (ownKeys.size() > 1) {
             throw new KeyException(
-                    keyFile + ": a new key waits in it already; keys rotate --use puts it to use");
+                    keyFile + ": already contains a new key; keys rotate --use activates it");
         }
         List<TrustedKey> trustedKeys =
                 Files.exists(ringFile) ? new ArrayList<>(readRing(ringFile)) : new ArrayList<>();
         if (ownKeys.isEmpty() && trustedKeys.stream().anyMatch(t -> t.name().equals(name))) {
             throw new KeyException(
-                    ringFile + ": knows " + name + " already; two proxies must not have one name");
+                    ringFile + ": already contains " + name + "; names of proxies must be unique");
         }
         OwnKey newKey = generateKeyPair(name);
         ownKeys.add(newKey);
         trustedKeys.add(new TrustedKey(name, id(newKey.publicKey()), newKey.publicKey()));
         DurableFiles files = new DurableFiles(operations);
         byte[] ringBefore = Files.exists(ringFile) ? Files.readAllBytes(ringFile) : null;
-        // The ring first: a key that signs before it is trusted would cut its proxy off.
+        // The ring is written first: other proxies reject packets signed with an untrusted key.
         writeRing(files, ringFile, trustedKeys);
         try {
             writeOwn(files, keyFile, ownKeys);
@@ -227,7 +236,7 @@
         return newKey;
     }
 
-    /** Ends the trust in a key that nobody has, as its own file could not be written. */
+    /** Removes a key from the ring that no proxy has because its key file was not written. */
     private static void restoreRing(
             DurableFiles files, Path ringFile, byte[] previousContent, FileWriteException cause) {
         try {
@@ -246,11 +255,11 @@
             KeyPair pair = KeyPairGenerator.getInstance(ALGORITHM).generateKeyPair();
             return new OwnKey(name, pair.getPrivate(), pair.getPublic());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("cannot generate an " + ALGORITHM + " key", e);
         }
     }
 
-    /** From now on the key that waited signs; the older one is forgotten. */
+    /** Makes the new key the signing key and deletes the older one from the key file. */
     public static OwnKey activateNewKey(Path keyFile) throws KeyException, IOException {
         return activateNewKey(keyFile, FileOperations.SYSTEM);
     }
@@ -259,7 +268,7 @@
             throws KeyException, IOException {
         List<OwnKey> ownKeys = readOwnKeys(keyFile);
         if (ownKeys.size() < 2) {
-            throw new KeyException(keyFile + ": no new key waits in it; keys rotate makes one");
+            throw new KeyException(keyFile + ": contains no new key; keys rotate generates one");
         }
         OwnKey newest = ownKeys.get(ownKeys.size() - 1);
         writeOwn(new DurableFiles(operations), keyFile, List.of(newest));
@@ -267,8 +276,8 @@
     }
 
     /**
-     * Takes keys of a proxy that it no longer signs with, nor will, out of a ring; returns how
-     * many.
+     * Removes from the ring the keys of a proxy that are no longer in its key file; returns their
+     * number.
      */
     public static int removeUnusedKeys(Path keyFile, Path ringFile)
             throws KeyException, IOException {
--- a/src/main/java/cacheproxy/gossip/KeyRing.java
+++ b/src/main/java/cacheproxy/gossip/KeyRing.java
@@ -9,7 +9,7 @@
 import java.security.Signature;
 import java.util.List;
 
-/** This proxy's key and those that it trusts, from their files; used by one thread. */
+/** This proxy's signing key and the trusted keys, read from their files. Not thread-safe. */
 public final class KeyRing implements Identity {
 
     private final Path keyFile;
@@ -27,20 +27,19 @@
             signer = Signature.getInstance(KeyFiles.ALGORITHM);
             verifier = Signature.getInstance(KeyFiles.ALGORITHM);
         } catch (GeneralSecurityException e) {
-            throw new KeyException(
-                    KeyFiles.ALGORITHM + " is not to be had here: " + e.getMessage());
+            throw new KeyException(KeyFiles.ALGORITHM + " is not available: " + e.getMessage());
         }
         reload();
     }
 
-    /** Reads both files again. What is wrong with them changes nothing of what holds. */
+    /** Reads both files again. If they are invalid, the current keys stay in use. */
     public void reload() throws KeyException {
         OwnKey next = KeyFiles.readOwnKeys(keyFile).get(0);
         List<TrustedKey> ring = KeyFiles.readRing(ringFile);
         if (ownKey != null && !ownKey.name().equals(next.name())) {
             throw new KeyException(
                     keyFile
-                            + ": is the key of "
+                            + ": contains the key of "
                             + next.name()
                             + ", but this proxy is "
                             + ownKey.name());
@@ -49,9 +48,9 @@
         if (ring.stream().noneMatch(t -> t.id() == nextId && t.name().equals(next.name()))) {
             throw new KeyException(
                     ringFile
-                            + ": does not hold the key that "
+                            + ": does not contain the signing key of "
                             + keyFile
-                            + " signs with; nobody would believe this proxy");
+                            + "; other proxies would reject all packets of this proxy");
         }
         ownKey = next;
         ownKeyId = nextId;
@@ -75,7 +74,7 @@
             signer.update(data, 0, length);
             return signer.sign();
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("cannot sign with the key of " + ownKey.name(), e);
         }
     }
 
--- a/src/main/java/cacheproxy/gossip/LocalSocket.java
+++ b/src/main/java/cacheproxy/gossip/LocalSocket.java
@@ -18,7 +18,10 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.function.Consumer;
 
-/** A Unix domain socket at which operators ask a running proxy; its file is its owner's alone. */
+/**
+ * A Unix domain socket through which operators query a running proxy. Only the owner can access its
+ * file.
+ */
 public final class LocalSocket {
 
     private static final int MAX_ANSWER_BYTES = 1 << 21;
@@ -32,13 +35,13 @@
     }
 
     /**
-     * Listens; {@code pipes} sets up each connection. A file that nobody answers at is what an
-     * earlier process left.
+     * Opens the socket; {@code initializer} sets up each connection. An existing socket file that
+     * does not accept connections is left over from an earlier process and is replaced.
      */
     public static LocalSocket open(Path path, EventLoop loop, Consumer<Channel> initializer)
             throws IOException, InterruptedException {
         if (Files.exists(path) && isAnswering(path)) {
-            throw new IOException(path + ": another proxy listens there");
+            throw new IOException(path + ": another proxy already listens on this socket");
         }
         Files.deleteIfExists(path);
         ChannelFuture bound =
@@ -69,7 +72,10 @@
         }
     }
 
-    /** Writes a question to the proxy behind a socket and reads until it closes. */
+    /**
+     * Sends a request to the proxy that listens on a socket and returns its answer, which ends when
+     * the proxy closes the connection.
+     */
     public static String ask(Path path, String request) throws IOException {
         try (SocketChannel socket = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             socket.connect(UnixDomainSocketAddress.of(path));
@@ -92,7 +98,7 @@
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
-            // The next start takes the place of a socket that nobody answers at.
+            // The next start replaces a socket file that does not accept connections.
         }
     }
 }
--- a/src/main/java/cacheproxy/gossip/MembersSocket.java
+++ b/src/main/java/cacheproxy/gossip/MembersSocket.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * A socket that writes the members to whoever connects, and closes. It reads nothing, so there is
- * nothing to get wrong.
+ * A socket that writes the member table to each client that connects and then closes the
+ * connection. It reads no input, so that malformed input cannot have any effect.
  */
 public final class MembersSocket {
 
@@ -38,7 +38,7 @@
                                         }));
     }
 
-    /** What the proxy behind a socket says; for the command line. */
+    /** Returns the member table of the proxy that listens on a socket; used by the command line. */
     public static String ask(Path path) throws IOException {
         return LocalSocket.ask(path, "");
     }
--- a/src/main/java/cacheproxy/gossip/NumericAddress.java
+++ b/src/main/java/cacheproxy/gossip/NumericAddress.java
@@ -6,14 +6,14 @@
 import java.net.UnknownHostException;
 
 /**
- * Addresses as proxies tell them to one another: numbers alone, as who answers for a name could
- * answer anything.
+ * Addresses as proxies exchange them: numeric only, as whoever controls name resolution could
+ * redirect a name to any address.
  */
 public final class NumericAddress {
 
     private NumericAddress() {}
 
-    /** The address of {@code host:port}; null where it is none. */
+    /** Parses {@code host:port} with a numeric host; returns null if it is not valid. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] bytes =
@@ -30,7 +30,7 @@
         }
     }
 
-    /** The same as text. */
+    /** Formats an address as {@code host:port}. */
     public static String format(InetSocketAddress address) {
         return NetUtil.toAddressString(address.getAddress()) + ":" + address.getPort();
     }
--- a/src/main/java/cacheproxy/membership/Evidence.java
+++ b/src/main/java/cacheproxy/membership/Evidence.java
@@ -13,73 +13,84 @@
 import java.util.TreeSet;
 
 /**
- * What this proxy and others saw of the nodes, and how far others are believed. Claims only ever
- * accuse, so praise can hide nothing. A node is doubted when a quorum says the same; what follows
- * from a doubt is for the module to find out by its own probe. Whoever accuses nodes that answer us
- * loses weight, and regains it slowly. All claims fade, by our own clock alone.
+ * Collects failure reports about cache nodes, from this proxy and from others, and the weight that
+ * each observer's reports have. Claims only report failures, so a false claim of health cannot hide
+ * a failure. A node is suspected when a quorum of observers reports it; the decision module then
+ * verifies the suspicion by its own probe. An observer that accuses nodes which answer this proxy
+ * loses weight and recovers it slowly. All claims expire, by this proxy's own clock alone.
  */
 final class Evidence {
 
-    /** How a doubt began or ended, with who claims what. */
+    /** The start or end of a node's suspicion, with the observers and their claims. */
     record SuspicionChange(String node, boolean suspected, String evidence) {}
 
     /**
-     * Attempts, over all that accuse a node, below which chance explains them; one alone is lost
-     * every day.
+     * Minimum number of failed attempts over all observers of a node. Fewer can be due to chance;
+     * single attempts are lost every day.
      */
     private static final int MIN_FAILED_ATTEMPTS = 3;
 
     /**
-     * An attempt that is out for so many times its node's usual time, and mean deviations beyond
-     * it, counts as unanswered, unless the node has answered anything since it went out. Waiting
-     * for its end would cost most of what can be saved.
+     * A pending attempt counts as unanswered once it has taken this multiple of the node's mean
+     * response time and also exceeds the mean by {@code OVERDUE_DEVIATIONS} mean deviations, unless
+     * the node has answered anything since the attempt was sent. Waiting for the attempt to end
+     * would forfeit most of the benefit of early detection.
      */
     private static final double OVERDUE_FACTOR = 3;
 
     private static final double OVERDUE_DEVIATIONS = 8;
     private static final double OVERDUE_MIN_MS = 120;
+
+    /** The bound for a node without a known response time. */
     private static final double OVERDUE_DEFAULT_MS = 400;
 
-    /** How long a claim counts after it was last renewed, and how often its observer renews it. */
+    /** How long a claim is valid after its last renewal. */
     static final double CLAIM_LIFETIME_MS = 6000;
 
+    /** Interval at which an observer renews its claims. */
     static final double CLAIM_RENEWAL_MS = 2000;
 
-    /** How long own bad attempts are held against a node that was not tried again. */
+    /** How long this proxy's own failures count against a node without a further failure. */
     private static final double OWN_FAILURE_LIFETIME_MS = 5000;
 
-    /**
-     * Weight left after a claim that our own attempts contradict, what each second gives back, and
-     * what agreement does.
-     */
+    /** Factor applied to an observer's weight for each claim that our own attempts contradict. */
     private static final double CONTRADICTION_FACTOR = 0.6;
 
+    /** Weight that an observer recovers per second, up to 1. */
     private static final double WEIGHT_RECOVERY_PER_S = 0.01;
+
+    /** Weight that an observer gains when our own attempts confirm its claim, up to 1. */
     private static final double AGREEMENT_GAIN = 0.05;
 
-    /** Weight below which a peer's claims are worth a word in the log. */
+    /** Weight below which an observer is reported in the log as distrusted. */
     private static final double DISTRUST_THRESHOLD = 0.5;
 
     /**
-     * What the times of two proxies may be apart when one's answer is held against the other's
-     * claim.
+     * Timing error allowed between two proxies when an answer seen by one is compared with the
+     * period of silence claimed by the other.
      */
     private static final double TIMING_MARGIN_MS = 250;
 
     /**
-     * Times its usual time, and mean deviations beyond it, from which an answer is slow; and slow
-     * ones in a row that tell.
+     * An answer is slow if it takes more than this multiple of the node's mean response time and
+     * also exceeds the mean by {@code SLOW_DEVIATIONS} mean deviations.
      */
     private static final double SLOW_FACTOR = 3;
 
     private static final double SLOW_DEVIATIONS = 6;
+
+    /** Consecutive slow answers from which each further one counts as a failure. */
     private static final int SLOW_ANSWERS = 6;
+
+    /** Weight of a new response time in the moving averages of the mean and the deviation. */
     private static final double SMOOTHING_WEIGHT = 0.1;
+
+    /** A claim carries its number of attempts in one byte. */
     private static final int MAX_ATTEMPTS = 255;
 
     /**
-     * What the claims of a proxy that is suspected weigh, of what they would: it may be the one
-     * that is cut off.
+     * Factor applied to the weight of an observer that is itself suspected, as it may be the one
+     * that is disconnected.
      */
     private static final double SUSPECTED_OBSERVER_FACTOR = 0.5;
 
@@ -88,10 +99,10 @@
     private static final class ReceivedClaim {
         Claim claim;
 
-        /** When it was made, by our clock and what those who passed it on say of its age. */
+        /** Time of the statement by our clock: its time of arrival less the age it arrived with. */
         double statedAt;
 
-        /** Our own attempts said the same since it came. */
+        /** Whether an attempt of our own has failed since the observer first accused the node. */
         boolean confirmed;
     }
 
@@ -100,14 +111,17 @@
         int consecutiveFailures;
         int consecutiveSlow;
 
-        /** When each attempt that is out was sent, and how many of them are overdue. */
+        /** Send times of the pending attempts. */
         final List<Double> pendingSentAt = new ArrayList<>();
 
+        /** Number of pending attempts that are overdue. */
         int overdue;
 
         /**
-         * The latest answers, those before it a little apart: the very latest may be too new to
-         * contradict anyone.
+         * Times of the latest answers, newest first. A new answer replaces the first entry unless
+         * that is at least {@code TIMING_MARGIN_MS} later than the second; then all entries move
+         * down. The older entries are needed because the newest answer may be too recent to
+         * contradict a claim.
          */
         final double[] answerTimes = {
             Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY
@@ -168,8 +182,9 @@
         }
 
         /**
-         * One that was sent at this time has ended; the clock may have changed its pace, so the
-         * nearest is taken.
+         * Removes the pending attempt whose send time is nearest to {@code sentAt}. The send time
+         * is computed from the elapsed time and may differ from the recorded one if the clock rate
+         * has changed meanwhile.
          */
         void removePending(double sentAt) {
             int nearest = -1;
@@ -196,24 +211,27 @@
     private final Map<String, NodeState> nodes = new TreeMap<>();
     private final Map<String, Trust> trustByObserver = new HashMap<>();
 
-    /** Nodes of which anything is held against: all others need no look. */
+    /** Nodes with own failures, received claims or a suspicion; only these need evaluation. */
     private final Set<String> accused = new TreeSet<>();
 
-    /** Nodes with attempts out. */
+    /** Nodes with pending attempts. */
     private final Set<String> nodesWithPending = new TreeSet<>();
 
     private List<Claim> published = List.of();
     private double publishedAt = Double.NEGATIVE_INFINITY;
 
-    /** How much weight must agree, this proxy's own included, in a fleet of so many proxies. */
+    /**
+     * Returns the total weight of observers, this proxy included, that is required to suspect a
+     * node in a fleet of {@code proxies} proxies.
+     */
     static double quorum(int proxies) {
         return proxies < 8 ? 2 : proxies < 64 ? 3 : 4;
     }
 
     /**
-     * The nodes of the server list. One that started anew has nothing held against it; one that
-     * left is forgotten. Returns those that are new here: what was said of them before was not
-     * taken in.
+     * Replaces the set of known nodes by the endpoint list. A restarted node begins without
+     * evidence; a removed node is discarded. Returns the added and restarted nodes: claims about
+     * them that arrived earlier were ignored.
      */
     Set<String> updateNodes(Collection<Node> endpoints) {
         Map<String, NodeState> next = new TreeMap<>();
@@ -240,7 +258,7 @@
         return added;
     }
 
-    /** An own attempt goes out. */
+    /** Records that this proxy has sent an attempt to a node. */
     void attemptStarted(double now, String node) {
         NodeState state = nodes.get(node);
         if (state != null) {
@@ -249,7 +267,7 @@
         }
     }
 
-    /** An own attempt has ended. */
+    /** Records the outcome of one of this proxy's attempts. */
     void attemptEnded(double now, String node, Outcome outcome, double elapsedMs) {
         NodeState state = nodes.get(node);
         if (state != null && outcome != Outcome.NEVER_SENT) {
@@ -263,10 +281,10 @@
         switch (outcome) {
             case OK, MISS -> recordAnswer(now, node, state, elapsedMs);
             case TIMEOUT -> recordFailure(now, node, state, Claim.Kind.SILENT);
-            // One that is full says so: it lives, and how much it is sent is the module's own
-            // affair.
             case CONNECT_FAILED, RESET -> recordFailure(now, node, state, Claim.Kind.REFUSING);
             case ERROR -> recordFailure(now, node, state, Claim.Kind.ERRING);
+            // A node that rejects a request because of overload is alive; the decision module
+            // controls how much it is sent.
             default -> {}
         }
     }
@@ -303,7 +321,10 @@
                 });
     }
 
-    /** An own probe has ended; one that is answered outweighs all that was said before it. */
+    /**
+     * Records the outcome of one of this proxy's probes. An answered probe invalidates all claims
+     * made before it.
+     */
     void probeEnded(double now, String node, Outcome outcome) {
         NodeState state = nodes.get(node);
         if (state != null && (outcome == Outcome.OK || outcome == Outcome.MISS)) {
@@ -336,14 +357,14 @@
         return trust;
     }
 
-    /** How far a peer is believed now, 0 to 1. */
+    /** Returns the weight of an observer's claims now, 0 to 1. */
     double weight(double now, String observer) {
         return currentTrust(now, observer).weight;
     }
 
     /**
-     * What an observer holds against nodes; it replaces all that it said before. Names observers
-     * that lost much of their weight.
+     * Applies an observer's statement, which replaces all its earlier claims. Adds the observer to
+     * {@code newlyDistrusted} if its weight falls below the distrust threshold.
      */
     void applyStatement(
             double now,
@@ -365,8 +386,8 @@
                     || ageMs >= CLAIM_LIFETIME_MS) {
                 continue;
             }
-            // The node answered us while it is said to have answered nothing: one of us is wrong,
-            // and it is not we.
+            // The node answered us during the period in which the observer claims that it was
+            // silent, so the claim is false.
             if (state.answeredBetween(statedAt - claim.failingForMs(), statedAt)
                     && claim.attempts() > 1
                     && claim.kind() != Claim.Kind.SLOW) {
@@ -377,8 +398,8 @@
     }
 
     /**
-     * Takes in a claim alone; one about another life of the node, or a node that is not listed,
-     * says nothing.
+     * Adds a single claim without checking it against own answers. Claims about another incarnation
+     * of the node or about a node that is not in the endpoint list are ignored.
      */
     void addClaim(String observer, Claim claim, double statedAt) {
         NodeState state = nodes.get(claim.node());
@@ -391,7 +412,10 @@
         }
     }
 
-    /** One that accuses and withdraws in turns is contradicted by answers in between. */
+    /**
+     * Removes the observer's claims that its new statement no longer contains. An observer that
+     * repeatedly accuses and withdraws is contradicted by the answers that we received in between.
+     */
     private void removeWithdrawnClaims(
             double now,
             double statedAt,
@@ -412,7 +436,7 @@
         }
     }
 
-    /** A member is suspected, or no longer. */
+    /** Records whether the member with this name is suspected. */
     void setObserverSuspected(String observer, boolean suspected) {
         if (suspected) {
             suspectedObservers.add(observer);
@@ -421,12 +445,15 @@
         }
     }
 
-    /** It is gone: what it said goes with it. */
+    /** Removes all claims of a member that has died or left. */
     void removeObserver(String observer) {
         accused.forEach(node -> nodes.get(node).claims.remove(observer));
     }
 
-    /** Ages everything; returns the doubts that began or ended. */
+    /**
+     * Expires old claims, re-evaluates all accused nodes, and returns the suspicions that began or
+     * ended.
+     */
     List<SuspicionChange> evaluate(double now, int proxies) {
         List<SuspicionChange> changes = new ArrayList<>();
         for (String node : List.copyOf(nodesWithPending)) {
@@ -465,7 +492,7 @@
         int attempts = state.failedAttempts();
         boolean accusedByOthers = false;
         for (Map.Entry<String, ReceivedClaim> entry : state.claims.entrySet()) {
-            // What was said before it last answered us is overtaken.
+            // A claim made before the node last answered us is obsolete.
             if (entry.getValue().statedAt >= state.lastAnswerAt()) {
                 weight +=
                         weight(now, entry.getKey())
@@ -476,7 +503,8 @@
                 accusedByOthers = true;
             }
         }
-        // A doubt that stands ends a little later than it began, or it would flicker at the bound.
+        // Hysteresis: an existing suspicion ends at a lower weight than it needs to begin;
+        // otherwise it would flap at the threshold.
         double requiredWeight = state.suspected ? quorum(proxies) - 1 : quorum(proxies);
         return accusedByOthers && weight >= requiredWeight && attempts >= MIN_FAILED_ATTEMPTS;
     }
@@ -499,9 +527,9 @@
     }
 
     /**
-     * What this proxy has to say now, or null if that is no news: its own claims alone, the worst
-     * first. A node that a quorum accuses already needs no further voice; in a large fleet this is
-     * what bounds the traffic.
+     * Returns this proxy's own claims, those with the most attempts first, or null if the set of
+     * accused nodes is unchanged and no renewal is due. A node that a quorum of other proxies
+     * already accuses needs no further claim; in a large fleet this bounds the traffic.
      */
     List<Claim> claimsToPublish(double now, int proxies) {
         List<Claim> claims = new ArrayList<>();
--- a/src/main/java/cacheproxy/membership/Gossip.java
+++ b/src/main/java/cacheproxy/membership/Gossip.java
@@ -18,76 +18,85 @@
 import java.util.TreeMap;
 
 /**
- * One proxy's part in the fleet's gossip. Every event is one call; what is to be sent or told goes
- * to {@link Actions} before it returns. {@code now} is this proxy's own clock in milliseconds,
- * which never runs back; no other clock is ever compared with it.
+ * One proxy's participant in the fleet's gossip protocol. Each event is one method call; the
+ * packets to send and the events to report are passed to {@link Actions} before the call returns.
+ * {@code now} is this proxy's own monotonic clock in milliseconds; it is never compared with
+ * another proxy's clock.
  */
 public final class Gossip {
 
     /** How often {@link #tick} is called. */
     public static final double TICK_MS = 50;
 
-    /** What UDP and IPv4 add to each packet, in bytes; the budget is that of the wire. */
+    /** Bytes of UDP and IPv4 headers per packet; the byte budget includes them. */
     public static final int HEADER_BYTES = 28;
 
-    /** The longest packet, in bytes of UDP payload. */
+    /** Maximum size of a packet, in bytes of UDP payload. */
     public static final int MAX_PACKET_BYTES = PacketCodec.MAX_PACKET_BYTES;
 
-    /** Waits between two rounds of news, and to how many each goes. */
+    /** Minimum interval between two rounds of update packets. */
     private static final double UPDATE_INTERVAL_MS = 50;
 
+    /** Number of members that receive an update packet in each round. */
     private static final int FANOUT = 2;
 
     /**
-     * Times that each proxy passes a statement on: an epidemic of four copies misses two proxies in
-     * a hundred, and renewals reach them.
+     * Times that each proxy forwards a statement: epidemic dissemination with four copies misses
+     * about 2% of the proxies, which renewals then reach.
      */
     private static final int STATEMENT_COPIES = 4;
 
     /**
-     * The same of one that says what the last one said: most have acted on that, and two copies
-     * reach four proxies in five.
+     * Times that each proxy forwards a renewal, a statement that accuses the same nodes as the
+     * previous one: most proxies have already acted on that, and two copies reach about 80% of
+     * them.
      */
     private static final int RENEWAL_COPIES = 2;
 
-    /** Part of the bytes that is kept for probes and their answers. */
+    /** Share of the byte burst that is reserved for probes and their answers. */
     private static final double PROBE_RESERVE_SHARE = 0.25;
 
-    /**
-     * A newcomer is given the whole table at once, no more often than this, and no sender is shown
-     * its challenge more often.
-     */
+    /** Minimum interval between two transfers of the whole member table to the same member. */
     private static final double TABLE_INTERVAL_MS = 5000;
 
+    /** Minimum interval between two challenges sent to the same sender. */
     private static final double WELCOME_INTERVAL_MS = 100;
+
+    /** Maximum number of packets in one transfer of the whole member table. */
     private static final int MAX_TABLE_PACKETS = 24;
 
     /**
-     * Part of the verifications that is for addresses that are no member's: more than some joins a
-     * second are rubbish.
+     * Share of the signature verifications that is available to addresses of non-members; more than
+     * a few joins per second are invalid packets.
      */
     private static final double NON_MEMBER_SHARE = 0.25;
 
-    /** The most that goes out at once, a few packets. */
+    /** Maximum number of bytes sent at once, a few packets. */
     private static final double MAX_BURST_BYTES = 4096;
 
+    /** Maximum number of replaced nonces that are remembered per peer. */
     private static final int MAX_RETIRED_NONCES = 8;
+
+    /** Size of the replay window, in packet counters; one bit of a long each. */
     private static final int REPLAY_WINDOW = 64;
 
     /**
-     * How far beyond what is known an incarnation may be by hearsay: higher ones could not be
-     * refuted for long.
+     * How far an incarnation reported by a third party may be ahead of the known one. The member
+     * itself could not refute a much higher one, as it would soon reach the maximum value.
      */
     private static final int MAX_INCARNATION_LEAD = 64;
 
     /**
-     * @param address where others reach this proxy, {@code host:port}
-     * @param seeds addresses that are asked for the others; may hold its own
-     * @param bytesPerS the most that it sends in any second, the headers of UDP and IPv4 included;
-     *     at least 4096, as a packet must fit
-     * @param verificationsPerS signatures that it checks in a second at most; what a flood can cost
-     * @param healthMost the highest local health score (Lifeguard), by which timeouts stretch up to
-     *     {@code 1 + healthMost} times; 0 keeps them as they are
+     * Configuration of a participant.
+     *
+     * @param address the address at which others reach this proxy, {@code host:port}
+     * @param seeds addresses contacted to join the fleet; may contain this proxy's own address
+     * @param bytesPerS the maximum number of bytes sent in any second, including UDP and IPv4
+     *     headers; at least 4096, as a packet must fit
+     * @param verificationsPerS the maximum number of signatures verified per second; bounds the
+     *     cost of a flood of packets
+     * @param maxHealth the highest local health score (Lifeguard), which extends timeouts by up to
+     *     {@code 1 + maxHealth} times; 0 keeps timeouts constant
      */
     public record Settings(
             String address,
@@ -96,11 +105,11 @@
             int verificationsPerS,
             int maxHealth) {
 
-        /** Lifeguard's and memberlist's highest score. */
+        /** The highest score of Lifeguard and memberlist. */
         public static final int MAX_HEALTH = 8;
     }
 
-    /** What an operator may want to know. */
+    /** The kinds of events that are reported to operators; their names appear in the log. */
     public enum EventType {
         MEMBER,
         SUSPECTED,
@@ -111,34 +120,48 @@
         DOUBTED,
         CLEARED,
         DISTRUSTED,
-        /** Others held this proxy suspected or dead; it raised its incarnation. */
+        /** Others reported this proxy as suspected or dead; it raised its incarnation. */
         REFUTED,
-        /** Nobody has answered it for long: it makes no claims and declares nobody dead. */
+        /**
+         * No member has answered this proxy for {@code ISOLATION_MS}: it publishes no claims and
+         * declares no member dead.
+         */
         STEPPED_DOWN,
-        /** An answer came again. */
+        /** This proxy received an answer again after it had stepped down. */
         STEPPED_UP
     }
 
     /**
      * One member as this proxy sees it.
      *
-     * @param heardAgoMs of this proxy's own awake time since a packet of it was taken; 0 for this
-     *     proxy itself
-     * @param suspectedBy who holds the suspicion of it, as far as told here; empty unless suspected
+     * @param lastPacketAgeMs milliseconds of this proxy's own awake time since it last accepted a
+     *     packet of the member; 0 for this proxy itself
+     * @param suspectedBy the members known to suspect this member; empty unless it is suspected
      */
     public record MemberView(Member member, double lastPacketAgeMs, List<String> suspectedBy) {}
 
-    /** Where the wishes go. */
+    /** Receives the packets to send and the events to report. */
     public interface Actions {
         void send(String address, byte[] packet);
 
-        /** A quorum doubts a node, or no longer does. */
+        /** Called when a quorum starts or stops suspecting a node. */
         void nodeSuspicionChanged(String node, boolean suspected);
 
         void event(EventType type, String subject, String evidence);
     }
 
-    /** Packets and bytes since the start. */
+    /**
+     * Totals since the start.
+     *
+     * @param sent packets sent
+     * @param sentBytes bytes of UDP payload sent
+     * @param received packets received
+     * @param invalid packets and statements dropped because they are malformed, of an unknown key,
+     *     over the verification budget, or wrongly signed
+     * @param replayed packets dropped because their counter was already seen
+     * @param verified signatures verified
+     * @param rateLimited packets not sent because of the byte budget
+     */
     public record Counts(
             long sent,
             long sentBytes,
@@ -148,7 +171,7 @@
             long verified,
             long rateLimited) {}
 
-    /** What shows that packets of a peer are of its present life. */
+    /** Replay protection state of one peer: proves that packets are of its current incarnation. */
     private static final class Session {
         final String name;
         long nonce;
@@ -159,7 +182,7 @@
         int highestCounter;
         long replayWindow;
 
-        /** Lives that were replaced, and the last counter that was seen of each. */
+        /** Nonces that were replaced, with the highest counter seen of each. */
         final Map<Long, Integer> retiredNonces = new LinkedHashMap<>();
 
         int highestUnprovenCounter;
@@ -167,9 +190,10 @@
         double tableSentAt = Double.NEGATIVE_INFINITY;
         boolean digestDiffers;
 
-        /** It has shown a new life and waits for our grant to that. */
+        /** The peer has shown a new nonce and waits for our grant to that nonce. */
         boolean awaitingGrant;
 
+        /** The message to send once the peer has granted us a token. */
         Message deferredMessage;
 
         Session(String name) {
@@ -189,7 +213,8 @@
         }
 
         /**
-         * As IPsec's window (RFC 4303, appendix A2): each counter once, and none that is too old.
+         * Returns whether a counter is neither a duplicate nor too old, and marks it as seen. This
+         * is the anti-replay window of IPsec (RFC 4303, appendix A2).
          */
         boolean acceptCounter(int counter) {
             int ahead = counter - highestCounter;
@@ -206,8 +231,8 @@
     }
 
     /**
-     * So much at once, and what a second allows beyond that spread over the second: no second at
-     * all has more.
+     * Token bucket. The refill rate is the maximum per second less the burst, so that no interval
+     * of one second exceeds the maximum.
      */
     private static final class TokenBucket {
         final double burst;
@@ -234,6 +259,7 @@
         }
     }
 
+    /** The number of times that an update is still to be sent. */
     private static final class PendingUpdate {
         int copiesLeft;
 
@@ -243,8 +269,8 @@
     }
 
     /**
-     * The newest statement of an observer, kept on when it has faded, so that it can't be heard a
-     * second time.
+     * The newest statement of an observer. It is retained after it has expired, so that a replayed
+     * copy is not accepted as new.
      */
     private record StoredStatement(Statement statement, double statedAt, double expiresAt) {
 
@@ -253,6 +279,7 @@
         }
     }
 
+    /** A probe that this proxy sent on behalf of another member. */
     private record RelayedProbe(String requester, int number, double expiresAt, double nackAt) {}
 
     private final Settings settings;
@@ -309,12 +336,15 @@
                         NON_MEMBER_SHARE * settings.verificationsPerS() / 2);
     }
 
-    /** Everyone that is known, this proxy first. */
+    /** Returns all known members, this proxy first. */
     public List<Member> table() {
         return swim.table();
     }
 
-    /** Everyone that is known, this proxy first, with when each was heard and who suspects it. */
+    /**
+     * Returns all known members, this proxy first, with the age of each member's last packet and
+     * the members that suspect it.
+     */
     public List<MemberView> memberViews(double now) {
         return swim.table().stream()
                 .map(
@@ -331,24 +361,24 @@
     }
 
     /**
-     * The local health score, 0 to {@link Settings#healthMost}: 0 while its own probes are
-     * answered.
+     * Returns the local health score, 0 to {@link Settings#maxHealth}; 0 while this proxy's own
+     * probes are answered.
      */
     public int health() {
         return swim.health();
     }
 
-    /** Whether nobody has answered it for long, so that it has stepped down. */
+    /** Returns whether this proxy has stepped down because no member has answered it. */
     public boolean isSteppedDown() {
         return swim.isolated();
     }
 
-    /** How often its process was seen to stand still. */
+    /** Returns how many pauses of this process were detected. */
     public long stallCount() {
         return swim.stallCount();
     }
 
-    /** How far a member is believed, 0 to 1; 1 for this proxy itself. */
+    /** Returns the weight of a member's claims, 0 to 1; 1 for this proxy itself. */
     public double weight(double now, String name) {
         return name.equals(identity.name()) ? 1 : evidence.weight(now, name);
     }
@@ -357,15 +387,16 @@
         return new Counts(sent, sentBytes, received, invalid, replayed, verified, rateLimited);
     }
 
-    // Events.
+    // Incoming events.
 
+    /** Contacts the seeds. Called once, before the first tick. */
     public void start(double now, Actions actions) {
         swim.start(now, swimActions(now, actions));
     }
 
     /**
-     * The nodes of the server list as they are now. What others said of a node before it was listed
-     * here counts from now on.
+     * Replaces the set of known nodes by the current endpoint list. Claims about a node that
+     * arrived before the node was listed take effect now.
      */
     public void updateNodes(double now, Collection<Node> endpoints, Actions actions) {
         Set<String> added = evidence.updateNodes(endpoints);
@@ -383,22 +414,23 @@
         evaluateEvidence(now, actions);
     }
 
-    /** An own attempt goes to a node. */
+    /** Records that this proxy has sent an attempt to a node. */
     public void attemptStarted(double now, String node) {
         evidence.attemptStarted(now, node);
     }
 
-    /** An own attempt at a node has ended. */
+    /** Records the outcome of one of this proxy's attempts at a node. */
     public void attemptEnded(double now, String node, Outcome outcome, double elapsedMs) {
         evidence.attemptEnded(now, node, outcome, elapsedMs);
     }
 
-    /** An own probe of a node has ended. */
+    /** Records the outcome of one of this proxy's probes of a node. */
     public void probeEnded(double now, String node, Outcome outcome, Actions actions) {
         evidence.probeEnded(now, node, outcome);
         evaluateEvidence(now, actions);
     }
 
+    /** Runs all timers; called every {@link #TICK_MS}. */
     public void tick(double now, Actions actions) {
         swim.tick(now, swimActions(now, actions));
         int proxies = evaluateEvidence(now, actions);
@@ -423,7 +455,7 @@
                         actions);
             }
         }
-        // One that is cut off sees every node fail alike: what it would say is of its own link.
+        // An isolated proxy sees all nodes fail alike: its claims would describe its own link.
         List<Claim> ownClaims =
                 hasLeft || swim.isolated() ? null : evidence.claimsToPublish(now, proxies);
         if (ownClaims != null) {
@@ -433,8 +465,8 @@
             lastUpdateAt = now;
             boolean budgetExhausted = false;
             for (Member member : swim.randomMembers(FANOUT, "")) {
-                // Waiting loses nothing; a packet that is made and can't be sent has used up its
-                // copies.
+                // Waiting loses nothing, whereas a packet that is built and then exceeds the budget
+                // has already used up copies of its updates.
                 budgetExhausted |=
                         !byteBudget.hasTokens(
                                 now,
@@ -462,8 +494,8 @@
     }
 
     /**
-     * What a packet of news to one would take at most; while it is of members alone, far less than
-     * the longest.
+     * Returns the maximum size of an update packet to a member, in bytes. Without pending
+     * statements it is much smaller than the maximum packet size.
      */
     private int maxUpdateBytes(String to) {
         if (hasCopiesLeft(statementUpdates)) {
@@ -489,7 +521,7 @@
         return news.values().stream().anyMatch(n -> n.copiesLeft > 0);
     }
 
-    /** Looks at all that is held against nodes; returns how many proxies there are. */
+    /** Re-evaluates the evidence on all nodes; returns the number of present proxies. */
     private int evaluateEvidence(double now, Actions actions) {
         int proxies = swim.others().size() + 1;
         for (Evidence.SuspicionChange change : evidence.evaluate(now, proxies)) {
@@ -502,7 +534,10 @@
         return proxies;
     }
 
-    /** Tells a few that this proxy goes; they tell the others. */
+    /**
+     * Notifies a few members that this proxy leaves; they disseminate it. Packets that arrive after
+     * this call are dropped.
+     */
     public void leave(double now, Actions actions) {
         hasLeft = true;
         swim.leave();
@@ -551,7 +586,7 @@
         updatesPending = true;
     }
 
-    // Packets that go out.
+    // Outgoing packets.
 
     private Swim.Actions swimActions(double now, Actions actions) {
         return new Swim.Actions() {
@@ -623,8 +658,8 @@
                         && after.status() == Status.SUSPECT
                         && before.incarnation() == after.incarnation();
         memberUpdates.put(after.name(), new PendingUpdate(2 + memberUpdateCopies()));
-        // A confirmation rides on probes alone: a packet of news for each would multiply what a
-        // flood of one costs.
+        // A confirmation of a suspicion is only piggybacked on probes: an update packet for each
+        // would multiply the cost of a flood of confirmations.
         updatesPending |= !confirmation;
         if (after.name().equals(identity.name())) {
             return;
@@ -656,8 +691,8 @@
     }
 
     private Message newMessage(double now, Kind kind, int number, Member target, String to) {
-        // Near the ceiling an answer without news beats none: one that wakes owes many at once, and
-        // is accused for each that it can't send.
+        // Near the byte limit, an answer without updates is better than none: a proxy that resumes
+        // after a pause owes many answers at once and is suspected for each one it cannot send.
         boolean nearLimit = !byteBudget.hasTokens(now, PacketCodec.MAX_PACKET_BYTES / 2.0, 0);
         return nearLimit
                 ? new Message(
@@ -677,8 +712,8 @@
     }
 
     /**
-     * This proxy, and the receiver where it is suspected or taken for dead: it hears so first, so
-     * that it can refute (Lifeguard's buddy system).
+     * Returns this proxy, followed by the receiver if that is suspected or considered dead: the
+     * receiver learns of it with the next packet and can refute it (Lifeguard's buddy system).
      */
     private List<Member> selfAndSuspectedReceiver(String to) {
         List<Member> selected = new ArrayList<>();
@@ -692,7 +727,8 @@
     }
 
     /**
-     * News of members, the least told first; to one that holds another table, a part of ours too.
+     * Returns the pending member updates, those with the most copies left first. For a receiver
+     * whose table digest differs from ours, a part of our table is appended.
      */
     private List<Member> membersToSend(double now, String to) {
         List<Member> selected = selfAndSuspectedReceiver(to);
@@ -750,8 +786,8 @@
         Message message = original;
         boolean welcome = message.kind() == Kind.WELCOME;
         if (session != null && session.token == 0 && !welcome) {
-            // It would not be believed yet: it is kept until it is, and a bare ping asks for what
-            // it takes.
+            // Without a token the peer would not accept the message. It is deferred, and an empty
+            // ping requests the token.
             session.deferredMessage =
                     session.deferredMessage == null || message.number() != 0
                             ? message
@@ -791,9 +827,9 @@
         return sessions.computeIfAbsent(name, Session::new);
     }
 
-    // Packets that come in.
+    // Incoming packets.
 
-    /** A datagram, from whomever. */
+    /** Handles a datagram from any sender; nothing about it is trusted yet. */
     public void received(double now, String address, byte[] packet, Actions actions) {
         received++;
         PacketCodec.Packet decoded = hasLeft ? null : PacketCodec.decode(packet);
@@ -804,8 +840,8 @@
             invalid++;
             return;
         }
-        // What costs a verification is paid from a purse: that of members, or of strangers, whoever
-        // the sender says it is.
+        // Each verification is charged to one of two budgets, for known addresses or for all
+        // others, regardless of the name that the sender claims.
         Member sender = swim.find(decoded.envelope().from());
         boolean knownAddress =
                 sender != null && sender.address().equals(address)
@@ -832,8 +868,8 @@
     }
 
     /**
-     * Whether a packet of a true sender is fresh; one that is not proven so is answered with what
-     * proves the next.
+     * Checks that an authenticated packet is not a replay and processes it. A packet that does not
+     * prove its freshness is answered with a challenge by which the sender's next one can.
      */
     private void checkFreshness(
             double now, String address, PacketCodec.Packet packet, Actions actions) {
@@ -874,8 +910,8 @@
                 && envelope.token() == session.pendingChallenge) {
             acceptNewNonce(now, address, session, packet, actions);
         } else if (alreadySeen) {
-            // An answer to each would let anyone who recorded one packet have us send as many as he
-            // likes.
+            // Answering each replay would let anyone who has recorded one packet make this proxy
+            // send any number of packets.
             replayed++;
         } else {
             session.highestUnprovenCounter = envelope.counter();
@@ -918,7 +954,7 @@
             Actions actions) {
         PacketCodec.Envelope envelope = packet.envelope();
         if (session.retiredNonces.containsKey(envelope.nonce())) {
-            // A life that was replaced is alive: two processes have one name and one key.
+            // The incarnation of a replaced nonce still sends: two processes share a name and key.
             actions.event(EventType.NAME_TWICE, session.name, "address:" + address);
             session.pendingNonce = 0;
             return;
@@ -944,8 +980,8 @@
         session.replayWindow = 1;
         session.token = envelope.grant() != 0 ? envelope.grant() : session.token;
         processMessage(now, address, session, packet.message(), actions);
-        // Most first contacts are of two that know everyone already; and one that came back needs
-        // the table of one, not of all.
+        // Most first contacts are between two members that already know all others, and a member
+        // that has returned needs the table from one member, not from all.
         if (newcomer && now - session.tableSentAt >= TABLE_INTERVAL_MS) {
             session.tableSentAt = now;
             sendWholeTable(now, address, session.name, actions);
@@ -953,8 +989,8 @@
     }
 
     /**
-     * For a newcomer: everyone, and everything that is held against nodes, in as many packets as
-     * that takes.
+     * Sends a new member all known members and all valid statements, in as many packets as needed,
+     * at most {@code MAX_TABLE_PACKETS}.
      */
     private void sendWholeTable(double now, String address, String name, Actions actions) {
         List<RelayedStatement> remainingStatements =
@@ -1002,8 +1038,8 @@
         swim.packetReceived(now, session.name);
         for (Member member : message.members()) {
             boolean isSender = member.name().equals(session.name);
-            // A name that no key belongs to is nobody's; an address is believed from its own mouth
-            // alone.
+            // A name without a key in the ring is ignored; the address of a present member is
+            // changed only by the member's own packets.
             Member known = swim.find(member.name());
             boolean plausible =
                     isSender
@@ -1016,8 +1052,8 @@
                                 : known != null && known.isPresent()
                                         ? known.address()
                                         : member.address();
-                // A suspicion counts for one that holds a key; one that names nobody is the
-                // sender's own.
+                // A suspicion counts for the accuser it names if that has a key in the ring;
+                // otherwise it counts as the sender's own.
                 String suspectedBy =
                         member.status() != Status.SUSPECT
                                 ? ""
@@ -1076,8 +1112,8 @@
     }
 
     /**
-     * A ping on another's behalf; its number is negative, so that no answer to one of ours is taken
-     * for it.
+     * Sends a ping on behalf of another member. Its number is negative, so that its answer cannot
+     * be confused with an answer to one of our own pings.
      */
     private void relayProbe(double now, String requester, Message message, Actions actions) {
         Member target = message.target() == null ? null : swim.find(message.target().name());
--- a/src/main/java/cacheproxy/membership/Identity.java
+++ b/src/main/java/cacheproxy/membership/Identity.java
@@ -1,28 +1,31 @@
 package cacheproxy.membership;
 
-/** Who this proxy is, and whom it believes. Signatures are 64 bytes, as those of Ed25519. */
+/** This proxy's signing key and the keys that it trusts. Signatures are Ed25519, 64 bytes. */
 public interface Identity {
 
     int SIGNATURE_BYTES = 64;
 
-    /** This proxy's name. */
+    /** Returns this proxy's name. */
     String name();
 
-    /** Tells which of this proxy's keys signs now. */
+    /** Returns the id of the key with which this proxy currently signs. */
     int keyId();
 
-    /** Signs the bytes before {@code length}. */
+    /** Signs the first {@code length} bytes of {@code data}. */
     byte[] sign(byte[] data, int length);
 
-    /** The id that stands for any key of a name. */
+    /** The id that matches any key of a name. */
     int ANY_KEY = 0;
 
-    /** Whether the key ring holds a key of this name and id; costs next to nothing. */
+    /** Returns whether the key ring contains a key of this name and id; a cheap look-up. */
     boolean hasKey(String name, int keyId);
 
-    /** Whether the bytes before {@code length} were signed by this name; costs a verification. */
+    /**
+     * Returns whether the first {@code length} bytes of {@code data} were signed by this key of
+     * this name; costs a signature verification.
+     */
     boolean verify(String name, int keyId, byte[] data, int length, byte[] signature);
 
-    /** Whether any key of this name signed; for a statement that others pass on. */
+    /** Returns whether any key of this name signed the data; used for forwarded statements. */
     boolean verify(String name, byte[] data, byte[] signature);
 }
--- a/src/main/java/cacheproxy/membership/Member.java
+++ b/src/main/java/cacheproxy/membership/Member.java
@@ -1,19 +1,23 @@
 package cacheproxy.membership;
 
 /**
- * One proxy as the fleet knows it. Of two reports the one of the higher incarnation holds; of the
- * same incarnation, the one of the later status (SWIM, Das, Gupta and Motivala 2002, section 4.2).
+ * The state of one proxy in the member table. Of two reports the one with the higher incarnation
+ * takes precedence; at the same incarnation, the one with the later {@link Status} (SWIM, Das,
+ * Gupta and Motivala 2002, section 4.2).
  *
- * @param name its name, 1 to 32 bytes; each proxy of a fleet has its own
- * @param address where its packets go, {@code host:port}, at most 64 bytes
- * @param incarnation raised by the proxy itself alone, to refute what others say of it
- * @param by of a suspicion, the member that holds it, so that independent ones can be counted
- *     (Lifeguard); empty else
+ * @param name the proxy's name, 1 to 32 bytes, unique within the fleet
+ * @param address the address to which its packets are sent, {@code host:port}, at most 64 bytes
+ * @param incarnation a counter that only the proxy itself raises, to refute reports of others
+ * @param suspectedBy the member that reports the suspicion, by which independent suspicions are
+ *     counted (Lifeguard); empty unless suspected
  */
 public record Member(
         String name, String address, int incarnation, Status status, String suspectedBy) {
 
-    /** In the order in which one overrides another of the same incarnation. */
+    /**
+     * A later status overrides an earlier one of the same incarnation. The ordinals are part of the
+     * packet format.
+     */
     public enum Status {
         ALIVE,
         SUSPECT,
@@ -31,7 +35,7 @@
                 : status.compareTo(other.status) > 0;
     }
 
-    /** Whether it takes part: also while it is suspected. */
+    /** Returns whether the member participates; a suspected member still does. */
     public boolean isPresent() {
         return status == Status.ALIVE || status == Status.SUSPECT;
     }
--- a/src/main/java/cacheproxy/membership/Message.java
+++ b/src/main/java/cacheproxy/membership/Message.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a packet says beside its envelope.
+ * The content of a packet without its envelope.
  *
- * @param number of the probe that it belongs to; 0 without
- * @param about whom a probe on another's behalf is for; null without
- * @param digest of the sender's table of members
+ * @param number the number of the probe that the message belongs to; 0 if none
+ * @param target the member that an indirect probe is for; null if none
+ * @param digest a digest of the sender's member table
  */
 record Message(
         Kind kind,
@@ -17,20 +17,22 @@
         List<Member> members,
         List<RelayedStatement> statements) {
 
+    /** The kind of message. The ordinals are part of the packet format. */
     enum Kind {
-        /** Shows the receiver what its packets must carry, to prove that they are no replay. */
+        /** Carries the challenge that the receiver's packets must repeat to prove freshness. */
         WELCOME,
         PING,
         ACK,
-        /** Asks for a ping of {@code about}. */
+        /** Requests a ping of {@code target} on the sender's behalf. */
         ASK,
+        /** Carries updates only and needs no answer. */
         NEWS,
-        /** A relay's word that the member that it was asked to ping did not answer it in time. */
+        /** A relay's report that the member that it was asked to ping did not answer in time. */
         NACK
     }
 
     /**
-     * A statement and its age so far, as summed up by those that passed it on, each by its own
+     * A statement and its age, the sum of the times that each forwarding member measured by its own
      * clock.
      */
     record RelayedStatement(Statement statement, int ageMs) {}
--- a/src/main/java/cacheproxy/membership/PacketCodec.java
+++ b/src/main/java/cacheproxy/membership/PacketCodec.java
@@ -9,15 +9,16 @@
 import java.util.List;
 
 /**
- * Packets as bytes: an envelope, a message and a signature over both, at most {@link #MOST_BYTES}
- * in all, which fits one UDP packet of any usual path. Numbers are big-endian; a text is its length
- * in one byte and its bytes.
+ * Encodes and decodes packets. A packet consists of an envelope, a message and a signature over
+ * both, at most {@link #MAX_PACKET_BYTES} in total, which fits into one unfragmented UDP packet on
+ * common network paths. Numbers are big-endian; a string is its length in one byte followed by its
+ * bytes.
  */
 final class PacketCodec {
 
     static final int MAX_PACKET_BYTES = 1200;
 
-    /** What envelope, counts and signature of a packet take at most, rounded up. */
+    /** Maximum size of a packet's envelope, list counts and signature, rounded up. */
     static final int MAX_ENVELOPE_BYTES = 250;
 
     static final int MAX_NAME_BYTES = 32;
@@ -25,17 +26,20 @@
     static final int MAX_NODE_ID_BYTES = 64;
     private static final int MAGIC = 0x464c;
 
-    /** 2: members carry who suspects them, and relays answer no (Lifeguard). */
+    /** Version 2 added the accuser of a suspected member and the nack of relays (Lifeguard). */
     private static final int VERSION = 2;
 
     private static final int MAX_AGE_MS = 0xffff;
     private static final int MAX_LIST_ITEMS = 0xff;
 
     /**
-     * Who sends, and what shows that the packet is fresh: {@code nonce} names the sender's life,
-     * {@code echo} the receiver's as the sender knows it, {@code token} is what the receiver
-     * granted to this life, {@code grant} what it may use in turn, and {@code counter} rises with
-     * each packet.
+     * The sender and the proof that the packet is fresh.
+     *
+     * @param nonce identifies the sender's incarnation, a random number drawn at its start
+     * @param echo the receiver's nonce as known to the sender; 0 if unknown
+     * @param token the token that the receiver has granted to this nonce; 0 if none
+     * @param grant the token that the receiver may use in its own packets
+     * @param counter increases with each packet
      */
     record Envelope(
             String from, int keyId, long nonce, long echo, long token, long grant, int counter) {}
@@ -45,8 +49,8 @@
     private PacketCodec() {}
 
     /**
-     * Fills one packet; of members and statements as many as fit, the first ones first. Returns the
-     * bytes to sign and their count.
+     * Encodes the envelope and as many statements and members as fit, in list order. Returns the
+     * bytes to sign; the buffer's position is their count.
      */
     static ByteBuffer encode(Envelope envelope, Message message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_PACKET_BYTES - Identity.SIGNATURE_BYTES);
@@ -64,7 +68,8 @@
         if (message.target() != null) {
             member(out, message.target());
         }
-        // Evidence first: it saves requests, and the table is made good by the digest.
+        // Statements first: they prevent failed requests, whereas missing members are recovered
+        // through the table digest.
         writeList(
                 out,
                 message.statements(),
@@ -104,7 +109,7 @@
         out.put(countAt, (byte) count);
     }
 
-    /** The bytes that an observer signs. */
+    /** Returns the bytes that the observer of a statement signs. */
     static byte[] bytesToSign(Statement statement) {
         ByteBuffer out = ByteBuffer.allocate(MAX_PACKET_BYTES);
         text(out, statement.observer());
@@ -123,12 +128,15 @@
         return bytes;
     }
 
-    /** How many bytes a statement takes in a packet. */
+    /** Returns the size of a statement in a packet, in bytes. */
     static int encodedBytes(Statement statement) {
         return 2 + bytesToSign(statement).length + Identity.SIGNATURE_BYTES;
     }
 
-    /** How many bytes a member takes in a packet: three texts, an incarnation and a status. */
+    /**
+     * Returns the size of a member in a packet, in bytes: three strings, an incarnation and a
+     * status.
+     */
     static int encodedBytes(Member member) {
         return member.name().length()
                 + member.address().length()
@@ -149,7 +157,8 @@
     }
 
     /**
-     * Who claims to have sent it, before anything is verified; null where it is no packet of ours.
+     * Decodes a packet without verifying its signature: the sender's name is only claimed. Returns
+     * null if the bytes are not a valid packet of this protocol version.
      */
     static Packet decode(byte[] bytes) {
         try {
@@ -231,7 +240,7 @@
         byte[] bytes = new byte[length];
         in.get(bytes);
         for (byte b : bytes) {
-            // Names go into the log: nothing there may end a line or pass for another field.
+            // Names are written to the log, where no character may end a line or a quoted field.
             check(b > ' ' && b < 0x7f && b != '"');
         }
         return new String(bytes, StandardCharsets.US_ASCII);
@@ -244,7 +253,7 @@
 
     private static void check(boolean valid) {
         if (!valid) {
-            throw new IllegalArgumentException("malformed");
+            throw new IllegalArgumentException("malformed gossip packet");
         }
     }
 }
--- a/src/main/java/cacheproxy/membership/Swim.java
+++ b/src/main/java/cacheproxy/membership/Swim.java
@@ -11,114 +11,125 @@
 import java.util.TreeMap;
 
 /**
- * Who is there: each period one member is pinged, in an order drawn anew for each round; one that
- * does not answer is asked after by others, then suspected, and taken for dead unless it refutes
- * the suspicion by a higher incarnation (SWIM, Das, Gupta and Motivala 2002). Members that died,
- * and seeds, are called now and then, so that the parts of a fleet that was cut in two find one
- * another.
+ * Failure detector of the SWIM protocol (Das, Gupta and Motivala 2002). In each period one member
+ * is pinged, in a random order that changes every round. If a member does not answer, other members
+ * are asked to ping it; if these get no answer either, it is suspected, and it is declared dead
+ * unless it refutes the suspicion with a higher incarnation. Dead members and seeds are pinged from
+ * time to time, so that the parts of a partitioned fleet find each other again.
  *
- * <p>After Lifeguard (Dadgar, Phillips and Currey 2018): a local health score from 0 to {@code
- * healthMost} rises with each probe that went unanswered and that not every relay answered for, and
- * with each suspicion of itself that it had to refute, falls with each answered probe, and
- * stretches its own period and wait by {@code 1 + health}, so that a proxy that is slow itself
- * accuses late. A suspicion lasts from six times its least down to the least, {@code 3 · period ·
- * max(1, log10 n)}, as independent members confirm it; one that hears of a suspicion probes the
- * suspect next, and tells it. Beyond the paper: time in which the process stood still (a gap
- * between calls above {@link #STALL_MS}) or its event loop was held up (a tick that comes later
- * than {@link #LATE_TICK_MS}) counts for no timer, and a proxy whose probes nobody has answered,
- * directly, through others or by a negative answer, three at least and for {@link #ISOLATED_MS} of
- * its own time, is cut off: it steps down, starts no suspicion and ends none for {@link #HOLD_MS},
- * until any answer comes.
+ * <p>Extensions of Lifeguard (Dadgar, Phillips and Currey 2018):
  *
- * <p>All times are this proxy's own milliseconds, which never run back; none is compared with
- * another proxy's.
+ * <ul>
+ *   <li>A local health score from 0 to {@code maxHealth} rises with each unanswered probe for which
+ *       not every relay sent a negative answer, with each detected pause of the process, and with
+ *       each report on itself that this proxy refutes. It falls with each answered probe. It
+ *       extends the probe period and the timeout by the factor {@code 1 + health}, so that a slow
+ *       proxy suspects others later.
+ *   <li>The duration of a suspicion falls from six times its minimum to the minimum, {@code 2 ·
+ *       period · max(1, log10 n)}, as independent members confirm it.
+ *   <li>A member that learns of a suspicion probes the suspect next and thereby notifies it.
+ * </ul>
+ *
+ * <p>Extensions beyond the paper:
+ *
+ * <ul>
+ *   <li>Time during which the process was paused (a gap between calls above {@link #STALL_MS}) or
+ *       its event loop was blocked (a tick later than {@link #LATE_TICK_MS}) counts for no timer.
+ *   <li>A proxy is isolated when at least three of its probes in a row, over at least {@link
+ *       #ISOLATION_MS} of its own time, got no answer at all: neither direct, nor through a relay,
+ *       nor negative. It then steps down: it neither starts nor ends a suspicion until an answer
+ *       arrives, but at most for {@link #MAX_ISOLATION_GRACE_MS}.
+ * </ul>
+ *
+ * <p>All times are milliseconds of this proxy's own monotonic clock; none is compared with another
+ * proxy's clock.
  */
 final class Swim {
 
+    /** The probe period at health score 0. */
     static final double PERIOD_MS = 500;
 
-    /** Of a period, the part that an answer may take before others are asked. */
+    /** Share of a period after which an unanswered ping leads to indirect probes. */
     static final double ACK_TIMEOUT_SHARE = 0.4;
 
     /**
-     * Of the wait, the part after which a relay that heard nothing says so (Lifeguard's nack, 80%).
+     * Share of the ack timeout after which a relay without an answer sends a nack (80% as in
+     * Lifeguard).
      */
     static final double NACK_DELAY_SHARE = 0.8;
 
-    /** Others that are asked after one that is silent. */
+    /** Number of members that are asked to ping a silent member. */
     static final int INDIRECT_PROBES = 3;
 
-    /**
-     * A gap between two calls that is longer was a pause of the process: it voids the probe that is
-     * out.
-     */
+    /** A longer gap between two calls is a pause of the process and voids the pending probe. */
     static final double STALL_MS = 300;
 
-    /** A longer gap between two ticks was a hold-up of the event loop; it counts as one tick. */
+    /** A longer gap between two ticks means a blocked event loop; it counts as one tick. */
     static final double LATE_TICK_MS = 3 * Gossip.TICK_MS;
 
     /**
-     * No answer of any kind for so long since a first probe without one, with two others at least,
-     * and this proxy is cut off.
+     * Minimum time without any answer, from the first unanswered probe on, after which this proxy
+     * is isolated. Applies only if there are at least two other members.
      */
     static final double ISOLATION_MS = 3000;
 
     /**
-     * Nor before so many probes: a proxy of bad health sends them seconds apart, and one or two are
-     * lost by chance.
+     * Minimum number of unanswered probes before this proxy is isolated: with a bad health score
+     * probes are seconds apart, and one or two may be lost by chance.
      */
     private static final int ISOLATION_PROBES = 3;
 
-    /** So many relays that were asked and say nothing at all are a sign of our own link. */
+    /** If at least this many relays were asked and none answers, our own link may be at fault. */
     private static final int MIN_SILENT_RELAYS = 2;
 
-    /** An answer to one of so many probes proves that we are heard. */
+    /** An answer to any of this many latest probes proves that others receive our packets. */
     private static final int RECENT_PROBES = 8;
 
     /**
-     * Longest that a cut-off proxy holds back deaths: a fleet that truly died around it is let go
-     * then.
+     * Maximum time for which an isolated proxy neither starts nor ends a suspicion. After that,
+     * members that have really failed are declared dead.
      */
     static final double MAX_ISOLATION_GRACE_MS = 60_000;
 
     /**
-     * Periods of the least suspicion, for each power of ten of the fleet (memberlist's 4 at a
-     * period of 1 s, Lifeguard's α).
+     * Minimum duration of a suspicion in periods, per power of ten of the fleet size (Lifeguard's
+     * α; memberlist uses 4 at a period of 1 s).
      */
     private static final double MIN_SUSPICION_PERIODS = 2;
 
-    /** The longest over the least (Lifeguard's β). */
+    /** Ratio of the maximum to the minimum duration of a suspicion (Lifeguard's β). */
     private static final double MAX_SUSPICION_FACTOR = 6;
 
     /**
-     * Independent confirmations after which the least holds (Lifeguard's K; memberlist's 4 - 2).
+     * Independent confirmations after which a suspicion has its minimum duration (Lifeguard's K;
+     * memberlist's 4 - 2).
      */
     private static final int EXPECTED_CONFIRMATIONS = 2;
 
-    /** Accusers that are kept of one suspicion. */
+    /** Maximum number of accusers recorded per suspicion. */
     private static final int MAX_ACCUSERS = 8;
 
-    /** One that is gone, or a seed, is called so often. */
+    /** Interval at which a dead member or a seed is pinged. */
     private static final double RECONNECT_INTERVAL_MS = 3000;
 
-    /** How long a death is remembered, so that older news of that life is known as such. */
+    /** How long a dead member is remembered, so that late updates about it are recognized. */
     private static final double DEAD_RETENTION_MS = 600_000;
 
-    /** What it wants sent, and what it has found. */
+    /** Receives the packets to send and the membership changes. */
     interface Actions {
         void sendPing(Member to, int number);
 
         void sendPingRequest(Member relay, Member target, int number);
 
-        /** An address that no member is known for yet. */
+        /** Pings an address for which no present member is known. */
         void pingAddress(String address);
 
         void memberChanged(Member before, Member after);
 
-        /** It had to raise its incarnation: {@code news} said otherwise of it. */
+        /** This proxy raised its incarnation because {@code update} contradicted its own state. */
         void selfRefuted(Member update);
 
-        /** It is cut off and steps down, or is heard again. */
+        /** This proxy became isolated and steps down, or it received an answer again. */
         void isolationChanged(boolean isolated, String evidence);
     }
 
@@ -144,7 +155,7 @@
     private double lastCallAt = Double.NaN;
     private double awakeMs;
 
-    /** When the last tick was, by the clock and in the time that counts. */
+    /** Time of the last tick by the clock; {@code awakeAtLastTick} is the same in awake time. */
     private double lastTickAt;
 
     private double awakeAtLastTick;
@@ -160,19 +171,21 @@
     private int nacksReceived;
     private int health;
 
-    /**
-     * When the first probe went out of those since the last answer of any kind, and how many have.
-     */
+    /** Time of the first probe since the last answer of any kind. */
     private double unansweredSince;
 
+    /** Number of probes sent since the last answer of any kind. */
     private int unansweredProbes;
+
     private boolean isolated;
     private double isolatedAt;
     private long digest;
     private long stallCount;
 
     /**
-     * @param healthMost the highest local health score; 0 holds timeouts as they are
+     * Creates a failure detector without any other members.
+     *
+     * @param maxHealth the highest local health score; 0 keeps timeouts constant
      */
     Swim(Member self, List<String> seeds, SplittableRandom random, int maxHealth) {
         this.self = self;
@@ -186,7 +199,7 @@
         return self;
     }
 
-    /** All that are known, this proxy first; those that died lately too. */
+    /** Returns all known members, this proxy first, including those that died recently. */
     List<Member> table() {
         List<Member> all = new ArrayList<>();
         all.add(self);
@@ -199,51 +212,51 @@
         return peer == null ? null : peer.member;
     }
 
-    /** The others that take part. */
+    /** Returns the other members that are present. */
     List<Member> others() {
         return peers.values().stream().map(p -> p.member).filter(Member::isPresent).toList();
     }
 
     /**
-     * The same for two proxies that hold the same of everyone; deaths count, as they too must be
-     * agreed on.
+     * Returns a digest of the member table, equal for two proxies with equal tables. Dead members
+     * are included, as the proxies must agree on these too.
      */
     long digest() {
         return digest;
     }
 
-    /** The local health score, 0 while all is well. */
+    /** Returns the local health score; 0 is healthy. */
     int health() {
         return health;
     }
 
-    /** Whether it is cut off and has stepped down. */
+    /** Returns whether this proxy is isolated and has stepped down. */
     boolean isolated() {
         return isolated;
     }
 
-    /** How often the process was seen to stand still. */
+    /** Returns how many pauses of the process were detected. */
     long stallCount() {
         return stallCount;
     }
 
     /**
-     * Milliseconds of its own awake time since a packet of this member was last taken; -1 for one
-     * unknown.
+     * Returns the milliseconds of awake time since the last accepted packet of a member; -1 if the
+     * member is unknown.
      */
     double lastPacketAgeMs(double now, String name) {
         Peer peer = peers.get(name);
         return peer == null ? -1 : advanceAwakeTime(now) - peer.lastPacketAt;
     }
 
-    /** Who holds the suspicion of a member, as far as told here. */
+    /** Returns the members known to suspect a member. */
     List<String> accusers(String name) {
         Peer peer = peers.get(name);
         return peer == null ? List.of() : List.copyOf(peer.accusers);
     }
 
     private static long hash(Member member) {
-        // Suspicion comes and goes too often to be made good by tables.
+        // Suspicion is left out: it changes too often to be synchronized by table transfers.
         long hash = member.incarnation() * 0x9e3779b97f4a7c15L + (member.isPresent() ? 1 : 2);
         for (int i = 0; i < member.name().length(); i++) {
             hash = (hash ^ member.name().charAt(i)) * 0x100000001b3L;
@@ -252,8 +265,8 @@
     }
 
     /**
-     * Time that counts: the own clock, less what passed while the process stood still or its event
-     * loop was held up.
+     * Advances and returns the awake time: this proxy's clock less the time during which the
+     * process was paused or its event loop was blocked. All timers use it.
      */
     private double advanceAwakeTime(double now) {
         if (Double.isNaN(lastCallAt)) {
@@ -264,12 +277,12 @@
         lastCallAt = Math.max(lastCallAt, now);
         if (gap > STALL_MS) {
             stallCount++;
-            // What was asked before the pause is void: the answer may wait in the socket, and the
-            // fault was ours.
+            // The probe sent before the pause is void: its answer may be unread in the socket, and
+            // the delay was our own.
             answered = true;
             indirectProbesSent = true;
             adjustHealth(+1);
-            // Others may hold it dead by now: its next probe brings that to light.
+            // Others may have declared this proxy dead by now; a probe sent at once reveals that.
             periodStartedAt = Double.NEGATIVE_INFINITY;
         }
         double sinceTick = lastCallAt - lastTickAt;
@@ -280,8 +293,9 @@
     }
 
     /**
-     * Ends a tick. A late one counts only now, after its timers were judged, and as one tick: what
-     * came during the hold-up may lie unread in the socket, and is read before the next tick.
+     * Ends a tick. A late tick advances the awake time only now, after its timers were evaluated,
+     * and only by one tick: packets that arrived while the loop was blocked may still be unread in
+     * the socket and are read before the next tick.
      */
     private void endTick() {
         if (lastCallAt - lastTickAt > LATE_TICK_MS) {
@@ -296,8 +310,8 @@
     }
 
     /**
-     * While nothing answers at all, probes show whether we are cut off and accuse nobody: they go
-     * on at a pace that tells soon.
+     * Returns the current probe period. While no probe is answered, probes only serve to detect
+     * isolation and cause no suspicion, so their period is limited to detect it in time.
      */
     private double periodMs() {
         return Math.min(
@@ -306,7 +320,8 @@
     }
 
     /**
-     * How long this proxy waits for an answer now; a relay says no after {@link #NACK_SHARE} of it.
+     * Returns the current timeout for the answer to a ping; a relay sends a nack after {@link
+     * #NACK_DELAY_SHARE} of it.
      */
     double ackTimeoutMs() {
         return ACK_TIMEOUT_SHARE * periodMs();
@@ -342,13 +357,12 @@
         endTick();
     }
 
-    /** A probe that failed starts a suspicion, or confirms one that others hold. */
+    /** Starts a suspicion after a failed probe, or confirms an existing one. */
     private void suspect(double awakeNow, Member target, Actions actions) {
-        // Where not one of several relays says anything, the silence is our own link's as likely as
-        // the member's.
+        // If none of several relays answers, our own link is as likely at fault as the member.
         boolean relaysSilent = unansweredProbes > 0 && relaysAsked >= MIN_SILENT_RELAYS;
-        // One that has refuted since the probe went out hears and is heard: the probe was late, not
-        // the member.
+        // A member that has refuted a suspicion since the probe was sent both receives and sends
+        // packets: the probe was late, not the member.
         boolean refuted = target != null && target.incarnation() > probedIncarnation;
         if (target != null
                 && target.isPresent()
@@ -361,8 +375,8 @@
 
     private void endPeriod(double awakeNow, Actions actions) {
         if (!answered) {
-            // As memberlist counts: where every relay says that it was not answered either, the
-            // member's silence is none of ours.
+            // As in memberlist: if every relay reports that it got no answer either, the member's
+            // silence is not caused by this proxy.
             adjustHealth(relaysAsked == 0 || nacksReceived < relaysAsked ? +1 : 0);
             suspect(awakeNow, find(probedName), actions);
         }
@@ -418,7 +432,7 @@
         return probeOrder.isEmpty() ? null : find(probeOrder.remove(probeOrder.size() - 1));
     }
 
-    /** So many others that take part, drawn by chance, without one. */
+    /** Returns up to {@code count} present members chosen at random, without {@code excluded}. */
     List<Member> randomMembers(int count, String excluded) {
         List<Member> candidates = new ArrayList<>(others());
         candidates.removeIf(m -> m.name().equals(excluded));
@@ -430,8 +444,8 @@
     }
 
     /**
-     * How long a suspicion lasts with so many independent confirmations beyond the first
-     * (Lifeguard, section 4.2).
+     * Returns the duration of a suspicion with this number of independent confirmations beyond the
+     * first accuser (Lifeguard, section 4.2).
      */
     double suspicionMs(int confirmations) {
         int members = others().size() + 1;
@@ -463,7 +477,7 @@
         }
     }
 
-    /** Steps down once nothing has answered for long, and up at the first answer. */
+    /** Steps down once no probe has been answered for long enough; steps up at the first answer. */
     private void updateIsolation(double awakeNow, Actions actions) {
         boolean nowIsolated =
                 others().size() >= 2
@@ -490,7 +504,7 @@
         }
     }
 
-    /** Suspicions that this proxy alone holds are its own link's fault: they are taken back. */
+    /** Withdraws suspicions without another accuser: their cause is this proxy's own link. */
     private void withdrawOwnSuspicions(Actions actions) {
         for (Peer peer : peers.values()) {
             if (peer.member.status() == Status.SUSPECT
@@ -506,8 +520,8 @@
     }
 
     /**
-     * An answer to a probe has come, from the member itself or by way of another; a late one too
-     * proves that we are heard.
+     * Records an answer to a probe, received from the member itself or through a relay. A late
+     * answer also proves that others receive our packets.
      */
     void ackReceived(double now, int probe, String from, Actions actions) {
         double awakeNow = advanceAwakeTime(now);
@@ -519,8 +533,8 @@
     }
 
     /**
-     * A relay says that the member that it was asked to ping gave it no answer; it proves our own
-     * link.
+     * Records a relay's report that the member that it was asked to ping did not answer. It proves
+     * that our own link works.
      */
     void nackReceived(double now, int probe, Actions actions) {
         double awakeNow = advanceAwakeTime(now);
@@ -535,7 +549,7 @@
         }
     }
 
-    /** A packet of a member has been taken. */
+    /** Records that a packet of a member was accepted. */
     void packetReceived(double now, String name) {
         Peer peer = peers.get(name);
         if (peer != null) {
@@ -544,9 +558,9 @@
     }
 
     /**
-     * News of a member; returns whether it was new here. News of ourselves that is wrong is
-     * refuted: this raises the incarnation past it. A suspicion that is held already counts once
-     * more for each member that holds it too.
+     * Applies an update about a member; returns whether it changed anything. A wrong update about
+     * this proxy itself is refuted by raising the own incarnation above it. For an existing
+     * suspicion, each further member that reports it counts as one confirmation.
      */
     boolean applyUpdate(double now, Member update, Actions actions) {
         return apply(advanceAwakeTime(now), update, actions);
@@ -579,8 +593,8 @@
         if (update.status() == Status.SUSPECT) {
             peer.accusers.add(update.suspectedBy().isEmpty() ? self.name() : update.suspectedBy());
             if (!update.suspectedBy().equals(self.name())) {
-                // Its own probe confirms it, or tells it of the suspicion in time to refute: it
-                // comes next, in place of its turn.
+                // Probing the suspect next, ahead of its turn, either confirms the suspicion or
+                // notifies the suspect in time to refute it.
                 probeOrder.remove(update.name());
                 probeOrder.add(update.name());
             }
@@ -621,7 +635,7 @@
         return true;
     }
 
-    /** Tells that this proxy is leaving. */
+    /** Sets this proxy's own status to LEFT. */
     void leave() {
         replaceSelf(self.withStatus(Status.LEFT));
     }
--- a/src/main/java/cacheproxy/membership/package-info.java
+++ b/src/main/java/cacheproxy/membership/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What proxies tell one another: who is there ({@link cacheproxy.membership.Swim}) and what each
- * saw of the nodes ({@link cacheproxy.membership.Evidence}). No I/O, no clock, no threads and no
- * logging: packets, time and randomness come in as arguments, packets and events go out through
- * {@link cacheproxy.membership.Gossip.Actions}. Start reading at {@link
- * cacheproxy.membership.Gossip}, which joins the two and decides what a packet carries;
- * docs/design/gossip.md has the reasons.
+ * Gossip between proxies: fleet membership ({@link cacheproxy.membership.Swim}) and shared failure
+ * reports about cache nodes ({@link cacheproxy.membership.Evidence}). The package has no I/O, no
+ * clock, no threads and no logging: packets, time and the random seed are arguments; outgoing
+ * packets and events are passed to {@link cacheproxy.membership.Gossip.Actions}. The entry point is
+ * {@link cacheproxy.membership.Gossip}, which combines both and decides what each packet carries.
+ * See docs/design/gossip.md for the design rationale.
  */
 package cacheproxy.membership;
--- a/src/test/java/cacheproxy/gossip/BlockedEventLoopSocketsTest.java
+++ b/src/test/java/cacheproxy/gossip/BlockedEventLoopSocketsTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Members on true sockets and one event loop that is held up. Their clock is the test's: it goes on
- * by a step whenever a member looks at it, which is once for each datagram that it reads and each
- * tick, and the loop is blocked for a part of that step.
+ * Tests members on real sockets that share one slow event loop. The test controls their clock: it
+ * advances by one step whenever a member reads it, which happens once for each received datagram
+ * and each tick, and each reading also blocks the loop for a short real time.
  */
 class BlockedEventLoopSocketsTest {
 
@@ -29,10 +29,10 @@
     private static final List<String> NAMES = List.of("uno", "dos", "tres");
     private static final double FAST_STEP_MS = 0.5;
 
-    /** Of the test's clock. */
+    /** Duration of the run by the test's clock. */
     private static final double RUN_MS = 40_000;
 
-    /** Long enough that a turn of the loop outlasts a tick, so that reads and ticks queue up. */
+    /** Long enough that a turn of the loop exceeds a tick, so that reads and ticks queue up. */
     private static final long REAL_BLOCK_MS = 10;
 
     private static final double MICROSECONDS_PER_MS = 1000;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Each hold-up is too short to be seen as a pause, and several fall between a probe and the
-     * tick that judges it.
+     * Each block is too short to be detected as a pause, and several occur between a probe and the
+     * tick that evaluates it.
      */
     @ParameterizedTest
     @ValueSource(doubles = {60, 100})
@@ -63,7 +63,7 @@
         stepMs = milliseconds;
         blockMs = REAL_BLOCK_MS;
         double end = clockMs() + RUN_MS;
-        await("the clock has gone on", () -> clockMs() >= end);
+        await("the test's clock must reach the end of the run", () -> clockMs() >= end);
         assertTrue(suspicions.isEmpty(), suspicions.toString());
     }
 
@@ -96,7 +96,9 @@
                             name,
                             sockets.isEmpty() ? List.of() : List.of(sockets.get(0).addressText())));
         }
-        await("all know all", () -> sockets.stream().allMatch(this::seesAllAlive));
+        await(
+                "all members must know all others",
+                () -> sockets.stream().allMatch(this::seesAllAlive));
     }
 
     private boolean seesAllAlive(GossipSocket socket) {
--- a/src/test/java/cacheproxy/gossip/GossipSocketFailuresTest.java
+++ b/src/test/java/cacheproxy/gossip/GossipSocketFailuresTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Gossip's socket where its system calls fail for a while: packets are lost, and afterwards the
- * members hear one another.
+ * Tests the gossip socket while its system calls fail temporarily: packets are lost meanwhile, and
+ * afterwards the members receive each other's packets again.
  */
 class GossipSocketFailuresTest {
 
@@ -41,7 +41,7 @@
 
     @Test
     void sendsAndReceivesAgainAfterEachSystemCallError() throws Exception {
-        // Both before either begins, as each reads the ring at its start.
+        // Generates both keys before either member starts, as each reads the ring at its start.
         for (String name : List.of("steady", "faulty")) {
             KeyFiles.generate(name, key(name), ring());
         }
@@ -51,15 +51,17 @@
             for (SystemCall call : List.of(SystemCall.RECVFROM, SystemCall.SENDTO)) {
                 int before = faultyCalls.failureCount(call);
                 faultyCalls.fail(call, errno, FAILING_CALLS);
-                await(call + " fails with " + errno, () -> faultyCalls.failureCount(call) > before);
+                await(
+                        call + " must fail with " + errno,
+                        () -> faultyCalls.failureCount(call) > before);
                 faultyCalls.clearFaults();
                 long received = received(faulty);
                 long answered = received(steady);
                 await(
-                        "it is heard after " + call + " " + errno,
+                        "its packets must arrive again after " + call + " " + errno,
                         () -> received(steady) > answered + MORE_PACKETS);
                 await(
-                        "it hears after " + call + " " + errno,
+                        "it must receive packets again after " + call + " " + errno,
                         () -> received(faulty) > received + MORE_PACKETS);
             }
         }
@@ -97,7 +99,7 @@
                 () -> new NioDatagramChannel(new FaultySelectorProvider(schedule)));
     }
 
-    /** Read on the loop, where they are counted. */
+    /** Reads the counter on the event loop, which updates it. */
     private long received(GossipSocket socket) {
         return group.next().submit(() -> socket.counts().received()).syncUninterruptibly().getNow();
     }
--- a/src/test/java/cacheproxy/gossip/KeysTest.java
+++ b/src/test/java/cacheproxy/gossip/KeysTest.java
@@ -39,7 +39,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Key files, and proxies that know one another by them, on true sockets. */
+/** Tests key files, and proxies on real sockets that authenticate each other by their keys. */
 class KeysTest {
 
     private static final long TIMEOUT_S = 30;
@@ -181,7 +181,7 @@
             assertEquals(
                     2,
                     runKeysCommand("generate", name, name),
-                    "a key that is there is not written over");
+                    "an existing key must not be overwritten");
         }
         for (String name : List.of("uno", "dos", "tres")) {
             new Member(name, name.equals("uno") ? directory.resolve("members").toString() : "");
@@ -189,7 +189,7 @@
         Member uno = members.get(0);
         Member tres = members.get(2);
         await(
-                "all know all",
+                "all members must know all others",
                 () ->
                         members.stream()
                                 .allMatch(
@@ -203,13 +203,13 @@
         assertEquals(
                 4,
                 MembersSocket.ask(directory.resolve("members")).lines().count(),
-                "a head and a line for each");
+                "a header and one line for each member");
         assertEquals(
                 "rw-------",
                 PosixFilePermissions.toString(
                         Files.getPosixFilePermissions(directory.resolve("members"))));
-        // Step by step, with a suspicion sent in between: it must arrive under the old key, both,
-        // and the new one.
+        // Rotates the key step by step. After each step a claim must arrive: while only the old key
+        // is in use, while both are trusted, and with only the new one.
         for (String[] step : new String[][] {{}, {"--use"}, {"--drop"}}) {
             assertEquals(0, runKeysCommand("rotate", "dos", step));
             for (Member member : members) {
@@ -218,27 +218,28 @@
             members.get(1).recordTimeouts();
             tres.recordTimeouts();
             await(
-                    "a suspicion arrives after " + List.of(step),
+                    "a suspicion must arrive after " + List.of(step),
                     () -> uno.suspectedNodes.contains("node-0"));
             for (Member member : members) {
                 member.runOnLoop(() -> member.socket.attemptEnded("node-0", Outcome.OK, 10));
             }
-            await("it is taken back", () -> uno.suspectedNodes.isEmpty());
+            await("the suspicion must be withdrawn", () -> uno.suspectedNodes.isEmpty());
         }
         assertTrue(
                 uno.events.stream()
                         .noneMatch(e -> e.equals("gossip_died") || e.equals("gossip_suspected")),
                 uno.events.toString());
-        // The third one's key is taken out of the ring; it runs on, and is heard no more.
+        // Removes the third member's key from the ring; it keeps running, but the others reject its
+        // packets.
         Files.write(
                 ring(),
                 Files.readAllLines(ring()).stream().filter(l -> !l.startsWith("tres ")).toList());
         for (Member member : members.subList(0, 2)) {
             member.reload();
         }
-        await("it is taken for dead", () -> uno.seesInState("tres", "dead"));
-        assertThrows(KeyException.class, tres.socket::reload, "it is told why");
-        // Rubbish, short and long, changes nothing.
+        await("it must be declared dead", () -> uno.seesInState("tres", "dead"));
+        assertThrows(KeyException.class, tres.socket::reload, "its reload must report the reason");
+        // Invalid datagrams of any length have no effect.
         try (DatagramSocket stranger = new DatagramSocket()) {
             String address = uno.socket.addressText();
             int port = Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
@@ -251,7 +252,7 @@
                                 port));
             }
         }
-        await("rubbish is counted", () -> uno.socket.counts().invalid() > 50);
+        await("invalid packets must be counted", () -> uno.socket.counts().invalid() > 50);
         assertTrue(uno.seesInState("dos", "alive"));
     }
 
@@ -306,7 +307,7 @@
         assertThrows(IOException.class, () -> MembersSocket.ask(directory.resolve("none")));
     }
 
-    /** One of the three steps by which a key is changed. */
+    /** One of the three steps of a key rotation. */
     private interface KeyChange {
         void apply(FaultyFiles files) throws KeyException, IOException;
     }
@@ -337,8 +338,8 @@
                 } catch (Killed e) {
                     files.crash(steps % 2 == 0);
                 }
-                assertEquals("dos", new KeyRing(key("dos"), ring()).name(), "it would start");
-                assertEquals("uno", new KeyRing(key("uno"), ring()).name(), "and the others too");
+                assertEquals("dos", new KeyRing(key("dos"), ring()).name(), "it must still start");
+                assertEquals("uno", new KeyRing(key("uno"), ring()).name(), "so must the others");
                 if (files.isKilled()) {
                     Files.writeString(key("dos"), before.get(0));
                     Files.writeString(ring(), before.get(1));
@@ -348,14 +349,16 @@
             assertEquals("dos", new KeyRing(key("dos"), ring()).name());
         }
         assertEquals(
-                1, KeyFiles.readOwnKeys(key("dos")).size(), "what returned has outlasted a crash");
+                1,
+                KeyFiles.readOwnKeys(key("dos")).size(),
+                "completed changes must survive a crash");
         assertEquals(2, KeyFiles.readRing(ring()).size());
     }
 
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"CREATE", "WRITE", "FORCE", "RENAME"})
+            names = {"CREATE", "WRITE", "SYNC", "RENAME"})
     void failedWriteChangesNeitherFile(Step step) throws Exception {
         assertEquals(0, runKeysCommand("generate", "dos", "dos"));
         for (KeyChange change : keyChanges()) {
@@ -388,6 +391,6 @@
         assertEquals(before, Files.readString(ring()));
         assertFalse(Files.exists(key("dos")));
         Files.delete(directory.resolve("dos.key.new").resolve("in the way"));
-        assertEquals(0, runKeysCommand("generate", "dos", "dos"), "the name is not taken");
+        assertEquals(0, runKeysCommand("generate", "dos", "dos"), "the name must be free again");
     }
 }
--- a/src/test/java/cacheproxy/membership/BlockedEventLoopTest.java
+++ b/src/test/java/cacheproxy/membership/BlockedEventLoopTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Members whose event loop is held up, by one long task or by many slow calls, accuse nobody for
- * it; a death is found all the same.
+ * Members whose event loop is blocked, by one long task or by many slow calls, must not suspect
+ * other members because of it, and must still detect a death.
  */
 class BlockedEventLoopTest {
 
@@ -22,7 +22,7 @@
     private static final double RUN_MS = 60_000;
     private static final double SLOW_CALL_SHARE = 0.2;
 
-    /** Each member probes each other once. */
+    /** Time in which each member probes each other member once. */
     private static final double PROBE_ROUND_MS = MEMBERS * Swim.PERIOD_MS;
 
     private static final double BLOCK_INTERVAL_MS = 130;
@@ -100,7 +100,7 @@
         assertNoSuspicions(loop, "blocks of " + blockMs);
     }
 
-    /** Time counts more slowly for members that are held up, but it counts. */
+    /** The awake time of members with a blocked event loop advances more slowly, but advances. */
     @ParameterizedTest
     @CsvSource({"0, 3000", "20, 3000", "60, 5000"})
     void deathIsDetectedWhileCallsAreSlow(double callMs, double boundMs) {
@@ -111,7 +111,9 @@
             loop.kill("p2");
             loop.runFor(boundMs);
             assertEquals(
-                    MEMBERS - 1, loop.count(EventType.DIED), "both others know it, seed " + seed);
+                    MEMBERS - 1,
+                    loop.count(EventType.DIED),
+                    "both other members detect the death, seed " + seed);
         }
     }
 }
--- a/src/test/java/cacheproxy/membership/GossipTest.java
+++ b/src/test/java/cacheproxy/membership/GossipTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What gossip is built for: deaths, partitions, bad links, wrong clocks, liars, and packets from
- * strangers.
+ * Tests gossip under member deaths, partitions, lossy links, wrong clocks, false accusations, and
+ * forged or replayed packets.
  */
 class GossipTest {
 
@@ -34,7 +34,7 @@
         TestCluster cluster = TestCluster.of(12, 1);
         assertAllAlive(cluster);
         TestCluster.Proxy victim = cluster.proxy(5);
-        // It is killed in the middle of spreading a suspicion.
+        // Kills it while its claim is being disseminated.
         victim.recordOutcomes("node-3", Outcome.TIMEOUT, 3);
         cluster.runFor(60);
         cluster.kill(victim);
@@ -43,7 +43,7 @@
             assertEquals(Status.DEAD, proxy.statusOf("p5"), proxy.name);
             assertTrue(
                     proxy.suspectedNodes.isEmpty(),
-                    "a killed peer's suspicion outlives it at " + proxy.name);
+                    "a killed peer's claim is still in force at " + proxy.name);
         }
         TestCluster.Proxy restarted = cluster.join("p5", victim.address, 0, 1);
         double restartedAt = cluster.now;
@@ -51,7 +51,7 @@
         assertEquals(
                 12,
                 restarted.gossip.table().stream().filter(Member::isPresent).count(),
-                "members it knows 2 s after its start");
+                "members known 2 s after its start");
         cluster.runFor(8000);
         assertAllAlive(cluster);
         assertTrue(restarted.gossip.table().get(0).incarnation() > 0);
@@ -71,7 +71,7 @@
         cluster.runFor(30_000);
         assertEquals(Status.DEAD, cluster.proxy(0).statusOf("p9"));
         assertEquals(Status.DEAD, cluster.proxy(9).statusOf("p0"));
-        // Evidence goes on within each part.
+        // Evidence is still shared within each part.
         for (int i = 0; i < 3; i++) {
             cluster.proxy(i).recordOutcomes("node-1", Outcome.TIMEOUT, 2);
         }
@@ -91,7 +91,7 @@
         cluster.runFor(60_000);
         long replayed =
                 cluster.proxies.stream().mapToLong(proxy -> proxy.gossip.counts().replayed()).sum();
-        assertTrue(replayed > 0, "doubled packets are refused");
+        assertTrue(replayed > 0, "duplicated packets are rejected");
         for (int i = 0; i < 4; i++) {
             cluster.proxy(i).recordOutcomes("node-2", Outcome.TIMEOUT, 2);
         }
@@ -120,7 +120,7 @@
         assertTrue(
                 cluster.proxies.stream()
                         .allMatch(proxy -> proxy.suspectedNodes.contains("node-4")));
-        // Nobody renews it: by the slowest clock too it has faded then.
+        // No observer renews its claim, so it expires even by the slowest clock.
         cluster.runFor((Evidence.CLAIM_LIFETIME_MS + 6000) / 0.7);
         assertTrue(cluster.proxies.stream().allMatch(proxy -> proxy.suspectedNodes.isEmpty()));
     }
@@ -148,8 +148,8 @@
                             ? cluster.proxy(random.nextInt(2)).address
                             : "10.9.9.9:" + (1 + random.nextInt(60_000));
             switch (i % 5) {
-                // A replay as it was, one with a bit turned, one cut short, one too long, and
-                // noise.
+                // An unchanged replay, one with a flipped bit, a truncated one, an oversized one,
+                // and random bytes.
                 case 1 -> packet[random.nextInt(packet.length)] ^= (byte) (1 << random.nextInt(8));
                 case 2 -> packet = Arrays.copyOf(packet, random.nextInt(packet.length));
                 case 3 ->
@@ -170,11 +170,11 @@
         }
         Gossip.Counts counts = target.gossip.counts();
         assertTrue(counts.received() - receivedBefore >= 30_000);
-        assertTrue(counts.invalid() >= 20_000, "refused: " + counts);
+        assertTrue(counts.invalid() >= 20_000, "rejected: " + counts);
         assertTrue(cluster.maxBytesInASecond(floodStartedAt) <= TestCluster.BYTES_PER_S);
         assertTrue(
                 cluster.maxBytesInASecond(floodStartedAt) < bytesBefore + 4096,
-                "a flood must raise no traffic");
+                "a flood must not cause extra traffic");
         assertTrue(target.suspectedNodes.isEmpty());
         cluster.runFor(20_000);
         assertEquals(
@@ -209,7 +209,7 @@
         }
         assertTrue(
                 cluster.proxies.stream().allMatch(proxy -> proxy.suspectedNodes.isEmpty()),
-                "a replay made a doubt");
+                "a replay caused a suspicion");
         assertEquals(
                 eventsBefore,
                 cluster.events.size(),
@@ -231,10 +231,11 @@
         cluster.runFor(400);
         assertTrue(
                 cluster.proxy(5).suspectedNodes.contains("node-5"),
-                "it knows within 0.4 s of its start");
+                "suspected within 0.4 s of its start");
         assertTrue(late.suspectedNodes.isEmpty());
         late.gossip.updateNodes(late.clock(), endpoints, late);
-        assertTrue(late.suspectedNodes.contains("node-5"), "as soon as it has a list");
+        assertTrue(
+                late.suspectedNodes.contains("node-5"), "suspected once it has an endpoint list");
         late.gossip.updateNodes(
                 late.clock(),
                 endpoints.stream()
@@ -278,18 +279,18 @@
         assertEquals(
                 Status.DEAD,
                 other.statusOf("p1"),
-                "a proxy whose key is trusted no longer is none of us");
+                "a proxy whose key is no longer trusted must be declared dead");
         removed.recordOutcomes("node-1", Outcome.TIMEOUT, 9);
         cluster.runFor(1000);
         assertTrue(other.suspectedNodes.isEmpty());
         assertNull(
                 new TestCluster(1).join("alone", 0, 1).statusOf("p0"),
-                "without peers it starts all the same");
+                "a proxy without peers must start and know no other member");
     }
 
     /**
-     * Two liars among five accuse everything from the first moment; the others keep trying the
-     * nodes, which answer.
+     * Two of five proxies falsely accuse all nodes from the start, one of them in turns; the other
+     * three keep sending attempts to the nodes, which answer.
      */
     @Test
     void falseAccusersLoseTheirWeight() {
@@ -312,7 +313,7 @@
                         proxy.recordOutcomes("node-" + nodeIndex, Outcome.OK, 2);
                     }
                     suspectedCount += proxy.suspectedNodes.size();
-                    // The module probes what is doubted, and the nodes answer.
+                    // The decision module probes the suspected nodes, which answer.
                     for (String node : List.copyOf(proxy.suspectedNodes)) {
                         proxy.gossip.probeEnded(proxy.clock(), node, Outcome.OK, proxy);
                     }
@@ -323,19 +324,19 @@
             TestCluster.Proxy proxy = cluster.proxy(honest);
             assertTrue(
                     proxy.gossip.weight(proxy.clock(), "p3") < 0.5,
-                    "the liar's weight at " + proxy.name);
+                    "weight of the constant false accuser at " + proxy.name);
             assertTrue(
                     proxy.gossip.weight(proxy.clock(), "p4") < 0.5,
-                    "the flipping liar's weight at " + proxy.name);
+                    "weight of the alternating false accuser at " + proxy.name);
             assertTrue(
                     proxy.gossip.weight(proxy.clock(), "p" + (honest + 1) % 3) > 0.9,
-                    "an honest peer's weight at " + proxy.name);
+                    "weight of a correct peer at " + proxy.name);
         }
         assertTrue(
                 suspectedCount <= 3 * 6 * 2,
-                "quarter seconds in which a healthy node was doubted: " + suspectedCount);
+                "quarter seconds in which a healthy node was suspected: " + suspectedCount);
         assertTrue(cluster.hasEvent("p0", EventType.DISTRUSTED, "p3"));
-        // Weight comes back, slowly.
+        // The weight recovers slowly.
         double low = cluster.proxy(0).gossip.weight(cluster.proxy(0).clock(), "p3");
         cluster.runFor(30_000);
         double later = cluster.proxy(0).gossip.weight(cluster.proxy(0).clock(), "p3");
--- a/src/test/java/cacheproxy/membership/LifeguardTest.java
+++ b/src/test/java/cacheproxy/membership/LifeguardTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Failure detection that bears pauses, and cuts of one direction or of one proxy from all
- * (Lifeguard and beyond), in virtual time.
+ * Tests in virtual time that failure detection tolerates pauses of a process, one-way cuts, and the
+ * isolation of one proxy from all others (Lifeguard and the extensions to it).
  */
 class LifeguardTest {
 
@@ -47,11 +47,11 @@
             cluster.runFor(pauseMs);
             assertTrue(
                     countEvents(cluster, EventType.DIED, "p2", from) <= cluster.proxies.size() - 1,
-                    "each declares it down once at most");
+                    "each other member declares it dead at most once");
             cluster.runFor(1000);
             assertTrue(
                     allSeeAlive(cluster, "p2"),
-                    "refuted within 1 s of waking, after " + pauseMs + " ms");
+                    "refuted within 1 s of the end of a pause of " + pauseMs + " ms");
             cluster.runFor(8000);
             assertTrue(allSeeAlive(cluster, "p2"));
         }
@@ -67,7 +67,7 @@
             cluster.runFor(3000);
             assertTrue(
                     countEvents(cluster, EventType.DIED, "p3", killed) > 0,
-                    "known dead within 3 s, seed " + seed);
+                    "declared dead within 3 s, seed " + seed);
         }
     }
 
@@ -77,7 +77,8 @@
         double from = cluster.now;
         String firstAddress = cluster.proxy(1).address;
         String secondAddress = cluster.proxy(2).address;
-        // p2 hears nothing of p1, p1 all of p2, for 30 s; both hear the others.
+        // For 30 s, p2 receives nothing from p1, whereas p1 receives all packets from p2; both
+        // exchange packets with all others.
         cluster.linkCut = (f, t) -> f.equals(firstAddress) && t.equals(secondAddress);
         cluster.runFor(30_000);
         assertEquals(
@@ -91,14 +92,14 @@
                     deaf
                             ? (f, t) -> t.equals(isolatedAddress)
                             : (f, t) -> f.equals(isolatedAddress);
-            // Within the time without answers and one period at the worst health.
+            // Bound: the isolation time plus one period at the worst health plus one tick.
             cluster.runFor(
                     Swim.ISOLATION_MS
                             + Swim.PERIOD_MS * (1 + Gossip.Settings.MAX_HEALTH)
                             + Gossip.TICK_MS);
             assertTrue(
                     cluster.proxy(4).gossip.isSteppedDown(),
-                    deaf ? "hears nobody" : "heard by nobody");
+                    deaf ? "receives no packets" : "its packets reach no member");
             cluster.runFor(20_000);
             assertFalse(
                     cluster.events.stream()
@@ -107,7 +108,7 @@
                                             t.at() >= cutAt
                                                     && t.by().equals("p4")
                                                     && t.type() == EventType.DIED),
-                    "one that is cut off declares nobody dead");
+                    "an isolated proxy must not declare any member dead");
             cluster.linkCut = (f, t) -> false;
             cluster.runFor(10_000);
             assertFalse(cluster.proxy(4).gossip.isSteppedDown());
@@ -118,8 +119,8 @@
     }
 
     /**
-     * One that was cut off comes back with a bad health score, probes seconds apart, and knows all
-     * the same that it is heard.
+     * A proxy that was isolated has a bad health score after it reconnects, so its probes are
+     * seconds apart. It must nevertheless recognize that its packets arrive and not step down.
      */
     @Test
     void reconnectedMemberDoesNotStepDownAgainWhileItProbesSlowly() {
@@ -135,7 +136,7 @@
                                         t.by().equals("p1")
                                                 && t.type() == EventType.SUSPECTED
                                                 && t.at() > 1000),
-                "silence of every relay is its own link's, and accuses nobody");
+                "if no relay answers, its own link is at fault and it must not suspect others");
         cluster.linkCut = (f, t) -> false;
         cluster.runFor(2000);
         double healed = cluster.now;
--- a/src/test/java/cacheproxy/membership/SharedEventLoop.java
+++ b/src/test/java/cacheproxy/membership/SharedEventLoop.java
@@ -12,10 +12,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Members on one event loop, in virtual time. As in Netty, a turn first reads the sockets that were
- * readable when it began, then runs the ticks that are due. Each call of a member takes as long as
- * {@link #callMs} says; until a member's turn has come, what was sent to it lies unread in its
- * socket.
+ * Members on one event loop, in virtual time. As in Netty, each turn first reads the sockets that
+ * were readable when it began, then runs the ticks that are due. Each call of a member takes {@link
+ * #callMs} milliseconds. Packets sent to a member stay unread in its socket until its turn.
  */
 final class SharedEventLoop {
 
@@ -24,7 +23,7 @@
     private static final int DATAGRAMS_PER_READ = 16;
     private static final int FIRST_PORT = 7000;
 
-    /** What one member said of another, and when. */
+    /** An event that one member reported about another, with its time. */
     record Report(String by, EventType type, String subject, double at) {}
 
     private record Datagram(String from, byte[] packet) {}
@@ -53,7 +52,8 @@
         }
 
         /**
-         * As the socket does: the next tick is set first, and the clock is read before the call.
+         * Runs a tick as the real socket does: it schedules the next tick first and reads the clock
+         * before the call.
          */
         void tick() {
             nextTick = now + Gossip.TICK_MS;
@@ -97,7 +97,7 @@
         return "10.0.0.1:" + (FIRST_PORT + index);
     }
 
-    /** So many members start, a few turns of the loop apart. */
+    /** Starts {@code count} members with {@code turnsApart} turns of the loop after each. */
     void start(int count, int turnsApart) {
         for (int index = 0; index < count; index++) {
             members.add(new MemberOnLoop(index, random.nextLong()));
@@ -107,12 +107,12 @@
         }
     }
 
-    /** How long each call of a member takes from now on. */
+    /** Sets the duration of each further call of a member. */
     void setCallDuration(DoubleSupplier milliseconds) {
         callMs = milliseconds;
     }
 
-    /** Another task holds the loop up for so long. */
+    /** Blocks the loop by another task of this duration. */
     void block(double milliseconds) {
         now += milliseconds;
     }
--- a/src/test/java/cacheproxy/membership/SwimBlockedLoopTest.java
+++ b/src/test/java/cacheproxy/membership/SwimBlockedLoopTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The timers of one member whose event loop is held up: what came meanwhile is read before anybody
- * is judged by them.
+ * Tests the timers of a member whose event loop was blocked: packets that arrived meanwhile must be
+ * read before a timer fails a probe or ends a suspicion.
  */
 class SwimBlockedLoopTest {
 
     private static final int MAX_HEALTH = 8;
     private static final String PEER = "peer";
 
-    /** What the member sent last, and to how many it wanted more sent. */
+    /** Records the number of the last probe and counts the requested indirect probes. */
     private static final class LastProbe implements Swim.Actions {
         int number;
         int pingRequests;
@@ -85,13 +85,13 @@
     void lateTickAfterReadsFailsNoProbe() {
         startWithPeer();
         tickUntilProbe();
-        // Other datagrams are read in between, so that no single gap between two calls is a pause.
+        // Reads other datagrams in between, so that no gap between two calls counts as a pause.
         for (int read = 0; read < 2; read++) {
             now += Swim.STALL_MS - 10;
             swim.packetReceived(now, PEER);
         }
         tickAfter(0);
-        assertEquals(Status.ALIVE, peerStatus(), "its answer may lie unread in the socket");
+        assertEquals(Status.ALIVE, peerStatus(), "its answer may still be unread in the socket");
         swim.ackReceived(now, lastProbe.number, PEER, lastProbe);
         tickAfter(Gossip.TICK_MS);
         assertEquals(Status.ALIVE, peerStatus());
@@ -108,7 +108,8 @@
         }
         assertEquals(Status.SUSPECT, peerStatus());
         tickAfter(blockMs);
-        assertEquals(Status.SUSPECT, peerStatus(), "its refutation may lie unread in the socket");
+        assertEquals(
+                Status.SUSPECT, peerStatus(), "its refutation may still be unread in the socket");
         swim.applyUpdate(now, member(PEER, 1, Status.ALIVE), lastProbe);
         tickAfter(Gossip.TICK_MS);
         assertEquals(Status.ALIVE, peerStatus());
--- a/src/test/java/cacheproxy/membership/TestCluster.java
+++ b/src/test/java/cacheproxy/membership/TestCluster.java
@@ -15,8 +15,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * Proxies that gossip over a network that the test holds in its hand: it may lose, double, delay,
- * record and forge packets.
+ * A cluster of gossiping proxies in virtual time, on a network controlled by the test: it can lose,
+ * duplicate, delay, record and forge packets.
  */
 final class TestCluster {
 
@@ -45,8 +45,8 @@
         boolean dead;
 
         /**
-         * Until when its process stands still, as under SIGSTOP: no timer runs, and packets wait in
-         * its socket.
+         * End of the current pause of the process, as after SIGSTOP: until then no timer runs, and
+         * packets stay unread in its socket.
          */
         double pausedUntil;
 
@@ -138,7 +138,10 @@
         }
     }
 
-    /** So many proxies, {@code p0} the seed of all, that have found one another. */
+    /**
+     * Creates a cluster of {@code count} proxies, with {@code p0} as the seed of all, and runs it
+     * until all know each other.
+     */
     static TestCluster of(int count, long seed) {
         TestCluster cluster = new TestCluster(seed);
         for (int i = 0; i < count; i++) {
@@ -159,7 +162,7 @@
         return proxy;
     }
 
-    /** It stands still for so long, as under SIGSTOP. */
+    /** Pauses the process of a proxy for this duration, as SIGSTOP does. */
     void pause(Proxy proxy, double ms) {
         proxy.pausedUntil = now + ms;
     }
@@ -215,7 +218,7 @@
                                         && event.subject().equals(subject));
     }
 
-    /** The most that any proxy put on the wire in any second since then. */
+    /** Returns the maximum number of bytes that any proxy sent in one second since this time. */
     double maxBytesInASecond(double since) {
         double max = 0;
         for (Proxy proxy : proxies) {
