--- a/src/main/java/cacheproxy/benchlink/LineFields.java
+++ b/src/main/java/cacheproxy/benchlink/LineFields.java
@@ -13,7 +13,7 @@
         this.line = line;
     }
 
-    /** The next value as text. */
+    /** Returns the next value as a string. */
     String text() {
         if (position >= line.length()) {
             throw new WireFormatException("line too short: " + line);
@@ -23,18 +23,18 @@
         String value = line.substring(position, end);
         position = end + 1;
         if (value.isEmpty()) {
-            throw new WireFormatException("empty value: " + line);
+            throw new WireFormatException("empty value in line: " + line);
         }
         return value;
     }
 
-    /** The next value as text; null where it is absent. */
+    /** Returns the next value as a string; null if it is "-", which stands for an absent value. */
     String optional() {
         String value = text();
         return value.equals("-") ? null : value;
     }
 
-    /** All that is left of the line. */
+    /** Returns the rest of the line. */
     String rest() {
         if (position >= line.length()) {
             throw new WireFormatException("line too short: " + line);
@@ -65,12 +65,12 @@
     boolean flag() {
         String value = text();
         if (!value.equals("0") && !value.equals("1")) {
-            throw new WireFormatException("neither 0 nor 1: " + line);
+            throw new WireFormatException("flag is not 0 or 1 in line: " + line);
         }
         return value.equals("1");
     }
 
-    /** The next value as name:value pairs; ones that make no number are skipped. */
+    /** Returns the next value as name:value pairs, without those whose value is no number. */
     Map<String, Double> pairs() {
         String value = optional();
         Map<String, Double> pairs = new LinkedHashMap<>();
@@ -90,7 +90,7 @@
         return pairs;
     }
 
-    /** Ends the line: values beyond the known ones are malformed. */
+    /** Checks that the line has no further values. */
     void end() {
         if (position < line.length()) {
             throw new WireFormatException("line too long: " + line);
@@ -101,7 +101,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw new WireFormatException("not a whole number: " + line);
+            throw new WireFormatException("'" + value + "' is not an integer in line: " + line);
         }
     }
 
@@ -109,7 +109,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireFormatException("not a number: " + line);
+            throw new WireFormatException("'" + value + "' is not a number in line: " + line);
         }
     }
 }
--- a/src/main/java/cacheproxy/benchlink/Main.java
+++ b/src/main/java/cacheproxy/benchlink/Main.java
@@ -9,14 +9,14 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** Joins the module to the bench over standard input and output. */
+/** Connects the decision module to the simulator through standard input and output. */
 public final class Main {
 
     private static final int BUFFER_CHARS = 1 << 16;
 
     private Main() {}
 
-    /** Serves the wire until standard input ends; a malformed line ends it with exit code 2. */
+    /** Runs until standard input ends; exits with code 2 on a malformed line. */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("benchlink")) {
             System.err.println("usage: java -jar cache-proxy.jar benchlink");
--- a/src/main/java/cacheproxy/benchlink/ReplyWriter.java
+++ b/src/main/java/cacheproxy/benchlink/ReplyWriter.java
@@ -3,7 +3,7 @@
 import cacheproxy.Router.Actions;
 import java.util.Base64;
 
-/** Writes one instance's actions as lines of the reply. */
+/** Writes the actions of one instance as lines of the reply. */
 final class ReplyWriter implements Actions {
 
     private final StringBuilder lines;
@@ -65,7 +65,7 @@
         begin("HANG_UP").append(' ').append(node).append('\n');
     }
 
-    /** Reports that the decisions broke. */
+    /** Reports an exception that the decision module threw. */
     void internalError(Throwable cause) {
         String text = String.valueOf(cause).replace('\n', ' ').replace('\r', ' ');
         begin("INTERNAL_ERROR").append(' ').append(text).append('\n');
@@ -75,7 +75,7 @@
         return lines.append(word).append(' ').append(instance);
     }
 
-    /** Milliseconds with three decimals at most, never in scientific notation. */
+    /** Writes milliseconds with at most three decimals, never in scientific notation. */
     private StringBuilder millis(double value) {
         long micros = Math.round(value * 1000);
         if (micros < 0) {
--- a/src/main/java/cacheproxy/benchlink/SettingsReader.java
+++ b/src/main/java/cacheproxy/benchlink/SettingsReader.java
@@ -18,8 +18,8 @@
 import java.util.List;
 
 /**
- * Turns the settings of the wire into the module's; unknown keys are skipped, absent ones get a
- * default.
+ * Converts the platform's JSON settings into those of the decision module. Unknown keys are
+ * ignored, absent ones get a default.
  */
 public final class SettingsReader {
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Reads settings that stand inside a larger document, such as a proxy's configuration. */
+    /** Reads settings that are part of a larger document, such as a proxy's configuration. */
     public static Settings read(JsonElement json) {
         try {
             return settings(json.getAsJsonObject());
@@ -126,7 +126,10 @@
                 number(json, "ask_within_ms", 10000));
     }
 
-    /** The model that marks the origin; null unless proxies fetch from it themselves. */
+    /**
+     * Returns the model of the nodes that are the origin; null unless the proxies themselves fetch
+     * from the origin.
+     */
     private static String originModel(JsonObject json) {
         JsonObject domain = object(json, "domain");
         int kind = (int) number(domain, "origin_kind", -1);
--- a/src/main/java/cacheproxy/benchlink/SimulatorSession.java
+++ b/src/main/java/cacheproxy/benchlink/SimulatorSession.java
@@ -17,7 +17,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts the instances: reads batches of events, hands them to the routers, writes the replies. */
+/**
+ * Runs the decision module's instances for the simulator: reads batches of events, passes them to
+ * the routers and writes the replies.
+ */
 final class SimulatorSession {
 
     private static final int FLAG_WORK_KNOWN = 1;
@@ -36,18 +39,19 @@
         this.out = out;
     }
 
-    /** Serves batches until the input ends. */
+    /** Processes batches until the input ends. */
     void run() throws IOException {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             LineFields head = new LineFields(line);
             if (!head.text().equals("ROUND")) {
-                throw new WireFormatException("no ROUND: " + line);
+                throw new WireFormatException("expected ROUND, found: " + line);
             }
             double clock = head.number();
             String index = head.text();
             head.end();
             if (!(clock >= now)) {
-                throw new WireFormatException("clock runs back: " + line);
+                throw new WireFormatException(
+                        "clock is earlier than that of the last ROUND: " + line);
             }
             now = clock;
             processBatch();
@@ -111,9 +115,7 @@
         }
     }
 
-    /**
-     * Parses an event in full before the router hears of it, so that a bad line is never half told.
-     */
+    /** Parses a complete event, so that the router never receives part of a malformed line. */
     private RouterEvent parseEvent(String messageType, int instance, LineFields fields)
             throws IOException {
         ReplyWriter actions = new ReplyWriter(reply, instance);
@@ -127,7 +129,8 @@
                     case "WAKE" -> wake(fields, actions);
                     case "PING_RESULT" -> pingResult(fields, actions);
                     case "INBOX" -> inbox(fields, actions);
-                    default -> throw new WireFormatException("unknown message: " + messageType);
+                    default ->
+                            throw new WireFormatException("unknown message type: " + messageType);
                 };
         fields.end();
         return event;
@@ -247,13 +250,14 @@
             byte[] bytes = contents == null ? new byte[0] : Base64.getDecoder().decode(contents);
             return r -> r.peerMessageReceived(now, from, bytes, actions);
         } catch (IllegalArgumentException e) {
-            throw new WireFormatException("INBOX: not base64");
+            throw new WireFormatException("INBOX: contents are not base64");
         }
     }
 
     private static Outcome outcome(int code) {
         if (code < 0 || code >= OUTCOMES.length) {
-            throw new WireFormatException("unknown outcome " + code);
+            throw new WireFormatException(
+                    "outcome " + code + " out of range 0 to " + (OUTCOMES.length - 1));
         }
         return OUTCOMES[code];
     }
@@ -261,12 +265,12 @@
     private String nextLine() throws IOException {
         String line = in.readLine();
         if (line == null) {
-            throw new WireFormatException("input ends inside a batch");
+            throw new WireFormatException("input ended inside a batch");
         }
         return line;
     }
 
-    /** One event, ready to be told to its router. */
+    /** A parsed event that can be delivered to its router. */
     private interface RouterEvent {
         void deliver(Router router);
     }
--- a/src/main/java/cacheproxy/benchlink/WireFormatException.java
+++ b/src/main/java/cacheproxy/benchlink/WireFormatException.java
@@ -1,6 +1,6 @@
 package cacheproxy.benchlink;
 
-/** A line that does not follow the wire's rules. */
+/** Thrown for a line or settings that violate the simulator's protocol. */
 public final class WireFormatException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cacheproxy/benchlink/package-info.java
+++ b/src/main/java/cacheproxy/benchlink/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The simulator's wire over the same decisions, and the reader of the platform's settings. It
- * touches standard input and output alone. Start reading at {@link cacheproxy.benchlink.Link}.
+ * The simulator's protocol for the decision module, and the reader of the platform's settings. Does
+ * I/O on standard input and output only. Start reading at {@link
+ * cacheproxy.benchlink.SimulatorSession}.
  */
 package cacheproxy.benchlink;
--- a/src/main/java/cacheproxy/cli/CapacityCommand.java
+++ b/src/main/java/cacheproxy/cli/CapacityCommand.java
@@ -18,15 +18,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The tables of {@code docs/CAPACITY.md}, for the committed target or another size. */
+/** Prints the tables of {@code docs/CAPACITY.md}, for the committed target or another size. */
 @Command(
         name = "capacity",
         description =
-                "What each role costs at the size to plan for, worked out from measured slopes, and what is missing first.",
+                "Prints what each role costs at the planned size, extrapolated from measured slopes, and what is missing: loads that nothing handles, then those furthest over budget.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:printed", "2:a bad file"})
+        exitCodeList = {"0:printed", "2:an invalid file"})
 final class CapacityCommand implements Callable<Integer> {
 
     private static final Path SLOPES_DIRECTORY = Path.of("experiments", "capacity");
@@ -41,14 +41,14 @@
     @Option(
             names = "--set",
             paramLabel = "KEY=VALUE",
-            description = "another value for a key of the target, as --set fleet.proxies=400")
+            description = "overrides a key of the target, as --set fleet.proxies=400")
     private Map<String, String> overrides = new LinkedHashMap<>();
 
     @Option(
             names = "--slopes",
             paramLabel = "FILE",
             description =
-                    "measured slopes; may be given again (default: every slopes*.toml in experiments/capacity)")
+                    "measured slopes; may be repeated (default: every slopes*.toml in experiments/capacity)")
     private List<Path> slopeFiles = new ArrayList<>();
 
     @Option(
@@ -56,7 +56,7 @@
             paramLabel = "FILE",
             defaultValue = "experiments/capacity/rows.toml",
             description =
-                    "what each role has to bear, and what carries it (default: ${DEFAULT-VALUE})")
+                    "the load of each role, and the code that handles it (default: ${DEFAULT-VALUE})")
     private Path rowsFile;
 
     @Override
--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The commands and their exit codes. */
+/** The top-level command with its subcommands and their exit codes. */
 @Command(
         name = "flintmill",
-        description = "A caching fleet's proxy, its configuration and its laboratory.",
+        description = "A caching proxy, its configuration and its testbed.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         subcommands = {
@@ -24,10 +24,10 @@
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:done, and every bound holds",
-            "1:a bound is missed, a rule is broken, or a start failed",
-            "2:a bad configuration or experiment file",
-            "64:a wrong command line"
+            "0:done, and every bound is met",
+            "1:a bound is missed, a rule is violated, or a start failed",
+            "2:an invalid configuration or experiment file",
+            "64:an invalid command line"
         })
 public final class Cli {
 
@@ -66,12 +66,12 @@
         line.getSubcommands().values().forEach(Cli::setUsageExitCodes);
     }
 
-    /** Shown in the help; the program takes these words itself, before any of this is loaded. */
+    /** Only documents the subcommand: {@code Main} handles it before this class is loaded. */
     @Command(
             name = "serve",
             description =
-                    "Runs one proxy in the foreground, as BALANCER_CONFIG says. SIGHUP reads the configuration again, "
-                            + "SIGTERM drains and ends.",
+                    "Runs one proxy in the foreground, configured by BALANCER_CONFIG. SIGHUP reloads the configuration, "
+                            + "SIGTERM drains the proxy and stops it.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     static final class Serve {
@@ -79,14 +79,14 @@
                 names = "--options",
                 paramLabel = "FILE",
                 description =
-                        "the operator's options, as deploy/flintmill.toml; read again on SIGHUP")
+                        "the operator's options, as deploy/flintmill.toml; reloaded on SIGHUP")
         String options;
     }
 
     @Command(
             name = "benchlink",
             description =
-                    "The same decisions on the simulator's wire, on standard input and output.",
+                    "Runs the decision module on the simulator's protocol, on standard input and output.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     static final class Benchlink {}
@@ -94,7 +94,7 @@
     @Command(
             name = "rehearse",
             description =
-                    "A start that ends at once: the build archives the classes that it loads.",
+                    "Starts and exits at once, so that the build can archive the classes that a start loads.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     static final class Rehearse {}
--- a/src/main/java/cacheproxy/cli/ConfigCommands.java
+++ b/src/main/java/cacheproxy/cli/ConfigCommands.java
@@ -7,6 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** The {@code config} subcommands. */
 @Command(
         name = "config",
         description = "Checks and shows the operator's options.",
@@ -17,18 +18,19 @@
 
     @Command(
             name = "check",
-            description = "Exit 0 if the file would be taken; else one message and exit 2.",
+            description =
+                    "Exits with 0 if the file is valid; otherwise prints one message and exits with 2.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int check(@Parameters(paramLabel = "FILE") Path file) throws BadFileException {
         OptionsFile.read(file);
-        System.out.println(file + ": good");
+        System.out.println(file + ": valid");
         return Cli.OK;
     }
 
     @Command(
             name = "show",
-            description = "Prints the effective value of every key and where it came from.",
+            description = "Prints the effective value of every key and its origin.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int show(@Parameters(paramLabel = "FILE") Path file) throws BadFileException {
--- a/src/main/java/cacheproxy/cli/HollowCommand.java
+++ b/src/main/java/cacheproxy/cli/HollowCommand.java
@@ -12,18 +12,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab hollow}. */
+/** The {@code lab hollow} command, which runs a scale test. */
 @Command(
         name = "hollow",
         description =
-                "Plays a scale test: many real control planes without clients, several a process, at several sizes.",
+                "Runs a scale test: many real control planes without clients, several per process, at several sizes.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all bounds hold in every run",
-            "1:some fall short; each is named with figure and bound",
-            "2:a bad file"
+            "0:all bounds are met in every run",
+            "1:some bounds are missed; each is listed with figure and bound",
+            "2:an invalid file"
         })
 final class HollowCommand implements Callable<Integer> {
 
@@ -35,32 +35,33 @@
     @Option(
             names = "--set",
             paramLabel = "KEY=VALUE",
-            description = "another value for a key, as --set fleet.proxies=[60]")
+            description = "overrides a key, as --set fleet.proxies=[60]")
     private Map<String, String> overrides = new LinkedHashMap<>();
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "where results and logs go (default: target/lab/NAME)")
+            description = "directory for results and logs (default: target/lab/NAME)")
     private Path outputDirectory;
 
     @Option(
             names = "--slopes",
             paramLabel = "FILE",
             defaultValue = "experiments/capacity/slopes.toml",
-            description = "where slopes go (default: ${DEFAULT-VALUE})")
+            description = "file for the slopes (default: ${DEFAULT-VALUE})")
     private Path slopeFile;
 
     @Option(
             names = "--kept",
-            description = "plays nothing: bounds and slopes of the results that earlier runs left")
+            description =
+                    "runs nothing: computes bounds and slopes from the results of earlier runs")
     private boolean reuseResults;
 
     @Option(
             names = "--beside",
             paramLabel = "TEXT",
             defaultValue = "not said",
-            description = "what else runs on the machine, kept with the slopes")
+            description = "what else runs on the machine; stored with the slopes")
     private String machineLoad;
 
     @Override
--- a/src/main/java/cacheproxy/cli/KeysCommands.java
+++ b/src/main/java/cacheproxy/cli/KeysCommands.java
@@ -20,15 +20,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** The {@code keys} subcommands. */
 @Command(
         name = "keys",
-        description = "Makes, changes and checks the keys by which proxies know one another.",
+        description =
+                "Generates, rotates and checks the keys with which proxies authenticate to each other.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         synopsisSubcommandLabel = "generate|rotate|check|cost")
 final class KeysCommands {
 
-    /** The two files that every command is about. */
+    /** The options for the key file and the key ring, which most subcommands have. */
     static final class KeyFileOptions {
         @Option(
                 names = "--key",
@@ -67,7 +69,7 @@
 
     @Command(
             name = "generate",
-            description = "A key for a new proxy, and its place in the ring.",
+            description = "Generates the key of a new proxy and adds it to the key ring.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int generate(
@@ -79,7 +81,7 @@
                     if (java.nio.file.Files.exists(files.keyFile)) {
                         throw new KeyException(
                                 files.keyFile
-                                        + ": is there already; keys rotate changes the key of a proxy");
+                                        + ": exists already; use keys rotate to change a proxy's key");
                     }
                     return name
                             + ": key "
@@ -91,13 +93,13 @@
             name = "rotate",
             description =
                     "Changes a proxy's key in three steps, each followed by SIGHUP to the proxies: without an option a new "
-                            + "key is made and trusted, --use signs with it, --drop ends the trust in the old one.",
+                            + "key is generated and trusted, --use signs with it, --drop revokes the old one.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int rotate(
             @picocli.CommandLine.Mixin KeyFileOptions files,
             @Option(names = "--use", description = "sign with the new key") boolean use,
-            @Option(names = "--drop", description = "trust the old key no longer") boolean drop)
+            @Option(names = "--drop", description = "revoke the old key") boolean drop)
             throws BadFileException, IOException {
         return report(
                 () -> {
@@ -106,20 +108,20 @@
                     }
                     if (drop) {
                         return KeyFiles.removeUnusedKeys(files.keyFile, files.ringFile)
-                                + " keys are trusted no longer";
+                                + " keys revoked";
                     }
                     String name = KeyFiles.readOwnKeys(files.keyFile).get(0).name();
                     return name
                             + ": new key "
                             + keyId(KeyFiles.generate(name, files.keyFile, files.ringFile))
-                            + " is trusted; hand the ring to all, then keys rotate --use";
+                            + " is trusted; distribute the ring to all proxies, then run keys rotate --use";
                 });
     }
 
     @Command(
             name = "cost",
             description =
-                    "Measures what a signature costs here, beside that of a shared secret (HMAC-SHA256).",
+                    "Measures the cost of a signature on this machine, and that of HMAC-SHA256 with a shared secret.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int cost() throws GeneralSecurityException {
@@ -131,7 +133,7 @@
         byte[][] signed = new byte[1][];
         System.out.printf(
                 Locale.ROOT,
-                "packets of %d bytes, mean of %d after as many to warm up%n",
+                "packets of %d bytes, mean of %d operations after as many for warm-up%n",
                 PACKET_BYTES,
                 ROUNDS);
         System.out.printf(
@@ -152,7 +154,7 @@
                             signature.update(packet);
                             if (!signature.verify(signed[0])) {
                                 throw new SignatureException(
-                                        "a signature of our own does not verify");
+                                        "signature verification failed for a packet signed here");
                             }
                         }));
         System.out.printf(
@@ -178,7 +180,7 @@
     @Command(
             name = "check",
             description =
-                    "Exit 0 if a proxy would start with these files; else one message and exit 2.",
+                    "Exits with 0 if a proxy would start with these files; otherwise prints one message and exits with 2.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int check(@picocli.CommandLine.Mixin KeyFileOptions files)
@@ -191,11 +193,11 @@
                             + ": signs with key "
                             + keyId(ownKeys.get(0))
                             + (ownKeys.size() > 1
-                                    ? ", key " + keyId(ownKeys.get(1)) + " waits"
+                                    ? ", key " + keyId(ownKeys.get(1)) + " is not in use yet"
                                     : "")
-                            + "; the ring trusts "
+                            + "; the ring contains "
                             + KeyFiles.readRing(files.ringFile).size()
-                            + " keys";
+                            + " trusted keys";
                 });
     }
 }
--- a/src/main/java/cacheproxy/cli/LabCommands.java
+++ b/src/main/java/cacheproxy/cli/LabCommands.java
@@ -32,10 +32,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** The {@code lab} subcommands, which run experiments on the testbed. */
 @Command(
         name = "lab",
         description =
-                "Plays experiments: stand-in machines, real proxies, load, faults and a ledger that judges.",
+                "Runs experiments: simulated machines, real proxies, load, faults and checks of the results.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         synopsisSubcommandLabel =
@@ -45,23 +46,23 @@
 
     private static final int PROGRESS_BAR_CHARS = 20;
 
-    /** Proxies that one machine can hold as processes. */
+    /** The maximum number of proxy processes on one machine. */
     private static final int MAX_PROXY_PROCESSES = 64;
 
     @Spec private CommandSpec spec;
 
-    /** What every command that reads an experiment takes. */
+    /** The arguments of every command that reads an experiment. */
     static final class ExperimentArguments {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         Path file;
 
-        @Option(names = "--seed", paramLabel = "N", description = "another seed than the file's")
+        @Option(names = "--seed", paramLabel = "N", description = "overrides the file's seed")
         Integer seed;
 
         @Option(
                 names = "--set",
                 paramLabel = "KEY=VALUE",
-                description = "another value for a key, as --set load.rate=400")
+                description = "overrides a key, as --set load.rate=400")
         Map<String, String> overrides = new LinkedHashMap<>();
 
         Experiment read(Map<String, String> extraOverrides) throws BadFileException {
@@ -77,14 +78,14 @@
     @Command(
             name = "check",
             description =
-                    "Says whether an experiment's file would be played, and what it would send.",
+                    "Checks whether an experiment's file is valid, and prints how many requests it would send.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int check(@Mixin ExperimentArguments arguments) throws BadFileException {
         Experiment experiment = arguments.read(Map.of());
         LoadPlan plan = LoadPlan.of(experiment);
         System.out.printf(
-                "%s: good; %d requests in %s s, load %s%n",
+                "%s: valid; %d requests in %s s, load %s%n",
                 arguments.file,
                 plan.requests().size(),
                 Results.formatNumber(experiment.durationS()),
@@ -94,14 +95,14 @@
 
     @Command(
             name = "run",
-            description = "Plays an experiment on loopback sockets against real proxies.",
+            description = "Runs an experiment on loopback sockets against real proxies.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all bounds hold, no rule is broken",
-                "1:some fall short; each is named with figure and bound",
-                "2:a bad file"
+                "0:all bounds are met, no rule is violated",
+                "1:some bounds are missed; each is listed with figure and bound",
+                "2:an invalid file"
             })
     int run(
             @Mixin ExperimentArguments arguments,
@@ -109,13 +110,13 @@
                             names = "--out",
                             paramLabel = "DIR",
                             description =
-                                    "where results, report and logs go (default: target/lab/NAME)")
+                                    "directory for results, report and logs (default: target/lab/NAME)")
                     Path out,
             @Option(
                             names = "--repeat",
                             paramLabel = "N",
                             defaultValue = "1",
-                            description = "plays it N times, with seeds that follow one another")
+                            description = "runs it N times, with consecutive seeds")
                     int repeat)
             throws BadFileException, IOException, InterruptedException {
         checkRepeat(repeat);
@@ -140,7 +141,7 @@
     @Command(
             name = "sim",
             description =
-                    "Plays the same experiment in virtual time: no proxies, no sockets, the same results from the same seed.",
+                    "Runs the same experiment in virtual time, without proxy processes and sockets; the same seed gives the same results.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int sim(
@@ -149,13 +150,13 @@
                             names = "--out",
                             paramLabel = "DIR",
                             description =
-                                    "where results and report go (default: target/lab/NAME-sim)")
+                                    "directory for results and report (default: target/lab/NAME-sim)")
                     Path out,
             @Option(
                             names = "--repeat",
                             paramLabel = "N",
                             defaultValue = "1",
-                            description = "plays it N times, with seeds that follow one another")
+                            description = "runs it N times, with consecutive seeds")
                     int repeat)
             throws BadFileException, IOException {
         checkRepeat(repeat);
@@ -180,29 +181,33 @@
     @Command(
             name = "hunt",
             description =
-                    "Draws days from a seed and plays them in virtual time; what breaks a rule is made as small as it can be and written down.",
+                    "Generates random scenarios from a seed and runs them in virtual time. A scenario that violates a rule is minimized and written to a file.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:nothing found", "1:found, each with its file", "64:bad arguments"})
+            exitCodeList = {
+                "0:no violation found",
+                "1:violations found, each written to a file",
+                "64:invalid arguments"
+            })
     int hunt(
             @Option(
                             names = "--budget",
                             paramLabel = "SECONDS",
                             defaultValue = "60s",
-                            description = "how long it looks, as 60s")
+                            description = "duration of the search, as 60s")
                     String budget,
             @Option(
                             names = "--seed",
                             paramLabel = "N",
                             defaultValue = "1",
-                            description = "which days it draws")
+                            description = "seed of the generated scenarios")
                     int seed,
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
                             defaultValue = "experiments/found",
-                            description = "where files go")
+                            description = "directory for the scenario files")
                     Path out)
             throws IOException {
         if (!budget.matches("[1-9]\\d{0,4}s?")) {
@@ -221,7 +226,7 @@
                                     scenarioCounts[0]++;
                                     scenarioCounts[1] += violation.isEmpty() ? 0 : 1;
                                     if (!violation.isEmpty()) {
-                                        System.out.println("day " + number + ": " + violation);
+                                        System.out.println("scenario " + number + ": " + violation);
                                     }
                                 });
         for (FaultSearch.Finding failure : failures) {
@@ -242,21 +247,25 @@
                             + failure.toml());
             System.out.println("replay: ./flintmill lab sim " + file);
         }
-        System.out.println(scenarioCounts[0] + " days, " + scenarioCounts[1] + " of them bad");
+        System.out.println(
+                scenarioCounts[0]
+                        + " scenarios, "
+                        + scenarioCounts[1]
+                        + " of them with violations");
         return failures.isEmpty() ? Cli.OK : Cli.FAILED;
     }
 
     @Command(
             name = "stream",
             description =
-                    "Plays the change stream on loopback: hollow proxies, control machines in processes of their own, one of them killed.",
+                    "Runs the change stream on loopback, with proxies reduced to their subscription and control machines in separate processes, one of which is killed.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class,
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:all bounds hold",
-                "1:some fall short; each is named with figure and bound",
-                "2:a bad file"
+                "0:all bounds are met",
+                "1:some bounds are missed; each is listed with figure and bound",
+                "2:an invalid file"
             })
     int stream(
             @Parameters(
@@ -266,13 +275,13 @@
             @Option(
                             names = "--set",
                             paramLabel = "KEY=VALUE",
-                            description = "another value for a key, as --set fleet.proxies=390")
+                            description = "overrides a key, as --set fleet.proxies=390")
                     Map<String, String> overrides,
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
                             description =
-                                    "where the control machines' files go (default: target/lab/NAME)")
+                                    "directory for the control machines' files (default: target/lab/NAME)")
                     Path out)
             throws BadFileException, IOException, InterruptedException {
         return StreamLoad.run(file, overrides == null ? Map.of() : overrides, out)
@@ -299,7 +308,7 @@
                             + experiment.proxies().count()
                             + ", allowed on sockets is 1 to "
                             + MAX_PROXY_PROCESSES
-                            + "; lab sim plays more");
+                            + "; use lab sim for more");
         }
         ProxyCommand runLine = ProxyCommand.find(Path.of("."), experiment.proxies().run());
         Files.createDirectories(directory);
@@ -342,7 +351,7 @@
                                                 / progress.durationS()));
         return String.format(
                 Locale.ROOT,
-                "[%s%s] %5.1f s  %4.0f req/s  worth served %5.1f%%  refused %d  failed %d  level %d ",
+                "[%s%s] %5.1f s  %4.0f req/s  weight served %5.1f%%  rejected %d  failed %d  level %d ",
                 "#".repeat(filled),
                 ".".repeat(PROGRESS_BAR_CHARS - filled),
                 progress.elapsedS(),
@@ -384,16 +393,18 @@
                     figure,
                     Results.formatNumber(results.figures().getOrDefault(figure, Double.NaN)));
         }
-        results.violations().stream().limit(10).forEach(v -> System.out.println("  broken: " + v));
+        results.violations().stream()
+                .limit(10)
+                .forEach(v -> System.out.println("  violated: " + v));
         if (results.violations().size() > 10) {
             System.out.println(
-                    "  broken: and "
+                    "  violated: and "
                             + (results.violations().size() - 10)
                             + " more in results.json");
         }
         results.missed().forEach(m -> System.out.println("  missed: " + m));
         System.out.println(
-                (results.passed() ? "all bounds hold, no rule is broken; " : "")
+                (results.passed() ? "all bounds are met, no rule is violated; " : "")
                         + "see "
                         + directory.resolve("report.html"));
     }
@@ -401,8 +412,8 @@
     @Command(
             name = "sweep",
             description =
-                    "Plays an experiment at several values of one key and draws worth served against worth offered, "
-                            + "by class, with the clients' retries and without.",
+                    "Runs an experiment at several values of one key and plots the priority weight served against that offered, "
+                            + "by class, with and without the clients' retries.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int sweep(
@@ -416,20 +427,21 @@
             @Option(
                             names = "--out",
                             paramLabel = "DIR",
-                            description = "where the curve goes (default: target/lab/NAME-sweep)")
+                            description =
+                                    "directory for the curve (default: target/lab/NAME-sweep)")
                     Path out,
-            @Option(names = "--sim", description = "in virtual time") boolean virtual,
+            @Option(names = "--sim", description = "runs in virtual time") boolean virtual,
             @Option(
                             names = "--repeat",
                             paramLabel = "N",
                             defaultValue = "1",
                             description =
-                                    "plays each step N times; on sockets with one seed, "
-                                            + "so that the spread is the machine's, in virtual time with seeds that follow one another")
+                                    "runs each step N times; on sockets with the same seed, "
+                                            + "so that the spread is caused by the machine, in virtual time with consecutive seeds")
                     int repeat,
             @Option(
                             names = "--no-retries",
-                            description = "plays each step without the clients' retries too")
+                            description = "also runs each step without the clients' retries")
                     boolean withoutRetries)
             throws BadFileException, IOException, InterruptedException {
         SweepRange range = SweepRange.parse(over);
@@ -441,7 +453,7 @@
                             + ", allowed is KEY=FROM..TO:STEPS with 2 to 100 steps, as load.rate=200..1600:8");
         }
         checkRepeat(repeat);
-        // All of it is read before anything starts.
+        // All experiments are read and checked before the first run starts.
         Map<String, List<List<Experiment>>> series = new LinkedHashMap<>();
         long firstSeed = arguments.read(Map.of()).seed();
         for (boolean retries :
@@ -501,7 +513,7 @@
                 : Cli.FAILED;
     }
 
-    /** The values of one key that a sweep goes through. */
+    /** The key that a sweep varies, and its values. */
     record SweepRange(String key, List<Double> values) {
 
         static SweepRange parse(String over) {
@@ -533,7 +545,7 @@
     @Command(
             name = "cost",
             description =
-                    "Measures what the module itself costs for each request as nodes and proxies grow.",
+                    "Measures the decision module's cost per request for different numbers of nodes and proxies.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int cost(
@@ -542,7 +554,7 @@
                             split = ",",
                             paramLabel = "N",
                             defaultValue = "10,100,1000",
-                            description = "fleets, as 10,100,1000")
+                            description = "numbers of cache nodes, as 10,100,1000")
                     List<Integer> nodes,
             @Option(
                             names = "--proxies",
@@ -554,7 +566,7 @@
             throws BadFileException {
         System.out.printf(
                 "%8s %8s %18s %18s %14s%n",
-                "nodes", "proxies", "CPU us/request", "bytes/request", "bytes held");
+                "nodes", "proxies", "CPU us/request", "bytes/request", "bytes retained");
         for (int proxyCount : proxies) {
             for (int nodeCount : nodes) {
                 ModuleCost.Cost cost =
@@ -584,13 +596,13 @@
     @Command(
             name = "compare",
             description =
-                    "Puts two results side by side. With folders of --repeat runs, each figure has its spread.",
+                    "Compares two results. With directories of --repeat runs, each figure has its spread.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int compare(
-            @Parameters(paramLabel = "A", description = "results.json, or a folder of runs")
+            @Parameters(paramLabel = "A", description = "results.json, or a directory of runs")
                     Path first,
-            @Parameters(paramLabel = "B", description = "results.json, or a folder of runs")
+            @Parameters(paramLabel = "B", description = "results.json, or a directory of runs")
                     Path second)
             throws BadFileException, IOException {
         System.out.print(Comparison.table(Comparison.read(first), Comparison.read(second)));
--- a/src/main/java/cacheproxy/cli/MembersCommand.java
+++ b/src/main/java/cacheproxy/cli/MembersCommand.java
@@ -7,10 +7,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** The {@code members} command, which queries a running proxy for its view of the membership. */
 @Command(
         name = "members",
         description =
-                "Shows whom a running proxy knows: name, state, address, incarnation, and how far it believes each.",
+                "Lists the members that a running proxy knows: name, state, address, incarnation, and how far it trusts each.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class)
 final class MembersCommand implements Callable<Integer> {
--- a/src/main/java/cacheproxy/cli/PolicyCommands.java
+++ b/src/main/java/cacheproxy/cli/PolicyCommands.java
@@ -10,9 +10,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** The {@code policy} subcommands. */
 @Command(
         name = "policy",
-        description = "The fleet's policy, by way of a running proxy's policy.socket.",
+        description =
+                "Shows and changes the fleet's policy through a running proxy's policy.socket.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         synopsisSubcommandLabel = "status|history|propose|revert")
@@ -33,7 +35,7 @@
     @Command(
             name = "status",
             description =
-                    "The epoch in force at this proxy, since when, whether it counts itself current, and what a voter was told of the others.",
+                    "Shows the epoch in force at this proxy, since when, whether the proxy considers it current, and what a voter knows of the others.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int status(
@@ -44,7 +46,7 @@
 
     @Command(
             name = "history",
-            description = "Every epoch that is kept, with its content.",
+            description = "Shows every stored epoch, with its content.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int history(
@@ -61,10 +63,10 @@
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
                 "0:in force",
-                "1:refused, nothing was changed",
-                "2:a bad policy, nothing was changed",
+                "1:rejected, nothing was changed",
+                "2:an invalid policy, nothing was changed",
                 "3:no majority of voters, nothing was changed",
-                "4:not known yet: it may still take hold"
+                "4:outcome unknown: it may still come into force"
             })
     int propose(
             @Parameters(paramLabel = "SOCKET", description = "a proxy's policy.socket") Path socket,
@@ -81,7 +83,7 @@
     @Command(
             name = "revert",
             description =
-                    "Puts the content of an earlier epoch in force, as a new epoch; exit codes as of propose.",
+                    "Puts the content of an earlier epoch in force, as a new epoch; same exit codes as propose.",
             mixinStandardHelpOptions = true,
             versionProvider = Version.class)
     int revert(
--- a/src/main/java/cacheproxy/cli/SlopeCommand.java
+++ b/src/main/java/cacheproxy/cli/SlopeCommand.java
@@ -28,18 +28,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays an experiment at each of its sizes and keeps the slopes. */
+/** Runs an experiment at each of its sizes and stores the fitted slopes. */
 @Command(
         name = "slope",
         description =
-                "Plays an experiment at each size of its [sizes], fits its [[measure]] and keeps the slopes in a file.",
+                "Runs an experiment at each size of its [sizes], fits its [[measure]] and stores the slopes in a file.",
         mixinStandardHelpOptions = true,
         versionProvider = Version.class,
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all bounds hold at every size; the slopes are kept",
-            "1:some fall short; nothing is kept",
-            "2:a bad file"
+            "0:all bounds are met at every size; the slopes are stored",
+            "1:some bounds are missed; nothing is stored",
+            "2:an invalid file"
         })
 final class SlopeCommand implements Callable<Integer> {
 
@@ -54,7 +54,7 @@
             names = "--runs",
             paramLabel = "N",
             defaultValue = "3",
-            description = "runs at each size, with seeds that follow one another (default: 3)")
+            description = "number of runs at each size, with consecutive seeds (default: 3)")
     private int runs;
 
     @Option(
@@ -62,20 +62,20 @@
             paramLabel = "TEXT",
             required = true,
             description =
-                    "what else runs on the machine, and the program's commit; kept with the slopes")
+                    "what else runs on the machine, and the program's commit; stored with the slopes")
     private String machineLoad;
 
     @Option(
             names = "--to",
             paramLabel = "FILE",
             defaultValue = "experiments/capacity/slopes-data.toml",
-            description = "the file of slopes (default: ${DEFAULT-VALUE})")
+            description = "file for the slopes (default: ${DEFAULT-VALUE})")
     private Path slopeFile;
 
     @Option(
             names = "--kept",
             description =
-                    "plays nothing on sockets: fits the results that an earlier call left in target/lab/NAME, by the file's bounds as they are now")
+                    "runs nothing on sockets: fits the results of an earlier call in target/lab/NAME, checked against the file's present bounds")
     private boolean reuseResults;
 
     @Override
@@ -93,7 +93,7 @@
         List<List<List<Double>>> measured = new ArrayList<>();
         sizes.measures().forEach(measure -> measured.add(new ArrayList<>()));
         if (sizes.driver() == SizeSweep.Driver.MODULE) {
-            // Else the first size alone pays for the compiler.
+            // Warms up the JIT compiler, whose cost would otherwise fall on the first size alone.
             ModuleCost.measure(baseExperiment);
         }
         boolean passed = true;
@@ -168,20 +168,23 @@
             Slope slope = slopes.get(i);
             System.out.printf(
                     Locale.ROOT,
-                    "%s: %.4g + %.4g a unit, r2 %.4f%s%n",
+                    "%s: %.4g + %.4g per unit, r2 %.4f%s%n",
                     slope.figure(),
                     slope.fixed(),
                     slope.perUnit(),
                     slope.r2(),
-                    slope.isLinear() ? "" : ", not straight");
+                    slope.isLinear() ? "" : ", not linear");
         }
         SlopeFile.replaceSlopes(slopeFile, file.toString(), slopes);
         return Cli.OK;
     }
 
-    /** The figures of a run that holds its bounds; none of another, which is told. */
+    /**
+     * Returns the figures of a run that met its bounds; otherwise prints what it missed and returns
+     * an empty map.
+     */
     private static Map<String, Double> figuresIfPassed(Results results) {
-        results.violations().stream().limit(5).forEach(v -> System.out.println("  broken: " + v));
+        results.violations().stream().limit(5).forEach(v -> System.out.println("  violated: " + v));
         results.missed().forEach(m -> System.out.println("  missed: " + m));
         return results.passed() ? results.figures() : Map.of();
     }
--- a/src/main/java/cacheproxy/cli/Version.java
+++ b/src/main/java/cacheproxy/cli/Version.java
@@ -2,12 +2,12 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** The version that the build wrote into the program's file. */
+/** Provides the version that the build wrote into the manifest of the jar file. */
 final class Version implements IVersionProvider {
 
     @Override
     public String[] getVersion() {
         String version = Cli.class.getPackage().getImplementationVersion();
-        return new String[] {"flintmill " + (version == null ? "(not built as a file)" : version)};
+        return new String[] {"flintmill " + (version == null ? "(not run from a jar)" : version)};
     }
 }
--- a/src/main/java/cacheproxy/cli/package-info.java
+++ b/src/main/java/cacheproxy/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line beside {@code serve}: words, options, help and exit codes, by picocli. It calls
- * the configuration and the laboratory and decides nothing itself; nothing that serves requests may
- * depend on it. Start reading at {@link cacheproxy.cli.Cli}.
+ * The command line tools other than {@code serve}: subcommands, options, help and exit codes, with
+ * picocli. It calls the configuration and the testbed and has no logic of its own; code that serves
+ * requests may not depend on it. Start reading at {@link cacheproxy.cli.Cli}.
  */
 package cacheproxy.cli;
--- a/src/main/java/cacheproxy/config/BadFileException.java
+++ b/src/main/java/cacheproxy/config/BadFileException.java
@@ -1,8 +1,8 @@
 package cacheproxy.config;
 
 /**
- * A mistake in an operator's file. The message is one line that names file, line, key, what was
- * found and what is allowed.
+ * Thrown for an error in an operator's file. The message is a single line with the file, line, key,
+ * the value found and the values allowed.
  */
 public final class BadFileException extends Exception {
 
--- a/src/main/java/cacheproxy/config/KeyLineNumbers.java
+++ b/src/main/java/cacheproxy/config/KeyLineNumbers.java
@@ -6,9 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * On which line each key of a TOML text stands. The TOML library builds its tree without places,
- * and a message without a line sends its reader searching. It knows headers and plain or quoted
- * keys at the start of a line; for a key inside an inline table it has no line.
+ * Finds the line number of each key in a TOML text, for error messages: the TOML library builds its
+ * tree without positions. Recognizes table headers and plain or quoted keys at the start of a line;
+ * keys inside inline tables have no line number.
  */
 final class KeyLineNumbers {
 
@@ -35,7 +35,7 @@
             } else if (key.find()) {
                 String name = stripQuotes(key.group(1));
                 lines.putIfAbsent(table.isEmpty() ? name : table + "." + name, i + 1);
-                // A dotted key names the tables on its way too.
+                // A dotted key also defines the tables that it leads through.
                 for (int dot = name.indexOf('.'); dot > 0; dot = name.indexOf('.', dot + 1)) {
                     lines.putIfAbsent(
                             table.isEmpty()
--- a/src/main/java/cacheproxy/config/Options.java
+++ b/src/main/java/cacheproxy/config/Options.java
@@ -3,42 +3,46 @@
 import java.util.List;
 
 /**
- * What an operator may set beside the platform's configuration; each subsystem has a record. A
- * plain record without the TOML library behind it, so that a proxy started without a file loads
- * nothing more.
+ * The operator's options, which exist beside the platform's configuration; each subsystem has a
+ * record. These are plain records that do not depend on the TOML library, so that a proxy that is
+ * started without an options file does not load it.
  */
 public record Options(Log log, Gossip gossip, Policy policy, Nodes nodes) {
 
-    /** How a line of the log is written. */
+    /** The format of log lines. */
     public enum Format {
         TEXT,
         JSON
     }
 
     /**
-     * @param format text lines or one JSON object a line; read at the start alone
+     * Options of the log.
+     *
+     * @param format text lines or one JSON object per line; a reload does not change it
      * @param tallyS seconds between two {@code tally} events, 1 to 3600
-     * @param oddLines lines about odd input from outside that are written in a window, 1 to 10,000
-     * @param oddWindowS that window's length in seconds, 1 to 3600
+     * @param oddLines the maximum number of lines about unexpected external input per window, 1 to
+     *     10,000
+     * @param oddWindowS the length of that window in seconds, 1 to 3600
      */
     public record Log(Format format, int tallyS, int oddLines, int oddWindowS) {}
 
     /**
-     * Gossip between proxies; all of it is read at the start alone, but for what the key files
-     * hold.
+     * Options of the gossip between proxies. A reload changes none of them; only the contents of
+     * the key files are read again.
      *
      * @param enabled whether this proxy takes part
-     * @param listen a numeric address and port for UDP, at which the others reach it
-     * @param advertise the address that the others are told, where it is not {@code listen}; empty
-     *     where it is
-     * @param seeds addresses of a few proxies that are asked for the others
-     * @param keyFile this proxy's own key
-     * @param ringFile the keys that are trusted
-     * @param bytesPerS the most that is sent in any second, headers included, 4096 to 1,048,576
-     * @param verificationsPerS signatures that are checked in any second at most, 10 to 10,000
-     * @param membersSocket where {@code flintmill members} asks; empty for nowhere
-     * @param healthMost the highest local health score, by which a proxy that is slow itself waits
-     *     longer; 0 to 16, 0 for none
+     * @param listen the numeric address and UDP port at which the other proxies reach this one
+     * @param advertise the address that is advertised to the other proxies if it differs from
+     *     {@code listen}; empty otherwise
+     * @param seeds addresses of a few proxies from which this one learns of the others
+     * @param keyFile the file with this proxy's own key
+     * @param ringFile the file with the trusted keys
+     * @param bytesPerS the maximum sent in any second, headers included, 4096 to 1,048,576
+     * @param verificationsPerS the maximum number of signatures verified in any second, 10 to
+     *     10,000
+     * @param membersSocket the socket that {@code flintmill members} queries; empty for none
+     * @param healthMost the maximum local health score, by which a proxy that is slow itself
+     *     extends its time-outs; 0 to 16, 0 to disable
      */
     public record Gossip(
             boolean enabled,
@@ -58,15 +62,15 @@
     }
 
     /**
-     * The fleet's policy by a replicated log; read at the start alone. It needs gossip's keys, by
-     * which proxies know one another.
+     * Options of the fleet's policy, which is distributed by a replicated log; a reload does not
+     * change them. Requires gossip, whose keys authenticate the proxies to each other.
      *
-     * @param voters names and addresses of those that vote, as {@code proxy-0=10.0.0.5:7947}; none
-     *     where the local file alone counts
-     * @param listen a numeric address and port for TCP, at which a voter is reached
-     * @param folder where this proxy keeps the log and the last epoch; empty for {@code policy-}
-     *     and its name in the folder for temporary files
-     * @param socket where {@code flintmill policy} asks; empty for nowhere
+     * @param voters names and addresses of the voters, as {@code proxy-0=10.0.0.5:7947}; empty if
+     *     only the local options file is used
+     * @param listen the numeric address and TCP port at which a voter accepts connections
+     * @param folder where this proxy stores the log and the last epoch; empty for {@code policy-}
+     *     followed by its name in the directory for temporary files
+     * @param socket the socket that {@code flintmill policy} queries; empty for none
      */
     public record Policy(List<String> voters, String listen, String folder, String socket) {
 
@@ -79,7 +83,11 @@
         }
     }
 
-    /** {@code out} names cache nodes that are taken out of service. */
+    /**
+     * Options of the cache nodes.
+     *
+     * @param out the names of cache nodes in maintenance, which are not used
+     */
     public record Nodes(List<String> out) {
 
         public Nodes {
@@ -87,7 +95,7 @@
         }
     }
 
-    /** What holds without a file. */
+    /** The options that apply without an options file. */
     public static final Options DEFAULTS =
             new Options(
                     new Log(Format.TEXT, 10, 20, 10),
--- a/src/main/java/cacheproxy/config/OptionsFile.java
+++ b/src/main/java/cacheproxy/config/OptionsFile.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads {@code deploy/flintmill.toml} or a file of its form. */
+/** Reads the operator's options from {@code deploy/flintmill.toml} or a file of that format. */
 public final class OptionsFile {
 
     private static final int MAX_INTERVAL_S = 3600;
@@ -27,7 +27,7 @@
         return fromToml(Toml.read(file));
     }
 
-    /** Every key with its effective value and where it came from. */
+    /** Returns every key with its effective value and its origin. */
     public static List<Toml.EffectiveValue> show(Path file) throws BadFileException {
         Toml toml = Toml.read(file);
         fromToml(toml);
@@ -49,16 +49,16 @@
             throw root.invalidValue(
                     "policy.voters",
                     options.policy().voters().toString(),
-                    "none without gossip.enabled, by whose keys proxies know one another");
+                    "none unless gossip.enabled is true, as voters use the gossip keys");
         }
         root.rejectUnknownKeys();
         return options;
     }
 
     /**
-     * The options with what the fleet's policy says in place of its own: the keys of {@code [log]}
-     * that a running proxy can change, and {@code [nodes]}. Anything else is each proxy's own and
-     * refused.
+     * Returns {@code ownOptions} with the values of the fleet's policy in place of the proxy's own.
+     * A policy may contain {@code [nodes]} and the keys of {@code [log]} that can be changed at run
+     * time; all others are specific to each proxy and are rejected.
      */
     public static Options withPolicy(String text, Options ownOptions) throws BadFileException {
         Toml.Table root = Toml.parse("policy", text).root();
@@ -148,7 +148,8 @@
     }
 
     /**
-     * Numbers alone: a name would have to be looked up, and who answers that could answer anything.
+     * Checks that a text is a numeric address and port. Host names are rejected: they would have to
+     * be resolved, and the answers of a name server are not authenticated.
      */
     private static String checkAddress(Toml.Table table, String key, String text)
             throws BadFileException {
--- a/src/main/java/cacheproxy/config/Toml.java
+++ b/src/main/java/cacheproxy/config/Toml.java
@@ -22,9 +22,9 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * A TOML file that is read key by key: each key that is asked for is known from then on, and {@link
- * Table#done} refuses what nobody asked for. Every value read is kept with where it came from, for
- * {@code config show}.
+ * A TOML file that is read key by key. Each key that a caller reads becomes a known key, and {@link
+ * Table#rejectUnknownKeys} reports keys that were never read. The value and origin of every key
+ * read are recorded for {@code config show}.
  */
 public final class Toml {
 
@@ -35,7 +35,10 @@
 
     private static final int MAX_FILE_BYTES = 1 << 20;
 
-    /** A known key that differs by more than this part of its length is no likely slip. */
+    /**
+     * The maximum edit distance to a known key at which that key is suggested, as a fraction of its
+     * length.
+     */
     private static final double MAX_TYPO_FRACTION = 0.5;
 
     private final String file;
@@ -50,7 +53,7 @@
         this.lines = lines;
     }
 
-    /** Reads and parses; at most 1 MiB. */
+    /** Reads and parses a file of at most 1 MiB. */
     public static Toml read(Path file) throws BadFileException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
@@ -85,8 +88,8 @@
     }
 
     /**
-     * Sets a dotted key from outside the file, as by {@code --set load.rate=400}; the value is
-     * written as in TOML.
+     * Overrides a dotted key, as by {@code --set load.rate=400}. The value has TOML syntax; if it
+     * is no valid TOML it is used as a string.
      */
     public void set(String key, String value) throws BadFileException {
         JsonNode parsed;
@@ -103,7 +106,7 @@
                 next = table.putObject(path[i]);
             }
             if (!(next instanceof ObjectNode inner)) {
-                throw new BadFileException("--set " + key + ": " + path[i] + " is no table");
+                throw new BadFileException("--set " + key + ": " + path[i] + " is not a table");
             }
             table = inner;
         }
@@ -115,7 +118,7 @@
         return new Table(root, "");
     }
 
-    /** Every value that was asked for, in the order of asking. */
+    /** Returns every value that was read, in the order of first reading. */
     public List<EffectiveValue> effective() {
         return List.copyOf(effective.values());
     }
@@ -125,7 +128,7 @@
             return "--set";
         }
         Integer line = lines.get(path);
-        // What is missing has no line of its own, but its table has one.
+        // A missing key has no line, but its table may have one.
         int dot = path.lastIndexOf('.');
         line = line == null && dot > 0 ? lines.get(path.substring(0, dot)) : line;
         return line == null ? file : file + ":" + line;
@@ -136,8 +139,8 @@
     }
 
     /**
-     * One table of the file. Reading a key that is absent gives its default; every number has
-     * bounds.
+     * One table of the file. Reading an absent key returns the default; every number has a minimum
+     * and a maximum, both allowed.
      */
     public final class Table {
 
@@ -169,7 +172,7 @@
             return value;
         }
 
-        /** A mistake at one of this table's keys. */
+        /** Returns an exception about an invalid value of one of this table's keys. */
         public BadFileException invalidValue(String key, String found, String allowed) {
             return new BadFileException(
                     location(path(key))
@@ -185,7 +188,7 @@
             return node.has(key);
         }
 
-        /** A finite number between two bounds, both allowed. */
+        /** Reads a finite number in the given range. */
         public double number(String key, double defaultValue, double min, double max)
                 throws BadFileException {
             JsonNode value = value(key, defaultValue);
@@ -224,7 +227,7 @@
             return value == null ? defaultValue : value.booleanValue();
         }
 
-        /** A text that is not blank. */
+        /** Reads a string that is not blank. */
         public String string(String key, String defaultValue) throws BadFileException {
             JsonNode value = value(key, defaultValue == null ? "" : defaultValue);
             if (value != null && (!value.isTextual() || value.textValue().isBlank())) {
@@ -233,7 +236,7 @@
             return value == null ? defaultValue : value.textValue();
         }
 
-        /** One of an enum's words, in lower case with hyphens. */
+        /** Reads an enum constant, written in lower case with hyphens. */
         public <E extends Enum<E>> E enumValue(String key, E defaultValue, Class<E> type)
                 throws BadFileException {
             JsonNode value = value(key, defaultValue == null ? "" : enumWord(defaultValue));
@@ -255,7 +258,7 @@
                     "one of " + String.join(", ", words) + nearestSuggestion(found, words));
         }
 
-        /** A list of texts. */
+        /** Reads a list of strings. */
         public List<String> strings(String key, List<String> defaultValue) throws BadFileException {
             JsonNode value = value(key, defaultValue);
             if (value == null) {
@@ -271,7 +274,7 @@
                     .toList();
         }
 
-        /** A list of finite numbers between two bounds, both allowed; it must be there. */
+        /** Reads a required list of finite numbers in the given range. */
         public List<Double> numbers(String key, double min, double max) throws BadFileException {
             JsonNode value = value(key, "");
             if (value == null
@@ -292,7 +295,7 @@
                     .toList();
         }
 
-        /** A range: one number, or a list of the least and the most. */
+        /** Reads a range: one number, or a list of the minimum and the maximum. */
         public double[] range(String key, double[] defaultValue, double min, double max)
                 throws BadFileException {
             JsonNode value = value(key, Arrays.toString(defaultValue));
@@ -322,7 +325,7 @@
             return found;
         }
 
-        /** A table below this one; empty where it is absent. */
+        /** Reads a table inside this one; returns an empty table if it is absent. */
         public Table table(String key) throws BadFileException {
             knownKeys.add(key);
             JsonNode value = node.get(key);
@@ -334,7 +337,7 @@
                     path(key));
         }
 
-        /** The tables of a list {@code [[key]]}, in the file's order. */
+        /** Reads the tables of an array {@code [[key]]}, in the order of the file. */
         public List<Table> tables(String key) throws BadFileException {
             knownKeys.add(key);
             JsonNode value = node.get(key);
@@ -352,7 +355,7 @@
             return tables;
         }
 
-        /** Refuses keys that nobody asked for, naming the known one that is nearest. */
+        /** Throws if the table has a key that was never read; suggests the nearest known key. */
         public void rejectUnknownKeys() throws BadFileException {
             for (Map.Entry<String, JsonNode> entry : node.properties()) {
                 if (!knownKeys.contains(entry.getKey())) {
--- a/src/main/java/cacheproxy/config/package-info.java
+++ b/src/main/java/cacheproxy/config/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The operator's TOML files: typed records, and a reader that answers a mistake with one message.
- * It touches files and the TOML library, and nothing of sockets or decisions; a proxy that is given
- * no file loads {@link Options} alone. Start reading at {@link cacheproxy.config.Toml}.
+ * The operator's TOML files: typed records, and a reader that reports each error in a one-line
+ * message. Depends on files and the TOML library, but not on sockets or the decision module; a
+ * proxy that is started without an options file loads {@link Options} only. Start reading at {@link
+ * cacheproxy.config.Toml}.
  */
 package cacheproxy.config;
--- a/src/main/java/cacheproxy/stream/Acknowledgements.java
+++ b/src/main/java/cacheproxy/stream/Acknowledgements.java
@@ -10,14 +10,19 @@
 import java.util.TreeMap;
 
 /**
- * Who has which entry: the confirmations of a control machine's own subscribers, and the tallies of
- * others. An entry is everywhere once all who are there have confirmed it. Whoever has not been
- * heard for {@code apartMs} is apart: it knows by then that its view is old ({@link
- * Subscriber#asOf}), is not waited for, and is named.
+ * Tracks which subscriber has acknowledged which entry, from the acknowledgements of a control
+ * machine's own subscribers and the tallies of other control machines. An entry is fully
+ * acknowledged once all present subscribers have acknowledged it. A subscriber that was not heard
+ * for {@code timeoutMs} is not present: by then it knows that its own view is old ({@link
+ * Subscriber#asOf}), so it is not waited for, and it is reported by name.
  */
 public final class Acknowledgements {
 
-    /** An entry that has come to be everywhere, and how long after it was committed. */
+    /**
+     * An entry that all present subscribers have acknowledged.
+     *
+     * @param latencyMs the time from its commit to the last acknowledgement, in milliseconds
+     */
     public record FullyAcknowledged(long seq, double latencyMs) {}
 
     private record SubscriberProgress(long acked, double lastHeardAtMs) {}
@@ -33,14 +38,19 @@
     private Map<String, Long> changedSinceTally = new HashMap<>();
 
     /**
-     * @param forgetMs who was silent for so long counts as replaced, and is named no more
+     * @param timeoutMs a subscriber that was not heard for this long is not waited for
+     * @param retentionMs a subscriber that was not heard for this long counts as replaced and is
+     *     removed
      */
     public Acknowledgements(double timeoutMs, double retentionMs) {
         this.timeoutMs = timeoutMs;
         this.retentionMs = retentionMs;
     }
 
-    /** A subscriber has confirmed all up to an entry; what is older than known moves nothing. */
+    /**
+     * Records that a subscriber has acknowledged all entries up to {@code seq}. A lower number than
+     * an earlier one only counts as a sign of life.
+     */
     public void acknowledged(double now, String name, long seq) {
         SubscriberProgress before = subscribers.get(name);
         long acked = before == null ? seq : Math.max(before.acked(), seq);
@@ -48,38 +58,38 @@
         changedSinceTally.put(name, acked);
     }
 
-    /** Another control machine's tally. */
+    /** Adds the acknowledgements in another control machine's tally. */
     public void addTally(double now, List<Row> rows) {
         rows.forEach(r -> acknowledged(now, r.name(), r.acked()));
     }
 
-    /** What has been heard since the last call: the tally for whoever sums. */
+    /** Returns the acknowledgements since the last call, as a tally for the leader. */
     public List<Row> takeTally() {
         Map<String, Long> changes = changedSinceTally;
         changedSinceTally = new HashMap<>();
         return changes.entrySet().stream().map(e -> new Row(e.getKey(), e.getValue())).toList();
     }
 
-    /** An entry has been committed; its way is watched from now on. */
+    /** Starts tracking an entry that has been committed. */
     public void entryCommitted(double now, long seq) {
         if (pending.size() < MAX_PENDING_ENTRIES) {
             pending.add(new PendingEntry(seq, now));
         }
     }
 
-    /** Another control machine, which sums, has seen all up to an entry to be everywhere. */
+    /** Stops tracking the entries up to {@code seq}, which the leader reports as acknowledged. */
     public void fullyAcknowledgedUpTo(long seq) {
         while (!pending.isEmpty() && pending.peek().seq() <= seq) {
             pending.remove();
         }
     }
 
-    /** The first entry whose way is still watched; {@link Long#MAX_VALUE} where there is none. */
+    /** Returns the first entry that is still tracked; {@link Long#MAX_VALUE} if there is none. */
     public long firstPending() {
         return pending.isEmpty() ? Long.MAX_VALUE : pending.peek().seq();
     }
 
-    /** The entries that have come to be everywhere since the last call. */
+    /** Returns the entries that have become fully acknowledged since the last call. */
     public List<FullyAcknowledged> takeFullyAcknowledged(double now) {
         subscribers.values().removeIf(k -> now - k.lastHeardAtMs() > retentionMs);
         long lowest = lowestAcknowledged(now);
@@ -91,7 +101,7 @@
         return found;
     }
 
-    /** The last entry that all have who are there; -1 where nobody is. */
+    /** Returns the last entry that all present subscribers have acknowledged; -1 without any. */
     public long lowestAcknowledged(double now) {
         return subscribers.values().stream()
                 .filter(k -> now - k.lastHeardAtMs() <= timeoutMs)
@@ -100,7 +110,7 @@
                 .orElse(-1);
     }
 
-    /** Those who are there and lack an entry, by name. */
+    /** Returns the names of the present subscribers that have not acknowledged an entry. */
     public List<String> laggingSubscribers(double now, long seq) {
         return subscribers.entrySet().stream()
                 .filter(
@@ -111,7 +121,7 @@
                 .toList();
     }
 
-    /** Those who have not been heard for a while, by name. */
+    /** Returns the names of the subscribers that were not heard within the time-out. */
     public List<String> timedOutSubscribers(double now) {
         return subscribers.entrySet().stream()
                 .filter(e -> now - e.getValue().lastHeardAtMs() > timeoutMs)
@@ -119,7 +129,7 @@
                 .toList();
     }
 
-    /** How many are there. */
+    /** Returns the number of subscribers that were heard within the time-out. */
     public int presentCount(double now) {
         return (int)
                 subscribers.values().stream()
--- a/src/main/java/cacheproxy/stream/ByteTokenBucket.java
+++ b/src/main/java/cacheproxy/stream/ByteTokenBucket.java
@@ -1,8 +1,8 @@
 package cacheproxy.stream;
 
 /**
- * A bank of bytes that fills steadily: over any time t, {@code burst + rate * t} at most are taken
- * from it.
+ * A token bucket of bytes that is refilled at a constant rate: with a caller that takes no more
+ * than is available, at most {@code burst + rate * t} bytes are taken in any period t.
  */
 final class ByteTokenBucket {
 
--- a/src/main/java/cacheproxy/stream/Change.java
+++ b/src/main/java/cacheproxy/stream/Change.java
@@ -1,17 +1,17 @@
 package cacheproxy.stream;
 
-/** What an entry of the stream changes. */
+/** A change that an entry of the stream carries. */
 public sealed interface Change permits Change.Purge, Change.Epoch {
 
     /**
-     * An object, or all whose keys begin so, may not be served from before this entry; twice is as
-     * good as once.
+     * Purges an object, or all objects whose keys start with {@code key} if {@code prefix} is set:
+     * copies that were cached before this entry may not be served. Purges are idempotent.
      */
     record Purge(String key, boolean prefix) implements Change {}
 
-    /** The configuration with this number, whole; it replaces the one before. */
+    /** The complete configuration with this number, which replaces the previous one. */
     record Epoch(long number, String content) implements Change {
-        /** Before the first. */
+        /** The empty configuration that is in force before the first epoch. */
         public static final Epoch NONE = new Epoch(0, "");
     }
 }
--- a/src/main/java/cacheproxy/stream/Entry.java
+++ b/src/main/java/cacheproxy/stream/Entry.java
@@ -1,4 +1,4 @@
 package cacheproxy.stream;
 
-/** A change and its place in the stream, from 1 on without gaps. */
+/** A change with its sequence number in the stream; numbers start at 1 and have no gaps. */
 public record Entry(long seq, Change change) {}
--- a/src/main/java/cacheproxy/stream/FrameCodec.java
+++ b/src/main/java/cacheproxy/stream/FrameCodec.java
@@ -16,18 +16,19 @@
 import java.util.List;
 
 /**
- * Messages and changes as bytes: a version, a kind, then numbers as base-128 varints (the smaller
- * ones first, as in Protocol Buffers) and texts with their length before them. A purge of a key of
- * 32 bytes takes 34. Whatever is malformed throws an IllegalArgumentException.
+ * Encodes and decodes messages and changes. A frame has a version byte and a kind byte, followed by
+ * numbers as base-128 varints (least significant group first, as in Protocol Buffers) and
+ * length-prefixed UTF-8 strings. A purge of a 32-byte key takes 34 bytes. Malformed input throws an
+ * IllegalArgumentException.
  */
 public final class FrameCodec {
 
-    /** Longest change, encoded; a configuration of 16,384 characters fits where they are ASCII. */
+    /** Maximum encoded size of a change; fits a configuration of 16,384 ASCII characters. */
     public static final int MAX_CHANGE_BYTES = 20_000;
 
     /**
-     * A frame's share beside its changes: its length, version, kind and numbers, and the headers of
-     * TCP and IP.
+     * Overhead of a frame beyond its changes: its length prefix, version, kind and numbers, and the
+     * TCP and IP headers.
      */
     static final int FRAME_OVERHEAD_BYTES = 80;
 
@@ -49,7 +50,7 @@
 
     private FrameCodec() {}
 
-    /** Bytes that a change takes in a frame or file. */
+    /** Returns the encoded size of a change, in bytes. */
     public static int encodedBytes(Change change) {
         if (change instanceof Epoch e) {
             return 1 + varintBytes(e.number()) + textBytes(e.content());
@@ -57,13 +58,14 @@
         return 1 + textBytes(((Purge) change).key());
     }
 
-    /** Whether a change can be carried at all. */
+    /** Whether a change is within {@link #MAX_CHANGE_BYTES}. */
     public static boolean isEncodable(Change change) {
         return encodedBytes(change) <= MAX_CHANGE_BYTES;
     }
 
     /**
-     * What a frame with entries costs its receiver's pace, in bytes; both ends reckon it by this.
+     * Returns the bytes by which a message counts against its receiver's byte allowance; 0 for
+     * messages without entries. Both ends use this method, so that their counts agree.
      */
     public static int costBytes(Message message) {
         if (message instanceof Batch b) {
@@ -81,8 +83,8 @@
         int length = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            // Half of a pair takes two of its four bytes; one that stands alone becomes a question
-            // mark.
+            // Each surrogate of a pair counts for two of its four UTF-8 bytes. An unpaired
+            // surrogate is encoded as a question mark.
             length +=
                     c < 0x80
                             ? 1
@@ -102,7 +104,7 @@
                 : i > 0 && Character.isHighSurrogate(text.charAt(i - 1));
     }
 
-    /** A message as one frame, without its length. */
+    /** Encodes a message as one frame, without the length prefix. */
     public static byte[] encode(Message message) {
         ByteBuffer to = ByteBuffer.allocate(maxEncodedBytes(message)).put(VERSION);
         if (message instanceof Hello h) {
@@ -160,7 +162,7 @@
         to.put((byte) kind.ordinal());
     }
 
-    /** Writes a change. */
+    /** Encodes a change into a buffer. */
     public static void writeChange(ByteBuffer to, Change change) {
         if (change instanceof Epoch e) {
             to.put((byte) EPOCH);
@@ -172,37 +174,39 @@
         }
     }
 
-    /** Reads a change. */
+    /** Decodes a change from a buffer. */
     public static Change readChange(ByteBuffer from) {
         try {
             int kind = from.get();
             return switch (kind) {
                 case KEY_PURGE, PREFIX_PURGE -> new Purge(text(from), kind == PREFIX_PURGE);
                 case EPOCH -> new Epoch(varint(from), text(from));
-                default -> throw new IllegalArgumentException("no such change: " + kind);
+                default -> throw new IllegalArgumentException("unknown change kind " + kind);
             };
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("a change that ends too early", e);
+            throw new IllegalArgumentException("truncated change in change-stream frame", e);
         }
     }
 
-    /** A frame's message. */
+    /** Decodes the message of a frame, without the length prefix. */
     public static Message decode(ByteBuffer from) {
         try {
             if (from.get() != VERSION) {
-                throw new IllegalArgumentException("another version than " + VERSION);
+                throw new IllegalArgumentException(
+                        "unsupported change-stream frame version, expected " + VERSION);
             }
             int kind = from.get();
             if (kind < 0 || kind >= Kind.values().length) {
-                throw new IllegalArgumentException("no such frame: " + kind);
+                throw new IllegalArgumentException("unknown change-stream frame kind " + kind);
             }
             Message message = decodeBody(Kind.values()[kind], from);
             if (from.hasRemaining()) {
-                throw new IllegalArgumentException(from.remaining() + " bytes too many");
+                throw new IllegalArgumentException(
+                        from.remaining() + " unexpected bytes at end of change-stream frame");
             }
             return message;
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("a frame that ends too early", e);
+            throw new IllegalArgumentException("truncated change-stream frame", e);
         }
     }
 
@@ -212,8 +216,8 @@
             case ACK -> new Ack(varint(from), varint(from), varint(from) - 1);
             case BATCH -> {
                 long first = varint(from);
-                // Two bytes at least each: a count beyond that is a lie, and no reason to reserve
-                // room for it.
+                // Each change takes at least two bytes. A higher count is rejected before memory
+                // is allocated for it.
                 long count = varint(from);
                 List<Change> changes = new ArrayList<>(checkedCount(count, from.remaining() / 2));
                 for (long i = 0; i < count; i++) {
@@ -227,7 +231,7 @@
                 if (readChange(from) instanceof Epoch e) {
                     yield new Snapshot(lineage, seq, e);
                 }
-                throw new IllegalArgumentException("a snapshot without an epoch");
+                throw new IllegalArgumentException("change-stream snapshot contains no epoch");
             }
             case HEARTBEAT -> new Heartbeat(varint(from) - 1, varint(from), varint(from));
             case TALLY -> {
@@ -243,7 +247,8 @@
 
     private static int checkedCount(long count, int max) {
         if (count < 0 || count > max) {
-            throw new IllegalArgumentException("a count of " + count);
+            throw new IllegalArgumentException(
+                    "count " + count + " out of range 0 to " + max + " in change-stream frame");
         }
         return (int) count;
     }
@@ -266,7 +271,7 @@
                 return bits;
             }
         }
-        throw new IllegalArgumentException("a number without end");
+        throw new IllegalArgumentException("varint longer than 64 bits in change-stream frame");
     }
 
     private static void text(ByteBuffer to, String text) {
--- a/src/main/java/cacheproxy/stream/Message.java
+++ b/src/main/java/cacheproxy/stream/Message.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What goes over a connection: {@link Hello} and {@link Ack} up, the others down, {@link Tally}
- * from one control machine to another.
+ * A message of the change stream. Subscribers send {@link Hello} and {@link Ack}; control machines
+ * send {@link Tally} to each other and all others to subscribers.
  */
 public sealed interface Message
         permits Message.Hello,
@@ -16,36 +16,45 @@
                 Message.Tally {
 
     /**
-     * Opens a connection: whose stream is known ({@code lineage}, 0 for none) up to where, and how
-     * many bytes of entries may come.
+     * The first message of a subscriber on a connection.
+     *
+     * @param lineage the identifier of the stream that the subscriber follows; 0 for none
+     * @param cursor the last entry that it has applied
+     * @param allowedBytes how many bytes of entries the server may send for now
      */
     record Hello(String name, long lineage, long cursor, long allowedBytes) implements Message {}
 
     /**
-     * All up to {@code applied} is in force here. {@code allowedBytes} counts from the connection's
-     * start, as {@link FrameCodec#costBytes} does, and never shrinks. A {@code stamp} of the
-     * sender's own clock asks for a beat; a negative one asks for nothing.
+     * Acknowledges that the subscriber has applied all entries up to {@code applied}.
+     *
+     * @param allowedBytes how many bytes of entries the server may send in total since the start of
+     *     the connection, counted by {@link FrameCodec#costBytes}; never decreases
+     * @param stamp the subscriber's own clock, to request a {@link Heartbeat} that returns it;
+     *     negative to request none
      */
     record Ack(long applied, long allowedBytes, long stamp) implements Message {}
 
-    /** Entries without a gap; {@code first} is the place of the first one. */
+    /** Consecutive entries; {@code firstSeq} is the sequence number of the first one. */
     record Batch(long firstSeq, List<Change> changes) implements Message {}
 
     /**
-     * Whoever takes it is at {@code seq}: all that was kept from before counts as purged, and
-     * {@code epoch} is in force.
+     * Replaces all entries up to {@code seq}: the receiver has to treat everything that it cached
+     * before as purged, and puts {@code epoch} in force.
      */
     record Snapshot(long lineage, long seq, Epoch epoch) implements Message {}
 
     /**
-     * The sender's last entry, and how old its own knowledge of that is; {@code stamp} is the one
-     * that was asked with.
+     * Reports the last entry of a control machine.
+     *
+     * @param stamp the stamp of the {@link Ack} that requested it; negative if none did
+     * @param head the sequence number of the sender's last entry
+     * @param ageMs how old the sender's own view of the log is, in milliseconds
      */
     record Heartbeat(long stamp, long head, long ageMs) implements Message {}
 
-    /** How far those have come whom the sender serves: what has changed since its last tally. */
+    /** The acknowledgements of the sender's subscribers that are new since its last tally. */
     record Tally(List<Row> rows) implements Message {}
 
-    /** One subscriber's last confirmed entry. */
+    /** The last entry that a subscriber has acknowledged. */
     record Row(String name, long acked) {}
 }
--- a/src/main/java/cacheproxy/stream/Publisher.java
+++ b/src/main/java/cacheproxy/stream/Publisher.java
@@ -10,24 +10,26 @@
 import java.util.Map;
 
 /**
- * A control machine's part towards those it serves. Of each it keeps a cursor into the one {@link
- * Window} and what its reader allows: entries are sent only within that, so one who reads slowly,
- * or not at all, has a bounded number of bytes on the way, costs no memory here and holds nobody
- * else. A reader that is silent is left after three seconds.
+ * The control machine's side of the subscriptions. For each subscriber it stores a cursor into the
+ * shared {@link RetainedLog} and the subscriber's byte allowance. Entries are sent only within that
+ * allowance, so a slow or stalled subscriber has a bounded number of bytes in flight, needs no
+ * buffer here and does not delay the others. A subscriber that sends nothing for three seconds is
+ * disconnected.
  */
 public final class Publisher {
 
-    /** Bytes of entries that one frame should hold. */
+    /** Target size of the entries in one frame; only a single longer entry may exceed it. */
     static final int TARGET_FRAME_BYTES = 4096;
 
+    /** A subscriber that sends nothing for this long is disconnected. */
     static final double IDLE_TIMEOUT_MS = 3000;
 
-    /** What it asks for. */
+    /** The effects that a publisher asks its owner for. */
     public interface PublisherActions {
-        /** Sends on a connection. */
+        /** Sends a message on a connection. */
         void send(long connection, Message message);
 
-        /** Ends a connection; {@link #closed} need not be called for it. */
+        /** Closes a connection; {@link #closed} need not be called for it. */
         void close(long connection, String reason);
     }
 
@@ -57,20 +59,21 @@
     }
 
     /**
-     * The window holds all that was committed at this time; whoever asks is told how old that is.
+     * Records that the retained log contains all entries that were committed at this time.
+     * Heartbeats report how long ago that is.
      */
     public void setFreshAsOf(double asOfMs) {
         freshAsOfMs = Math.max(freshAsOfMs, asOfMs);
     }
 
-    /** The window has grown, or begun anew. */
+    /** Sends new entries after the retained log has grown or has been replaced by a snapshot. */
     public void onLogAdvanced(PublisherActions actions) {
         for (Map.Entry<Long, SubscriberConnection> e : List.copyOf(subscribers.entrySet())) {
             sendMissingEntries(e.getKey(), e.getValue(), actions);
         }
     }
 
-    /** A message on a connection. */
+    /** Handles a message on a connection. */
     public void received(double now, long connection, Message message, PublisherActions actions) {
         SubscriberConnection subscriber = subscribers.get(connection);
         if (message instanceof Hello h && subscriber == null) {
@@ -86,20 +89,21 @@
         } else {
             closeConnection(
                     connection,
-                    "not expected here: " + message.getClass().getSimpleName(),
+                    "unexpected message " + message.getClass().getSimpleName(),
                     actions);
         }
     }
 
     private void subscribe(double now, long connection, Hello hello, PublisherActions actions) {
         if (retainedLog.lineage() == 0) {
-            closeConnection(connection, "nothing to serve yet", actions);
+            closeConnection(connection, "change stream has no entries yet", actions);
             return;
         }
         Long previousConnection = connectionsByName.put(hello.name(), connection);
         if (previousConnection != null) {
             subscribers.remove(previousConnection);
-            actions.close(previousConnection, "its owner has come again");
+            actions.close(
+                    previousConnection, "replaced by a newer connection of the same subscriber");
         }
         SubscriberConnection subscriber = new SubscriberConnection(hello.name());
         subscriber.cursor = hello.cursor();
@@ -122,7 +126,7 @@
         actions.send(connection, new Heartbeat(stamp, retainedLog.head(), ageMs));
     }
 
-    /** Sends what a reader lacks, as far as it allows. */
+    /** Sends the entries that a subscriber lacks, within its byte allowance. */
     private void sendMissingEntries(
             long connection, SubscriberConnection subscriber, PublisherActions actions) {
         while (subscriber.writable && subscribers.get(connection) == subscriber) {
@@ -153,7 +157,7 @@
         }
     }
 
-    /** Whether a connection takes more now. */
+    /** Notes whether a connection accepts more data, and sends missing entries if it does. */
     public void writabilityChanged(long connection, boolean writable, PublisherActions actions) {
         SubscriberConnection subscriber = subscribers.get(connection);
         if (subscriber != null) {
@@ -162,7 +166,7 @@
         }
     }
 
-    /** A connection has ended. */
+    /** Removes the subscriber of a connection that was closed. */
     public void closed(long connection) {
         SubscriberConnection subscriber = subscribers.remove(connection);
         if (subscriber != null) {
@@ -175,16 +179,16 @@
         actions.close(connection, reason);
     }
 
-    /** Called some times a second. */
+    /** Disconnects silent subscribers; called several times per second. */
     public void tick(double now, PublisherActions actions) {
         for (Map.Entry<Long, SubscriberConnection> e : List.copyOf(subscribers.entrySet())) {
             if (now - e.getValue().lastReceivedAtMs > IDLE_TIMEOUT_MS) {
-                closeConnection(e.getKey(), "silent", actions);
+                closeConnection(e.getKey(), "no message within the idle time-out", actions);
             }
         }
     }
 
-    /** How many it serves. */
+    /** Returns the number of connected subscribers. */
     public int subscriberCount() {
         return subscribers.size();
     }
--- a/src/main/java/cacheproxy/stream/RetainedLog.java
+++ b/src/main/java/cacheproxy/stream/RetainedLog.java
@@ -7,13 +7,14 @@
 import java.util.List;
 
 /**
- * What a control machine keeps of the stream: its last entries, at most so many and so many bytes,
- * and the epoch that was in force before the first of them. Whoever lacks more than it holds takes
- * a {@link Snapshot} of its end. One copy serves all readers; each is a number.
+ * The latest entries of the stream, within limits for their number and bytes, and the epoch that
+ * was in force before the first of them. A subscriber that lacks an entry that is no longer
+ * retained receives a {@link Snapshot} of the end. All subscribers share one copy; each is
+ * represented by a cursor.
  */
 public final class RetainedLog {
 
-    /** How much is kept: when either is passed the older half goes. */
+    /** Limits of the retained log; when either is exceeded the older half is evicted. */
     public record Bounds(int maxEntries, long maxBytes) {}
 
     private final Bounds bounds;
@@ -24,12 +25,12 @@
     private Epoch epoch = Epoch.NONE;
     private long bytes;
 
-    /** An empty one, which belongs to no stream yet. */
+    /** Creates an empty log that belongs to no stream yet. */
     public RetainedLog(Bounds bounds) {
         this.bounds = bounds;
     }
 
-    /** Begins at a snapshot: what was held is gone, and so is the stream that it belonged to. */
+    /** Discards all entries and the identity of their stream, and starts at a snapshot. */
     public void reset(Snapshot snapshot) {
         entries.clear();
         bytes = 0;
@@ -40,17 +41,19 @@
     }
 
     /**
-     * Adds the next entry; one that is not the next throws, as nobody may be told of a gap as if
-     * there were none.
+     * Appends the next entry.
+     *
+     * @throws IllegalArgumentException if its number is not the next one, because a gap would pass
+     *     unnoticed to the subscribers
      */
     public void append(Entry entry) {
         if (lineage == 0 || entry.seq() != head() + 1) {
             throw new IllegalArgumentException(
-                    "entry "
+                    "change-stream entry "
                             + entry.seq()
-                            + " after "
+                            + " does not follow entry "
                             + head()
-                            + (lineage == 0 ? " of no stream" : ""));
+                            + (lineage == 0 ? " (no stream yet)" : ""));
         }
         entries.add(entry);
         bytes += FrameCodec.encodedBytes(entry.change());
@@ -75,41 +78,43 @@
     }
 
     /**
-     * Names the stream, so that no cursor into another is taken for one into this; 0 where it
-     * belongs to none yet.
+     * Returns the identifier of the stream, which tells its cursors from those into another stream;
+     * 0 if this log belongs to no stream yet.
      */
     public long lineage() {
         return lineage;
     }
 
-    /** The last entry before those that are held. */
+    /** Returns the sequence number of the last entry before the retained ones. */
     public long base() {
         return base;
     }
 
-    /** The last entry. */
+    /** Returns the sequence number of the last entry. */
     public long head() {
         return base + entries.size();
     }
 
-    /** What was in force before the first entry that is held. */
+    /** Returns a snapshot of the state before the first retained entry. */
     public Snapshot startSnapshot() {
         return new Snapshot(lineage, base, baseEpoch);
     }
 
-    /** Where whoever is too far behind goes on from. */
+    /** Returns a snapshot of the state after the last entry, for subscribers too far behind. */
     public Snapshot endSnapshot() {
         return new Snapshot(lineage, head(), epoch);
     }
 
-    /** Whether all entries after this one are held, or it lies ahead. */
+    /** Whether all entries after {@code cursor} are retained; also true for a cursor ahead. */
     public boolean canContinueFrom(long cursor) {
         return cursor >= base;
     }
 
     /**
-     * The changes that follow a cursor, so many bytes of them at most; the first comes also where
-     * it alone is longer than {@code softBytes}, but not than {@code mostBytes}.
+     * Returns the changes that follow a cursor.
+     *
+     * @param targetBytes limit for their encoded size, which the first change alone may exceed
+     * @param maxBytes limit for their encoded size without exception
      */
     List<Change> changesAfter(long cursor, long targetBytes, long maxBytes) {
         List<Change> changes = new ArrayList<>();
@@ -127,8 +132,8 @@
     }
 
     /**
-     * All that is held, as messages of so many bytes at most, but for one longer change: a snapshot
-     * of its start, then batches.
+     * Returns the contents of the log as a snapshot of its start followed by batches. A batch
+     * contains at most {@code targetBytes} of changes, or a single longer change.
      */
     public List<Message> toMessages(int targetBytes) {
         List<Message> messages = new ArrayList<>();
@@ -141,7 +146,9 @@
         return messages;
     }
 
-    /** Takes one of these; in their order they make the same window. */
+    /**
+     * Restores one of the messages of {@link #toMessages}; all of them in order restore the log.
+     */
     public void restore(Message message) {
         if (message instanceof Snapshot s) {
             reset(s);
@@ -150,11 +157,12 @@
                 append(new Entry(b.firstSeq() + i, b.changes().get(i)));
             }
         } else {
-            throw new IllegalArgumentException("no part of a window: " + message);
+            throw new IllegalArgumentException(
+                    "not a snapshot or batch of a retained log: " + message);
         }
     }
 
-    /** All that is held, in order. */
+    /** Returns all retained entries, in order. */
     public List<Entry> entries() {
         return List.copyOf(entries);
     }
--- a/src/main/java/cacheproxy/stream/Subscriber.java
+++ b/src/main/java/cacheproxy/stream/Subscriber.java
@@ -13,43 +13,48 @@
 import java.util.Random;
 
 /**
- * A proxy's part: one connection, to the control machine that rendezvous hashing names among those
- * that answer. What comes is applied in order and once; a gap ends the connection, and the next one
- * goes on from the cursor. Bytes of entries are allowed at a pace. It knows how old its view may be
- * without comparing clocks: it was current when it asked for the beat whose last entry it has, less
- * what the sender says of itself.
+ * The proxy's side of a subscription: one connection, to the highest ranked control machine by
+ * rendezvous hashing among those that respond. Entries are applied once and in order; after a gap
+ * the connection is closed, and the next one continues from the cursor. A token bucket limits the
+ * bytes of entries that the server may send. The age of the proxy's view is known without comparing
+ * clocks: once the proxy has applied the last entry that a heartbeat names, its view is as of the
+ * time at which it requested that heartbeat, minus the age that the server reports of its own view.
  */
 public final class Subscriber {
 
-    /** What it does with its connection and with what comes. */
+    /** The effects that a subscriber asks its owner for. */
     public interface SubscriberActions {
         /**
-         * Connects, and ends any earlier connection; all events of this one carry {@code attempt}.
+         * Connects to a server and closes any earlier connection. All events of the new connection
+         * carry {@code attempt}.
          */
         void connect(String server, int attempt);
 
-        /** Ends the connection; no event need follow. */
+        /** Closes the connection; {@link #closed} need not be called for it. */
         void disconnect(int attempt);
 
         void send(Message message);
 
         /**
-         * The next entries, in order; false where they could not be kept: they are not confirmed
-         * then, and come again.
+         * Applies the next entries, in order.
+         *
+         * @return false if they could not be stored; then they are not acknowledged, and are sent
+         *     again on the next connection
          */
         boolean apply(List<Entry> entries);
 
         /**
-         * All that was kept from before counts as purged, and another configuration is in force;
-         * false as above.
+         * Treats everything cached so far as purged and puts the snapshot's configuration in force.
+         *
+         * @return false if the snapshot could not be stored
          */
         boolean reset(Snapshot snapshot);
 
-        /** For the log. */
+        /** Reports an event for the log. */
         void event(SubscriberEvent event, String server);
     }
 
-    /** What a log tells. */
+    /** Events of a subscription that are reported for the log. */
     public enum SubscriberEvent {
         CONNECTED,
         CONNECTION_LOST,
@@ -60,7 +65,15 @@
         RETURNING_TO_PREFERRED
     }
 
-    /** Who it is, whom it may ask, and its pace; {@code random} spreads its reconnects. */
+    /**
+     * What a subscriber is made of.
+     *
+     * @param name the proxy's name
+     * @param servers the names of the control machines
+     * @param rateBytesPerS the long-term limit for bytes of entries per second
+     * @param burstBytes how many bytes of entries may arrive at once
+     * @param random spreads reconnects and heartbeat requests of many proxies over time
+     */
     public record Parts(
             String name,
             List<String> servers,
@@ -69,30 +82,41 @@
             Random random) {}
 
     /**
-     * A pace that leaves room for the largest change at once, and stays under 5,000 bytes a second
-     * in any minute with all else on the connection.
+     * Rate limit for entries. Together with {@link #BURST_BYTES} it leaves capacity for the largest
+     * change at once, and keeps the connection below 5,000 bytes per second in any minute, all
+     * other messages included.
      */
     public static final double RATE_BYTES_PER_S = 3000;
 
     public static final double BURST_BYTES = 24_576;
 
+    /** How often a heartbeat is requested. */
     static final double PING_INTERVAL_MS = 500;
+
+    /** A server that sends nothing for this long is left. */
     static final double SERVER_TIMEOUT_MS = 1100;
+
+    /** The minimum time between an acknowledgement and the next one without a heartbeat request. */
     private static final double ACK_INTERVAL_MS = 250;
+
     private static final double CONNECT_TIMEOUT_MS = 500;
 
-    /** What moves at once comes to the others within this. */
+    /** Proxies that lose their server at the same time reconnect spread over this period. */
     static final double MAX_CONNECT_JITTER_MS = 200;
 
     private static final double INITIAL_BACKOFF_MS = 500;
     private static final double MAX_BACKOFF_MS = 8000;
     private static final int MAX_STALE_SWITCH_DOUBLINGS = 7;
+
+    /** How long a proxy stays with a lower ranked server before it tries the highest ranked one. */
     private static final double INITIAL_RETURN_DELAY_MS = 20_000;
+
     private static final double MAX_RETURN_DELAY_MS = 600_000;
 
-    /** A control machine that has not heard of the log for so long is left for another. */
+    /** A server whose own view of the log is older than this is left for another. */
     private static final long MAX_SERVER_AGE_MS = 2000;
 
+    /** The allowance is announced again once it has grown by this fraction of the burst. */
     private static final double ALLOWANCE_UPDATE_FRACTION = 0.125;
 
     private enum State {
@@ -115,7 +139,7 @@
     private String server;
     private int attempt;
 
-    /** When the state is given up, or a wait is over. */
+    /** When a wait ends or a connection attempt times out, in milliseconds of the clock. */
     private double stateEndsAtMs;
 
     private double returnAtMs = Double.POSITIVE_INFINITY;
@@ -127,9 +151,10 @@
     private long applied;
     private double asOf = Double.NEGATIVE_INFINITY;
 
-    /** The beat that waits for its entries: its last one, and the time that it speaks for. */
+    /** The last entry of a heartbeat whose entries have not all been applied; -1 for none. */
     private long awaitedSeq = -1;
 
+    /** The time as of which the view is current once {@link #awaitedSeq} is applied. */
     private double awaitedAsOf;
 
     private long receivedBytes;
@@ -140,8 +165,8 @@
     private double lastReceivedAtMs;
 
     /**
-     * @param lineage 0 for one that begins anew, as a process without a memory does; else it goes
-     *     on after {@code applied}
+     * @param lineage the identifier of the stream to continue after {@code applied}; 0 for a
+     *     subscriber that starts without stored state
      */
     public Subscriber(Parts parts, long lineage, long applied, double now) {
         this.parts = parts;
@@ -164,30 +189,30 @@
         return Hash.mix(ownHash ^ Hash.mix(Hash.hashText(server)));
     }
 
-    /** The last entry that is applied here; -1 before the first snapshot. */
+    /** Returns the last entry that is applied here; -1 before the first snapshot. */
     public long applied() {
         return applied;
     }
 
-    /** The stream's name; 0 before the first snapshot. */
+    /** Returns the identifier of the stream; 0 before the first snapshot. */
     public long lineage() {
         return lineage;
     }
 
     /**
-     * All that was committed up to this time is applied here; minus infinity where nothing is
-     * known.
+     * Returns the time up to which all committed entries are applied here, in milliseconds of this
+     * proxy's clock; minus infinity if that is not known.
      */
     public double asOf() {
         return asOf;
     }
 
-    /** Whom it is connected to; null in between. */
+    /** Returns the server that this subscriber is connected to; null if there is none. */
     public String server() {
         return state == State.OPEN ? server : null;
     }
 
-    /** Called every some ten milliseconds. */
+    /** Does the periodic work; called every few tens of milliseconds. */
     public void tick(double now, SubscriberActions actions) {
         switch (state) {
             case WAITING -> {
@@ -256,7 +281,7 @@
         actions.send(new Ack(applied, lastAckAllowedBytes, stamp));
     }
 
-    /** The connection has come up. */
+    /** Handles an established connection. */
     public void connected(double now, int attempt, SubscriberActions actions) {
         if (attempt != this.attempt || state != State.CONNECTING) {
             return;
@@ -267,7 +292,7 @@
         lastAckAllowedBytes = allowedBytes(now);
         lastAckApplied = applied;
         lastAckAtMs = now;
-        // Drawn, so that those who came together do not ask together.
+        // Random, so that proxies that connected together do not request heartbeats together.
         lastPingAtMs = now - parts.random().nextDouble() * PING_INTERVAL_MS;
         if (server.equals(rankedServers.get(0))) {
             returnAtMs = Double.POSITIVE_INFINITY;
@@ -279,7 +304,7 @@
         actions.event(SubscriberEvent.CONNECTED, server);
     }
 
-    /** The connection has ended, or has never come up. */
+    /** Handles the end of a connection, or a connection attempt that failed. */
     public void closed(double now, int attempt, SubscriberActions actions) {
         if (attempt == this.attempt && state != State.WAITING) {
             scheduleReconnect(
@@ -292,12 +317,12 @@
     }
 
     private void abandonConnection(double now, SubscriberEvent reason, SubscriberActions actions) {
-        // First, as the end of a connection may be told from within.
+        // Before disconnect(), which may call closed() before it returns.
         scheduleReconnect(now, reason, actions);
         actions.disconnect(attempt);
     }
 
-    /** For a while it goes elsewhere; the while grows with each time in a row. */
+    /** Avoids the current server for a time that doubles with each consecutive failure. */
     private void scheduleReconnect(double now, SubscriberEvent reason, SubscriberActions actions) {
         ServerBackoff backoff = backoffs.get(server);
         double backoffMs =
@@ -315,7 +340,7 @@
         actions.event(reason, server);
     }
 
-    /** A message on the connection. */
+    /** Handles a message on the connection. */
     public void received(double now, int attempt, Message message, SubscriberActions actions) {
         if (attempt != this.attempt || state != State.OPEN) {
             return;
@@ -379,7 +404,8 @@
         } else if (now >= nextStaleSwitchAtMs
                 && rankedServers.stream()
                         .anyMatch(s -> !s.equals(server) && backoffs.get(s).untilMs <= now)) {
-            // Where all are behind nobody may go in circles.
+            // The time until the next switch doubles each time, so that subscribers do not cycle
+            // through the servers when the view of all of them is old.
             nextStaleSwitchAtMs =
                     now
                             + INITIAL_BACKOFF_MS
--- a/src/main/java/cacheproxy/stream/package-info.java
+++ b/src/main/java/cacheproxy/stream/package-info.java
@@ -1,7 +1,8 @@
 /**
- * One ordered stream of purges and epochs from the control machines to every proxy: what each end
- * decides, how entries are written, and who has which. JDK alone; no I/O, no clock, no threads:
- * {@code cacheproxy.stream.wire} brings sockets, {@code cacheproxy.raft} the order of the entries
- * and their log. Start reading at {@link Publisher} and {@link Subscriber}.
+ * The change stream: one ordered stream of purges and epochs from the control machines to every
+ * proxy. This package contains the logic of both ends, the encoding of entries, and the tracking of
+ * acknowledgements. It depends on the JDK only and has no I/O, clock or threads. {@code
+ * cacheproxy.stream.wire} adds the sockets, {@code cacheproxy.raft} the order of the entries and
+ * the replicated log. Start reading at {@link Publisher} and {@link Subscriber}.
  */
 package cacheproxy.stream;
--- a/src/main/java/cacheproxy/stream/wire/StreamClient.java
+++ b/src/main/java/cacheproxy/stream/wire/StreamClient.java
@@ -25,26 +25,26 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A {@link Subscriber}'s one connection, on one loop; all calls and all of its sink's are made on
- * that loop.
+ * The connection of a {@link Subscriber}. All calls of this class, and its calls of the sink, are
+ * made on one event loop.
  */
 public final class StreamClient implements Subscriber.SubscriberActions {
 
-    /** Takes what comes; false where it could not be kept. */
+    /** Receives the entries of the stream. Methods return false if the data was not stored. */
     public interface Sink {
-        /** The next entries, in order. */
+        /** Applies the next entries, in order. */
         boolean apply(List<Entry> entries);
 
-        /** All from before counts as purged, and another configuration is in force. */
+        /** Treats everything cached so far as purged and applies the snapshot's configuration. */
         boolean reset(Snapshot snapshot);
 
-        /** For the log. */
+        /** Reports an event for the log. */
         default void event(Subscriber.SubscriberEvent event, String server) {}
     }
 
     private static final long TICK_INTERVAL_MS = 50;
 
-    /** The longest is a batch of one change that is as long as any. */
+    /** The longest frame is a batch of one change of maximum size. */
     private static final int MAX_FRAME_BYTES = FrameCodec.MAX_CHANGE_BYTES + 4096;
 
     private final EventLoop loop;
@@ -54,7 +54,7 @@
     private final Sink sink;
     private final ChannelFactory<Channel> channelFactory;
 
-    /** Null before the first connection, and where the latest could not be begun. */
+    /** Null before the first connection, and if no channel could be created for the latest one. */
     private Channel channel;
 
     private ScheduledFuture<?> tickTask;
@@ -62,7 +62,7 @@
     private long bytesOut;
 
     /**
-     * @param nowMs the clock that the subscriber was made with
+     * @param nowMs the clock that the subscriber was created with, in milliseconds
      */
     public StreamClient(
             EventLoop loop,
@@ -73,9 +73,7 @@
         this(loop, servers, subscriber, nowMs, sink, NioSocketChannel::new);
     }
 
-    /**
-     * For tests: connects over channels that may fail to be made, as where no descriptor is left.
-     */
+    /** For tests: with channels whose creation may fail, for example without file descriptors. */
     StreamClient(
             EventLoop loop,
             Map<String, InetSocketAddress> servers,
@@ -91,7 +89,7 @@
         this.channelFactory = channelFactory;
     }
 
-    /** Begins. */
+    /** Starts the periodic work of the subscriber, which connects to a server. */
     public void start() {
         tickTask =
                 loop.scheduleAtFixedRate(
@@ -101,7 +99,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Ends; on the loop. */
+    /** Stops the periodic work and closes the connection; called on the event loop. */
     public void close() {
         tickTask.cancel(false);
         if (channel != null) {
@@ -109,12 +107,12 @@
         }
     }
 
-    /** Bytes of frames and their lengths that have come, without the headers of TCP and IP. */
+    /** Returns the bytes received: frames with length prefixes, without TCP and IP headers. */
     public long bytesIn() {
         return bytesIn;
     }
 
-    /** Bytes of frames and their lengths that have gone. */
+    /** Returns the bytes sent: frames with length prefixes, without TCP and IP headers. */
     public long bytesOut() {
         return bytesOut;
     }
@@ -146,8 +144,8 @@
                                 })
                         .connect(servers.get(server));
         if (connecting.isDone() && !connecting.isSuccess()) {
-            // No socket could be made, as descriptors are out: there is no channel whose end would
-            // be told.
+            // No socket could be created, for example because no file descriptors are left. There
+            // is no channel whose close future could report the failure.
             channel = null;
             loop.execute(() -> connectionClosed(attempt));
             return;
@@ -213,7 +211,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A reset, or a frame that is none: its end is told by the close.
+            // A connection reset or a malformed frame; the close future notifies the subscriber.
             ctx.close();
         }
     }
--- a/src/main/java/cacheproxy/stream/wire/StreamServer.java
+++ b/src/main/java/cacheproxy/stream/wire/StreamServer.java
@@ -25,9 +25,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A control machine's socket: connections in, frames to and from its {@link Publisher}, all on one
- * loop. A connection whose socket takes no more is told to the publisher, which then sends nothing
- * on it; so each holds some ten kilobytes here at most.
+ * The server of a control machine: accepts connections and passes frames to and from its {@link
+ * Publisher}, all on one event loop. While the write buffer of a connection is full the publisher
+ * sends nothing on it, so each connection buffers at most a few tens of kilobytes.
  */
 public final class StreamServer implements Publisher.PublisherActions {
 
@@ -35,7 +35,7 @@
     private static final int MAX_FRAME_BYTES = 1 << 16;
     private static final int MAX_CONNECTIONS = 4096;
 
-    /** A reader asks twice a second. */
+    /** Subscribers request a heartbeat twice per second. */
     private static final long READ_TIMEOUT_MS = 3500;
 
     private static final int WRITE_LOW_WATER_BYTES = 8 << 10;
@@ -49,7 +49,7 @@
     private long lastConnectionId;
 
     /**
-     * @param nowMs the clock that the publisher is told
+     * @param nowMs the clock that is passed to the publisher, in milliseconds
      */
     public StreamServer(EventLoop loop, Publisher publisher, DoubleSupplier nowMs) {
         this.loop = loop;
@@ -57,7 +57,7 @@
         this.nowMs = nowMs;
     }
 
-    /** Takes connections; the address is the one bound, where port 0 was asked for. */
+    /** Starts listening; returns the bound address, with the port selected if port 0 was given. */
     public InetSocketAddress listen(InetSocketAddress address)
             throws IOException, InterruptedException {
         ChannelFuture bindFuture =
@@ -102,15 +102,15 @@
     }
 
     /**
-     * On the loop: puts another publisher in the place of the first; all its readers' connections
-     * end.
+     * Replaces the publisher and closes the connections of all subscribers; called on the event
+     * loop.
      */
     public void replacePublisher(Publisher next) {
         publisher = next;
         Map.copyOf(connections).values().forEach(connection -> connection.channel.close());
     }
 
-    /** On the loop. */
+    /** Closes the listener and all connections; called on the event loop. */
     public void close() {
         if (listener != null) {
             listener.close();
@@ -134,7 +134,7 @@
         }
     }
 
-    /** A message with its length before it. */
+    /** Encodes a message as a frame with its length prefix. */
     static ByteBuf frame(Message message) {
         byte[] bytes = FrameCodec.encode(message);
         return Unpooled.buffer(LENGTH_BYTES + bytes.length)
@@ -181,8 +181,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Silence, a reset, or a frame that is none: whoever it was comes again and goes on
-            // from its cursor.
+            // A read time-out, a connection reset or a malformed frame. The subscriber reconnects
+            // and continues from its cursor.
             ctx.close();
         }
     }
--- a/src/main/java/cacheproxy/stream/wire/package-info.java
+++ b/src/main/java/cacheproxy/stream/wire/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Carries {@code cacheproxy.stream} between a control machine and its proxies: frames on TCP, one
- * connection a proxy. Decides nothing about entries, and what {@code serve} loads knows nothing of
- * it. Start reading at {@link StreamClient}; {@code cacheproxy.raft.StreamService} is the other
- * end.
+ * Transports the messages of {@code cacheproxy.stream} between a control machine and its proxies:
+ * frames over TCP, one connection per proxy. It contains no logic about entries, and the classes
+ * that {@code serve} loads do not depend on it. Start reading at {@link StreamClient}; {@code
+ * cacheproxy.raft.StreamService} is the other end.
  */
 package cacheproxy.stream.wire;
--- a/src/test/java/cacheproxy/benchlink/SimulatorSessionTest.java
+++ b/src/test/java/cacheproxy/benchlink/SimulatorSessionTest.java
@@ -10,7 +10,7 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
-/** The wire, as short dialogues. */
+/** Short exchanges over the simulator's protocol. */
 class SimulatorSessionTest {
 
     private static final String SETTINGS =
--- a/src/test/java/cacheproxy/cli/CapacityPageTest.java
+++ b/src/test/java/cacheproxy/cli/CapacityPageTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The page's tables are what the command prints from the committed files. */
+/** The tables of docs/CAPACITY.md equal the output of the command for the committed files. */
 class CapacityPageTest {
 
     private static final String BEGIN = "<!-- begin: ./flintmill lab capacity -->\n";
@@ -50,13 +50,13 @@
         int begin = page.indexOf(BEGIN) + BEGIN.length();
         assertTrue(
                 begin >= BEGIN.length() && page.indexOf(END) > begin,
-                "the page has lost its marks");
+                "the begin or end marker is missing from the page");
         CommandResult result = run("lab", "capacity");
         assertEquals(0, result.exit(), result.err());
         assertEquals(
                 result.out(),
                 page.substring(begin, page.indexOf(END)),
-                "put what ./flintmill lab capacity prints between the page's marks");
+                "replace the text between the page's markers by the output of ./flintmill lab capacity");
     }
 
     @Test
--- a/src/test/java/cacheproxy/config/FileErrorMessagesTest.java
+++ b/src/test/java/cacheproxy/config/FileErrorMessagesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Every mistake is one line that says where it is, what was found and what is allowed. */
+/** Every error is reported in one line with its location, the value found and those allowed. */
 class FileErrorMessagesTest {
 
     @ParameterizedTest
--- a/src/test/java/cacheproxy/stream/FrameCodecTest.java
+++ b/src/test/java/cacheproxy/stream/FrameCodecTest.java
@@ -20,7 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is written is read again, its length is known beforehand, and what is no frame is refused.
+ * Frames decode to the message that was encoded, the computed size of a change is exact, and
+ * malformed frames are rejected with an IllegalArgumentException only.
  */
 class FrameCodecTest {
 
@@ -98,7 +99,7 @@
                 try {
                     FrameCodec.decode(ByteBuffer.wrap(corrupted));
                 } catch (IllegalArgumentException expected) {
-                    // Or another message: only nothing else may be thrown.
+                    // Decoding to another message is allowed too; other exceptions are not.
                     continue;
                 }
             }
--- a/src/test/java/cacheproxy/stream/SubscriberTest.java
+++ b/src/test/java/cacheproxy/stream/SubscriberTest.java
@@ -21,7 +21,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** One proxy's part against messages made by hand. */
+/** Tests a subscriber with scripted messages. */
 class SubscriberTest {
 
     private static final List<String> SERVERS = List.of("a", "b", "c", "d");
@@ -42,7 +42,7 @@
 
         @Override
         public void disconnect(int attempt) {
-            // As a socket may: its end is told from within.
+            // Like a socket that reports its end before the call returns.
             subscriber.closed(now, attempt, this);
         }
 
@@ -107,7 +107,7 @@
         openConnection();
         assertEquals(new Hello("proxy-1", 0, -1, 10_000), actions.sent.get(0));
         receive(batch(1, 1));
-        assertEquals(List.of(), actions.applied, "before it knows where it is nothing is taken");
+        assertEquals(List.of(), actions.applied, "no entry is applied before the first snapshot");
         openConnection();
         receive(new Snapshot(9, 4, Epoch.NONE));
         receive(batch(5, 3));
@@ -116,7 +116,7 @@
         receive(new Snapshot(9, 6, Epoch.NONE));
         assertEquals(List.of(5L, 6L, 7L, 8L, 9L), actions.applied);
         subscriber.received(now, actions.attempt - 1, batch(10, 1), actions);
-        assertEquals(9, subscriber.applied(), "from a connection that is over");
+        assertEquals(9, subscriber.applied(), "messages of an earlier connection are ignored");
         receive(batch(11, 1));
         assertEquals(SubscriberEvent.SEQUENCE_GAP, actions.events.get(actions.events.size() - 1));
         openConnection();
@@ -151,13 +151,13 @@
                                 .reduce((x, y) -> y)
                                 .orElseThrow();
         receive(new Heartbeat(ask.stamp(), 2, 30));
-        assertEquals(Double.NEGATIVE_INFINITY, subscriber.asOf(), "entries are on the way");
+        assertEquals(Double.NEGATIVE_INFINITY, subscriber.asOf(), "entries have not arrived yet");
         receive(batch(1, 1));
         assertEquals(Double.NEGATIVE_INFINITY, subscriber.asOf());
         receive(batch(2, 1));
         assertEquals(ask.stamp() - 30, subscriber.asOf());
         receive(new Heartbeat(ask.stamp() - 400, 2, 0));
-        assertEquals(ask.stamp() - 30, subscriber.asOf(), "never back");
+        assertEquals(ask.stamp() - 30, subscriber.asOf(), "never decreases");
     }
 
     @Test
@@ -179,8 +179,7 @@
         }
         assertTrue(
                 actions.connects.size() < 24,
-                "where all are behind it goes from one to another less and less: "
-                        + actions.connects);
+                "switches less and less often when all servers are stale: " + actions.connects);
     }
 
     @Test
--- a/src/test/java/cacheproxy/stream/wire/StreamClientTest.java
+++ b/src/test/java/cacheproxy/stream/wire/StreamClientTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A subscriber whose system calls fail connects again. */
+/** A subscriber reconnects after the system calls of its connection attempts have failed. */
 class StreamClientTest {
 
     private static final String SERVER = "server";
@@ -60,7 +60,10 @@
         return System.nanoTime() / 1e6;
     }
 
-    /** Of a connection that fails late the server sees the connection and its end. */
+    /**
+     * Waits for a connection on which data arrives. An attempt that fails after the connection was
+     * established is seen by the server as a connection that ends without data.
+     */
     private static void awaitSubscription(ServerSocket server) throws IOException {
         boolean subscribed = false;
         while (!subscribed) {
