--- a/src/main/java/cacheproxy/proxy/Clock.java
+++ b/src/main/java/cacheproxy/proxy/Clock.java
@@ -4,10 +4,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in milliseconds that never runs back: read once from the wall clock and carried on by
- * the monotonic one, so that a step of the wall clock moves no deadline. A step before the start
- * leaves it off by that much for the life of the process: the difference to a Unix time from
- * elsewhere is no span of time (see {@link cacheproxy.measure.Incarnation}).
+ * Unix time in milliseconds that never runs backwards: the wall clock is read once, and the
+ * monotonic clock advances the value from there, so that a step of the wall clock moves no
+ * deadline. If the wall clock is wrong at the start, this clock keeps that error until the process
+ * ends; the difference to a Unix time from another machine is therefore not a time span (see {@link
+ * cacheproxy.measure.Incarnation}).
  */
 final class Clock {
 
@@ -22,7 +23,7 @@
         this(System::nanoTime);
     }
 
-    /** {@code nanos} is the monotonic clock, in nanoseconds. */
+    /** {@code nanoClock} is the monotonic clock, in nanoseconds. */
     Clock(LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
         startNanos = nanoClock.getAsLong();
@@ -30,13 +31,14 @@
         startMs = startInstant.getEpochSecond() * MS_PER_S + startInstant.getNano() / NANOS_PER_MS;
     }
 
+    /** Returns the Unix time in milliseconds. */
     double now() {
         return startMs + (nanoClock.getAsLong() - startNanos) / NANOS_PER_MS;
     }
 
     /**
-     * Nanoseconds until a time of this clock, rounded up so that a timer never fires early; 0 if it
-     * has passed.
+     * Returns the nanoseconds until {@code atMs} on this clock, rounded up so that a timer never
+     * fires early, or 0 if that time has passed.
      */
     long nanosUntil(double atMs) {
         return Math.max(0, (long) Math.ceil((atMs - now()) * NANOS_PER_MS));
--- a/src/main/java/cacheproxy/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/Config.java
@@ -16,11 +16,13 @@
 import java.util.Map;
 
 /**
- * What the deployment tells a proxy. {@code peerListen} and {@code peersAll} are null and {@code
- * peers} empty where proxies may not talk to one another; {@code known} is null where the proxy has
- * never had a list. {@code admin}, the operators' address, is null where there is none, {@code
- * passedSocket} where the proxy binds its clients' socket itself, and {@code shared}, the folder
- * that it shares with the process it replaces, where neither is there.
+ * The configuration that the platform passes to a proxy. {@code peerListen} and {@code peersAll}
+ * are null and {@code peers} is empty where proxies do not exchange messages. {@code
+ * knownEndpoints} is null where the proxy has never received an endpoint list. {@code admin}, the
+ * address for operators, is null where there is none. {@code passedSocket} is null where the proxy
+ * binds the clients' socket itself. {@code sharedDirectory}, the directory shared with the process
+ * that this one replaces, is null where both {@code admin} and {@code passedSocket} are, or where
+ * TMPDIR is not set.
  */
 public record Config(
         String name,
@@ -46,7 +48,10 @@
         peers = List.copyOf(peers);
     }
 
-    /** Reads the file that BALANCER_CONFIG names; the other variables override what it says. */
+    /**
+     * Reads the file that the environment variable BALANCER_CONFIG names. The other variables
+     * override its values.
+     */
     public static Config fromEnvironment(Map<String, String> environment) throws ConfigException {
         String file = environment.get("BALANCER_CONFIG");
         if (file == null) {
@@ -56,14 +61,14 @@
         try {
             json = Files.readString(Path.of(file));
         } catch (IOException | InvalidPathException e) {
-            throw new ConfigException("cannot read " + file);
+            throw new ConfigException("cannot read configuration file " + file);
         }
         return parse(json, environment);
     }
 
     /**
-     * Reads the file again: what it says of discovery now is newer than the variable that the start
-     * was given.
+     * Reads the file again, ignoring BALANCER_DISCOVERY: the file may have changed since the
+     * process started, the variable cannot.
      */
     static Config reread(Map<String, String> environment) throws ConfigException {
         Map<String, String> remaining = new HashMap<>(environment);
@@ -96,7 +101,7 @@
                     passedSocket,
                     admin == null && passedSocket == null ? null : shared(environment));
         } catch (RuntimeException e) {
-            // Gson and the settings' own checks report what is wrong by several unchecked types.
+            // Gson and the checks of the settings throw several unchecked exception types.
             throw new ConfigException(
                     String.valueOf(e.getMessage()).lines().findFirst().orElse("malformed"));
         }
@@ -145,7 +150,10 @@
         return directory == null ? null : Path.of(directory, SHARED_DIRECTORY_NAME);
     }
 
-    /** Whether a process of this proxy has started here before, and may be running still. */
+    /**
+     * Whether a process of this proxy has been started on this machine before; that process may
+     * still be running.
+     */
     boolean mayReplaceProcess() {
         return sharedDirectory != null && Files.isDirectory(sharedDirectory);
     }
--- a/src/main/java/cacheproxy/proxy/ConfigException.java
+++ b/src/main/java/cacheproxy/proxy/ConfigException.java
@@ -1,6 +1,9 @@
 package cacheproxy.proxy;
 
-/** A configuration that nothing can be started from; the message is for the operator. */
+/**
+ * Thrown for a configuration that the proxy cannot start with or reload. The message is written for
+ * operators.
+ */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cacheproxy/proxy/ConfigFileWatch.java
+++ b/src/main/java/cacheproxy/proxy/ConfigFileWatch.java
@@ -11,43 +11,47 @@
 import java.util.zip.CRC32;
 
 /**
- * Tells whether the file that BALANCER_CONFIG names has changed. It stands in for SIGHUP in a
- * process that was started with that signal ignored, and is neither loaded nor used in any other.
- * Not safe for use by several threads at once.
+ * Detects changes of the file that BALANCER_CONFIG names. It replaces SIGHUP in a process that was
+ * started with that signal ignored; other processes neither load nor use it. Not thread-safe.
  */
 public final class ConfigFileWatch {
 
-    /** Time from the end of one look at the file to the next. */
+    /** Delay between the end of one check and the start of the next. */
     static final long POLL_INTERVAL_MS = 500;
 
-    /** Stands for the checksum of a content that could not be read; no checksum is negative. */
+    /** Checksum value of content that could not be read. CRC-32 values are never negative. */
     private static final long UNREADABLE_CHECKSUM = -1;
 
-    /** What the file system says of a regular file. */
+    /** File-system attributes of a regular file. */
     private record Attributes(Object fileKey, long size, FileTime modified) {}
 
     private final String file;
 
-    /** Null where there is no regular file, or none that can be read. */
+    /** Null if there is no regular file or its attributes cannot be read. */
     private Attributes attributes;
 
     private long checksum;
 
     /**
-     * Whether the attributes were the same at the last two looks. The clock of a file system is
-     * coarse, so a write right after a look may leave them as they were: the content is compared
-     * once more.
+     * Whether the attributes were equal at the last two checks. File-system timestamps are coarse,
+     * so a write right after a check may leave the attributes unchanged; the content is therefore
+     * compared once more.
      */
     private boolean unchangedAtLastCheck;
 
-    /** Remembers the file as it is now: made before that is first read, it misses no change. */
+    /**
+     * Records the present state of the file. To miss no change, create the watch before the file is
+     * first read.
+     */
     public ConfigFileWatch(Map<String, String> environment) {
         file = environment.getOrDefault("BALANCER_CONFIG", "");
         attributes = readAttributes();
         checksum = readChecksum(attributes);
     }
 
-    /** Whether the file was written, touched, replaced, removed or put back since the last look. */
+    /**
+     * Whether the file was written, touched, replaced, removed or restored since the last check.
+     */
     boolean hasChanged() {
         Attributes current = readAttributes();
         boolean sameAttributes = Objects.equals(current, attributes);
@@ -65,7 +69,7 @@
         try {
             BasicFileAttributes found =
                     Files.readAttributes(Path.of(file), BasicFileAttributes.class);
-            // Reading anything else, as a pipe, might wait without end.
+            // Reading other file types, such as a pipe, could block forever.
             return found.isRegularFile()
                     ? new Attributes(found.fileKey(), found.size(), found.lastModifiedTime())
                     : null;
--- a/src/main/java/cacheproxy/proxy/EventLoopMonitor.java
+++ b/src/main/java/cacheproxy/proxy/EventLoopMonitor.java
@@ -10,30 +10,35 @@
 import java.util.function.LongSupplier;
 
 /**
- * Times each turn of an event loop: first what its connections brought is read, then its tasks and
- * timers run. A slow one is told of with both times and how many connections were ready, as
- * everything else waits for it. So is a wait that ends late, for which the loop did nothing: the
- * machine had no core for it, or another thread held what it needed. Costs four readings of the
- * clock a turn. And it has the loop sleep until a timer is due, where the last part of a
- * millisecond would be spent on asking the system again.
+ * Measures each iteration of an event loop: it first handles I/O of its connections, then runs
+ * tasks and timers. A slow iteration is reported with both times and the number of ready
+ * connections, as everything else waits for it. A late wake-up is reported as well; the loop did
+ * not cause it: no core was available, or another thread blocked a resource. This costs four clock
+ * reads per iteration.
+ *
+ * <p>The class also makes the loop sleep until a timer is due, where the loop would otherwise poll
+ * the selector repeatedly for the last fraction of a millisecond.
  */
 final class EventLoopMonitor implements IoHandler {
 
-    /** Takes what kept the loop, in milliseconds. */
+    /** Receives slow iterations and late wake-ups; times in milliseconds. */
     interface SlowTurnListener {
-        /** A turn that worked for so long. */
+        /**
+         * Called after an iteration with {@code inputMs} of I/O and {@code tasksMs} of tasks and
+         * timers.
+         */
         void slowTurn(long inputMs, int ready, long tasksMs);
 
         /**
-         * A wait that ended so long after the first timer was due: the loop had nothing to do with
-         * that.
+         * Called after a wait that ended {@code lateMs} after the first timer was due. The loop did
+         * no work in that time.
          */
         void lateTimer(long lateMs);
     }
 
     /**
-     * A client's patience is some hundreds of milliseconds, and 100 ms after it has left nothing
-     * may begin for it.
+     * Clients wait some hundreds of milliseconds for a response, and no work may begin for a client
+     * later than 100 ms after it has disconnected.
      */
     static final long SLOW_TURN_MS = 100;
 
@@ -46,7 +51,7 @@
     private long inputNanos;
     private int ready;
 
-    /** When the tasks of this turn began. */
+    /** Start of the tasks of this iteration, in nanoseconds of the clock. */
     private long tasksStartNanos;
 
     private boolean hasRun;
@@ -122,7 +127,7 @@
         return delegate.isCompatible(type);
     }
 
-    /** Has the handler say how long it worked, its wait not counted. */
+    /** Passes the context on and requests the active I/O time, which excludes the wait. */
     private final class MeasuringContext implements IoHandlerContext {
         private IoHandlerContext context;
 
@@ -132,9 +137,10 @@
         }
 
         /**
-         * The selector waits for whole milliseconds, and its handler rounds to the nearest: what is
-         * left of less than a half it would spend asking the system over and over. Rounded up it is
-         * slept through; a timer comes at most a millisecond later.
+         * Rounds the delay up to whole milliseconds. The selector waits for whole milliseconds, and
+         * its handler rounds to the nearest, so for a remainder below half a millisecond it would
+         * poll the selector repeatedly without waiting. Rounded up, a timer fires at most one
+         * millisecond later.
          */
         @Override
         public long delayNanos(long nowNanos) {
--- a/src/main/java/cacheproxy/proxy/GossipIntegration.java
+++ b/src/main/java/cacheproxy/proxy/GossipIntegration.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Joins a proxy to the fleet's gossip, both ways. Held apart, so that a proxy that shares nothing
- * loads nothing of it.
+ * Connects a proxy to the gossip of the fleet, in both directions. A separate class, so that a
+ * proxy without gossip loads no class of the gossip packages.
  */
 final class GossipIntegration implements Proxy.NodeObserver {
 
@@ -23,7 +23,10 @@
         this.socket = socket;
     }
 
-    /** Begins to listen and to tell; {@code proxy} hears of doubts on the loop. */
+    /**
+     * Starts listening and sending. Changes of the suspicion of a node are passed to {@code proxy}
+     * on the event loop.
+     */
     static GossipIntegration open(
             EventLoop loop, Clock clock, long seed, Options.Gossip options, Proxy proxy)
             throws IOException, InterruptedException, ConfigException {
@@ -50,7 +53,7 @@
         }
     }
 
-    /** Reads the keys again; what is wrong with them changes nothing. */
+    /** Reads the keys again. If they are invalid, the present ones stay in use. */
     void reload() throws ConfigException {
         try {
             socket.reload();
@@ -59,6 +62,7 @@
         }
     }
 
+    /** Announces to the other members that this proxy leaves. */
     void leave() {
         socket.leave();
     }
--- a/src/main/java/cacheproxy/proxy/HangupSignal.java
+++ b/src/main/java/cacheproxy/proxy/HangupSignal.java
@@ -6,18 +6,18 @@
 import java.lang.invoke.MethodType;
 
 /**
- * SIGHUP, the usual sign for a new configuration; unhandled it ends a process. The Java machine's
- * interface to signals is supported but not standard, so it is looked up by name: the compiler
- * warns of any other use.
+ * Handles SIGHUP, the conventional signal to reload a configuration; its default action ends the
+ * process. The JVM's signal API is supported but not standard, so it is looked up by reflection:
+ * the compiler warns about direct use.
  */
 public final class HangupSignal {
 
     private HangupSignal() {}
 
     /**
-     * Runs {@code reload} at each signal from now on, on a thread of the Java machine's. False
-     * where the process was started with the signal ignored, as under {@code nohup}: the Java
-     * machine leaves it so, and {@code reload} never runs.
+     * Runs {@code reload} at each SIGHUP from now on, on a thread of the JVM. Returns false if the
+     * process was started with the signal ignored, as under {@code nohup}: the JVM then keeps
+     * ignoring it, and {@code reload} never runs.
      */
     public static boolean handle(Runnable reload) {
         try {
@@ -39,7 +39,7 @@
                                     handlerInstance);
             return previous != handlerClass.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP cannot be handled here", e);
+            throw new IllegalStateException("cannot install a SIGHUP handler", e);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Log.java
+++ b/src/main/java/cacheproxy/proxy/Log.java
@@ -7,9 +7,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The log: events with a name and named fields. A brake holds back what strangers can cause at any
- * rate: a flood of bad input must not become a flood of lines. The platform's text form is written
- * by slf4j-simple, JSON by logback, which is loaded only where it was asked for.
+ * The log: events with a name and named fields. Events that external input can cause at any rate
+ * are rate-limited, so that a flood of bad input does not flood the log. The platform's text format
+ * is written by slf4j-simple; JSON is written by logback, which is loaded only where JSON is
+ * configured.
  */
 public final class Log {
 
@@ -22,12 +23,12 @@
     private int linesInWindow;
     private int suppressedLines;
 
-    /** Held apart, so that a choice of format comes before the library is first touched. */
+    /** A separate class, so that the format is configured before the logging library loads. */
     private static final class LoggerHolder {
         static final Logger LOGGER = LoggerFactory.getLogger("cacheproxy");
     }
 
-    /** Takes the options in; the format of the first call holds for the life of this process. */
+    /** Applies the options. The format of the first call stays until the process ends. */
     public static void configure(Options.Log next) {
         if (formatConfigured && next.format() != options.format()) {
             event("needs_restart", "key", "log.format");
@@ -46,7 +47,7 @@
         options = new Options.Log(format, next.tallyS(), next.oddLines(), next.oddWindowS());
     }
 
-    /** An event and its fields, which are names and values in turn. */
+    /** Logs an event. {@code fields} holds field names and values in turn. */
     static void event(String name, Object... fields) {
         if (options.format() == Options.Format.JSON) {
             write(LoggerHolder.LOGGER.atInfo(), name, fields);
@@ -55,12 +56,15 @@
         }
     }
 
-    /** A fault of our own; never held back. */
+    /** Logs a fault of the proxy itself; never rate-limited. */
     static void error(String name, Throwable cause) {
         LoggerHolder.LOGGER.error(name, cause);
     }
 
-    /** Something odd from outside; past a few lines each window they are only counted. */
+    /**
+     * Logs an irregularity caused from outside. Beyond a number of lines per time window, events
+     * are only counted and reported as one {@code left_out} line.
+     */
     void warnLimited(String name, Object... fields) {
         long nowNanos = System.nanoTime();
         if (nowNanos - windowStartNanos > TimeUnit.SECONDS.toNanos(options.oddWindowS())) {
@@ -78,7 +82,7 @@
         }
     }
 
-    /** Something for the operators to mend, told once; never held back. */
+    /** Logs a condition that operators have to fix; never rate-limited. */
     static void warn(String name, Object... fields) {
         if (options.format() == Options.Format.JSON) {
             write(LoggerHolder.LOGGER.atWarn(), name, fields);
@@ -95,7 +99,7 @@
         withFields.log(name);
     }
 
-    /** {@code name key=value key="a value with blanks"}. */
+    /** Returns {@code name key=value key="a value with blanks"}. */
     static String formatLine(String name, Object... fields) {
         StringBuilder line = new StringBuilder(name);
         for (int i = 0; i + 1 < fields.length; i += 2) {
--- a/src/main/java/cacheproxy/proxy/Operations.java
+++ b/src/main/java/cacheproxy/proxy/Operations.java
@@ -18,20 +18,20 @@
 import java.util.function.Consumer;
 
 /**
- * Carries the operators' calls to the module and the clients' side, and keeps what has to outlast
- * this process.
+ * Applies the operators' calls to the decision module and the client side, and persists the state
+ * that has to survive this process.
  */
 final class Operations implements AdminOperations {
 
     /**
-     * How often the other process's calls are looked for; a yes of its own holds here that much
-     * later.
+     * Interval at which state written by the other process is read: a call accepted there takes
+     * effect here that much later at most.
      */
     private static final long POLL_INTERVAL_MS = 100;
 
     /**
-     * The drain's name as a state that is written; a cache node's is its id after {@link
-     * #NODE_STATE}.
+     * Name under which the drain state is written. The state of a cache node is named by {@link
+     * #NODE_STATE} and the node's id.
      */
     private static final String DRAIN_STATE = "drain";
 
@@ -42,13 +42,20 @@
     private final ClientServer clients;
     private final AdminServer server;
 
-    /** Null where nothing outlasts this process; a test puts another in its place. */
+    /** Null where no state survives this process; tests replace it. */
     private MaintenanceFiles stateFiles;
 
     private final StateWriter writer;
+
+    /** The nodes in maintenance at this proxy. */
     private final Set<String> nodesInMaintenance = new HashSet<>();
+
     private final Log log = new Log();
+
+    /** Whether the decision module has an endpoint list, so that calls are accepted. */
     private boolean acceptingCalls;
+
+    /** The operators' address as bound; null before that. */
     private InetSocketAddress boundAddress;
 
     Operations(EventLoop loop, Proxy proxy, ClientServer clients, Path sharedDirectory) {
@@ -60,12 +67,12 @@
         this.writer = new StateWriter(loop);
     }
 
-    /** For tests: what is kept from now on goes to these files. */
+    /** For tests: state is written to {@code replacement} from now on. */
     void useFiles(MaintenanceFiles replacement) {
         loop.submit(() -> stateFiles = replacement).syncUninterruptibly();
     }
 
-    /** Whether something that was taken on is not known to be on disk yet. */
+    /** Whether an accepted change is not known to be on disk yet. */
     boolean hasPendingWrites() {
         return writer.hasPending();
     }
@@ -82,8 +89,8 @@
     }
 
     /**
-     * The module has its first list: calls are taken from now on, and those that an earlier process
-     * took hold.
+     * Accepts calls from now on, and applies the state that an earlier process has written. Called
+     * once the decision module has its first endpoint list.
      */
     void acceptCalls() {
         acceptingCalls = true;
@@ -103,21 +110,21 @@
         try {
             stateFiles.create();
         } catch (IOException e) {
-            Log.error("shared_folder_missing", e);
+            Log.error("shared_directory_missing", e);
         }
     }
 
     /**
-     * What another process has kept holds here as well; a node that no list has named here yet is
-     * taken out when one does. What this process still owes to the disk is left as it is: the disk
-     * doesn't tell of it yet.
+     * Applies the state that another process has written. A node that no endpoint list has
+     * contained here so far enters maintenance once one does. State that this process has not
+     * written to disk yet is left unchanged, as the disk does not have it yet.
      */
     private void applyStoredState() {
         MaintenanceFiles.MaintenanceState stored;
         try {
             stored = stateFiles.read();
         } catch (IOException e) {
-            log.warnLimited("shared_folder_unread", "cause", e);
+            log.warnLimited("shared_directory_unreadable", "cause", e);
             return;
         }
         for (String node : stored.nodes()) {
@@ -143,20 +150,20 @@
         return writer.isPending(NODE_STATE_PREFIX + node);
     }
 
-    /** Whether operators hold a node out at this proxy. */
+    /** Whether operators have put {@code node} into maintenance at this proxy. */
     boolean isInMaintenance(String node) {
         return nodesInMaintenance.contains(node);
     }
 
     private void applyDrain(boolean start) {
-        Log.event(start ? "emptying" : "filling", "clients", clients.connections());
+        Log.event(start ? "drain_started" : "drain_ended", "clients", clients.connections());
         clients.setOperatorDrain(start);
     }
 
     private void recordMaintenance(String node, boolean start) {
         if (start ? nodesInMaintenance.add(node) : nodesInMaintenance.remove(node)) {
             Log.event(
-                    "maintenance",
+                    "maintenance_changed",
                     "node",
                     node,
                     "out",
@@ -173,21 +180,22 @@
                         clients.isDrainedByOperator() ? "ready; drained by an operator" : "ready")
                 : Reply.unavailable(
                         acceptingCalls
-                                ? "not ready: waiting for discovery, or ending"
+                                ? "not ready: waiting for discovery or shutting down"
                                 : "starting");
     }
 
     /**
-     * A yes is given once it is kept; where it can't be kept nothing changes and the answer is no.
+     * Confirms the call once its state is persisted. If it cannot be persisted, nothing changes and
+     * the reply is 503.
      */
     @Override
     public void setMaintenance(String node, boolean start, Consumer<Reply> answer) {
         if (!acceptingCalls) {
             answer.accept(Reply.unavailable("starting"));
         } else if (node.equals(proxy.originId())) {
-            answer.accept(Reply.notFound(node + " is the origin, no cache node"));
+            answer.accept(Reply.notFound(node + " is the origin, not a cache node"));
         } else if (!proxy.isKnownCacheNode(node)) {
-            answer.accept(Reply.notFound("no list ever named a cache node " + node));
+            answer.accept(Reply.notFound("no endpoint list has contained a cache node " + node));
         } else {
             CallTime call = CallTime.now();
             persist(
@@ -224,34 +232,35 @@
         return Reply.ok(
                 node
                         + (start
-                                ? " is out: nothing new goes there until it is put back"
-                                : " may serve again"));
+                                ? " is in maintenance: no new requests go there until it ends"
+                                : " is out of maintenance and may receive requests"));
     }
 
     /**
-     * The next process would not know of it, and break a yes. What a failed write may have left is
-     * taken back too, as a part of the failed call: it gives way to a later one. A superseded write
-     * has left nothing.
+     * Rejects the call, as the next process would not know of a change that it confirmed. What the
+     * failed write may have left on disk is reverted too; the revert carries the time of the failed
+     * call, so that a later call supersedes it. A superseded write has left nothing on disk.
      */
     private Reply rejectUnpersisted(String node, CallTime call, IOException failure) {
         if (failure instanceof SupersededException) {
             return Reply.unavailable("nothing changed: " + failure.getMessage());
         }
-        Log.error("outage_not_kept", failure);
+        Log.error("maintenance_write_failed", failure);
         if (!writer.isAnswerPending(NODE_STATE_PREFIX + node)) {
             StateWriter.StateChange revert =
                     stateChange(node, nodesInMaintenance.contains(node), call);
             writer.write(NODE_STATE_PREFIX + node, revert, ignored -> {});
         }
         return Reply.unavailable(
-                "nothing changed: it could not be kept for the next process: "
+                "nothing changed: the state could not be persisted for the next process: "
                         + failure.getMessage());
     }
 
     /**
-     * Always a yes: the days' page counts what is due from the call on, and knows no refusal of it.
-     * It is done at once, and where it can't be kept for the next process it is written again until
-     * it is, or until a later call at another process has been written.
+     * Always confirms the call, because the service terms count obligations from the call on and
+     * define no rejection of it. The drain takes effect at once. If its state cannot be persisted
+     * for the next process, the write is retried until it succeeds, or until a later call at
+     * another process has been written.
      */
     @Override
     public void setDraining(boolean start, Consumer<Reply> answer) {
@@ -264,8 +273,8 @@
         }
         String confirmation =
                 start
-                        ? "emptying: /up says no, each answer ends its connection"
-                        : "serving: /up says yes";
+                        ? "draining: /up answers 503, each response closes its connection"
+                        : "serving: /up answers 200 once the proxy is ready";
         if (stateFiles == null) {
             answer.accept(Reply.ok(confirmation));
             return;
@@ -278,7 +287,7 @@
                 failure -> answer.accept(Reply.ok(confirmation + failureNote(failure))));
     }
 
-    /** What an answer to a drain adds where its first write failed. */
+    /** Returns what the reply to a drain call adds if its first write failed. */
     private static String failureNote(IOException failure) {
         if (failure == null) {
             return "";
@@ -286,7 +295,7 @@
         if (failure instanceof SupersededException) {
             return "; " + failure.getMessage();
         }
-        return "; not kept yet for the next process, and written again until it is: "
+        return "; not yet persisted for the next process, retrying until it is: "
                 + failure.getMessage();
     }
 }
--- a/src/main/java/cacheproxy/proxy/PassedSocket.java
+++ b/src/main/java/cacheproxy/proxy/PassedSocket.java
@@ -5,9 +5,9 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * The clients' listening socket, where the platform holds it and passes it on as descriptor 0. It
- * is never closed here: that would lay descriptors 1 and 2, and with them the log, on the null
- * device. Whoever wants no more of it stops reading.
+ * The clients' listening socket, where the platform owns it and passes it as descriptor 0. The
+ * proxy never closes it: closing it would redirect descriptors 1 and 2, and with them the log, to
+ * the null device. To accept no more clients, stop reading from it instead.
  */
 final class PassedSocket {
 
@@ -15,11 +15,11 @@
 
     private PassedSocket() {}
 
-    /** {@code name} is what the platform calls it. */
+    /** Returns the socket; {@code name} is the platform's name for it. */
     static ServerSocketChannel open(String name) throws ConfigException {
         if (name.chars().allMatch(Character::isDigit) && !name.equals(SUPPORTED_DESCRIPTOR)) {
             throw new ConfigException(
-                    "passed socket: descriptor " + name + " cannot be taken, only 0");
+                    "passed socket: descriptor " + name + " is not supported, only 0 is");
         }
         Channel inherited;
         try {
@@ -28,7 +28,7 @@
             throw new ConfigException("passed socket: " + e.getMessage());
         }
         if (!(inherited instanceof ServerSocketChannel socket)) {
-            throw new ConfigException("passed socket: descriptor 0 is no listening TCP socket");
+            throw new ConfigException("passed socket: descriptor 0 is not a listening TCP socket");
         }
         return socket;
     }
--- a/src/main/java/cacheproxy/proxy/PolicyIntegration.java
+++ b/src/main/java/cacheproxy/proxy/PolicyIntegration.java
@@ -12,15 +12,20 @@
 import java.util.function.Predicate;
 
 /**
- * Joins a proxy to the fleet's policy. Held apart, so that a proxy that goes by its own file loads
- * nothing of it.
+ * Connects a proxy to the policy service of the fleet. A separate class, so that a proxy that uses
+ * only its own options file loads no class of the policy packages.
  */
 final class PolicyIntegration {
 
     private final Proxy proxy;
     private final Predicate<String> isInMaintenanceByOperators;
+
+    /** The nodes that the policy in force puts into maintenance. */
     private final Set<String> policyNodes = new HashSet<>();
+
+    /** The nodes for which this class has started maintenance. */
     private final Set<String> nodesInMaintenance = new HashSet<>();
+
     private PolicyService policyService;
 
     private PolicyIntegration(Proxy proxy, Predicate<String> isInMaintenanceByOperators) {
@@ -29,10 +34,11 @@
     }
 
     /**
-     * Begins; {@code configure} takes what an epoch says, on the loop.
+     * Starts the policy service.
      *
-     * @param outByOperators whether this proxy's own operators hold a node out, which no policy
-     *     ends
+     * @param isInMaintenanceByOperators whether operators have put a node into maintenance at this
+     *     proxy, which no policy ends
+     * @param configure receives the options of each applied epoch, on the event loop
      */
     static PolicyIntegration open(
             EventLoop loop,
@@ -74,7 +80,11 @@
         applyMaintenance();
     }
 
-    /** On the loop, now and then: a node that no list had named is taken out once one has. */
+    /**
+     * Puts nodes into maintenance, or ends it, as the policy demands. Runs on the event loop, at
+     * each change of the policy and periodically: a node that no endpoint list has contained so far
+     * enters maintenance once one does.
+     */
     void applyMaintenance() {
         for (String node : policyNodes) {
             if (!nodesInMaintenance.contains(node) && proxy.setMaintenance(node, true)) {
--- a/src/main/java/cacheproxy/proxy/Service.java
+++ b/src/main/java/cacheproxy/proxy/Service.java
@@ -25,29 +25,30 @@
 import java.util.stream.Collectors;
 
 /**
- * One running proxy: puts the parts together on one event loop, and takes them down without losing
- * a request.
+ * One running proxy: wires its components on a single event loop, and shuts them down without
+ * losing a request.
  */
 public final class Service {
 
     /**
-     * Descriptors for the listener, the watch, peers, operators, the selector and the Java
-     * machine's own files.
+     * Descriptors reserved for the listener, the discovery watch, peers, operators, the selector
+     * and files of the JVM.
      */
     static final int RESERVED_DESCRIPTORS = 48;
 
     /**
-     * Part of the other descriptors that is for clients; each of their requests has one attempt out
-     * at most.
+     * Fraction of the remaining descriptors that clients may use. Half, as each client request has
+     * at most one attempt in flight.
      */
     private static final double CLIENT_FRACTION = 0.5;
 
     /**
-     * SIGKILL comes no sooner after SIGTERM than this and the longest deadline, of which no more
-     * than so much counts. Until half of that deadline is left the clients that are here are served
-     * on; the last answers are written a little before the end, as the signal has its own way to us
-     * and the loop may stand still for a moment on part of a core. A proxy that left sooner left
-     * them nobody while the next one was starting.
+     * Least time from SIGTERM to SIGKILL, in addition to the longest deadline of a request, of
+     * which at most {@link #MAX_COUNTED_DEADLINE_MS} counts. Connected clients are served until
+     * half of that deadline is left. The final responses are written {@link
+     * #FINAL_RESPONSE_MARGIN_MS} before SIGKILL, because SIGTERM arrives with a delay and the event
+     * loop may stall for a moment on a fraction of a core. Exiting earlier left clients without a
+     * proxy until its replacement was ready.
      */
     private static final double SIGKILL_DELAY_MS = 700;
 
@@ -56,24 +57,24 @@
     private static final long TERMINATION_POLL_MS = 10;
 
     /**
-     * How long readiness waits for discovery: a list from the configuration serves if it says
-     * nothing.
+     * How long the proxy reports not ready while discovery has sent nothing. After that it serves
+     * from the endpoint list of its configuration.
      */
     private static final long READINESS_TIMEOUT_MS = 2000;
 
     /**
-     * How long the clients' address stays closed for discovery's first word. Discovery's agent may
-     * hold drains that are older than this process and count as told, so what comes before its word
-     * could go to a node that wants nothing new.
+     * How long the clients' address stays closed while the first watch event is missing. The
+     * discovery agent may know of a drain that is older than this process. The proxy counts as
+     * notified of it, so a request accepted before that event could go to a draining node.
      */
     private static final long INITIAL_DRAIN_STATE_TIMEOUT_MS = 500;
 
-    /** For how long an address that can't be bound is tried again, and how often. */
+    /** How long, and at which interval, a failed bind is retried. */
     private static final long BIND_RETRY_TIMEOUT_MS = 1500;
 
     private static final long BIND_RETRY_INTERVAL_MS = 50;
 
-    /** A configuration with one of everything, at addresses that any machine has. */
+    /** A configuration that uses every component once, with addresses that exist on any machine. */
     static final String REHEARSAL_CONFIG =
             """
             {"name": "rehearsal", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:0", "seed": "1", "peer_listen": "127.0.0.1:0",
@@ -97,7 +98,13 @@
             new MultiThreadIoEventLoopGroup(
                     1, EventLoopMonitor.factory(NioIoHandler.newFactory(), new SlowTurnLogger()));
     private final CountDownLatch terminated = new CountDownLatch(1);
+
+    /**
+     * Released when the clients' address may open before the timeout: discovery has sent its first
+     * watch event, or the shutdown has started.
+     */
     private final CountDownLatch openingAllowed = new CountDownLatch(1);
+
     private final EventLoop loop = group.next();
     private final Config config;
     private final Proxy proxy;
@@ -107,34 +114,36 @@
     private final PeerSocket peers;
     private final Clock clock;
 
-    /** Null where this proxy shares nothing. */
+    /** Null where gossip is disabled. */
     private GossipIntegration gossip;
 
-    /** Null where this proxy goes by its own file alone. */
+    /** Null where this proxy uses its own options file alone. */
     private PolicyIntegration policy;
 
     private InetSocketAddress clientAddress;
 
-    /** Whether {@link #finish} looks already whether anything is left. */
+    /** Whether {@link #pollTermination} is already polling for remaining work. */
     private boolean terminating;
 
     /**
-     * Whether the last answers have been given: the end waits no longer for a disk that takes no
-     * writes.
+     * Whether the final responses have been sent; from then on termination no longer waits for
+     * pending disk writes.
      */
     private boolean finalResponsesSent;
 
+    /** The state of the decision module that was logged last. */
     private String lastState = "";
+
     private double lastStateLogMs = Double.POSITIVE_INFINITY;
     private Duration lastCpu = Duration.ZERO;
 
-    /** Requests that had come when the last slow turn was told of. */
+    /** Number of requests received when the last slow iteration was logged. */
     private int requestsAtLastSlowTurn;
 
-    /** Null where the platform passes none. */
+    /** Null where the platform passes no socket. */
     private final ServerSocketChannel passedSocket;
 
-    /** Null where there is no operators' address. */
+    /** Null where no address for operators is configured. */
     private Operations operations;
 
     private OptionsSource optionsSource = () -> Options.DEFAULTS;
@@ -174,9 +183,9 @@
     }
 
     /**
-     * Runs what a start runs, on a configuration of its own: the build archives the classes that
-     * this loads, and what it leaves out each start must find, check and load by itself, on part of
-     * a core.
+     * Runs everything that a start runs, with a configuration of its own. The build archives the
+     * classes that this loads (class data sharing); a class that it misses has to be found,
+     * verified and loaded at each start, on a fraction of a core.
      */
     public static void rehearse() throws IOException, InterruptedException, ConfigException {
         HangupSignal.handle(() -> {});
@@ -187,14 +196,14 @@
         service.awaitTermination();
     }
 
-    /** Where the operator's options are read at a reload; throws if they can't be taken. */
+    /** Reads the operators' options at a reload; throws if they are invalid. */
     public interface OptionsSource {
         Options read() throws BadFileException;
     }
 
     /**
-     * Uses these options from the start and reads them again at each reload. Called before the
-     * first reload.
+     * Applies {@code first} now, and options read from {@code source} at each reload. Call this
+     * before the first reload.
      */
     public void useOptions(OptionsSource source, Options first) {
         loop.execute(
@@ -220,9 +229,9 @@
     }
 
     /**
-     * Starts a proxy with the project's decisions. {@code opening} is completed with it just before
-     * its clients' address opens; where that has been cancelled, as the process is to end already,
-     * none opens.
+     * Starts a proxy with the decision module of this project. {@code opening} is completed with
+     * the service just before the clients' address opens. If it has been cancelled by then, because
+     * the process is already to terminate, no address opens.
      */
     public static Service start(Config config, Options options, CompletableFuture<Service> opening)
             throws IOException, InterruptedException, ConfigException {
@@ -234,7 +243,7 @@
                         true, INITIAL_DRAIN_STATE_TIMEOUT_MS, times(config), opening, new Clock()));
     }
 
-    /** For tests: opens the clients' address after so long at the latest. */
+    /** For tests: opens the clients' address after {@code initialDrainStateTimeoutMs} at most. */
     static Service start(
             Config config,
             Router router,
@@ -249,7 +258,7 @@
                 new StartOptions(false, initialDrainStateTimeoutMs, times, opening, new Clock()));
     }
 
-    /** For tests: goes by a clock of theirs. */
+    /** For tests: uses the given clock. */
     static Service start(Config config, Router router, Discovery.Times times, Clock clock)
             throws IOException, InterruptedException, ConfigException {
         return start(
@@ -269,8 +278,8 @@
     }
 
     /**
-     * How a start goes: warmed up or not, how long it waits for discovery, its watch's times, who
-     * may forbid its opening, and its clock.
+     * Options of a start: whether it warms up, how long it waits for discovery, the times of the
+     * watch, the future whose cancellation prevents the opening, and the clock.
      */
     private record StartOptions(
             boolean warmUp,
@@ -318,8 +327,8 @@
     }
 
     /**
-     * Before the list is known and the first client comes: what the others know is then part of the
-     * first decisions.
+     * Joins gossip before the endpoint list is known and the first client connects, so that the
+     * first decisions already use what the other proxies know.
      */
     private void joinGossip(Options.Gossip gossipOptions)
             throws IOException, InterruptedException, ConfigException {
@@ -343,11 +352,14 @@
         openingAllowed.countDown();
     }
 
-    /** Lets clients in; false where the process was told to end meanwhile, and none is let in. */
+    /**
+     * Opens the clients' address. Returns false if the process was asked to terminate meanwhile; no
+     * client is accepted then.
+     */
     private boolean openToClients(long initialDrainStateTimeoutMs)
             throws IOException, InterruptedException {
         Log.event(
-                "known",
+                "endpoint_list_loaded",
                 "version",
                 config.knownEndpoints() == null ? 0 : config.knownEndpoints().version(),
                 "hosts",
@@ -355,7 +367,7 @@
         if (peers != null) {
             requireBound(listenWithRetries(peers::listen), config.peerListen());
         }
-        // The module knows its list before the first client can come.
+        // The decision module gets its endpoint list before the first client can connect.
         loop.submit(
                         () -> {
                             proxy.start(config.knownEndpoints());
@@ -367,9 +379,9 @@
         loop.execute(discovery::start);
         if (!config.settings().mustSubscribe()
                 && !openingAllowed.await(initialDrainStateTimeoutMs, TimeUnit.MILLISECONDS)) {
-            Log.event("untold", "after_ms", initialDrainStateTimeoutMs);
+            Log.event("initial_drain_state_timeout", "after_ms", initialDrainStateTimeoutMs);
         }
-        // On the loop, where a drain comes wholly before it or wholly after.
+        // Listens on the event loop, so that a shutdown runs either entirely before or after it.
         Callable<ChannelFuture> listenOnLoop =
                 () ->
                         passedSocket == null
@@ -379,7 +391,7 @@
         try {
             listener = listenWithRetries(() -> loop.submit(listenOnLoop).sync().getNow());
         } catch (RejectedExecutionException e) {
-            Log.event("not_opened", "cause", "the proxy has ended");
+            Log.event("listen_cancelled", "cause", "the proxy has terminated");
         }
         if (listener == null) {
             return false;
@@ -395,15 +407,15 @@
         return true;
     }
 
-    /** Begins to listen at an address; null where that is no longer wanted. */
+    /** One attempt to listen on an address. Returns null if listening is no longer wanted. */
     private interface BindAttempt {
         ChannelFuture bind() throws IOException, InterruptedException;
     }
 
     /**
-     * Listens, and tries again for {@link #BIND_PATIENCE_MS} where that fails: system calls may
-     * fail for a while, and a start that ends for it serves nobody. Returns the last attempt, done,
-     * or null where listening is no longer wanted.
+     * Listens, and retries for {@link #BIND_RETRY_TIMEOUT_MS} if that fails: system calls may fail
+     * temporarily, and a start that gives up leaves clients without this proxy. Returns the last
+     * attempt, completed, or null if listening is no longer wanted.
      */
     private static ChannelFuture listenWithRetries(BindAttempt attempt)
             throws IOException, InterruptedException {
@@ -443,21 +455,21 @@
     }
 
     /**
-     * Takes in the configuration's file as it is now. Discovery's address is what a running proxy
-     * can change; a file that can't be read changes nothing. Returns at once: it is called by the
-     * thread that has the signal.
+     * Reloads the configuration file and the operators' options. A running proxy can change its
+     * discovery address and these options; a file that cannot be read changes nothing. Returns at
+     * once, as the signal handler's thread calls it.
      */
     public void reload(Map<String, String> environment) {
         try {
             loop.execute(() -> reloadNow(environment));
         } catch (RejectedExecutionException e) {
-            Log.event("reload_refused", "cause", "the proxy has ended");
+            Log.event("reload_rejected", "cause", "the proxy has terminated");
         }
     }
 
     /**
-     * Runs {@code reload} at each change of the configuration's file, as no signal will tell of
-     * one, and says so in the log. Returns at once.
+     * Runs {@code reload} at each change of the configuration file, where SIGHUP is ignored, and
+     * logs a warning about that. Returns at once.
      */
     public void reloadOnChange(ConfigFileWatch watch, Runnable reload) {
         Log.warn(
@@ -465,9 +477,9 @@
                 "signal",
                 "SIGHUP",
                 "cause",
-                "ignored by whatever started this process, as nohup does",
+                "the process was started with the signal ignored, for example by nohup",
                 "instead",
-                "BALANCER_CONFIG is read when its file changes");
+                "the file that BALANCER_CONFIG names is reloaded when it changes");
         try {
             loop.scheduleWithFixedDelay(
                     () -> {
@@ -479,7 +491,7 @@
                     ConfigFileWatch.POLL_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            Log.event("reload_refused", "cause", "the proxy has ended");
+            Log.event("reload_rejected", "cause", "the proxy has terminated");
         }
     }
 
@@ -494,11 +506,14 @@
                 gossip.reload();
             }
         } catch (ConfigException | BadFileException e) {
-            Log.event("reload_refused", "cause", e.getMessage());
+            Log.event("reload_rejected", "cause", e.getMessage());
         }
     }
 
-    /** Ends the service once nothing is owed, and returns then. */
+    /**
+     * Shuts the service down: stops accepting clients, waits until all accepted requests are
+     * answered, and returns once the service has terminated.
+     */
     public void shutDown() {
         double longestDeadlineMs =
                 config.settings().classes().stream()
@@ -514,7 +529,7 @@
                 this::answerPendingRequests,
                 (long) (SIGKILL_DELAY_MS + longestDeadlineMs - FINAL_RESPONSE_MARGIN_MS),
                 TimeUnit.MILLISECONDS);
-        // Last, as it ends the loop at once where nobody was ever let in.
+        // Called last, as it terminates the loop at once if no client was ever accepted.
         startShutdown();
         try {
             terminated.await();
@@ -524,12 +539,12 @@
     }
 
     /**
-     * Still serves whoever comes; those that come only now for the last time. Where the next
-     * process has the clients' socket too it serves whoever comes, and this one ends when all that
-     * it took is answered.
+     * Starts the shutdown while still accepting clients: a connection that had no response before
+     * closes after its first one. If the next process accepts clients from the same socket, this
+     * one accepts no more and terminates once all its accepted requests are answered.
      */
     void startShutdown() {
-        Log.event(passedSocket == null ? "draining" : "handing_over");
+        Log.event(passedSocket == null ? "shutdown_started" : "handover_started");
         if (gossip != null) {
             loop.execute(gossip::leave);
         }
@@ -543,7 +558,7 @@
                 });
     }
 
-    /** Takes no more, and ends when all that was taken is answered. */
+    /** Accepts no more clients, and terminates once all accepted requests are answered. */
     void stopAccepting() {
         loop.execute(this::stopAcceptingNow);
     }
@@ -554,8 +569,8 @@
     }
 
     /**
-     * The process ends: whatever is open has its answer now, as one that never comes is a lost
-     * request.
+     * Answers every pending request now, because SIGKILL follows and a request without a response
+     * counts as lost.
      */
     private void answerPendingRequests() {
         stopAcceptingNow();
@@ -571,15 +586,15 @@
         }
     }
 
-    /** Ends at once, whatever is owed. */
+    /** Terminates at once, with requests still pending. */
     void terminateNow() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     /**
-     * Waits for the last answers to be written; a client's connection closes once its own has been.
-     * What an operator was promised for the next process is waited for too, as long as there is
-     * time.
+     * Terminates once the last responses are written and no client is connected; each connection
+     * closes after its own last response. Until the final responses are forced, this also waits for
+     * pending writes of operators' state, which the next process reads.
      */
     private void pollTermination() {
         if (finalResponsesSent) {
@@ -602,7 +617,7 @@
         }
     }
 
-    /** Waits until the service has ended. */
+    /** Waits until the service has terminated. */
     public void awaitTermination() throws InterruptedException {
         terminated.await();
     }
@@ -644,7 +659,7 @@
         }
     }
 
-    /** Tells the log of what kept the loop. */
+    /** Logs what delayed the event loop. */
     private final class SlowTurnLogger implements EventLoopMonitor.SlowTurnListener {
         @Override
         public void slowTurn(long inputMs, int ready, long tasksMs) {
@@ -664,7 +679,7 @@
 
         @Override
         public void lateTimer(long lateMs) {
-            log.warnLimited("woke_late", "ms", lateMs);
+            log.warnLimited("timer_late", "ms", lateMs);
         }
     }
 
@@ -676,9 +691,9 @@
     }
 
     /**
-     * Tells of the module's state once it is another: when it began to throttle stands beside what
-     * it then refused. Tells as well if the loop has stood still, and whether that was its own work
-     * or a core that it did not get.
+     * Logs the state of the decision module when it changes, so that the log shows the start of
+     * throttling next to the requests that it rejected. Also logs a stall of the event loop with
+     * the CPU time used, which tells whether the loop was working or waiting for a core.
      */
     private void logState() {
         double nowMs = clock.now();
@@ -686,7 +701,7 @@
         if (nowMs - lastStateLogMs
                 > TimeUnit.SECONDS.toMillis(STATE_LOG_INTERVAL_S) + STALL_THRESHOLD_MS) {
             Log.event(
-                    "stood_still",
+                    "event_loop_stalled",
                     "ms",
                     Math.round(nowMs - lastStateLogMs)
                             - TimeUnit.SECONDS.toMillis(STATE_LOG_INTERVAL_S),
--- a/src/main/java/cacheproxy/proxy/StateWriter.java
+++ b/src/main/java/cacheproxy/proxy/StateWriter.java
@@ -12,22 +12,23 @@
 import java.util.function.Consumer;
 
 /**
- * Writes the operators' state to disk: on a thread of its own, as a sync may take long, in the
- * order of the calls, and again after a failure until it holds or a later call at another process
- * has been written. All methods are called on the event loop, and so is each caller's answer.
+ * Writes the operators' state to disk: on a separate thread, because a sync may take long, in the
+ * order of the calls. A failed write is retried until it succeeds or a later call at another
+ * process has been written. All methods, and the callbacks of callers, run on the event loop.
  */
 final class StateWriter {
 
     /**
-     * A change on disk; it may be made again after it has been made in part or in full. It throws
-     * {@link SupersededException}, and changes nothing, where a later call has been written.
+     * A change of the state on disk. It has to be idempotent, as it may be repeated after it was
+     * applied in part or in full. It throws {@link SupersededException}, and changes nothing, if a
+     * later call has been written.
      */
     interface StateChange {
         void apply() throws IOException;
     }
 
     /**
-     * An answer to an operator is due within 1 s; a disk that takes longer than this counts as
+     * Operators have to get a reply within 1 s; a write that takes longer than this counts as
      * failed.
      */
     static final long ANSWER_TIMEOUT_MS = 700;
@@ -36,16 +37,19 @@
     static final long MAX_RETRY_DELAY_MS = 500;
     private static final long THREAD_KEEP_ALIVE_S = 10;
 
-    /** The last change of each state that is not known to be on disk, by the state's name. */
+    /** For each state, by name, the last change that is not known to be on disk. */
     private final Map<String, PendingWrite> pendingWrites = new HashMap<>();
 
     private final EventLoop loop;
     private final Log log = new Log();
 
-    /** Null before the first change: most processes never need it. */
+    /** Null before the first change, as most processes never need it. */
     private ThreadPoolExecutor diskExecutor;
 
-    /** Whether a failure has been logged and its end has not, and when that was. */
+    /**
+     * Whether a failure has been logged whose recovery has not; {@code failingSinceNanos} is when
+     * it was logged.
+     */
     private boolean failureLogged;
 
     private long failingSinceNanos;
@@ -80,27 +84,28 @@
     }
 
     /**
-     * Makes a change, in place of one of the same state that is still owed. The answer is called
-     * once: with null when the change holds, or with what the first attempt failed of. After a
-     * failure the change is still owed, unless a later call has superseded it.
+     * Applies a change, replacing a pending one of the same state. The callback is called once:
+     * with null when the change is on disk, or with the failure of the first attempt. After a
+     * failure the change stays pending, unless a later call has superseded it.
      */
     void write(String state, StateChange change, Consumer<IOException> callback) {
         PendingWrite write = new PendingWrite(state, change, callback);
         pendingWrites.put(state, write);
-        IOException timeout = new IOException("not written within " + ANSWER_TIMEOUT_MS + " ms");
+        IOException timeout =
+                new IOException("disk write not finished within " + ANSWER_TIMEOUT_MS + " ms");
         loop.schedule(() -> write.complete(timeout), ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         attempt(write);
     }
 
     /**
-     * Whether a change of this state is not known to hold yet: what the disk says of it counts for
-     * nothing.
+     * Whether a change of this state is not known to be on disk yet; until it is, the state read
+     * from disk is not to be applied.
      */
     boolean isPending(String state) {
         return pendingWrites.containsKey(state);
     }
 
-    /** Whether any change is owed. */
+    /** Whether any change is pending. */
     boolean hasPending() {
         return !pendingWrites.isEmpty();
     }
@@ -119,7 +124,7 @@
                             try {
                                 loop.execute(() -> attemptEnded(write, failure));
                             } catch (RejectedExecutionException e) {
-                                // The process has ended meanwhile: nobody is left to be told.
+                                // The event loop has terminated meanwhile; no caller is left.
                                 return;
                             }
                         });
@@ -170,7 +175,7 @@
         }
         logFailure(write.state, failure);
         write.complete(failure);
-        // The caller may have put another change in its place, which has attempts of its own.
+        // The callback may have replaced the change by another one, which has its own attempts.
         if (isLatest(write)) {
             loop.schedule(() -> retry(write), write.retryDelayMs, TimeUnit.MILLISECONDS);
             write.retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, 2 * write.retryDelayMs);
--- a/src/main/java/cacheproxy/proxy/Warmup.java
+++ b/src/main/java/cacheproxy/proxy/Warmup.java
@@ -40,57 +40,57 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the proxy's own path before clients come, with a proxy of its own and nothing that leaves
- * the process. On part of a core the Java machine needs seconds to load and compile it; requests
- * that came meanwhile were all too late, and what the module then learned of nodes and origin was
- * learned of us.
+ * Runs the proxy's request path before clients connect, with a separate proxy instance whose
+ * traffic stays inside the process. On a fraction of a core the JVM needs seconds to load and
+ * compile that path; client requests that arrived meanwhile were all answered too late, and the
+ * decision module attributed this delay to the nodes and the origin.
  */
 final class Warmup {
 
     static final int REQUEST_COUNT = 2000;
 
     /**
-     * It may take no longer while peers serve: at a rolling restart the next proxy goes down 3 s
-     * after this one did.
+     * Limit while peers serve clients: in a rolling restart the next proxy stops 3 s after this one
+     * did.
      */
     private static final long TIMEOUT_MS = 2000;
 
     /**
-     * And so much longer where none is heard or none may speak: at the first start of all nobody
-     * waits for us, and on half a core all of it takes nine seconds.
+     * Additional time where no peer is heard or peers do not exchange messages: at the first start
+     * of the fleet no client waits, and on half a core the whole warm-up takes nine seconds.
      */
     private static final long EXTRA_TIME_WITHOUT_PEERS_MS = 8000;
 
     /**
-     * All that a proxy which served before may take. It is told to stop 3 s before the next one is,
-     * is started anew two seconds later, and the Java machine's start takes one on half a core;
-     * once the next has ended, nobody serves.
+     * Limit for a proxy that has served before. In a rolling restart it is stopped 3 s before the
+     * next proxy and started again two seconds later, and the start of the JVM takes one second on
+     * half a core; once the next proxy has terminated, no proxy serves.
      */
     private static final long RESTART_TIMEOUT_MS = 700;
 
     private static final int CLIENT_COUNT = 4;
 
     /**
-     * After so many requests the loop has nothing to do for a moment. Where a hundred processes
-     * start on a few cores at once, a thread that works for one second of its own without a wait
-     * holds its core for a minute, and is taken for one that hangs.
+     * Number of requests after which the loop pauses for a moment. Where a hundred processes start
+     * on a few cores at once, a thread that uses one second of CPU time without waiting occupies
+     * its core for a minute and is considered hung.
      */
     private static final int REQUESTS_PER_PAUSE = 40;
 
     private static final long PAUSE_MS = 1;
 
-    /** How often one that has no answer is waited for. */
+    /** How many times a pause is extended for clients that have no response yet. */
     private static final int MAX_PAUSE_EXTENSIONS = 5;
 
     private static final int NODE_COUNT = 4;
 
     /**
-     * So many that all its clients may rest: where more than a part of those allowed do, each
-     * answer is its connection's last.
+     * Connection limit, large enough for all clients to be idle at once: when more than a fraction
+     * of the allowed connections are idle, each response closes its connection.
      */
     private static final int MAX_CLIENT_CONNECTIONS = 8 * CLIENT_COUNT;
 
-    /** One of so many requests is a miss at its cache node. */
+    /** One in this many requests is a miss at its cache node. */
     private static final int REQUESTS_PER_MISS = 4;
 
     private static final double CONNECT_TIMEOUT_MS = 1000;
@@ -101,10 +101,13 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private final Settings settings;
     private final long durationMs;
+
+    /** In nanoseconds of {@link System#nanoTime}; no request is sent later. */
     private long endNanos;
+
     private int sent;
 
-    /** Clients that ask again when the rest is over; null where there is none. */
+    /** Requests that are sent when the pause ends; null while there is no pause. */
     private List<Runnable> pausedRequests;
 
     private volatile int pauses;
@@ -112,9 +115,8 @@
     private volatile boolean stopped;
 
     /**
-     * Its clients stop asking by themselves after {@code lastsMs}: the loop leaves the core to no
-     * other thread as long as it finds work, so whoever waits for the end may get no turn to call
-     * it.
+     * The clients stop sending on their own after {@code durationMs}: the loop does not yield the
+     * core while it has work, so a thread that waits to stop the warm-up may not get to run.
      */
     Warmup(Settings settings, long durationMs) {
         this.settings = settings;
@@ -122,9 +124,10 @@
     }
 
     /**
-     * Returns how many requests were answered, when it has run long enough; a fault in it costs its
-     * gain alone. A process that replaces another has time for it: until it is ready the other one
-     * serves, yet that waits for no more than seconds.
+     * Runs the warm-up until it is finished or its time limit has passed, and returns the number of
+     * requests served. A failure inside it only loses its benefit. A process that replaces another
+     * one has time for it, as the other one serves until this one is ready, but the other one waits
+     * for a few seconds only.
      */
     static int run(
             Settings settings,
@@ -169,8 +172,8 @@
     }
 
     /**
-     * A list that discovery has numbered was had from it in an earlier life: this is a restart, and
-     * clients wait.
+     * Whether this proxy has served before. Discovery has numbered the endpoint list, so an earlier
+     * process of this proxy received it: this is a restart, and clients wait.
      */
     private static boolean servedBefore(EndpointListUpdate knownEndpoints) {
         return knownEndpoints != null && knownEndpoints.version() > 0;
@@ -181,8 +184,8 @@
     }
 
     /**
-     * What it may take on top: at a birth, with nobody else at work, no client comes before all are
-     * ready.
+     * Returns the additional time limit. At the first start of the fleet no client connects before
+     * all proxies are ready.
      */
     static long extraTimeMs(EndpointListUpdate knownEndpoints, boolean peersServe) {
         return servedBefore(knownEndpoints) || peersServe ? 0 : EXTRA_TIME_WITHOUT_PEERS_MS;
@@ -193,7 +196,7 @@
     }
 
     /**
-     * Its clients ask no more from here on: a loop that is told to end goes on as long as it finds
+     * Makes the clients stop sending: a loop that is shutting down continues as long as it has
      * work.
      */
     void stopClients() {
@@ -209,12 +212,12 @@
         return served;
     }
 
-    /** How often the loop had nothing at all to do, as all its clients waited. */
+    /** Returns how many times the loop was idle because all clients were paused. */
     int pauses() {
         return pauses;
     }
 
-    /** Asks now, or when the rest is over that begins here or has begun. */
+    /** Sends the request now, or after the pause that is in progress or begins with this call. */
     private void sendOrPause(Runnable sendRequest) {
         if (pausedRequests == null && sent % REQUESTS_PER_PAUSE == 0 && sent > 0) {
             pausedRequests = new ArrayList<>();
@@ -230,26 +233,23 @@
     private void endPause(int extensionsLeft) {
         List<Runnable> requests = pausedRequests;
         if (requests.size() < CLIENT_COUNT && extensionsLeft > 0) {
-            // Some have no answer yet.
+            // Some clients have no response yet.
             loop.schedule(() -> endPause(extensionsLeft - 1), PAUSE_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        // Written by the loop alone.
+        // Only the event loop writes this field.
         int updatedPauses = pauses + (requests.size() < CLIENT_COUNT ? 0 : 1);
         pauses = updatedPauses;
         pausedRequests = null;
         requests.forEach(Runnable::run);
     }
 
-    /** How many were asked by now, once the loop has come to say so. */
+    /** Returns how many requests have been sent, read on the event loop. */
     int sentCount() throws InterruptedException, ExecutionException {
         return loop.submit(() -> sent).get();
     }
 
-    /**
-     * Settings under which it runs where there is no configuration, as when the class archive is
-     * made.
-     */
+    /** Settings for a warm-up without a configuration; used by tests. */
     static Settings defaultSettings() {
         return new Settings(
                 0,
@@ -340,7 +340,7 @@
     }
 
     private void countServed() {
-        // Written by the loop alone.
+        // Only the event loop writes this field.
         int next = served + 1;
         served = next;
     }
@@ -363,7 +363,7 @@
                 .connect(proxyAddress);
     }
 
-    /** A node that has most keys, or the origin, which has all. */
+    /** A cache node that has most keys, or the origin, which has all of them. */
     private static final class NodeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private static final byte[] BODY = new byte[1000];
         private final boolean origin;
@@ -383,16 +383,13 @@
             answer.headers()
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
                     .set("X-Hit", miss ? "miss" : "hit");
-            // Not from within the read: the answer would overtake the end of the write that asked
-            // for it.
+            // Not from within the read: the response would overtake the completion of the write of
+            // its request.
             ctx.executor().execute(() -> ctx.writeAndFlush(answer));
         }
     }
 
-    /**
-     * A client that asks again as soon as it has its answer, and comes back on a new connection if
-     * need be.
-     */
+    /** A client that sends its next request as soon as it has a response. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
--- a/src/test/java/cacheproxy/proxy/BindFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/BindFailuresTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An address that can't be bound for a moment, here as another socket has it, ends no start. */
+/**
+ * A start succeeds although an address cannot be bound at first, here because another socket uses
+ * it.
+ */
 class BindFailuresTest {
 
     private static final long RELEASE_DELAY_MS = 200;
--- a/src/test/java/cacheproxy/proxy/BrokenServe.java
+++ b/src/test/java/cacheproxy/proxy/BrokenServe.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 
 /**
- * A real proxy with a router that breaks one rule on purpose, to show that the laboratory's ledger
- * catches it.
+ * A real proxy whose router violates one rule on purpose, to show that the ledger of the laboratory
+ * detects the violation.
  */
 public final class BrokenServe {
 
-    /** What the router does wrong. */
+    /** The violation of the router. The constants are written out in LabTest. */
     public enum Fault {
         REPEATS_UNSAFE,
         DROPS_ANSWERS,
@@ -59,7 +59,7 @@
                     .effect();
         }
 
-        /** The real actions, but for what this fault does to answers. */
+        /** Returns the real actions, except those on responses that this fault drops. */
         private Actions wrapped(Actions out) {
             return new ForwardingActions(out) {
                 @Override
@@ -185,7 +185,7 @@
         }
     }
 
-    /** Passes every action on. */
+    /** Forwards every action. */
     private static class ForwardingActions implements Router.Actions {
         private final Router.Actions out;
 
--- a/src/test/java/cacheproxy/proxy/ClientConnectionLimitTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionLimitTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** With room for three clients, more than three are all served in the end. */
+/** With a limit of three client connections, more than three clients are all served eventually. */
 class ClientConnectionLimitTest {
 
     private static final int MAX_CLIENTS = 3;
@@ -48,12 +48,12 @@
             client.write(UP);
             ProxyFixture.status(client.read());
         }
-        assertNull(clients.getFirst().read(), "the one that waited longest was let go");
+        assertNull(clients.getFirst().read(), "the longest idle client is closed");
     }
 
     /**
-     * The one that has waited longest has to go at once, and what came of its request may be read
-     * or not.
+     * The client that has waited longest is closed at once, whether or not the received part of its
+     * request has been read.
      */
     @ParameterizedTest
     @ValueSource(strings = {"GET /api/k HTTP/1.1\r\nHost", "GET /up HTTP/1.1\r\nHost: s\r\nX: "})
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Nothing of what clients may hold is discovery's or the nodes', and who asks finds a place
-     * among those that do not.
+     * Client connections never use the descriptors of discovery or the nodes, and a client with a
+     * request is served while the other connections are idle.
      */
     @Test
     void reconnectsToDiscoveryAtClientConnectionLimit() throws Exception {
@@ -102,7 +102,7 @@
         assertEquals(200, ProxyFixture.status(clients.getFirst().read()));
         TestServer.Message waited = site.node.next();
         while (waited.text() == null) {
-            // A connection at rest made room for the one that is needed.
+            // An idle node connection was closed to make room for the new one.
             waited = site.node.next();
         }
         waited.connection().respond(200, "next");
--- a/src/test/java/cacheproxy/proxy/ConfigFileWatchTest.java
+++ b/src/test/java/cacheproxy/proxy/ConfigFileWatchTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each change of a file is noticed once, however it is made. */
+/** Each change of the file is reported exactly once, however it is made. */
 class ConfigFileWatchTest {
 
     private static final FileTime WRITTEN = FileTime.from(1_700_000_000, TimeUnit.SECONDS);
@@ -62,7 +62,7 @@
         assertChangedOnce();
     }
 
-    /** The clock of a file system may stand still from one write to the next. */
+    /** File-system timestamps are coarse: two writes may carry the same one. */
     @Test
     void reportsSecondWriteWithEqualTimestamp() throws Exception {
         write("other");
--- a/src/test/java/cacheproxy/proxy/ConfigTest.java
+++ b/src/test/java/cacheproxy/proxy/ConfigTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A configuration is taken whole or refused in one plain line. */
+/** A configuration is either accepted as a whole or rejected with a one-line message. */
 class ConfigTest {
 
     private static final String ADDRESSES =
--- a/src/test/java/cacheproxy/proxy/DescriptorExhaustionTest.java
+++ b/src/test/java/cacheproxy/proxy/DescriptorExhaustionTest.java
@@ -29,23 +29,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process that may have fewer descriptors than its configuration says, so that accepting,
- * connecting and asking discovery fail. Its classes come from archives, as in use: with no
- * descriptor left none can be read from a folder.
+ * A real process with fewer descriptors than its configuration states, so that accepting,
+ * connecting and reaching discovery fail. Its classes come from archives, as in production: without
+ * a free descriptor no class can be read from a directory.
  */
 class DescriptorExhaustionTest {
 
     private static final int TIMEOUT_S = 180;
     private static final int MAX_DESCRIPTORS = 96;
 
-    /** More than the process has room for, and fewer than the backlog. */
+    /** More than the process has descriptors for, and fewer than the listener's backlog. */
     private static final int IDLE_CLIENTS = 150;
 
     private static final long OBSERVATION_MS = 2000;
 
     /**
-     * Of {@link #WATCHED_MS} on one core: what spins takes all of it, and the compiler's threads
-     * work beside.
+     * CPU time allowed within {@link #OBSERVATION_MS} on one core. A busy loop uses all of it; the
+     * rest allows for the threads of the JIT compiler.
      */
     private static final long MAX_CPU_MS = 1500;
 
@@ -103,11 +103,11 @@
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             lines.lines().forEach(log::add);
         } catch (IOException | UncheckedIOException e) {
-            // The process has been ended.
+            // The process has been killed.
         }
     }
 
-    /** This test's class path with each folder packed. */
+    /** Returns the class path of this test with each directory packed into an archive. */
     private String archivedClassPath() throws IOException {
         List<String> packed = new ArrayList<>();
         for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
@@ -139,7 +139,7 @@
 
     private void awaitLog(String event) throws InterruptedException {
         while (!logs(event)) {
-            assertTrue(process.isAlive(), () -> "it has ended: " + String.join("\n", log));
+            assertTrue(process.isAlive(), () -> "process ended: " + String.join("\n", log));
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
@@ -154,7 +154,7 @@
             try {
                 return connect();
             } catch (IOException e) {
-                assertTrue(process.isAlive(), () -> "it has ended: " + String.join("\n", log));
+                assertTrue(process.isAlive(), () -> "process ended: " + String.join("\n", log));
                 TimeUnit.MILLISECONDS.sleep(10);
             }
         }
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Clients that say nothing come on and on while discovery is down: no descriptor is left for a
-     * watch, nor for one more client.
+     * Silent clients keep connecting while discovery is down: no descriptor is left for a watch or
+     * for another client.
      */
     @Test
     @Timeout(TIMEOUT_S)
@@ -197,7 +197,7 @@
             TimeUnit.MILLISECONDS.sleep(50);
         }
         long cpu = cpuMs() - cpuBefore;
-        assertTrue(cpu < MAX_CPU_MS, "it spins: " + cpu + " ms");
+        assertTrue(cpu < MAX_CPU_MS, "busy loop: " + cpu + " ms of CPU time");
         try (TestServer discovery = new TestServer(site.discovery.address().getPort())) {
             String asked = discovery.next().firstLine();
             assertTrue(asked.startsWith("GET /discovery/hosts?watch=1"), asked);
@@ -205,7 +205,10 @@
         }
     }
 
-    /** Descriptors come free: who comes now is let in, and who was served before still is. */
+    /**
+     * Once descriptors are free again, new clients are accepted and the earlier one is still
+     * served.
+     */
     private void assertServesAgain(TestServer.Connection served) throws Exception {
         for (TestServer.Connection client : List.copyOf(clients)) {
             if (client != served) {
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A planned restart loses nothing. */
+/** A planned restart loses no request. */
 class DrainTest {
 
     private ProxyFixture site;
@@ -39,7 +39,7 @@
             try (TestServer.Connection late = site.client()) {
                 late.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
                 String answer = late.read();
-                assertEquals(503, ProxyFixture.status(answer), "not to be used any more");
+                assertEquals(503, ProxyFixture.status(answer), "not ready during shutdown");
                 assertEquals("close", new TestServer.Message(answer, late).header("Connection"));
                 assertNull(late.read());
             }
@@ -47,7 +47,7 @@
             site.node.next().connection().respond(200, "v");
             assertEquals("close", new TestServer.Message(busy.read(), busy).header("Connection"));
             site.service.stopAccepting();
-            assertNull(idle.read(), "an idle client is let go");
+            assertNull(idle.read(), "an idle client is closed");
             node.respond(200, "v");
             String answer = waiting.read();
             assertEquals(200, ProxyFixture.status(answer));
@@ -71,10 +71,10 @@
                 assertEquals(200, ProxyFixture.status(answer));
                 assertNull(
                         new TestServer.Message(answer, client).header("Connection"),
-                        "another proxy may not be up yet");
+                        "kept open, as another proxy may not be up yet");
             }
             site.service.stopAccepting();
-            assertNull(client.read(), "an idle client is let go");
+            assertNull(client.read(), "an idle client is closed");
             site.service.awaitTermination();
         }
     }
@@ -87,7 +87,7 @@
             site.node.next();
             long before = System.nanoTime();
             site.service.shutDown();
-            assertEquals(502, ProxyFixture.status(waiting.read()), "it may have run");
+            assertEquals(502, ProxyFixture.status(waiting.read()), "the request may have run");
             assertTrue(
                     System.nanoTime() - before
                             < TimeUnit.SECONDS.toNanos((long) ProxyFixture.LONG_BUDGET_S));
--- a/src/test/java/cacheproxy/proxy/EventLoopMonitorTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLoopMonitorTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A turn of the loop that keeps everything else waiting is told of, and which half of it did. */
+/** Slow iterations of the event loop and late wake-ups are reported, with their parts. */
 class EventLoopMonitorTest {
 
     private long nowNanos;
     private long extraDelayNanos;
 
-    /** Reads for as long as it is told to, after a wait that is nobody's work. */
+    /** An I/O handler that works, waits and oversleeps for set times on the test's clock. */
     private final class SimulatedHandler implements IoHandler {
         private long waitMs;
         private long workMs;
@@ -72,7 +72,7 @@
                         }
                     });
 
-    /** Its first timer is due when the handler's wait is over. */
+    /** The first timer is due when the handler's wait ends. */
     private final IoHandlerContext context =
             new IoHandlerContext() {
                 @Override
@@ -102,7 +102,7 @@
         monitor.run(context);
         nowNanos += ms(EventLoopMonitor.SLOW_TURN_MS - 60 - 1);
         monitor.run(context);
-        assertEquals(List.of(), reports, "a millisecond less than slow");
+        assertEquals(List.of(), reports, "one millisecond below the limit");
 
         nowNanos += ms(EventLoopMonitor.SLOW_TURN_MS - 60);
         handler.workMs = EventLoopMonitor.SLOW_TURN_MS + 7;
@@ -126,8 +126,8 @@
     }
 
     /**
-     * The handler rounds to the nearest millisecond, and with none left asks the system without a
-     * wait, again and again.
+     * The handler rounds to the nearest millisecond. With a timeout rounded to zero it would poll
+     * the selector repeatedly without waiting.
      */
     @Test
     void roundsTimeoutUpToWholeMilliseconds() {
@@ -146,7 +146,7 @@
         handler.waitMs = 0;
         extraDelayNanos = Long.MAX_VALUE;
         monitor.run(context);
-        assertEquals(Long.MAX_VALUE, handler.delayNanos, "no timer at all");
+        assertEquals(Long.MAX_VALUE, handler.delayNanos, "no timer is scheduled");
     }
 
     @Test
@@ -168,7 +168,7 @@
 
                                     @Override
                                     public void lateTimer(long lateMs) {
-                                        // A busy machine wakes it when it can.
+                                        // Possible on a busy machine; not checked here.
                                     }
                                 }));
         try {
@@ -182,7 +182,7 @@
                                 }
                             })
                     .sync();
-            // Its turn is judged when the next begins.
+            // An iteration is reported when the next one begins.
             loop.submit(() -> {}).sync();
             assertTrue(slow.await(30, TimeUnit.SECONDS));
             assertTrue(tasks[0] >= 2 * EventLoopMonitor.SLOW_TURN_MS, tasks[0] + " ms");
--- a/src/test/java/cacheproxy/proxy/HandoverTest.java
+++ b/src/test/java/cacheproxy/proxy/HandoverTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real processes that take clients from one socket, which another holds: one replaces the other and
- * no request is lost.
+ * Real processes accept clients from one socket that another process owns. One replaces the other
+ * without losing a request.
  */
 class HandoverTest {
 
     /**
-     * Holds the listening socket, and starts a process with it as descriptor 0 for each line that
-     * it reads.
+     * Perl program that owns the listening socket, and starts a process with it as descriptor 0 for
+     * each line that it reads.
      */
     private static final String SOCKET_OWNER_SCRIPT =
             """
@@ -52,7 +52,7 @@
 
     private static final int TIMEOUT_S = 120;
 
-    /** How long the disk refuses writes after SIGTERM: less than until the last answers. */
+    /** How long writes fail after SIGTERM; shorter than the time until the final responses. */
     private static final int WRITE_FAILURE_MS = 500;
 
     @TempDir Path temp;
@@ -79,7 +79,7 @@
                         InetAddress.getLoopbackAddress(), Integer.parseInt(ownerOutput.readLine()));
     }
 
-    /** Starts one more process and waits for its yes; the address that operators reach it at. */
+    /** Starts one more process and waits until it is ready. Returns its address for operators. */
     private InetSocketAddress startProcess() throws Exception {
         InetSocketAddress admin = UnassignedPort.address();
         Path java = Path.of(System.getProperty("java.home"), "bin", "java");
@@ -157,8 +157,8 @@
             assertTrue(served.get() >= 100, "served " + served.get());
             String log = Files.readString(temp.resolve("log-0"));
             assertTrue(
-                    log.contains("handing_over") && log.contains("tally"),
-                    "the log outlasts the socket");
+                    log.contains("handover_started") && log.contains("tally"),
+                    "the log must stay open after the socket is no longer used");
         }
     }
 
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Asks on one connection for as long as it stays, as a usual client does; any other end than an
-     * answer is a loss.
+     * Sends requests on one connection for as long as it stays open, as an ordinary client does.
+     * Anything but a response counts as lost.
      */
     private void client(int number, AtomicInteger served, AtomicInteger lost) {
         TestServer.Connection wire = null;
@@ -261,11 +261,11 @@
             assertThrows(
                     TimeoutException.class,
                     () -> old.onExit().get(WRITE_FAILURE_MS, TimeUnit.MILLISECONDS),
-                    "it owes a write");
+                    "a write is pending");
             Files.delete(folder);
             old.onExit().get(TIMEOUT_S, TimeUnit.SECONDS);
             startProcess();
-            assertEquals(503, upStatus(), "the next one is drained from its start on");
+            assertEquals(503, upStatus(), "the next process is drained from its start");
             String log = Files.readString(temp.resolve("log-0"));
             assertEquals(1, count(log, "operator_state_write_failed"), log);
             assertEquals(1, count(log, "operator_state_written"), log);
--- a/src/test/java/cacheproxy/proxy/LoadedClassesTest.java
+++ b/src/test/java/cacheproxy/proxy/LoadedClassesTest.java
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Classes that a process loads after its warm-up. Each costs a turn of the event loop some part of
- * a millisecond on half a core, at the moment when many are needed at once: a lost discovery, a
- * reload, a flood, a drain.
+ * Limits the classes that a process loads after its warm-up. Loading one takes a fraction of a
+ * millisecond of the event loop on half a core, and many are needed at the same moment: when
+ * discovery is lost, at a reload, under a flood of requests, or at shutdown.
  */
 class LoadedClassesTest {
 
     private static final int TIMEOUT_S = 120;
     private static final int CLIENTS = 100;
 
-    /** Of the project's own classes; 1 was measured, {@code measure.Samples}. */
+    /** Limit for named classes of the project; one, {@code measure.Samples}, is expected. */
     private static final int MAX_NAMED_CLASSES = 2;
 
     /**
-     * Of classes that the Java machine spins for lambdas and method references; 30 were measured.
+     * Limit for classes that the JVM generates for lambdas and method references; 30 are expected.
      */
     private static final int MAX_LAMBDA_CLASSES = 40;
 
@@ -58,7 +58,7 @@
             serve.signal("TERM");
             serve.awaitTermination();
             List<String> after = ownClasses(loaded).stream().skip(before).toList();
-            assertTrue(before > 0, "nothing was logged");
+            assertTrue(before > 0, "no class loading was logged");
             long lambdas = after.stream().filter(name -> name.contains("$$Lambda")).count();
             assertTrue(lambdas <= MAX_LAMBDA_CLASSES, lambdas + " lambdas: " + after);
             assertTrue(after.size() - lambdas <= MAX_NAMED_CLASSES, after.toString());
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Many ask at once and a part of them leaves; the node answers one and breaks two connections.
+     * Many clients send a request at once and some of them disconnect; the node answers one request
+     * and breaks two connections.
      */
     private static void flood(ServeProcess serve) throws Exception {
         List<TestServer.Connection> clients = new ArrayList<>();
@@ -97,7 +98,7 @@
                     request.connection().close();
                 }
             } catch (IOException e) {
-                // Given up on meanwhile.
+                // The proxy has cancelled the attempt meanwhile.
             }
         }
     }
--- a/src/test/java/cacheproxy/proxy/ManualClockLoop.java
+++ b/src/test/java/cacheproxy/proxy/ManualClockLoop.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** An event loop with real sockets whose timers go by a clock that a test moves. */
+/** An event loop with real sockets whose timers use a clock that a test advances. */
 final class ManualClockLoop extends SingleThreadIoEventLoop {
 
-    /** The clock; it stands still but for {@link #advance}. */
+    /** The clock; only {@link #advance} moves it. */
     private static final class ManualTicker implements Ticker {
         private final long initial = System.nanoTime();
         private final AtomicLong now = new AtomicLong(initial);
@@ -28,11 +28,11 @@
 
         @Override
         public void sleep(long delay, TimeUnit unit) {
-            throw new UnsupportedOperationException("nobody sleeps by this clock");
+            throw new UnsupportedOperationException("the manual clock does not support sleeping");
         }
     }
 
-    /** Null while the loop is being made, when no time is asked for yet. */
+    /** Null during the superclass constructor, where no time is read yet. */
     private final ManualTicker ticker = new ManualTicker();
 
     ManualClockLoop() {
@@ -44,7 +44,7 @@
         return ticker == null ? Ticker.systemTicker() : ticker;
     }
 
-    /** The selector tells the system's time; how long it may wait goes by this loop's own. */
+    /** The selector passes the system time; the timeout has to follow this loop's clock. */
     @Override
     protected long delayNanos(long currentTimeNanos, long scheduledPurgeInterval) {
         return super.delayNanos(ticker.nanoTime(), scheduledPurgeInterval);
@@ -54,9 +54,9 @@
         return ticker.nanoTime();
     }
 
-    /** Moves the clock on and returns when all timers that are due by then have run. */
+    /** Advances the clock and returns when all timers that are due by then have run. */
     void advance(long ms) throws Exception {
-        // Timers run in the order of their times, so this one is the last that is due.
+        // Timers run in the order of their due times, so this one runs last.
         Future<?> last = submit(() -> schedule(() -> {}, ms, TimeUnit.MILLISECONDS)).get();
         ticker.now.addAndGet(TimeUnit.MILLISECONDS.toNanos(ms));
         submit(() -> {}).get();
--- a/src/test/java/cacheproxy/proxy/OperationsTest.java
+++ b/src/test/java/cacheproxy/proxy/OperationsTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The operators' address: what it answers, and that what it says yes to holds. */
+/** The address for operators: its replies, and that confirmed calls take effect. */
 class OperationsTest {
 
     private static final String START_MAINTENANCE = "POST /cache-nodes/c0/maint";
@@ -35,7 +35,7 @@
     private static final String START_DRAIN = "POST /healthcheck/fail";
     private static final String END_DRAIN = "POST /healthcheck/ok";
 
-    /** Some of the looks by which a process takes on what another has kept. */
+    /** Several of the intervals at which a process reads the state that another has written. */
     private static final long SEVERAL_POLLS_MS = 500;
 
     @TempDir Path temp;
@@ -48,7 +48,7 @@
         site.service = startAnother();
     }
 
-    /** One more process of the same proxy, as far as files go. */
+    /** Starts one more process of the same proxy, as far as files are concerned. */
     private Service startAnother() throws Exception {
         Config config = site.config("automatic", "60000", "\"admin\":\"127.0.0.1:0\",");
         return Service.start(config, new DecisionModule(config.settings(), 7));
@@ -122,7 +122,7 @@
             silent.get(i).write(i % 2 == 0 ? "" : "POST /cache-nodes/c0/ma");
         }
         assertEquals(200, status(START_MAINTENANCE));
-        assertNull(silent.get(0).read(), "the oldest went first");
+        assertNull(silent.get(0).read(), "the oldest connection is closed first");
         for (TestServer.Connection wire : silent) {
             wire.close();
         }
@@ -138,7 +138,7 @@
                 answerNextRequest();
             }
             Service next = startAnother();
-            assertEquals(503, readStatus(next), "out from its start on");
+            assertEquals(503, readStatus(next), "the node is in maintenance from the start");
             next.terminateNow();
             assertEquals(200, ProxyFixture.status(call(other, END_MAINTENANCE)));
             TestServer.Message sent = null;
@@ -161,7 +161,7 @@
         Path folder = temp.resolve("flintmill");
         Files.move(folder, temp.resolve("away"));
         Files.writeString(folder, "no folder");
-        // What is kept is read with each list; this one has been taken in once its node is known.
+        // The state is read with each endpoint list; the list is applied once its node is known.
         String list =
                 ProxyFixture.endpointList(
                                 8, false, ProxyFixture.host("c1", site.node.dial(), "draining", 0))
@@ -192,7 +192,8 @@
         try (TestServer.Connection client = site.client()) {
             client.write(site.get(ProxyFixture.LONG_BUDGET_S));
             answerNextRequest();
-            assertEquals(200, ProxyFixture.status(client.read()), "it serves on");
+            assertEquals(
+                    200, ProxyFixture.status(client.read()), "the node still receives requests");
         }
     }
 
@@ -215,13 +216,13 @@
             String answer = served.read();
             assertEquals(200, ProxyFixture.status(answer));
             assertEquals("close", new TestServer.Message(answer, served).header("Connection"));
-            assertNull(idle.read(), "an idle client is let go");
+            assertNull(idle.read(), "an idle client is closed");
         }
         Service next = startAnother();
         while (ProxyFixture.status(call(next, "GET /healthcheck")) != 200) {
             Thread.onSpinWait();
         }
-        assertEquals(503, upStatus(next), "it can serve, and is drained from its start on");
+        assertEquals(503, upStatus(next), "ready, and drained from its start");
         next.terminateNow();
         assertEquals(200, status("POST /healthcheck/ok"));
         try (TestServer.Connection back = site.client()) {
@@ -231,7 +232,7 @@
         }
     }
 
-    /** The service's files from now on, which a test lets fail. */
+    /** Replaces the files of the service by ones that a test can let fail. */
     private FaultyFiles useFaultyFiles() {
         FaultyFiles faulty = new FaultyFiles();
         site.service.operations().useFiles(new MaintenanceFiles(temp.resolve("flintmill"), faulty));
@@ -248,7 +249,7 @@
         }
     }
 
-    /** Until then /up says no in any case. */
+    /** Waits until the proxy is ready; before that /up answers 503 in any case. */
     private static void awaitReady(Service service) throws Exception {
         while (ProxyFixture.status(call(service, "GET /healthcheck")) != 200) {
             TimeUnit.MILLISECONDS.sleep(10);
@@ -264,7 +265,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"CREATE_FOLDER", "CREATE", "DELETE", "FORCE_FOLDER"})
+            names = {"CREATE_DIRECTORY", "CREATE", "DELETE", "SYNC_DIRECTORY"})
     @Timeout(TestServer.TIMEOUT_S)
     void retriesToPersistDrainAndItsEnd(Step step) throws Exception {
         FaultyFiles faulty = useFaultyFiles();
@@ -272,13 +273,13 @@
         assertEquals(200, status(START_DRAIN));
         awaitNoPendingWrites();
         faulty.crash(true);
-        assertEquals(503, upStatusOfNextProcess(), "one failure");
+        assertEquals(503, upStatusOfNextProcess(), "the drain is persisted after one failure");
         faulty = useFaultyFiles();
         faulty.fail(step, 1);
         assertEquals(200, status(END_DRAIN));
         awaitNoPendingWrites();
         faulty.crash(true);
-        assertEquals(200, upStatusOfNextProcess(), "one failure");
+        assertEquals(200, upStatusOfNextProcess(), "its end is persisted after one failure");
     }
 
     @Test
@@ -289,10 +290,10 @@
         faulty.fail(Step.CREATE, Integer.MAX_VALUE);
         String answer = call(site.service, START_DRAIN);
         assertEquals(200, ProxyFixture.status(answer));
-        assertTrue(answer.contains("not kept yet"), answer);
+        assertTrue(answer.contains("not yet persisted"), answer);
         TimeUnit.MILLISECONDS.sleep(SEVERAL_POLLS_MS);
-        assertEquals(503, upStatus(site.service), "a disk without the drain doesn't end it");
-        assertEquals(200, upStatusOfNextProcess(), "the disk refuses");
+        assertEquals(503, upStatus(site.service), "a disk without the drain does not end it");
+        assertEquals(200, upStatusOfNextProcess(), "writes to the disk fail");
         faulty.fail(Step.CREATE, 0);
         awaitNoPendingWrites();
         assertEquals(503, upStatusOfNextProcess());
@@ -300,7 +301,7 @@
         faulty.fail(Step.DELETE, Integer.MAX_VALUE);
         assertEquals(200, status(END_DRAIN));
         TimeUnit.MILLISECONDS.sleep(SEVERAL_POLLS_MS);
-        assertEquals(200, upStatus(site.service), "a disk with the drain doesn't begin it again");
+        assertEquals(200, upStatus(site.service), "a disk with the drain does not start it again");
         faulty.fail(Step.DELETE, 0);
         awaitNoPendingWrites();
         assertEquals(200, upStatusOfNextProcess());
@@ -310,7 +311,7 @@
     @Timeout(TestServer.TIMEOUT_S)
     void revertsMaintenanceThatCannotBeSynced() throws Exception {
         FaultyFiles faulty = useFaultyFiles();
-        assertEquals(200, status(END_MAINTENANCE), "the folder's own name is synced");
+        assertEquals(200, status(END_MAINTENANCE), "the name of the directory is synced");
         faulty.fail(Step.SYNC_DIRECTORY, Integer.MAX_VALUE);
         faulty.fail(Step.DELETE, Integer.MAX_VALUE);
         assertEquals(503, status(START_MAINTENANCE));
@@ -336,7 +337,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"DELETE", "FORCE_FOLDER"})
+            names = {"DELETE", "SYNC_DIRECTORY"})
     @Timeout(TestServer.TIMEOUT_S)
     void maintenanceStaysIfItsEndCannotBePersisted(Step step) throws Exception {
         FaultyFiles faulty = useFaultyFiles();
@@ -388,6 +389,6 @@
                 new MaintenanceFiles(temp.resolve("flintmill")).read();
         MaintenanceFiles.MaintenanceState expected =
                 new MaintenanceFiles.MaintenanceState(Set.of(), true);
-        assertEquals(expected, kept, "a no is taken back, a yes is kept");
+        assertEquals(expected, kept, "a rejected call is reverted, a confirmed one is persisted");
     }
 }
--- a/src/test/java/cacheproxy/proxy/OptionsReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/OptionsReloadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A reload takes the platform's configuration and the operator's options, or neither. */
+/** A reload applies both the platform's configuration and the operators' options, or neither. */
 class OptionsReloadTest {
 
     @Test
@@ -43,8 +43,8 @@
             Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString());
             site.service.reload(environment);
             ScriptedRouter.awaitNext(read);
-            // The reload runs on the proxy's one loop: a request that is served after it shows that
-            // it is over.
+            // The reload runs on the proxy's event loop, so a request served after it shows that
+            // it has finished.
             try (TestServer.Connection client = site.client()) {
                 client.write(site.get(ProxyFixture.LONG_BUDGET_S));
                 site.node.next().connection().respond(200, "v");
--- a/src/test/java/cacheproxy/proxy/ProcessStallTest.java
+++ b/src/test/java/cacheproxy/proxy/ProcessStallTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The process is held up for 0.15 s after any one reading of its clock. The clock of these tests
- * stands still but for that, so nothing here depends on how fast the machine is.
+ * The process stalls for 0.15 s after a chosen reading of its clock. The clock of these tests moves
+ * only then or when a test advances it, so the result does not depend on the speed of the machine.
  */
 class ProcessStallTest {
 
@@ -29,10 +29,7 @@
     private ProxyFixture site;
     private TestServer.Connection client;
 
-    /**
-     * A clock that moves when a test says so, and once by a hold-up right after one of its
-     * readings.
-     */
+    /** A clock that a test advances, and that jumps once, right after one of its readings. */
     private static final class StallingClock implements LongSupplier {
         private long now;
         private long readingsBeforeStall = NEVER;
@@ -85,16 +82,16 @@
         return Double.parseDouble(message.header("X-Budget")) * 1e3;
     }
 
-    /** What a node was told is no more than the client has left, and the slack. */
+    /** The time limit sent to a node is at most the client's remaining time plus the slack. */
     private void assertBudgetWithinRemainingTime(TestServer.Message message, double sentAt) {
         double remainingMs = sentAt + BUDGET_S * 1e3 - nanoClock.ms();
         double budgetMs = budgetMs(message);
         assertTrue(
                 budgetMs <= remainingMs + SLACK_MS,
-                "told " + budgetMs + " ms where " + remainingMs + " were left");
+                "sent " + budgetMs + " ms with " + remainingMs + " ms left");
         assertTrue(
                 budgetMs >= remainingMs / 2,
-                "told no more than " + budgetMs + " ms where " + remainingMs + " were left");
+                "sent no more than " + budgetMs + " ms with " + remainingMs + " ms left");
     }
 
     private void retryAfterError() {
@@ -125,8 +122,8 @@
     }
 
     /**
-     * The request lies unread for a while, as the loop is busy: its client's time runs all the
-     * same.
+     * The request stays unread for a while because the loop is busy; the client's deadline runs
+     * meanwhile.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 2, 3, 4, 5, 6, 7})
@@ -168,7 +165,9 @@
         }
     }
 
-    /** Its time runs from its last byte, which came while it waited for its connection. */
+    /**
+     * The deadline runs from the last byte, which arrives while the upload waits for a connection.
+     */
     @Test
     void uploadCompleteBeforeConnectionSendsRemainingBudget() throws Exception {
         try (LateAcceptingNode node = new LateAcceptingNode()) {
@@ -184,7 +183,7 @@
                             + body
                             + "\r\n0\r\n\r\n");
             awaitRequest();
-            // Whoever is answered later than the last byte came says that it was read.
+            // This response comes after the last byte was read, and so shows that it was.
             try (TestServer.Connection other = site.client()) {
                 other.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
                 ProxyFixture.status(other.read());
@@ -204,7 +203,7 @@
         }
     }
 
-    /** Asks for a repeat so long after the first attempt may have run. */
+    /** Requests a repeat {@code ms} after the first attempt, which may have run at its node. */
     private void repeatAfter(double ms, long readings) throws Exception {
         site.router.onEnd =
                 (end, out) -> {
@@ -228,7 +227,7 @@
         TestServer.Message repeated = site.node.next();
         assertTrue(
                 nanoClock.ms() < REPEAT_WINDOW_MS,
-                "written " + nanoClock.ms() + " ms after the first");
+                "sent " + nanoClock.ms() + " ms after the first attempt");
         repeated.connection().respond(200, "v");
         assertEquals(200, ProxyFixture.status(client.read()));
     }
--- a/src/test/java/cacheproxy/proxy/ReloadTest.java
+++ b/src/test/java/cacheproxy/proxy/ReloadTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGHUP: discovery moves, and what can't be read changes nothing. */
+/** SIGHUP moves the discovery watch; an unreadable configuration changes nothing. */
 class ReloadTest {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -47,7 +47,7 @@
 
     private void reload(String file) throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), file);
-        // The variable is as it was at the start, and older than the file.
+        // The variable is unchanged since the start, so the file takes precedence.
         site.service.reload(
                 Map.of(
                         "BALANCER_CONFIG",
@@ -73,8 +73,10 @@
         reload(config(next.dial()));
         TestServer.Message watch = next.next();
         assertEquals("GET /discovery/hosts?watch=1&from=0 HTTP/1.1", watch.firstLine());
-        assertNull(site.discovery.next().text(), "the old watch is left");
-        assertTrue(site.router.receivedLists.isEmpty(), "the old list stays meanwhile");
+        assertNull(site.discovery.next().text(), "the old watch is closed");
+        assertTrue(
+                site.router.receivedLists.isEmpty(),
+                "the old endpoint list stays in use meanwhile");
         watch.connection()
                 .write(
                         HEAD
@@ -117,7 +119,7 @@
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hup = signal.getConstructor(String.class).newInstance("HUP");
         while (twice.getCount() > 0) {
-            // Signals of one kind may fall together, so each waits until the one before has come.
+            // Pending signals of one kind may be merged, so each is awaited before the next.
             long before = twice.getCount();
             signal.getMethod("raise", signal).invoke(null, hup);
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TestServer.TIMEOUT_S);
--- a/src/test/java/cacheproxy/proxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/proxy/ServeProcess.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A proxy in a process of its own, with a scripted cache node and discovery. */
+/** A proxy in a separate process, with a scripted cache node and scripted discovery. */
 final class ServeProcess implements Closeable {
 
     private static final int SIGTERM_EXIT_CODE = 143;
@@ -32,27 +32,27 @@
 
     final ProxyFixture site;
 
-    /** Where clients reach it. */
+    /** The address for clients. */
     final InetSocketAddress clientAddress = UnassignedPort.address();
 
     private final Path folder;
     private final Process process;
 
-    /** Lines of its log as they come; {@link #END} is the last. */
+    /** Lines of the process's log as they arrive; {@link #END_OF_LOG} is the last. */
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     /**
-     * Starts it.
+     * Starts the process.
      *
-     * @param folder for its configuration
-     * @param command what runs the command line that follows it; empty for none
-     * @param options of the Java machine
+     * @param folder directory for its configuration
+     * @param command command that runs the command line appended to it; empty for none
+     * @param options options of the JVM
      */
     ServeProcess(Path folder, List<String> command, String... options) throws IOException {
         this(folder, new ProxyFixture(), command, options);
     }
 
-    /** The same, with the settings and the cache nodes of a site. */
+    /** Starts the process with the settings and the cache nodes of {@code site}. */
     ServeProcess(Path folder, ProxyFixture site, List<String> command, String... options)
             throws IOException {
         this.folder = folder;
@@ -81,13 +81,13 @@
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             lines.lines().forEach(log::add);
         } catch (IOException | UncheckedIOException e) {
-            // Killed while it wrote: what came is there.
+            // The process was killed while writing; the lines read so far are kept.
         } finally {
             log.add(END_OF_LOG);
         }
     }
 
-    /** The next line, or null at the end. */
+    /** Returns the next line of the log, or null at its end. */
     private String nextLine() throws InterruptedException {
         String line = log.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(line, "nothing was logged for " + TIMEOUT_S + " s");
@@ -106,17 +106,17 @@
         return rest;
     }
 
-    /** Reads the log up to the first line with an event's name. */
+    /** Reads the log up to the first line with the event, and fails if there is none. */
     void awaitEvent(String event) throws InterruptedException {
         assertTrue(findEvent(event), event + " was never logged");
     }
 
-    /** The same; false where the log ends without it. */
+    /** Reads the log up to the first line with the event; returns false if there is none. */
     boolean findEvent(String event) throws InterruptedException {
         return findEventLine(event) != null;
     }
 
-    /** The same; that line, or null where the log ends without it. */
+    /** Reads the log up to the first line with the event, and returns it, or null. */
     String findEventLine(String event) throws InterruptedException {
         String line = nextLine();
         while (line != null && !(line + " ").contains(" " + event + " ")) {
@@ -133,7 +133,7 @@
                         .waitFor());
     }
 
-    /** What is left of the log once the process has ended by itself. */
+    /** Waits until the process has terminated, and returns the remaining lines of its log. */
     List<String> awaitTermination() throws Exception {
         List<String> rest = restOfLog();
         assertEquals(SIGTERM_EXIT_CODE, process.waitFor());
@@ -171,13 +171,13 @@
         return Files.readString(folder.resolve("config.json"));
     }
 
-    /** Replaces the configuration in one step: one written in place may be read too soon. */
+    /** Replaces the configuration atomically, so that it is never read half-written. */
     void configure(String text) throws IOException {
         Path next = Files.writeString(folder.resolve("next.json"), text);
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** The configuration with discovery at another address. */
+    /** Returns the configuration with another address of discovery. */
     String configurationWithDiscovery(TestServer discovery) throws IOException {
         return configuration().replace(site.discovery.dial(), discovery.dial());
     }
--- a/src/test/java/cacheproxy/proxy/ShutdownBeforeOpeningTest.java
+++ b/src/test/java/cacheproxy/proxy/ShutdownBeforeOpeningTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A process that is told to end before its clients' address is open never opens it: who would come
- * would be lost.
+ * A process that is asked to terminate before its clients' address is open never opens it: clients
+ * that connected then would be lost.
  */
 class ShutdownBeforeOpeningTest {
 
@@ -28,7 +28,7 @@
         site.close();
     }
 
-    /** Discovery is silent, so the start stands between its last step and the opening. */
+    /** Discovery stays silent, so the start waits between its last step and the opening. */
     @Test
     @Timeout(TestServer.TIMEOUT_S)
     void shutdownBeforeOpeningPreventsItAndTerminatesAtOnce() throws Exception {
@@ -67,6 +67,6 @@
                         ProxyFixture.LENIENT_TIMES,
                         opening);
         assertNull(site.service.clientAddress());
-        assertEquals(0, site.router.receivedLists.size(), "nothing was begun");
+        assertEquals(0, site.router.receivedLists.size(), "the router must not be started");
     }
 }
--- a/src/test/java/cacheproxy/proxy/ShutdownWithHangingNodesTest.java
+++ b/src/test/java/cacheproxy/proxy/ShutdownWithHangingNodesTest.java
@@ -21,22 +21,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A real process gets SIGTERM while its cache node hangs, and goes on hanging until the process has
- * ended by itself.
+ * A real process receives SIGTERM while its cache node hangs; the node hangs until the process has
+ * terminated.
  */
 class ShutdownWithHangingNodesTest {
 
     private static final int TIMEOUT_S = 120;
     private static final int CLIENTS = 8;
 
-    /**
-     * The last answers are owed the deadline and so much after the signal, as SIGKILL comes then.
-     */
+    /** SIGKILL follows SIGTERM after the deadline plus this time; the final responses are due. */
     private static final long SIGKILL_DELAY_MS = 700;
 
     /**
-     * For a machine that is busy; requests of clients that wait for long would be open for ten
-     * times as long.
+     * Allowance for a busy machine. Without the final responses at shutdown, the requests of the
+     * clients with long deadlines would stay open ten times as long.
      */
     private static final long SLACK_MS = 6000;
 
@@ -86,9 +84,7 @@
                 + "\r\n\r\n";
     }
 
-    /**
-     * Asks again and again until its connection ends, behind a last answer or between two requests.
-     */
+    /** Sends requests until the connection ends, after a last response or between two requests. */
     private void sendUntilClosed(int client, double budgetMs) {
         try (TestServer.Connection wire = serve.client()) {
             boolean last = false;
@@ -101,8 +97,8 @@
                     responseCount.incrementAndGet();
                     lastResponseNanos.accumulateAndGet(System.nanoTime(), Math::max);
                 }
-                // Without an answer it crossed the end of a connection at rest: the tally shows
-                // whether it was taken.
+                // Without a response, the request arrived while the idle connection was being
+                // closed; the tally shows whether the proxy accepted it.
                 last =
                         answer == null
                                 || "close"
@@ -117,8 +113,7 @@
     }
 
     /**
-     * Half of the clients wait for the deadline, the others for far longer than the process may
-     * take.
+     * Half of the clients wait for the deadline, the others far longer than the process may run.
      */
     private List<CompletableFuture<Void>> startClients(double deadlineMs) {
         List<CompletableFuture<Void>> clients = new ArrayList<>();
@@ -141,7 +136,7 @@
         while (counter.getAsLong() < count) {
             assertTrue(
                     System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(TestServer.TIMEOUT_S),
-                    "no more than " + counter.getAsLong());
+                    "only " + counter.getAsLong());
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
@@ -178,14 +173,14 @@
                 tally);
         assertTrue(
                 responseCount.get() >= accepted,
-                responseCount.get() + " answers came to " + accepted + " requests that were taken");
+                responseCount.get() + " responses to " + accepted + " accepted requests");
         long tookMs = TimeUnit.NANOSECONDS.toMillis(lastResponseNanos.get() - signalNanos);
         assertTrue(
                 tookMs < deadlineMs + SIGKILL_DELAY_MS + SLACK_MS,
-                "the last answer came " + tookMs + " ms after the signal");
+                "the last response came " + tookMs + " ms after the signal");
         for (TestServer.Message request : node.requestsAfterAllConnectionsClosed()) {
             String id = request.header("X-Call-Id");
-            assertTrue(answeredIds.contains(id), id + " was begun at the node and never answered");
+            assertTrue(answeredIds.contains(id), id + " was sent to the node and never answered");
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/SignalsTest.java
+++ b/src/test/java/cacheproxy/proxy/SignalsTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process and real signals: before its address is open, beside one another and twice. */
+/** Real signals to a real process: before its address opens, concurrently and repeatedly. */
 class SignalsTest {
 
     private static final int TIMEOUT_S = 120;
     private static final List<String> IGNORING_HANGUP =
             List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
 
-    /** Long enough for two looks at the file of the configuration. */
+    /** At least two polls of the configuration file. */
     private static final long TWO_POLLS_MS = 2 * ConfigFileWatch.POLL_INTERVAL_MS + 200;
 
     private static final int MOVES = 6;
@@ -39,7 +39,7 @@
         start(List.of());
     }
 
-    /** Starts a proxy by a command that runs what follows it, with further options of Java's. */
+    /** Starts a proxy through a command that runs the appended command line, with JVM options. */
     private void start(List<String> command, String... options) throws IOException {
         serve = new ServeProcess(temp, command, options);
     }
@@ -58,7 +58,7 @@
                 .next()
                 .connection()
                 .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-        serve.awaitEvent("known");
+        serve.awaitEvent("endpoint_list_loaded");
         TestServer.Connection client = null;
         while (client == null) {
             try {
@@ -72,20 +72,22 @@
         for (String name : List.of("HUP", "TERM", "HUP", "TERM", "HUP")) {
             serve.signal(name);
         }
-        serve.awaitEvent("draining");
+        serve.awaitEvent("shutdown_started");
         pending.connection().respond(200, "v");
         assertEquals(200, ProxyFixture.status(client.read()));
         client.close();
         assertEquals(
                 0,
-                serve.awaitTermination().stream().filter(l -> l.contains(" draining")).count(),
-                "it drains once");
+                serve.awaitTermination().stream()
+                        .filter(l -> l.contains(" shutdown_started"))
+                        .count(),
+                "the shutdown starts once");
     }
 
     /**
-     * Discovery is silent, so it stands for half a second between its last step and the opening.
-     * Where the machine is so busy that the signal comes later than that, as the log then says,
-     * another process is started.
+     * Discovery stays silent, so the start waits half a second before it opens the address. If the
+     * machine is so busy that the signal arrives later, which the log shows, another process is
+     * started.
      */
     @Test
     @Timeout(TIMEOUT_S)
@@ -93,16 +95,18 @@
         boolean early = false;
         while (!early) {
             start();
-            serve.awaitEvent("known");
+            serve.awaitEvent("endpoint_list_loaded");
             CompletableFuture<Boolean> opened = CompletableFuture.supplyAsync(this::acceptsClient);
             serve.signal("TERM");
-            early = serve.awaitTermination().stream().noneMatch(l -> l.contains(" untold "));
-            assertFalse(opened.get(TIMEOUT_S, TimeUnit.SECONDS) && early, "a client was let in");
+            early =
+                    serve.awaitTermination().stream()
+                            .noneMatch(l -> l.contains(" initial_drain_state_timeout "));
+            assertFalse(opened.get(TIMEOUT_S, TimeUnit.SECONDS) && early, "a client was accepted");
             stop();
         }
     }
 
-    /** No client comes: it is ready, asks discovery once, and ends by itself. */
+    /** Without clients, the proxy becomes ready, opens one watch, and terminates on SIGTERM. */
     @Test
     @Timeout(TIMEOUT_S)
     void becomesReadyAndTerminatesWithoutClients() throws Exception {
@@ -115,14 +119,14 @@
         }
         serve.signal("TERM");
         serve.awaitTermination();
-        assertNull(serve.site.discovery.next().text(), "its only watch has ended");
+        assertNull(serve.site.discovery.next().text(), "its only watch is closed");
         assertTrue(serve.site.discovery.receivedNothing() && serve.site.node.receivedNothing());
     }
 
     /**
-     * The end begins right behind the move, and the new address tells of a drain then: what comes
-     * on an open connection goes to the node no more. Where the machine is so busy that the process
-     * has ended before, another is started.
+     * SIGTERM follows right after the move of discovery, and the new address then reports a drain:
+     * requests on an open connection no longer go to that node. If the machine is so busy that the
+     * process has terminated before, another one is started.
      */
     @Test
     @Timeout(TIMEOUT_S)
@@ -145,18 +149,18 @@
                         Files.readString(config).replace(serve.site.discovery.dial(), next.dial()));
                 serve.signal("HUP");
                 serve.signal("TERM");
-                reported = reportDrain(next) && serve.findEvent("list");
+                reported = reportDrain(next) && serve.findEvent("endpoint_list_changed");
                 if (reported) {
                     int status = statusOn(open);
                     assertTrue(
                             status == 503 || status == 429 || status == -1, "answered " + status);
                     assertTrue(
                             serve.site.node.receivedNothing(),
-                            "a request went to the node that drains");
+                            "a request was sent to the draining node");
                     pending.connection().respond(200, "v");
                     assertTrue(
                             ProxyFixture.status(waiting.read()) > 0,
-                            "what was in flight has no answer");
+                            "the pending request has no response");
                     serve.awaitTermination();
                     reported = status > 0;
                 }
@@ -165,7 +169,7 @@
         }
     }
 
-    /** Asks on an open connection; -1 where it has been closed. */
+    /** Sends a request on an open connection; returns -1 if it has been closed. */
     private int statusOn(TestServer.Connection open) {
         try {
             open.write(serve.site.get(ProxyFixture.LONG_BUDGET_S));
@@ -175,7 +179,7 @@
         }
     }
 
-    /** Tells who asks of the drain; false where the process ends without asking. */
+    /** Reports the drain to the next watch; returns false if the process ends without one. */
     private boolean reportDrain(TestServer discovery) throws Exception {
         while (serve.isAlive() && discovery.receivedNothing()) {
             Thread.onSpinWait();
@@ -232,7 +236,7 @@
             serve.awaitEvent("signal_ignored");
             serve.awaitEvent("reloaded");
             serve.configure(lastConfig.substring(0, lastConfig.length() / 2));
-            serve.awaitEvent("reload_refused");
+            serve.awaitEvent("reload_rejected");
             TimeUnit.MILLISECONDS.sleep(TWO_POLLS_MS);
             serve.configure(lastConfig);
             last.next().connection().write(HEAD + chunk(""));
@@ -240,7 +244,7 @@
             List<String> rest = serve.awaitTermination();
             String text = String.join("\n", rest);
             assertEquals(1, rest.stream().filter(l -> l.contains(" reloaded ")).count(), text);
-            assertFalse(text.contains(" reload_refused "), text);
+            assertFalse(text.contains(" reload_rejected "), text);
             assertFalse(text.contains(" signal_ignored "), text);
         }
     }
@@ -268,7 +272,7 @@
         assertFalse(classes.stream().anyMatch(l -> l.contains(ConfigFileWatch.class.getName())));
     }
 
-    /** Several moves within a second, beside a client's requests. */
+    /** Moves discovery several times within a second, while a client sends requests. */
     @Test
     @Timeout(TIMEOUT_S)
     void quickMovesEndAtLastAddressAndLoseNoRequest() throws Exception {
@@ -297,7 +301,7 @@
             for (TestServer oldAddress : addresses) {
                 reportDrainAtOldAddress(oldAddress);
             }
-            // One more node than the configuration knows, as what it knows is not logged again.
+            // One more node than in the configuration, as an unchanged list is not logged again.
             watch.connection()
                     .write(
                             HEAD
@@ -312,14 +316,14 @@
                                                             serve.site.node.dial(),
                                                             "up",
                                                             0))));
-            String list = serve.findEventLine("list");
+            String list = serve.findEventLine("endpoint_list_changed");
             assertTrue(list.contains(" version=3 node=c1 "), list);
             moved.set(true);
             List<Integer> statuses = statusesLater.get(TIMEOUT_S, TimeUnit.SECONDS);
-            assertTrue(statuses.size() > MOVES, "so few asked: " + statuses);
+            assertTrue(statuses.size() > MOVES, "too few requests: " + statuses);
             assertTrue(statuses.stream().allMatch(s -> s > 0), "lost: " + statuses);
-            assertEquals(200, statuses.get(statuses.size() - 1), "the node is in use");
-            assertTrue(last.receivedNothing(), "one watch was opened at the last address");
+            assertEquals(200, statuses.get(statuses.size() - 1), "the node receives requests");
+            assertTrue(last.receivedNothing(), "more than one watch at the last address");
             last.close();
         } finally {
             for (TestServer address : addresses) {
@@ -328,10 +332,12 @@
         }
         serve.signal("TERM");
         List<String> rest = serve.awaitTermination();
-        assertFalse(rest.stream().anyMatch(l -> l.contains(" list ")), "an old address was heard");
+        assertFalse(
+                rest.stream().anyMatch(l -> l.contains(" endpoint_list_changed ")),
+                "an endpoint list of an old address was applied");
     }
 
-    /** Answers whatever comes to the node, until its end. */
+    /** Answers every request to the node until the node closes. */
     private void answerNodeRequests() {
         try {
             while (true) {
@@ -345,7 +351,7 @@
         }
     }
 
-    /** Asks one thing after another; the statuses, -1 for each that had no answer. */
+    /** Sends requests one after another; returns their statuses, -1 for each without response. */
     private List<Integer> statusesUntil(AtomicBoolean end) {
         List<Integer> statuses = new ArrayList<>();
         boolean last = false;
@@ -361,7 +367,7 @@
         return statuses;
     }
 
-    /** An address that was left tells of a drain; nobody may listen to it any more. */
+    /** Reports a drain from an address that was left, to which no proxy may listen any more. */
     private void reportDrainAtOldAddress(TestServer oldAddress) throws InterruptedException {
         while (!oldAddress.receivedNothing()) {
             TestServer.Message watch = oldAddress.next();
@@ -379,7 +385,7 @@
                                                                 "draining",
                                                                 0))));
             } catch (IOException e) {
-                // It was closed at the next move.
+                // The proxy closed this watch at the next move.
             }
         }
     }
--- a/src/test/java/cacheproxy/proxy/StartTest.java
+++ b/src/test/java/cacheproxy/proxy/StartTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a start on part of a core must not do again each time, as nobody is served meanwhile. */
+/**
+ * Work that a start on a fraction of a core must not repeat each time, as it delays the first
+ * client.
+ */
 class StartTest {
 
     @Test
@@ -23,7 +26,8 @@
     }
 
     /**
-     * A joining that is linked at its first use costs a start a millisecond or more for each shape.
+     * String concatenation that is linked at its first use (invokedynamic) costs a start a
+     * millisecond or more for each shape.
      */
     @Test
     void stringConcatenationNeedsNoLinking() throws IOException {
--- a/src/test/java/cacheproxy/proxy/SupersededCallsTest.java
+++ b/src/test/java/cacheproxy/proxy/SupersededCallsTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Two processes of one proxy, as in an upgrade, on a disk that fails: the operator's latest call
- * wins, whichever process took it. Each call is answered before the next one is made.
+ * Two processes of one proxy, as in an upgrade, on a failing disk: the operator's latest call wins,
+ * whichever process accepted it. Each call is answered before the next one is made.
  */
 @Timeout(TestServer.TIMEOUT_S)
 class SupersededCallsTest {
@@ -39,7 +39,7 @@
     private static final String END_MAINTENANCE = "POST /cache-nodes/c0/ready";
     private static final String START_DRAIN = "POST /healthcheck/fail";
     private static final String END_DRAIN = "POST /healthcheck/ok";
-    private static final String NOT_YET_PERSISTED = "not kept yet";
+    private static final String NOT_YET_PERSISTED = "not yet persisted";
     private static final String SUPERSEDED = "operator_state_superseded";
     private static final MaintenanceState NOTHING = new MaintenanceState(Set.of(), false);
     private static final MaintenanceState DRAINED = new MaintenanceState(Set.of(), true);
@@ -105,7 +105,7 @@
         return ProxyFixture.status(TestServer.callOperators(service.adminAddress(), line));
     }
 
-    /** A drain, or its end, that holds at once and whose file can't be written yet. */
+    /** Starts or ends a drain that takes effect at once and whose file cannot be written yet. */
     private static void callWithFailingWrite(Service service, String line) throws IOException {
         String answer = TestServer.callOperators(service.adminAddress(), line);
         assertEquals(200, ProxyFixture.status(answer));
@@ -113,7 +113,7 @@
         assertTrue(service.operations().hasPendingWrites());
     }
 
-    /** A call that is on disk when this returns; a busy disk may take longer than the answer. */
+    /** Makes a call and waits until it is on disk, which may take longer than the response. */
     private static void callAndPersist(Service service, String line) throws Exception {
         assertEquals(200, status(service, line));
         awaitNoPendingWrites(service);
@@ -129,7 +129,7 @@
         return new MaintenanceFiles(stateDirectory()).read();
     }
 
-    /** What holds on disk holds in both processes, once each has looked. */
+    /** Both processes apply the state on disk, once each has read it. */
     private void assertAppliedInBoth(MaintenanceState expected) throws Exception {
         assertEquals(expected, storedState());
         for (Service service : List.of(first, second)) {
@@ -158,7 +158,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"CREATE_FOLDER", "CREATE", "FORCE_FOLDER"})
+            names = {"CREATE_DIRECTORY", "CREATE", "SYNC_DIRECTORY"})
     void pendingDrainIsSupersededByItsEnd(Step step) throws Exception {
         disk.fail(step, ALWAYS);
         callWithFailingWrite(first, START_DRAIN);
@@ -172,7 +172,7 @@
     @ParameterizedTest
     @EnumSource(
             value = Step.class,
-            names = {"DELETE", "FORCE_FOLDER"})
+            names = {"DELETE", "SYNC_DIRECTORY"})
     void pendingEndOfDrainIsSupersededByDrain(Step step) throws Exception {
         callAndPersist(first, START_DRAIN);
         disk.fail(step, ALWAYS);
@@ -185,7 +185,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"CREATE, true", "CREATE, false", "FORCE_FOLDER, true", "FORCE_FOLDER, false"})
+    @CsvSource({"CREATE, true", "CREATE, false", "SYNC_DIRECTORY, true", "SYNC_DIRECTORY, false"})
     void laterOfTwoPendingCallsWinsInAnyWriteOrder(Step step, boolean olderFirst) throws Exception {
         disk.fail(step, ALWAYS);
         secondDisk.fail(step, ALWAYS);
--- a/src/test/java/cacheproxy/proxy/WarmupTest.java
+++ b/src/test/java/cacheproxy/proxy/WarmupTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The warm-up runs the whole path: requests are served by its nodes, some through its origin. */
+/** The warm-up runs the whole request path: its nodes serve requests, some through its origin. */
 class WarmupTest {
 
     @Test
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A rolling restart stops the next proxy 3 s after this one was told to: by then it has to
-     * serve again.
+     * A rolling restart stops the next proxy 3 s after this one; by then this one has to serve
+     * again.
      */
     @Test
     void restartedProxyIsReadyBeforeNextOneStops() {
@@ -30,14 +30,14 @@
         EndpointListUpdate unnumberedList = new EndpointListUpdate(0, true, List.of());
         assertTrue(
                 Warmup.timeoutMs(numberedList) <= 800,
-                "two seconds go by before it starts, one while it does");
+                "the start is delayed by two seconds and takes one");
         assertTrue(Warmup.timeoutMs(unnumberedList) > Warmup.timeoutMs(numberedList));
         assertTrue(Warmup.timeoutMs(null) > Warmup.timeoutMs(numberedList));
     }
 
     /**
-     * Also where peers may not talk: 500 requests of warm-up left the first seconds of the day too
-     * cold.
+     * At the first start of the fleet the warm-up gets additional time, also where peers do not
+     * exchange messages: 500 requests of warm-up left responses slow in the first seconds.
      */
     @Test
     void firstStartGetsExtraTimeUnlessPeersServe() {
@@ -50,8 +50,8 @@
     }
 
     /**
-     * On a share of a core the loop may keep the core: a restart then took nine seconds in place of
-     * one.
+     * On a fraction of a core the event loop may occupy the core, so that the thread that stops the
+     * warm-up does not run: a restart then took nine seconds instead of one.
      */
     @Test
     @Timeout(60)
@@ -87,7 +87,7 @@
     }
 
     /**
-     * A loop that never waits is taken for one that hangs where many processes start on few cores.
+     * Where many processes start on few cores, an event loop that never waits is considered hung.
      */
     @Test
     void loopIsIdleAtIntervals() throws Exception {
@@ -97,7 +97,7 @@
             warmup.awaitDone();
             assertTrue(
                     warmup.pauses() >= warmup.served() / 50,
-                    warmup.pauses() + " rests in " + warmup.served() + " requests");
+                    warmup.pauses() + " pauses in " + warmup.served() + " requests");
         } finally {
             warmup.shutDown();
         }
