--- a/src/main/java/cacheproxy/proxy/Addresses.java
+++ b/src/main/java/cacheproxy/proxy/Addresses.java
@@ -4,7 +4,10 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** Numeric socket addresses. There is no DNS here, and a look-up would block the event loop. */
+/**
+ * Parses numeric socket addresses. Host names are not supported: resolving them would block the
+ * event loop, and there is no DNS in this environment.
+ */
 final class Addresses {
 
     private static final int MAX_PORT = 65535;
@@ -27,7 +30,7 @@
             port = -1;
         }
         if (port < 0 || port > MAX_PORT) {
-            throw new IllegalArgumentException("no such port: " + text);
+            throw new IllegalArgumentException("port is not a number from 0 to 65535: " + text);
         }
         return new InetSocketAddress(host, port);
     }
--- a/src/main/java/cacheproxy/proxy/ClientChannel.java
+++ b/src/main/java/cacheproxy/proxy/ClientChannel.java
@@ -13,14 +13,18 @@
 import java.util.List;
 
 /**
- * A client's socket that can be asked, at any moment and without the loop's next look, whether its
- * client has left. What lies unread before an end is read ahead for that and handed on in its order
- * when reading goes on; so much is held for one connection and for all of a listener. An end behind
- * more than that is found when what is before it has been handed on.
+ * A client's socket that can report at any moment, without waiting for the next select, whether the
+ * client has disconnected. To find out it reads ahead what lies unread before the end of the
+ * stream; those bytes are delivered in order when reading continues. The read-ahead is bounded for
+ * each connection and for all connections of a listener. An end of stream behind more unread bytes
+ * than that is found once the bytes before it have been delivered.
  */
 final class ClientChannel extends NioSocketChannel {
 
-    /** More than a system lets lie unread on a connection that nobody reads. */
+    /**
+     * Read-ahead limit of one connection; more than the kernel buffers for a connection that is not
+     * read.
+     */
     static final int MAX_READ_AHEAD_BYTES = 128 * 1024;
 
     private static final int MAX_TOTAL_READ_AHEAD_BYTES = 2 * 1024 * 1024;
@@ -28,7 +32,7 @@
 
     private final Listener listener;
 
-    /** What was read ahead and is not handed on yet; null where there is nothing. */
+    /** Bytes that were read ahead and not delivered yet; null if there are none. */
     private ByteBuf readAheadBuffer;
 
     private boolean deliveryScheduled;
@@ -40,8 +44,7 @@
     }
 
     /**
-     * Whether the client has ended its half or reset the connection. Costs one read that does not
-     * wait.
+     * Whether the client has closed its side or reset the connection. Reads ahead without blocking.
      */
     boolean hasClientClosed() {
         while (!clientClosed && canReadAhead()) {
@@ -56,9 +59,9 @@
     }
 
     /**
-     * Whether something lies unread: bytes, which are handed on to their handlers next, or an end.
-     * Where it also serves a close that follows, nothing is left in the kernel for which the system
-     * would reset the connection.
+     * Whether there is unread input: bytes, which are delivered to the handlers next, or the end of
+     * the stream. Called before a close it also empties the kernel's receive buffer (up to the
+     * read-ahead limits), as closing with unread input would reset the connection.
      */
     boolean hasUnreadInput() {
         return hasClientClosed() || readAheadBuffer != null;
@@ -69,7 +72,7 @@
                 && listener.readAheadBytes < MAX_TOTAL_READ_AHEAD_BYTES;
     }
 
-    /** Bytes that were read, and below 0 at an end or where the connection broke. */
+    /** Returns the number of bytes read; negative at the end of the stream or on an error. */
     private int readAhead() {
         ByteBuffer scratch = listener.scratch.clear();
         try {
@@ -86,7 +89,9 @@
         }
     }
 
-    /** Of what was read ahead the selector tells nothing. */
+    /**
+     * Schedules a read of the bytes that were read ahead, for which the selector reports no event.
+     */
     private void scheduleDelivery() {
         if (readAheadBuffer != null && !deliveryScheduled && config().isAutoRead()) {
             deliveryScheduled = true;
@@ -138,24 +143,24 @@
         super.doClose();
     }
 
-    /** Takes clients in, all on one loop. */
+    /** Accepts clients, all on one event loop. */
     static final class Listener extends NioServerSocketChannel {
         private final ByteBuffer scratch = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
-        /** Bytes read ahead on all of its connections. */
+        /** Bytes read ahead on all of this listener's connections. */
         private int readAheadBytes;
 
         Listener() {}
 
-        /** Over a socket that listens already. */
+        /** Uses a socket that listens already. */
         Listener(ServerSocketChannel boundSocket) {
             super(boundSocket);
         }
 
         /**
-         * Accepts connections until none waits, {@code most} were accepted or accepting fails; they
-         * are registered when this returns. What still waits when a listener closes is reset by the
-         * system.
+         * Accepts connections until the backlog is empty, {@code limit} were accepted or accepting
+         * fails; they are registered when this returns. Connections still in the backlog when the
+         * listener closes are reset by the kernel.
          */
         void acceptPending(int limit) {
             List<Object> accepted = new ArrayList<>();
@@ -181,8 +186,8 @@
                 accepted.add(new ClientChannel(this, socket));
                 return 1;
             } catch (ChannelException e) {
-                // It can't be set up, which is no fault of the listener's: passed on, this would
-                // close it.
+                // The accepted socket can't be set up, which is not the listener's fault: if this
+                // exception were passed on, it would close the listener.
                 socket.close();
                 return 0;
             }
--- a/src/main/java/cacheproxy/proxy/ClientServer.java
+++ b/src/main/java/cacheproxy/proxy/ClientServer.java
@@ -56,63 +56,78 @@
 import java.util.regex.Pattern;
 
 /**
- * Takes clients' requests in and their answers out. What no node could make sense of is answered
- * here.
+ * Accepts clients' connections, parses their requests, passes them to the {@link Proxy} and writes
+ * the responses. Requests that are invalid or not meant for a cache node are answered here.
  */
 final class ClientServer {
 
     private static final String API_PREFIX = "/api/";
     private static final Pattern ID_PATTERN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
 
-    /** A budget past this is a mistake, and as a timer would outlive the process. */
+    /**
+     * Longest accepted budget. A longer one is a client error, and its timer would outlive the
+     * process.
+     */
     private static final double MAX_BUDGET_S = 3600;
 
+    /** Requests that may wait on one connection behind the one in progress. */
     private static final int MAX_PIPELINED = 16;
 
     /**
-     * How often the limits in time are looked at: one timer for all, as most connections never
-     * reach one.
+     * Interval at which all connections' timeouts are checked. One shared timer suffices, as most
+     * connections never reach a timeout.
      */
     private static final long SWEEP_INTERVAL_MS = 100;
 
-    /** How long a connection may say nothing at first. */
+    /** How long a new connection may send nothing. */
     private static final long FIRST_BYTE_TIMEOUT_MS = 2000;
 
     /**
-     * A usual client takes 2 s for a head and then sends 64 kB a second, in bursts. One that sent
-     * nothing of use is owed an end 3 s after it came.
+     * Time from the first byte of a request during which no minimum rate applies. A typical client
+     * takes 2 s for the request head and then sends 64 kB/s in bursts. A client that sends nothing
+     * usable must be answered and closed within 3 s of connecting.
      */
     private static final long MIN_RATE_GRACE_MS = 2600;
 
-    /** How long one may pause in the middle of a request; an end is owed within 3 s. */
+    /**
+     * Longest pause within a request. A client that stops must be answered and closed within 3 s.
+     */
     private static final long REQUEST_PAUSE_TIMEOUT_MS = 2600;
 
+    /** Minimum average rate of a request's bytes after {@link #MIN_RATE_GRACE_MS}. */
     private static final long MIN_BYTES_PER_S = 48_000;
+
+    /** How long a streamed response may make no progress before its connection is closed. */
     private static final long RESPONSE_STALL_TIMEOUT_MS = 10_000;
 
     /**
-     * How long one that was served is kept for its next request: some clients ask once and stay for
-     * good.
+     * How long an idle connection that was served stays open for its next request: some clients
+     * send one request and never close.
      */
     private static final long IDLE_TIMEOUT_MS = 4000;
 
     /**
-     * Part of the connections that may be kept for a next request. Past it each answer is its
-     * connection's last and idle ones go sooner: clients that ask once and stay would else use up
-     * the connections that clients may hold, and all others would find none. Could do harm where
-     * that many clients do ask again: each request then opens a connection.
+     * At most one in this many of the connections may be idle for a next request. Beyond that each
+     * response closes its connection and idle connections time out sooner; otherwise clients that
+     * send one request and stay connected would use up the connection limit and lock out all
+     * others. The cost: where that many clients do send further requests, each request opens a new
+     * connection.
      */
     private static final int IDLE_CONNECTIONS_DIVISOR = 4;
 
+    /** Idle timeout while the limit on idle connections is reached or this proxy drains. */
     private static final long SHORT_IDLE_TIMEOUT_MS = 2000;
 
     /**
-     * When accepting is tried again after it failed: what is out of descriptors would fail at once,
-     * and for all.
+     * Delay before accepting resumes after a failure. With no file descriptors left, an immediate
+     * retry would fail again, in a busy loop.
      */
     private static final long ACCEPT_RETRY_DELAY_MS = 100;
 
-    /** Part of the connections that may have no request and never had a good one. */
+    /**
+     * At most one in this many of the connections may be without a pending response and never have
+     * sent a valid request.
+     */
     private static final int UNPROVEN_CONNECTIONS_DIVISOR = 4;
 
     private final EventLoop loop;
@@ -122,20 +137,22 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final Log log = new Log();
 
-    /** Null before clients are let in. */
+    /** Null until this server listens. */
     private Channel listener;
 
     private boolean ready;
 
-    /** When the last sweep ran. */
+    /** When the last sweep ran, as {@link System#nanoTime()}. */
     private long lastSweepNanos = System.nanoTime();
 
+    /** Whether accepting is paused because the connection limit is reached. */
     private boolean atConnectionLimit;
+
     private int idleConnections;
     private boolean draining;
     private boolean operatorDrain;
 
-    /** Whether other processes listen on the same socket. */
+    /** Whether other processes accept from the same listening socket. */
     private boolean sharedListener;
 
     private boolean stopped;
@@ -148,9 +165,9 @@
     }
 
     /**
-     * On the loop; null where a drain has begun, after which nobody is let in any more. May be
-     * called again after it has failed: there may then be no socket, only a channel that can't be
-     * closed either.
+     * Binds and listens. To be called on the event loop. Returns null once a drain has started, as
+     * no more clients are accepted then. May be called again after a failure; the previous channel
+     * then has no socket and can't be closed.
      */
     ChannelFuture listen(ConnectionTransport transport, SocketAddress address) {
         return draining
@@ -158,10 +175,7 @@
                 : listening(configure(transport.serverBootstrap(loop)).bind(address));
     }
 
-    /**
-     * Takes clients from a socket that listens already and that other processes take them from as
-     * well.
-     */
+    /** Accepts clients from a listening socket that other processes accept from as well. */
     ChannelFuture listen(ServerSocketChannel boundSocket) {
         sharedListener = true;
         return draining
@@ -210,7 +224,8 @@
                 nowNanos - lastSweepNanos > 2 * TimeUnit.MILLISECONDS.toNanos(SWEEP_INTERVAL_MS);
         lastSweepNanos = nowNanos;
         if (delayed) {
-            // What has come meanwhile lies unread: who seems silent may have asked long ago.
+            // The event loop was delayed, so requests may lie unread: a connection that looks
+            // silent may have sent one long ago.
             return;
         }
         List.copyOf(connections).forEach(c -> c.sweep(nowNanos));
@@ -220,7 +235,7 @@
         ready = true;
     }
 
-    /** Whether clients may come, but for an operator's drain. */
+    /** Whether this proxy accepts requests, apart from an operator's drain. */
     boolean isReady() {
         return ready && !draining;
     }
@@ -230,9 +245,10 @@
     }
 
     /**
-     * From now on each answer is its connection's last, but for clients that were served before:
-     * they may have nowhere else to go, as another proxy may be just starting. Where another
-     * process listens on the same socket all have, and whoever comes is its client.
+     * Starts the drain: from now on each response closes its connection. Connections that were
+     * served before are exempt, as their clients may have no other proxy to use while another one
+     * is still starting. If another process listens on the same socket no connection is exempt: new
+     * connections go to that process.
      */
     void drain() {
         draining = true;
@@ -244,8 +260,9 @@
     }
 
     /**
-     * The operators empty this proxy, or end that. Each answer is then its connection's last;
-     * clients have elsewhere to go, so those that were served before are not kept either.
+     * Starts or ends a drain requested by the operators. While it is active each response closes
+     * its connection; clients can use other proxies, so connections that were served before are not
+     * exempt.
      */
     void setOperatorDrain(boolean active) {
         operatorDrain = active;
@@ -255,10 +272,12 @@
         return operatorDrain;
     }
 
+    /** Whether every response closes its connection, as clients can use another proxy. */
     private boolean closesAfterResponse() {
         return operatorDrain || isHandingOver();
     }
 
+    /** Whether another process takes over the listening socket. */
     private boolean isHandingOver() {
         return sharedListener && draining;
     }
@@ -270,9 +289,9 @@
     }
 
     /**
-     * No new connections, and none is kept that has no request. One that has begun to come is still
-     * read and served, and so is one on a connection that waits to be accepted: closing the
-     * listener would reset it.
+     * Stops accepting and closes connections without a request. A request that has been received in
+     * part is still read and served, and so is one on a connection in the listener's backlog:
+     * closing the listener first would reset those.
      */
     void stopAccepting() {
         boolean first = !stopped;
@@ -293,8 +312,9 @@
     }
 
     /**
-     * Nothing more is taken: whose request has only begun to come is told to ask elsewhere. Called
-     * again until no connection is left, as bytes may lie unread at the first call.
+     * Closes connections without a request and rejects requests that have been received only in
+     * part, so that their clients retry elsewhere. To be called repeatedly until no connection is
+     * left, as there may be unread bytes at the first call.
      */
     void rejectIncomplete() {
         List.copyOf(connections).forEach(Connection::closeIfIdle);
@@ -302,11 +322,13 @@
     }
 
     /**
-     * Keeps below the descriptors that are ours. Of those that never had a good request a part may
-     * stay, so that a crowd that says nothing takes no usual client's place; then the one that has
-     * waited longest goes, at once, as it may never end its half. Else the idle one that was used
-     * longest ago is ended. If every one is busy the next clients wait in the listener's backlog
-     * until one has its answer: accepting past the limit would fail for all.
+     * Keeps the number of connections below the file descriptor limit. Connections without a
+     * pending response that never sent a valid request may use only a part of the limit, so that
+     * many silent clients can't lock out others. Beyond it the one of them that has waited longest
+     * is closed at once, without a half-close, as it may never close its own side. Otherwise the
+     * least recently used idle connection is closed. If all are busy, accepting pauses and new
+     * clients wait in the listener's backlog until a connection closes: accepting beyond the limit
+     * would fail for all.
      */
     private void enforceConnectionLimits() {
         boolean atLimit = connections.size() + 1 >= maxConnections;
@@ -343,9 +365,10 @@
     }
 
     /**
-     * Descriptors are out before the connections that may be held are: one that asks for nothing is
-     * let go, and accepting rests for a moment. Left to Netty it would rest for a second and then
-     * go on whatever has been decided meanwhile.
+     * Handles failures of accept, such as running out of file descriptors before the connection
+     * limit is reached: evicts a connection that has no request and pauses accepting for a moment.
+     * Netty's default would pause for a second and then resume even if accepting has been stopped
+     * meanwhile.
      */
     private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
@@ -373,9 +396,7 @@
         }
     }
 
-    /**
-     * Puts requests together; one whose body is longer than any may be is told of by an exception.
-     */
+    /** Aggregates requests. A body that exceeds the size limit raises an exception. */
     private static final class RequestAggregator extends MessageAggregator {
         @Override
         void headAccepted(ChannelHandlerContext ctx, HttpMessage message) {
@@ -401,7 +422,7 @@
         }
     }
 
-    /** What a connection is doing; the limits in time go by it. */
+    /** State of a connection; it determines which timeout applies. */
     private enum Phase {
         AWAITING_FIRST_BYTE,
         READING,
@@ -411,7 +432,7 @@
         CLOSING
     }
 
-    /** One client's connection: its requests are answered one at a time, in their order. */
+    /** One client's connection. Its requests are answered one at a time, in order. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject>
             implements Proxy.Client {
         private final Channel channel;
@@ -421,8 +442,8 @@
         private final HalfClose halfClose;
 
         /**
-         * More came behind an open request than may wait: what waits is refused in its turn, and
-         * the rest dropped.
+         * Whether more requests were pipelined behind the current one than may wait. Those waiting
+         * are then rejected in order and the rest is discarded.
          */
         private boolean pipelineOverflow;
 
@@ -430,39 +451,43 @@
         private long timerStartNanos = System.nanoTime();
         private ChannelFuture lastWrite;
 
-        /** Whether it ever had a request that could be taken. */
+        /** Whether this connection ever had a valid request. */
         private boolean hadValidRequest;
 
-        /** Whether it had one before the drain began. */
+        /**
+         * Whether this connection had a valid request before the drain started, which exempts it
+         * from closing during the drain.
+         */
         private boolean exemptFromDrain;
 
         private String openRequestId;
         private boolean keepAlive;
         private boolean supportsChunked;
 
-        /** Whether nothing but the end of the connection ends the answer. */
+        /** Whether the end of the response is marked only by the end of the connection. */
         private boolean closeDelimited;
 
         /**
-         * The body that is coming in parts, and that of the request that is open; null where there
-         * is none.
+         * The upload that is being received; null if there is none. It may belong to a pipelined
+         * request. {@link #upload} is that of the current request.
          */
         private Upload incomingUpload;
 
         private Upload upload;
 
-        /** Bytes read since {@link #since}, and what was left to write when last looked at. */
+        /** Bytes read since {@link #timerStartNanos}. */
         private long receivedBytes;
 
+        /** Bytes that were still to be written at the last check. */
         private long unwrittenBytes;
 
-        /** When its latest bytes came, or {@link #since} if that is later. */
+        /** When bytes were last read, or {@link #timerStartNanos} if that is later. */
         private long lastReadNanos = timerStartNanos;
 
-        /** Whether bytes have come of a request that has not come whole. */
+        /** Whether a request has been received in part. */
         private boolean hasPartialRequest;
 
-        /** The long answer that is being passed on. */
+        /** The long response that is being streamed; null if there is none. */
         private StreamedResponse streamedResponse;
 
         Connection(Channel channel) {
@@ -486,7 +511,9 @@
             return phase == Phase.PROCESSING || phase == Phase.STREAMING;
         }
 
-        /** Whether it has neither a request open nor an answer on its way. */
+        /**
+         * Whether this connection has neither a request in progress nor a response to be written.
+         */
         boolean hasNoPendingResponse() {
             return !isBusy() && halfClose.isWriteDone();
         }
@@ -496,9 +523,9 @@
         }
 
         /**
-         * Ends it where nothing has come on it since its last answer, and tells whether that is so:
-         * what has come, read or not, is still served or refused. The one place by which a
-         * connection without a request is ended.
+         * Closes this connection if nothing has been received since the last response, and returns
+         * whether it did. A request that has been received, read or not, is still served or
+         * rejected. All closes of connections without a request go through this method.
          */
         boolean closeIfIdle() {
             boolean closable =
@@ -511,8 +538,8 @@
         }
 
         /**
-         * Gives up its place at once. What has come of a request is refused first, as a close alone
-         * would lose it.
+         * Closes this connection at once to free its descriptor. A request received in part is
+         * rejected first, as a bare close would give its client no response.
          */
         void evict() {
             boolean unread = hasUnreadInput();
@@ -528,7 +555,7 @@
             }
         }
 
-        /** The end of this connection, but for one that breaks. */
+        /** Starts closing this connection. Every orderly close goes through this method. */
         private void beginClose() {
             enterPhase(Phase.CLOSING);
             discardPipelined();
@@ -536,8 +563,8 @@
         }
 
         /**
-         * A client that sends no end, reads no answer or just stays would hold its descriptor for
-         * good.
+         * Enforces the timeouts. Without them a client that never completes a request, never reads
+         * its response or never closes would keep its descriptor forever.
          */
         void sweep(long nowNanos) {
             if (hasWriteProgress()) {
@@ -583,7 +610,7 @@
                                     < MIN_BYTES_PER_S * (elapsedMs - MIN_RATE_GRACE_MS) / 1000;
         }
 
-        /** Whether the client has taken something of what it is sent since this was last asked. */
+        /** Whether the client has taken any of the pending response bytes since the last call. */
         private boolean hasWriteProgress() {
             ChannelOutboundBuffer outbound =
                     phase == Phase.PROCESSING
@@ -599,7 +626,7 @@
             return unwrittenBytes > 0 && unwrittenBytes != previousBytes;
         }
 
-        /** Ends the request that is open: its client broke off, or is as good as gone. */
+        /** Ends the current request: its upload is malformed, too long or too slow. */
         private void abortRequest(HttpResponseStatus status) {
             reportClientGone();
             reject(status);
@@ -611,7 +638,8 @@
                     !channel.isActive()
                             || channel instanceof ClientChannel socket && socket.hasClientClosed();
             if (left) {
-                // The id may be another's by the time at which the loop tells of the close.
+                // Cleared first: the id may belong to another request by the time the event loop
+                // reports the close.
                 openRequestId = null;
                 channel.close();
             }
@@ -652,7 +680,7 @@
 
         private void receiveContent(HttpContent part) {
             if (part.decoderResult().isFailure()) {
-                // Its body breaks off in nonsense: of what a node was sent, no last byte will come.
+                // The body is malformed; a node that received part of it never gets its last byte.
                 part.release();
                 abortRequest(HttpResponseStatus.BAD_REQUEST);
             } else {
@@ -671,7 +699,7 @@
                 }
             } else {
                 pipelined.add(request);
-                // Reading has to go on all the same, or its leaving would not be seen.
+                // Reading must continue, or a client that disconnects would not be noticed.
                 pipelineOverflow = pipelined.size() >= MAX_PIPELINED;
                 if (pipelineOverflow) {
                     channel.config().setAutoRead(true);
@@ -716,8 +744,8 @@
                             && serviceClass != null
                             && serviceClass.effect() == Effect.KEYED
                             && headers.get("Idempotency-Key", "").isEmpty();
-            // Without its key a keyed write's repeat would not be dropped, and it may be sent
-            // again.
+            // Without its key a repeated keyed write would not be deduplicated, and it may be
+            // retried.
             if (!ID_PATTERN.matcher(id).matches()
                     || serviceClass == null
                     || unkeyed
@@ -726,7 +754,7 @@
                 decline(HttpResponseStatus.BAD_REQUEST);
                 return;
             }
-            // A request that came behind another has waited here already.
+            // A pipelined request has already spent part of its budget waiting here.
             double waitedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivedNanos) / 1e3;
             Request request =
                     new Request(
@@ -759,7 +787,7 @@
                     this);
         }
 
-        /** How long the rest of its body may take to come. */
+        /** Longest time that the rest of the body may take to arrive, in milliseconds. */
         private double maxUploadMs(HttpRequest httpRequest) {
             long remainingBytes =
                     HttpUtil.getContentLength(httpRequest, MessageAggregator.MAX_MESSAGE_BYTES)
@@ -819,18 +847,18 @@
             finishRequest(markIfLast(clientResponse), channel.writeAndFlush(clientResponse));
         }
 
-        /** Whether part of the request that is answered is still to come. */
+        /** Whether part of the body of the answered request is still to arrive. */
         private boolean hasUnreadBody() {
             return upload != null && !upload.isComplete();
         }
 
         /**
-         * Whether this answer is its connection's last; if so it says that. What was read already
-         * is answered first.
+         * Whether this response closes its connection; if so it gets the header that says so.
+         * Requests that were already read are answered first.
          */
         private boolean markIfLast(HttpResponse clientResponse) {
-            // While clients wait to be accepted, a connection that is kept would keep one of them
-            // out.
+            // While clients wait in the backlog, keeping an idle connection open would lock one of
+            // them out.
             boolean closing =
                     stopped
                             || closesAfterResponse()
@@ -848,8 +876,8 @@
         }
 
         /**
-         * The answer has been handed over to be written. What is still coming of its request is
-         * read on and dropped.
+         * Ends the current request after its response was handed over for writing. The rest of its
+         * body is read and discarded.
          */
         private void finishRequest(boolean last, ChannelFuture write) {
             openRequestId = null;
@@ -858,7 +886,7 @@
                 beginClose();
             } else {
                 enterPhase(Phase.IDLE);
-                // To the end of those that may be closed for room: it was the last to be used.
+                // Moves to the end of the eviction order: it is now the most recently used.
                 if (connections.remove(this)) {
                     connections.add(this);
                 }
@@ -867,8 +895,8 @@
         }
 
         /**
-         * Answers what is no request for this proxy. Its end is known, so what came behind it still
-         * has its answer.
+         * Answers a well-framed request that is not valid for this proxy. Its end is known, so
+         * requests pipelined behind it are still answered.
          */
         private void decline(HttpResponseStatus status) {
             if (upload == null && (hasPartialRequest || !pipelined.isEmpty())) {
@@ -878,7 +906,7 @@
             }
         }
 
-        /** Answers what makes no sense, or comes too late, and ends the connection. */
+        /** Answers a request that is malformed or too late, and closes the connection. */
         private void reject(HttpResponseStatus status) {
             FullHttpResponse clientResponse = newResponse(status, Unpooled.EMPTY_BUFFER);
             clientResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -911,7 +939,7 @@
             return streamedResponse;
         }
 
-        /** A long answer on its way to the client, no faster than the client reads it. */
+        /** A long response that is streamed to the client no faster than the client reads it. */
         private final class StreamedResponse implements UpstreamAttempt.BodyConsumer {
             private final UpstreamAttempt exchange;
             private final boolean last;
@@ -936,7 +964,8 @@
                 } else if (closeDelimited) {
                     halfClose.reset();
                 } else {
-                    // The client can tell: neither the length nor the last chunk has come.
+                    // The client can detect the truncation: the length is not reached, or the last
+                    // chunk is missing.
                     channel.close();
                 }
             }
@@ -958,13 +987,15 @@
             if (request != null) {
                 dispatch(request);
             } else if (hasPartialRequest) {
-                // Part of the next one came behind the last: it is owed an answer, or an error in
-                // time.
+                // Part of the next request arrived behind the last one: it needs a response, or an
+                // error when it times out.
                 enterPhase(Phase.READING);
             }
         }
 
-        /** None of them was sent on, so each may come again. */
+        /**
+         * Rejects all pipelined requests. None of them was sent on, so each may safely be retried.
+         */
         private void rejectPipelined() {
             for (PipelinedRequest each = pipelined.poll(); each != null; each = pipelined.poll()) {
                 each.release();
@@ -1002,19 +1033,20 @@
                             ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
                             : HttpResponseStatus.INTERNAL_SERVER_ERROR;
             if (cause instanceof IOException) {
-                // The connection is broken: no answer can reach its client.
+                // The connection is broken: no response can reach the client.
                 ctx.close();
             } else if (phase == Phase.PROCESSING && upload != null && upload == incomingUpload) {
                 abortRequest(status);
             } else if (!isBusy() && phase != Phase.CLOSING) {
                 reject(status);
             } else {
-                // Behind a request that is open: that one has its answer first, and it is the last.
+                // Behind a request in progress: that one is answered first, and its response is the
+                // last.
                 keepAlive = false;
             }
         }
 
-        /** Sees bytes before they are decoded: the clock for a request runs from its first. */
+        /** Sees bytes before they are decoded: a request's timeouts start at its first byte. */
         private final class InboundByteHandler extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -1023,7 +1055,7 @@
                     return;
                 }
                 if (phase == Phase.AWAITING_FIRST_BYTE) {
-                    // Its time runs from when it came.
+                    // Not enterPhase(): the request's time counts from the connect.
                     phase = Phase.READING;
                 } else if (phase == Phase.IDLE) {
                     enterPhase(Phase.READING);
@@ -1037,8 +1069,8 @@
     }
 
     /**
-     * A request that came while another was open on its connection, and when, as its time runs from
-     * then.
+     * A request with its arrival time, as its budget counts from then. It waits if another request
+     * is in progress on its connection.
      */
     private record PipelinedRequest(HttpRequest request, Upload upload, long arrivedNanos) {
         void release() {
--- a/src/main/java/cacheproxy/proxy/ConnectionTransport.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionTransport.java
@@ -12,8 +12,8 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * What connections are made of: sockets, or for the warm-up, which may open none, queues inside the
- * process.
+ * How connections are made: over TCP sockets or, for the warm-up, which may open no sockets, over
+ * in-process queues.
  */
 enum ConnectionTransport {
     TCP {
@@ -44,20 +44,27 @@
     private static final int BACKLOG = 1024;
 
     /**
-     * What a connection may hold of a long message: so much that is not written yet, and one read
-     * more. Clients' connections times the two bound what all long messages hold at once.
+     * Bytes that a connection may buffer of a long message before they are written; one more read
+     * may come on top. Times the number of clients' connections, the two bound the memory used by
+     * all long messages.
      */
     private static final WriteBufferWaterMark WRITE_WATER_MARK =
             new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
+    /** Largest single read. */
     private static final int MAX_READ_BYTES = 16 * 1024;
+
+    /** Initial size of a single read. */
     private static final int INITIAL_READ_BYTES = 2048;
 
     private static AdaptiveRecvByteBufAllocator receiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(64, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
 
-    /** Takes connections from a socket that another has bound; it is registered as it is. */
+    /**
+     * Accepts connections from a socket that another process has bound. The socket is registered
+     * without binding it again.
+     */
     static ServerBootstrap serverBootstrap(EventLoop loop, ServerSocketChannel boundSocket) {
         return listeningBootstrap(loop, () -> new ClientChannel.Listener(boundSocket));
     }
@@ -72,10 +79,10 @@
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, receiveBufferAllocator());
     }
 
-    /** Connects over channels that {@code channels} makes. */
+    /** Connects over channels made by {@code channels}. */
     static Bootstrap connectingBootstrap(EventLoop loop, ChannelFactory<NodeChannel> channels) {
-        // An end that the other side tells is an event of its own, so that no other end is taken
-        // for it.
+        // With half-closure, an end of stream sent by the other side is an event of its own and
+        // can't be confused with a connection failure.
         return new Bootstrap()
                 .group(loop)
                 .channelFactory(channels)
--- a/src/main/java/cacheproxy/proxy/HalfClose.java
+++ b/src/main/java/cacheproxy/proxy/HalfClose.java
@@ -8,18 +8,22 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * The way in which a client's connection is ended: our half once what was written is out, so that
- * the client reads the last answer and then the end. What it still sends is read and dropped until
- * it has ended its own half, for a bounded time and so many bytes: a close over input that lies
- * unread resets the connection, and takes the last answer along. Nothing that is read from then on
- * is sent on, so a request that crosses the end never ran, and its client sends it once more.
+ * Closes a client's connection gracefully. Our side is shut down once everything has been written,
+ * so that the client reads the last response and then the end of the stream. What the client still
+ * sends is read and discarded until it closes its own side, for a limited time and number of bytes:
+ * closing with unread input would reset the connection, and the client could lose the last
+ * response. Nothing that is read from then on is sent on, so a request that crosses the close never
+ * ran and its client can safely retry it.
  */
 final class HalfClose {
 
+    /** How long to wait for the client's close after it last sent something. */
     private static final long LINGER_TIMEOUT_MS = 1000;
+
+    /** Input to discard before reading stops. */
     private static final long MAX_LINGER_BYTES = 1 << 20;
 
-    /** How long an answer may make no way at all to a client. */
+    /** How long a response may make no progress at all to a client. */
     private static final long WRITE_STALL_TIMEOUT_MS = 5000;
 
     private final Channel channel;
@@ -31,7 +35,7 @@
     }
 
     /**
-     * {@code written} is the last that was handed over to be written; null where nothing ever was.
+     * Starts closing. {@code written} is the last write that was issued; null if there was none.
      */
     void begin(ChannelFuture written) {
         lastWrite = written;
@@ -52,8 +56,7 @@
     }
 
     /**
-     * Something more that was read; past what is read for courtesy the rest waits on the client's
-     * side.
+     * Discards input. Beyond the limit reading stops, and further input stays on the client's side.
      */
     void discard(Object message) {
         discardedBytes += message instanceof ByteBuf buffer ? buffer.readableBytes() : 0;
@@ -64,8 +67,8 @@
     }
 
     /**
-     * Closes both halves when the client has had its time, {@code ms} since it last took or sent
-     * something.
+     * Closes the connection completely if the client has used up its time; {@code idleMs} is the
+     * time since it last accepted or sent something.
      */
     void sweep(long idleMs) {
         if (idleMs >= (isWriteDone() ? LINGER_TIMEOUT_MS : WRITE_STALL_TIMEOUT_MS)) {
@@ -73,14 +76,14 @@
         }
     }
 
-    /** Whether what was to be written is out. */
+    /** Whether everything issued has been written, or failed to be. */
     boolean isWriteDone() {
         return lastWrite == null || lastWrite.isDone();
     }
 
     /**
-     * Resets the connection: only so can a client tell that an answer is not whole which nothing
-     * but the end would have ended.
+     * Resets the connection. For a response that is delimited only by the end of the connection, a
+     * reset is the only way to tell the client that it is truncated.
      */
     void reset() {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/src/main/java/cacheproxy/proxy/JsonObjectSplitter.java
+++ b/src/main/java/cacheproxy/proxy/JsonObjectSplitter.java
@@ -8,55 +8,58 @@
 import java.util.List;
 
 /**
- * Cuts a stream into its JSON objects, whether each stands on one line or is indented over many,
- * and tells empty lines, the heartbeats, from them. One that is spoilt or breaks off costs itself
- * alone: an object that begins at the start of a line may be a new one inside a broken one, so it
- * is followed beside it, and the first that makes sense wins. Netty's JsonObjectDecoder passes over
- * heartbeats, takes what follows a broken object for its inside, and after nonsense says nothing
- * more.
+ * Splits a stream into its JSON objects, whether each is on one line or is indented over many, and
+ * reports empty lines, which are heartbeats. An object that is malformed or truncated affects only
+ * itself: an object that begins at the start of a line may be a new one after a truncated one, so
+ * it is tracked in parallel as a candidate, and the first candidate that is valid wins. Netty's
+ * JsonObjectDecoder skips heartbeats, takes what follows a truncated object for its content, and
+ * reports nothing after malformed input.
  */
 final class JsonObjectSplitter {
 
-    /** Takes what was cut out. */
+    /** Receives what was found in the stream. */
     interface Sink {
         /**
-         * Braces that balance, perhaps behind one that broke off; returns whether it is an object
-         * that makes sense.
+         * Called with text whose braces balance; {@code afterMalformed} says whether an unfinished
+         * object came before it. Returns whether the text is a valid object.
          */
         boolean object(String text, boolean afterMalformed);
 
+        /** Called at an empty line, which is a heartbeat. */
         void emptyLine();
 
-        /** Something that belongs to no good object; what it should have said is not known. */
+        /** Called for input that belongs to no valid object; its content is lost. */
         void malformed();
     }
 
     /**
-     * Bytes of the longest object: the whole list of 3,200 hosts takes 1.2 MB where it comes
-     * indented.
+     * Longest object: the complete endpoint list of 3,200 hosts takes 1.2 MB when it is indented.
      */
     static final int MAX_OBJECT_BYTES = 1 << 22;
 
+    /** Objects that are tracked in parallel. */
     private static final int MAX_CANDIDATES = 8;
+
     private static final int INITIAL_BUFFER_BYTES = 4096;
 
     /**
-     * Whether a byte, taken as unsigned, neither begins nor ends a text, an object, an array or a
-     * line.
+     * Whether a byte, taken as unsigned, neither begins nor ends a string, an escape, an object, an
+     * array or a line.
      */
     private static final boolean[] ORDINARY_BYTES = ordinaryBytes();
 
     private final Sink sink;
 
-    /** Oldest first. */
+    /** The unfinished objects, oldest first. */
     private final List<Candidate> candidates = new ArrayList<>();
 
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int length;
 
-    /** Whether the line that comes has shown nothing yet, and nothing but blanks. */
+    /** Whether the current position is the start of a line. */
     private boolean atLineStart = true;
 
+    /** Whether the current line has only blanks so far. */
     private boolean lineBlank = true;
 
     JsonObjectSplitter(Sink sink) {
@@ -88,9 +91,9 @@
     }
 
     /**
-     * How many bytes from here on change nothing but the length of what is kept: all but quotes,
-     * brackets, escapes and line ends, inside an object and behind the first byte of a line. Nearly
-     * all bytes of a long list are such.
+     * Number of bytes from here on that only have to be appended: all but quotes, brackets, escapes
+     * and line ends, within an object and after the first non-blank byte of a line. Nearly all
+     * bytes of a long endpoint list are of this kind.
      */
     private int ordinaryRunLength(byte[] chunk, int from) {
         if (candidates.isEmpty() || lineBlank || isEscaped()) {
@@ -138,7 +141,7 @@
         }
     }
 
-    /** No object holds an empty line, so one whose end has not come breaks off here. */
+    /** No object contains an empty line, so an unfinished object is truncated here. */
     private void handleEmptyLine() {
         if (!candidates.isEmpty()) {
             reset();
@@ -193,7 +196,7 @@
         }
     }
 
-    /** One that was followed came to nothing; if it was the last, what it was to say is lost. */
+    /** Handles a candidate that was dropped; if it was the last one, its content is lost. */
     private void handleDroppedCandidate() {
         if (candidates.isEmpty()) {
             reset();
@@ -209,7 +212,7 @@
         }
     }
 
-    /** An object whose end has not come. */
+    /** An object whose end has not been read yet. */
     private static final class Candidate {
         final int from;
         int depth;
@@ -220,7 +223,10 @@
             this.from = from;
         }
 
-        /** False where no JSON can go on like this: a text holds no line's end. */
+        /**
+         * Tracks one more byte; returns false if no JSON can continue like this: a string contains
+         * no line end.
+         */
         boolean advance(byte value) {
             if (inString) {
                 if (escaped) {
--- a/src/main/java/cacheproxy/proxy/MessageAggregator.java
+++ b/src/main/java/cacheproxy/proxy/MessageAggregator.java
@@ -15,32 +15,38 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Puts messages of up to 64 KiB together and hands each on whole. Of a longer one it hands on the
- * head as soon as it knows, and then the parts as they come; so no more than those 64 KiB are ever
- * held for a connection.
+ * Aggregates messages of up to 64 KiB and passes each on as one full message. Of a longer message
+ * it passes on the head as soon as the length is known to exceed that, and then the content as it
+ * arrives; so a connection never buffers more than those 64 KiB.
  */
 abstract class MessageAggregator extends ChannelInboundHandlerAdapter {
 
-    /** What is still gathered, and the longest message of all: peers may send 32 MB. */
+    /** Largest message that is aggregated. */
     static final int MAX_AGGREGATED_BYTES = 64 * 1024;
 
+    /** Largest message that is accepted: responses and uploads may have 32 MB. */
     static final long MAX_MESSAGE_BYTES = 33L << 20;
 
-    /** Of more pieces one is made: each holds a whole read, however few bytes it has. */
+    /**
+     * Buffers that are kept before they are merged: each may retain a whole read buffer, however
+     * few bytes it has.
+     */
     private static final int MAX_COMPONENTS = 64;
 
     private HttpMessage head;
     private CompositeByteBuf body;
     private long receivedBytes;
+
+    /** Whether the message is passed on as it arrives. */
     private boolean streaming;
 
-    /** Of a message that was given up, the rest is dropped. */
+    /** Whether the rest of the message is discarded because it was rejected. */
     private boolean discarding;
 
-    /** A message and its body as one. */
+    /** Combines a message head and its body into one full message. */
     abstract FullHttpMessage aggregate(HttpMessage head, CompositeByteBuf body);
 
-    /** The head was read, and the rest may come. */
+    /** Called when a valid head was read and the body may follow. */
     void headAccepted(ChannelHandlerContext ctx, HttpMessage message) {}
 
     @Override
@@ -75,8 +81,8 @@
     }
 
     /**
-     * The length that it names, 0 without one; one that is no number makes the message one that
-     * can't be read.
+     * The Content-Length of a message, or 0 if it has none. An invalid number marks the message as
+     * failed to decode.
      */
     private static long declaredLength(HttpMessage message) {
         try {
@@ -96,13 +102,13 @@
     private void fireTooLong(ChannelHandlerContext ctx) {
         ctx.fireExceptionCaught(
                 new TooLongHttpContentException(
-                        "a message of over " + MAX_MESSAGE_BYTES + " bytes"));
+                        "message longer than " + MAX_MESSAGE_BYTES + " bytes"));
     }
 
     private void addContent(ChannelHandlerContext ctx, HttpContent part) {
         receivedBytes += part.content().readableBytes();
         if (part instanceof LastHttpContent last && !last.trailingHeaders().isEmpty()) {
-            // What they say belongs to the hop that they came by.
+            // Trailers are dropped: they apply to the previous hop only.
             last.trailingHeaders().clear();
         }
         if (discarding) {
--- a/src/main/java/cacheproxy/proxy/PathKey.java
+++ b/src/main/java/cacheproxy/proxy/PathKey.java
@@ -1,16 +1,16 @@
 package cacheproxy.proxy;
 
-/** The key that a path names. */
+/** Computes the key of a request path. */
 public final class PathKey {
 
-    /** Keys are below 2^53, as on the simulator's wire. */
+    /** Keys are below 2^53, as in the simulator's protocol. */
     private static final long KEY_MASK = (1L << 53) - 1;
 
     private PathKey() {}
 
     /**
-     * Hashes the path's last part (FNV-1a, folded) as all proxies do, so that a key goes to the
-     * same nodes whichever has it.
+     * Hashes the last segment of the path (FNV-1a, folded). All proxies use the same hash, so a key
+     * goes to the same nodes whichever proxy receives the request.
      */
     public static long of(String path) {
         long hash = 0xcbf29ce484222325L;
--- a/src/main/java/cacheproxy/proxy/StrictHttp.java
+++ b/src/main/java/cacheproxy/proxy/StrictHttp.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * HTTP/1.1 decoders that fail on framing which Netty's own would mend: two readers could see two
- * different messages.
+ * HTTP/1.1 decoders that fail on ambiguous framing which Netty's decoders would repair: two parsers
+ * could see two different messages.
  */
 final class StrictHttp {
 
@@ -20,8 +20,8 @@
     private StrictHttp() {}
 
     /**
-     * Reads requests. One with both lengths may hide another in its body, which a node would carry
-     * out.
+     * Decodes requests. A request with both Content-Length and Transfer-Encoding is rejected: it
+     * may smuggle another request in its body, which a node would execute.
      */
     static final class RequestDecoder extends HttpRequestDecoder {
         RequestDecoder() {
@@ -38,13 +38,13 @@
             return super.splitHeaderName(line, start, checkedNameLength(line, start, length));
         }
 
-        /** Whether bytes have come that no request has used yet. */
+        /** Whether bytes were received that no request has consumed yet. */
         boolean hasUnconsumedBytes() {
             return actualReadableBytes() > 0;
         }
     }
 
-    /** Reads answers, and tells whether bytes have come that no answer has used. */
+    /** Decodes responses. */
     static final class ResponseDecoder extends HttpResponseDecoder {
         ResponseDecoder() {
             super(decoderConfig());
@@ -60,12 +60,16 @@
             return super.splitHeaderName(line, start, checkedNameLength(line, start, length));
         }
 
+        /** Whether bytes were received that no response has consumed yet. */
         boolean hasUnconsumedBytes() {
             return actualReadableBytes() > 0;
         }
     }
 
-    /** Whether a coding is named that Netty leaves alone, and with it the message's length open. */
+    /**
+     * Whether a transfer coding is used that Netty doesn't decode, which leaves the message's
+     * length undefined.
+     */
     static boolean hasUnsupportedTransferCoding(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return !codings.isEmpty()
@@ -79,12 +83,12 @@
     }
 
     /**
-     * The length of a header's name, which a colon must follow: Netty takes any line for one, and
-     * so spoilt heads.
+     * Returns the length of a header's name, which must be followed by a colon. Netty accepts any
+     * line as a header, and so malformed heads.
      */
     private static int checkedNameLength(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
-            throw new IllegalArgumentException("a line of the head is no header");
+            throw new IllegalArgumentException("header line without a colon after its name");
         }
         return length;
     }
--- a/src/main/java/cacheproxy/proxy/Upload.java
+++ b/src/main/java/cacheproxy/proxy/Upload.java
@@ -7,10 +7,10 @@
 import java.util.Queue;
 
 /**
- * The body of a request that is too long to be gathered, on its way from the client's connection to
- * a node's. Until a node's connection takes it nothing is read from the client; from then on no
- * faster than the node reads. It flows once: whoever takes it uses it up. All calls are made on the
- * one event loop.
+ * The body of a request that is too long to be aggregated, on its way from the client's connection
+ * to a node's. Nothing is read from the client until a node's connection takes the upload; from
+ * then on reading is no faster than the node's connection accepts the bytes. An upload can be sent
+ * only once: the first node that takes it consumes it. All calls are made on the event loop.
  */
 final class Upload {
 
@@ -23,19 +23,19 @@
     private boolean discarding;
     private long receivedBytes;
 
-    /** {@code client} is where it comes from. */
+    /** Creates an upload from the channel of a client and stops reading from it. */
     Upload(Channel client) {
         this.clientChannel = client;
         client.config().setAutoRead(false);
     }
 
-    /** One more part; this owns it. */
+    /** Adds a part of the body and takes ownership of it. */
     void addPart(HttpContent part) {
         boolean last = part instanceof LastHttpContent;
         receivedBytes += part.content().readableBytes();
         if (last && !complete) {
             complete = true;
-            // Nothing is held back any more, and a client that leaves has to be seen.
+            // Backpressure is no longer needed, and a client that disconnects has to be noticed.
             clientChannel.config().setAutoRead(true);
             onComplete.run();
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Runs once all of it has come. */
+    /** Sets an action that runs once the whole body has been received. */
     void onComplete(Runnable action) {
         onComplete = action;
         if (complete) {
@@ -57,29 +57,29 @@
         }
     }
 
-    /** Bytes that have come. */
+    /** Number of bytes received so far. */
     long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Whether all of it has come. */
+    /** Whether the whole body has been received. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Whether it has been used up, wholly or in part. */
+    /** Whether the body has been consumed or discarded, wholly or in part. */
     boolean isConsumed() {
         return nodeChannel != null || discarding;
     }
 
-    /** Whether the client is the one that is waited for. */
+    /** Whether the upload is waiting for the client to send. */
     boolean isWaitingForClient() {
         return !complete && clientChannel.config().isAutoRead();
     }
 
     /**
-     * Flows to a node's connection, behind the request's head; {@code whenSent} runs once its last
-     * byte is written.
+     * Sends the body to a node's connection after the request's head; {@code whenSent} runs once
+     * the last byte is written.
      */
     void sendTo(Channel target, Runnable whenSent) {
         nodeChannel = target;
@@ -104,14 +104,14 @@
                         });
     }
 
-    /** Reads on from the client as far as the node's connection takes it. */
+    /** Reads from the client as long as the node's connection accepts more. */
     void updateReading() {
         if (!complete && !discarding && nodeChannel != null) {
             clientChannel.config().setAutoRead(nodeChannel.isWritable());
         }
     }
 
-    /** Nobody wants the rest: it is dropped as it comes. */
+    /** Discards the rest of the body as it arrives, as no node needs it. */
     void discard() {
         if (!discarding) {
             discarding = true;
--- a/src/test/java/cacheproxy/proxy/AcceptFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/AcceptFailuresTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Accepting fails, as where descriptors are out: the listener rests, goes on, and never goes on for
- * one that accepts no more.
+ * Accepting connections fails, for example when file descriptors run out: the listener pauses and
+ * resumes, but never resumes once accepting has been stopped.
  */
 class AcceptFailuresTest {
 
@@ -23,7 +23,7 @@
     private static final long RETRY_DELAY_MS = 100;
     private static final long NETTY_PAUSE_MS = 1000;
 
-    /** Less than any limit in time of an idle client. */
+    /** Less than any timeout of an idle connection. */
     private static final int SOON_MS = 1000;
 
     private static final String UP_REQUEST = "GET /up HTTP/1.1\r\nHost: s\r\n\r\n";
@@ -40,7 +40,7 @@
         fixture.close();
     }
 
-    /** What Netty tells of a failed accept; returns whether the listener accepts on. */
+    /** Reports a failed accept as Netty does; returns whether the listener still accepts. */
     private boolean acceptsAfterFailure() throws Exception {
         return fixture.loop
                 .submit(
@@ -65,20 +65,21 @@
         return client;
     }
 
-    /** At once, so long before it would have gone for being idle. */
+    /** The connection is closed at once, long before its idle timeout. */
     @Test
     void closesLeastRecentlyUsedIdleConnectionWhenAcceptFails() throws Exception {
         try (TestServer.Connection idle = connectAndGetServed();
                 TestServer.Connection used = connectAndGetServed()) {
-            assertFalse(acceptsAfterFailure(), "it would spin");
+            assertFalse(acceptsAfterFailure(), "accepting must pause, or the loop spins");
             idle.socket().setSoTimeout(SOON_MS);
-            assertNull(idle.read(), "its descriptor is of use to another");
+            assertNull(idle.read(), "the least recently used idle connection should be closed");
             used.write(UP_REQUEST);
-            assertEquals(200, ProxyFixture.status(used.read()), "one is enough");
+            assertEquals(
+                    200, ProxyFixture.status(used.read()), "only one connection should be closed");
         }
     }
 
-    /** Netty's own rest is a second after each failure. */
+    /** Netty's default pause is a second after each failure. */
     @Test
     void pausesBrieflyAfterEachFailureAndResumes() throws Exception {
         fixture.clientCalls.fail(SystemCall.ACCEPT, Errno.EMFILE, FAILURES);
@@ -88,12 +89,13 @@
         }
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
         assertEquals(FAILURES, fixture.clientCalls.failureCount(SystemCall.ACCEPT));
-        assertTrue(ms >= (FAILURES - 1) * RETRY_DELAY_MS, "it spun: " + ms);
-        assertTrue(ms < (FAILURES - 1) * NETTY_PAUSE_MS, "nobody was let in for too long: " + ms);
+        assertTrue(
+                ms >= (FAILURES - 1) * RETRY_DELAY_MS, "accepting was retried too fast, ms: " + ms);
+        assertTrue(ms < (FAILURES - 1) * NETTY_PAUSE_MS, "accepting paused too long, ms: " + ms);
         assertTrue(fixture.listener.isOpen());
     }
 
-    /** Longer than any rest of it or of Netty's own. */
+    /** Checks after longer than this listener's pause and Netty's default one. */
     @Test
     void doesNotResumeAfterSocketHandover() throws Exception {
         assertFalse(acceptsAfterFailure());
@@ -105,6 +107,6 @@
                                 1500,
                                 TimeUnit.MILLISECONDS)
                         .get();
-        assertFalse(accepts, "a client of the next process was taken");
+        assertFalse(accepts, "accepted a client of the next process");
     }
 }
--- a/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client that has left while its end lies unread, as the loop stood still or reads nothing from
- * it: of what is due next nothing is sent on. The loop is held inside the router while the client
- * leaves, so nothing here depends on time.
+ * A client has disconnected, but the end of its stream lies unread because the event loop was busy
+ * or does not read from that connection: nothing more may be sent on for its request. The event
+ * loop is paused inside the router while the client disconnects, so nothing here depends on timing.
  */
 class ClientDisconnectTest extends WithProxyFixture {
 
     private static final String PAUSING_ID = "holds";
 
     /**
-     * Much longer than connections rest between two uses; where it is not, the test only forces
-     * less.
+     * Much longer than connections have to be idle between two uses. Where it isn't, the test
+     * merely checks less.
      */
     private static final long IDLE_MS = 40;
 
@@ -36,7 +36,10 @@
                 + "\r\nX-Call-Class: read\r\nX-Budget: 60\r\n\r\n";
     }
 
-    /** Holds the loop in the request of another client, which is refused when it goes on. */
+    /**
+     * Pauses the event loop in the request of another client, which is rejected when the loop
+     * resumes.
+     */
     private TestServer.Connection pauseLoop() throws Exception {
         ScriptedRouter.OnRequest usual = fixture.router.onRequest;
         fixture.router.onRequest =
@@ -55,8 +58,8 @@
     }
 
     /**
-     * Two connections to the node that are at rest, so that what is sent next is written at once
-     * and not after a turn or two.
+     * Leaves two idle connections to the node, so that the next request is written immediately and
+     * not an event loop turn or two later.
      */
     private void createIdleNodeConnections() throws Exception {
         try (TestServer.Connection one = fixture.client();
@@ -79,7 +82,7 @@
         client.close();
     }
 
-    /** The next that the node hears of is the request of a client that is there. */
+    /** Asserts that the next request that the node receives is that of a connected client. */
     private void assertOnlyConnectedClientIsSentOn() throws Exception {
         fixture.router.onEnd = (end, out) -> {};
         try (TestServer.Connection connected = fixture.client()) {
@@ -137,8 +140,8 @@
     }
 
     /**
-     * Its own half has ended and the other is open: that is how a close shows as long as nothing is
-     * written to it.
+     * The client has closed only its own side: until something is written to the connection, a full
+     * close looks the same.
      */
     @Test
     void halfClosesBeforeItsTimerIsDue() throws Exception {
@@ -216,12 +219,12 @@
         assertOnlyConnectedClientIsSentOn();
         assertTrue(
                 fixture.router.requests.stream().noneMatch(r -> r.id().equals("third")),
-                "not even decided on");
+                "the router must not see the third request");
     }
 
     /**
-     * Of a long upload nothing is read until a node's connection takes it, so its client's end lies
-     * behind its bytes.
+     * Nothing of a long upload is read until a node's connection takes it, so the end of the
+     * client's stream lies behind unread bytes.
      */
     @Test
     void disconnectsDuringWaitingUpload() throws Exception {
@@ -250,8 +253,8 @@
     }
 
     /**
-     * What was read ahead of one that is there comes in its order: here the rest of an upload and a
-     * request behind it.
+     * Bytes that were read ahead for a connected client are delivered in order: here the rest of an
+     * upload and a request behind it.
      */
     @Test
     void deliversReadAheadBytesInOrder() throws Exception {
--- a/src/test/java/cacheproxy/proxy/ClientTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What clients send, well-formed or not, and that each request gets its one answer. */
+/** Valid and invalid input from clients; each request gets exactly one response. */
 class ClientTest extends WithProxyFixture {
 
     private static final String VALID_HEADERS = "X-Call-Id: a1|X-Call-Class: read|X-Budget: 60";
@@ -106,7 +106,7 @@
         var end = ScriptedRouter.awaitNext(fixture.router.attemptEnds);
         assertEquals(Outcome.CANCELLED, end.outcome());
         assertTrue(end.finished());
-        assertNull(fixture.node.next().text(), "the node sees that nobody waits");
+        assertNull(fixture.node.next().text(), "the attempt's connection should be closed");
     }
 
     @Test
@@ -121,8 +121,8 @@
                     out.reject(request.id(), 1);
                 };
         try (TestServer.Connection other = fixture.client()) {
-            // The connection is taken before the loop stands still, and its request comes while it
-            // does.
+            // The connection is accepted before the event loop stalls, and its request arrives
+            // during the stall.
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(300));
             client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
             assertTrue(stalled.await(TestServer.TIMEOUT_S, TimeUnit.SECONDS));
@@ -135,7 +135,8 @@
     void responseAfterTheFinalOneIsReportedAndDiscarded() throws Exception {
         client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
         TestServer.Connection node = fixture.node.next().connection();
-        // The final answers come while the attempt is out, from another request's turn.
+        // The final responses are given while the attempt is in flight, during another request's
+        // turn.
         fixture.router.onRequest =
                 (request, out) -> {
                     out.fail("id0");
@@ -156,7 +157,7 @@
         assertEquals(
                 503,
                 ProxyFixture.status(client.read()),
-                "neither the late answer nor a second final one came between");
+                "neither the late response nor a second final one came in between");
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/CloseDelimitedResponsesTest.java
+++ b/src/test/java/cacheproxy/proxy/CloseDelimitedResponsesTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers that name no length and end with their connection, as their {@code Connection: close}
- * says: how many of the whole ones a client gets, where others are reset on the way.
+ * Responses without a length that end with their connection, as their {@code Connection: close}
+ * says: complete ones must reach the client, and those that end in a reset must not look complete.
  */
 class CloseDelimitedResponsesTest {
 
     private static final int RESPONSES = 200;
 
-    /** From the first on that are gathered whole up to one that flows to the client as it comes. */
+    /** Body lengths; the shorter ones are aggregated, the longest is streamed to the client. */
     private static final int[] LENGTHS = {
         0, 10, 5000, MessageAggregator.MAX_AGGREGATED_BYTES + 50_000
     };
 
-    /** One answer in so many is reset. */
+    /** One response in this many is reset. */
     private static final int RESET_EVERY = 3;
 
     private static final long PAUSE_BEFORE_RESET_MS = 5;
@@ -46,14 +46,14 @@
     }
 
     /**
-     * What a node does with one request: how much it writes of which body, and whether a reset
+     * What a node does with one request: how much of the body it writes, and whether a reset
      * follows.
      */
     private record ResponseScript(int length, int written, boolean reset, boolean pause) {
 
         /**
-         * Of those that are reset some have said all of the body, and for some the reset comes
-         * behind what was read already.
+         * Of the responses that are reset some have the complete body, and some are reset only
+         * after the bytes before were read.
          */
         static ResponseScript of(int number) {
             int length = LENGTHS[number / RESET_EVERY % LENGTHS.length];
@@ -83,8 +83,8 @@
     }
 
     /**
-     * What a client got: its status, and the body where it is whole; null where the client can tell
-     * that it is not.
+     * What a client received: the status, and the body, which is null if the client can tell that
+     * it is truncated.
      */
     private record ReceivedResponse(int status, String body) {}
 
@@ -118,7 +118,7 @@
         return body.length < length ? null : new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads chunks up to the last one; null where the connection ends or breaks before. */
+    /** Reads chunks up to the last one; returns null if the connection ends or breaks before. */
     private static String readChunked(InputStream in) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         try {
@@ -149,8 +149,9 @@
             boolean passedOn = received.status() == 200 && received.body() != null;
             if (script.reset()) {
                 assertFalse(
-                        passedOn, "answer " + i + " was reset, and passed on as whole: " + script);
-                assertNotEquals(-1, received.status(), "request " + i + " had no answer");
+                        passedOn,
+                        "answer " + i + " was reset, but passed on as complete: " + script);
+                assertNotEquals(-1, received.status(), "request " + i + " had no response");
                 continue;
             }
             whole++;
@@ -160,6 +161,6 @@
                 lost.add(i);
             }
         }
-        assertEquals(List.of(), lost, "of " + whole + " whole answers these did not go on");
+        assertEquals(List.of(), lost, "of " + whole + " complete responses these were lost");
     }
 }
--- a/src/test/java/cacheproxy/proxy/ConnectionCloseTest.java
+++ b/src/test/java/cacheproxy/proxy/ConnectionCloseTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Bytes that come in the very moment in which a client's connection ends. The loop is held inside
- * the router while they are written, so they lie unread when it goes on: a close would reset the
- * connection, which the client sees as an exception.
+ * Bytes arrive at the moment at which the proxy closes a client's connection. The event loop is
+ * paused inside the router while they are written, so they lie unread when it resumes: a full close
+ * would then reset the connection, which the client sees as an exception.
  */
 class ConnectionCloseTest extends WithProxyFixture {
 
@@ -35,7 +35,9 @@
         return request;
     }
 
-    /** Returns once a drain has begun: the answer on a new connection is its last from then on. */
+    /**
+     * Returns once the drain has started: from then on the response on a new connection closes it.
+     */
     private void startDrain() throws Exception {
         fixture.service.startShutdown();
         boolean last = false;
@@ -51,7 +53,10 @@
         }
     }
 
-    /** Our half has its end, and no reset follows: what is sent meanwhile is read and dropped. */
+    /**
+     * Asserts that the proxy closed its side without a reset; what is sent after that is read and
+     * discarded.
+     */
     private static void assertHalfClosed(TestServer.Connection connection) throws Exception {
         assertNull(connection.read());
         for (int i = 0; i < 20; i++) {
@@ -59,7 +64,8 @@
             TimeUnit.MILLISECONDS.sleep(1);
         }
         connection.socket().shutdownOutput();
-        assertEquals(-1, connection.socket().getInputStream().read(), "an end, and no reset");
+        assertEquals(
+                -1, connection.socket().getInputStream().read(), "end of stream without a reset");
     }
 
     @Test
@@ -89,8 +95,8 @@
     }
 
     /**
-     * What had come before the end is answered, on a kept and on a first connection; what comes
-     * behind it is not sent on.
+     * A request that arrived before the close is answered, on a connection that was served before
+     * and on a new one; what arrives after it is not sent on.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -117,7 +123,9 @@
         fixture.service.awaitTermination();
     }
 
-    /** Connections are accepted in their order, so whoever came before this one's answer is. */
+    /**
+     * Returns once all connections opened before have been accepted, as they are accepted in order.
+     */
     private void awaitAccepted() throws Exception {
         try (TestServer.Connection later = fixture.client()) {
             later.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -125,7 +133,7 @@
         }
     }
 
-    /** It came after the last connection was accepted and before the listener closed. */
+    /** The clients connect after the last accept and before the listener closes. */
     @Test
     void clientInBacklogWhenListenerClosesIsServed() throws Exception {
         EventLoopPause loopPause = new EventLoopPause();
@@ -143,7 +151,7 @@
         fixture.service.awaitTermination();
     }
 
-    /** Its bytes were read together with the request before it. */
+    /** The first half of the request was read together with the request before it. */
     @Test
     void partlyPipelinedRequestIsServedAfterStop() throws Exception {
         String second = get("second");
@@ -162,7 +170,7 @@
         fixture.service.awaitTermination();
     }
 
-    /** It is no request for this proxy, and where it ends is known all the same. */
+    /** The first request is not valid for this proxy, but its end is known. */
     @ParameterizedTest
     @ValueSource(strings = {"GET /other", "POST /api/k", "GET /api/k"})
     void requestPipelinedBehindRejectedOneIsServed(String declined) throws Exception {
@@ -173,8 +181,8 @@
     }
 
     /**
-     * Its handling broke off in an error that nothing expects: it has its answer at the latest when
-     * its time is over.
+     * Handling fails with an unexpected error: the request is answered at its deadline at the
+     * latest.
      */
     @Test
     void requestWhoseHandlingFailsIsAnswered() throws Exception {
@@ -202,12 +210,13 @@
         String request = fixture.get(ProxyFixture.LONG_BUDGET_S);
         try (TestServer.Connection other = fixture.client()) {
             client.write(request.substring(0, 30));
-            // The other's answer says that the loop has read what came before it.
+            // The other client's response proves that the event loop has read the bytes sent
+            // before.
             other.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
             ProxyFixture.status(other.read());
             fixture.service.startShutdown();
             fixture.service.stopAccepting();
-            assertNull(other.read(), "the idle one has its end");
+            assertNull(other.read(), "the idle connection should be closed");
             client.write(request.substring(30));
             fixture.node.next().connection().respond(200, "v");
             String answer = client.read();
@@ -230,7 +239,7 @@
         assertEquals("first", new TestServer.Message(first, client).body());
         assertNull(
                 new TestServer.Message(first, client).header("Connection"),
-                "another answer follows");
+                "not the last response");
         fixture.node.next().connection().respond(200, "second");
         String second = client.read();
         assertEquals("second", new TestServer.Message(second, client).body());
@@ -239,7 +248,7 @@
         fixture.service.awaitTermination();
     }
 
-    /** After the last answers nothing is sent on any more: nobody would wait for it. */
+    /** After the last responses nothing is sent on: no client would wait for the result. */
     @Test
     @Timeout(TestServer.TIMEOUT_S)
     void requestsReadAtShutdownAreAnsweredAndNotSentOn() throws Exception {
@@ -268,7 +277,7 @@
         assertEquals("id0", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
         sentRequest.connection().respond(200, "v");
         assertEquals(Outcome.OK, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
-        assertEquals(1, fixture.router.requests.size(), "nothing of the rest was taken");
+        assertEquals(1, fixture.router.requests.size(), "no other request reached the router");
     }
 
     @Test
@@ -296,8 +305,8 @@
     }
 
     /**
-     * A client without chunks can tell the end of an answer without a length only by the
-     * connection's, so a broken one is reset.
+     * A client without chunked encoding recognises the end of a response without a length only by
+     * the end of the connection, so a truncated response must end in a reset.
      */
     @Test
     void truncatedCloseDelimitedResponseEndsInReset() throws Exception {
@@ -315,6 +324,6 @@
         } catch (SocketException e) {
             reset = true;
         }
-        assertTrue(reset, "an end would say that this was all");
+        assertTrue(reset, "a regular end of stream would make the response look complete");
     }
 }
--- a/src/test/java/cacheproxy/proxy/DiscoveryUpdatesTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryUpdatesTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The project's own decisions over sockets: what discovery has told moves what comes next,
- * whichever way it was told.
+ * The real decision module over sockets: endpoint list updates take effect on the next request,
+ * however they are transmitted.
  */
 class DiscoveryUpdatesTest {
 
@@ -46,7 +46,7 @@
                                 new Class<?>[] {Router.class},
                                 (self, method, arguments) -> {
                                     Object result = method.invoke(decide, arguments);
-                                    if (method.getName().equals("nodes")) {
+                                    if (method.getName().equals("endpointListReceived")) {
                                         listKinds.add((EndpointListKind) arguments[1]);
                                     }
                                     return result;
@@ -99,11 +99,14 @@
         for (TestServer.Message last = fixture.node.receivedNothing() ? null : fixture.node.next();
                 last != null;
                 last = fixture.node.receivedNothing() ? null : fixture.node.next()) {
-            assertEquals(null, last.text(), "c0 got a request after its change was told");
+            assertEquals(null, last.text(), "c0 got a request after discovery reported its change");
         }
     }
 
-    /** The old address is left at once, and the new one's first word is the drain. */
+    /**
+     * After the reload the old discovery address is no longer used; the new one first sends a
+     * snapshot, then the drain of a node.
+     */
     @Test
     void drainAfterReloadIsFollowed() throws Exception {
         awaitWatch(fixture.discovery, 7).write(RESPONSE_HEAD + chunk("\n"));
@@ -145,8 +148,8 @@
     }
 
     /**
-     * It has worked for long and then says nothing; the next one has only the whole list, in which
-     * a node is missing.
+     * The first watch worked for long and then falls silent; the next one sends only a snapshot, in
+     * which a node is missing.
      */
     @Test
     void silentWatchIsReplacedByOneWithASnapshot() throws Exception {
@@ -168,7 +171,7 @@
         }
     }
 
-    /** Two requests behind one another, and the answers, go out byte by byte. */
+    /** Two pipelined requests and their responses are sent byte by byte. */
     @Test
     void requestsAndResponsesMayArriveByteByByte() throws Exception {
         awaitWatch(fixture.discovery, 7).write(RESPONSE_HEAD + chunk("\n"));
--- a/src/test/java/cacheproxy/proxy/EventLoopPause.java
+++ b/src/test/java/cacheproxy/proxy/EventLoopPause.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds the proxy's loop still where a test says so, to let something come between two of its
- * steps.
+ * Pauses the proxy's event loop where a test wants it, so that events can be placed between two of
+ * its steps.
  */
 final class EventLoopPause {
 
     private final CountDownLatch pausedLatch = new CountDownLatch(1);
     private final CountDownLatch resumedLatch = new CountDownLatch(1);
 
-    /** Holds the loop at the next request, which is refused when it goes on. */
+    /** Pauses the loop at the next request, which is rejected when the loop resumes. */
     static EventLoopPause atNextRequest(ProxyFixture fixture) {
         EventLoopPause loopPause = new EventLoopPause();
         fixture.router.onRequest =
@@ -23,13 +23,13 @@
         return loopPause;
     }
 
-    /** Called on the loop: stands still until {@link #release}. */
+    /** Called on the event loop: blocks until {@link #resume}. */
     void pause() {
         pausedLatch.countDown();
         await(resumedLatch);
     }
 
-    /** Returns once the loop stands still. */
+    /** Returns once the event loop is paused. */
     void awaitPaused() {
         await(pausedLatch);
     }
@@ -41,7 +41,7 @@
     private static void await(CountDownLatch latch) {
         try {
             if (!latch.await(TestServer.TIMEOUT_S, TimeUnit.SECONDS)) {
-                throw new AssertionError("nobody came");
+                throw new AssertionError("timed out waiting for the event loop's pause or its end");
             }
         } catch (InterruptedException e) {
             throw new AssertionError(e);
--- a/src/test/java/cacheproxy/proxy/FleetFixture.java
+++ b/src/test/java/cacheproxy/proxy/FleetFixture.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * A proxy with the project's own decisions, cache nodes and an origin that answer by a script, and
- * one client.
+ * A proxy with the real decision module, cache nodes and an origin that answer by a script, and one
+ * client.
  */
 final class FleetFixture implements Closeable {
 
@@ -31,7 +31,7 @@
             " HTTP/1.1\r\nHost: s\r\nX-Caller: acme\r\nX-Call-Id: ";
     static final int KEY_COUNT = 100;
 
-    /** What a node does with its nth request, counted from 0. */
+    /** What a node does with a request; {@code index} counts its requests from 0. */
     interface Script {
         void play(TestServer.Message request, int index) throws IOException;
     }
@@ -44,13 +44,13 @@
         request.connection().respond(200, "v");
     }
 
-    /** Where the origin is. */
+    /** Address of the origin. */
     final String origin;
 
-    /** Where each request was sent to, in order. */
+    /** Addresses to which each request was sent, in order, by request id. */
     final Map<String, List<String>> nodesByRequest = new ConcurrentHashMap<>();
 
-    /** What each node was last told of the time that the proxy waits, in seconds. */
+    /** The budget that each node last received, in seconds, by the node's address. */
     final Map<String, Double> lastBudget = new ConcurrentHashMap<>();
 
     private final int budgetS;
@@ -65,7 +65,9 @@
         this(cacheNodes, cache, origin, 60, 60_000);
     }
 
-    /** {@code budgetS} is how long the client waits, {@code aimMs} the aim of reads. */
+    /**
+     * {@code budgetS} is the client's budget, {@code objectiveMs} the latency objective of reads.
+     */
     FleetFixture(int cacheNodes, Script cache, Script origin, int budgetS, int objectiveMs)
             throws Exception {
         this.budgetS = budgetS;
@@ -122,14 +124,14 @@
     }
 
     /**
-     * Asks for the next of some keys; the id under which {@link #nodesOf} lists what it was sent
-     * to.
+     * Reads the next one of {@link #KEY_COUNT} keys and returns the status. {@link #lastId} then
+     * names the request in {@link #nodesByRequest}.
      */
     int read() throws IOException {
         return read("k" + requestCount % KEY_COUNT);
     }
 
-    /** Asks for this key. */
+    /** Reads a key and returns the status. */
     int read(String key) throws IOException {
         return send(
                 "GET /api/"
@@ -164,7 +166,7 @@
         return String.valueOf(requestCount - 1);
     }
 
-    /** Control intervals that have passed. */
+    /** Number of control intervals that have passed. */
     int controlIntervals() {
         return controlIntervals.size();
     }
@@ -179,7 +181,7 @@
         service.terminateNow();
     }
 
-    /** The project's decisions, with a note of the control intervals. */
+    /** The real decision module; counts the control intervals. */
     private final class IntervalCountingRouter implements Router {
         private final Router delegate;
 
--- a/src/test/java/cacheproxy/proxy/HostileClientTest.java
+++ b/src/test/java/cacheproxy/proxy/HostileClientTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that say nothing, never end or hide one request in another get an error or a close, and
- * cost others nothing.
+ * Clients that send nothing, never complete a request or smuggle one request in another get an
+ * error or a close, and don't affect other clients.
  */
 class HostileClientTest extends WithProxyFixture {
 
@@ -78,7 +78,7 @@
         assertNull(client.read());
     }
 
-    /** Its first bytes came together with the request before it. */
+    /** The first bytes of the second request arrive together with the request before it. */
     @Test
     void incompletePipelinedRequestTimesOut() throws Exception {
         client.write(
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Much came in a short while: at the least speed that is allowed it would have some seconds
-     * more.
+     * Much of the body arrives quickly: measured by the minimum rate alone the client would have
+     * several seconds more.
      */
     @Test
     void pauseInLongBodyTimesOut() throws Exception {
@@ -101,12 +101,12 @@
         assertEquals(408, ProxyFixture.status(client.read()));
         assertTrue(
                 System.nanoTime() - began < TimeUnit.SECONDS.toNanos(6),
-                "it is owed an end after 3 s");
+                "a stopped client must be answered within 3 s");
     }
 
     /**
-     * Whether it is sent on to a node that drops it without a word, or not decided on in time: it
-     * has its final answer.
+     * Every request gets a final response: whether it is sent on to a node that never answers or
+     * the router does not decide in time.
      */
     @ParameterizedTest
     @CsvSource({"0, true", "0.001, true", "0.02, true", "0, false", "0.001, false", "0.02, false"})
@@ -129,7 +129,7 @@
     void tooLongBodyIsRejectedWhileItArrives() throws Exception {
         client.write(PUT_HEADERS + "Content-Length: 60000000\r\n\r\n" + "v".repeat(500_000));
         assertEquals(413, ProxyFixture.status(client.read()));
-        assertNull(client.read(), "closed by us, and no reset: the client could read why");
+        assertNull(client.read(), "closed without a reset, so the status is readable");
     }
 
     @Test
@@ -153,8 +153,8 @@
             for (int i = 0; i < 20; i++) {
                 silentClients.add(fixture.client());
             }
-            // A connection that was accepted last says that all before it were, and the first of
-            // them had to go.
+            // Connections are accepted in order: once the last one is served all before it were
+            // accepted, and the first of them had to be closed.
             try (TestServer.Connection last = fixture.client()) {
                 last.write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
                 ProxyFixture.status(last.read());
--- a/src/test/java/cacheproxy/proxy/IdleConnectionLimitTest.java
+++ b/src/test/java/cacheproxy/proxy/IdleConnectionLimitTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Clients that ask once and keep their connection leave room for others: past a part, answers close
- * theirs.
+ * Clients that send one request and keep their connection open must leave connections for others:
+ * once the limit on idle connections is reached, each response closes its connection.
  */
 class IdleConnectionLimitTest {
 
-    /** Leaves 32 connections to clients, of which 8 may be kept idle. */
+    /** Leaves 32 connections for clients, of which 8 may be idle. */
     private static final int SOCKETS = Service.RESERVED_DESCRIPTORS + 64;
 
     private static final int MAX_IDLE = 8;
@@ -35,8 +35,8 @@
                 assertEquals(i >= MAX_IDLE, last, "client " + i);
             }
             assertEquals(MAX_IDLE, idle);
-            // One that leaves makes room for one to be kept. The proxy learns of it when it has
-            // read the close.
+            // When a client disconnects, another connection may stay idle. The proxy notices once
+            // it has read the close.
             clients.get(0).close();
             boolean last = true;
             while (last) {
--- a/src/test/java/cacheproxy/proxy/JsonObjectSplitterTest.java
+++ b/src/test/java/cacheproxy/proxy/JsonObjectSplitterTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A stream of objects is cut the same however it is laid out and in whatever pieces it comes. */
+/**
+ * A stream is split into the same objects whatever its layout and however it is divided into reads.
+ */
 class JsonObjectSplitterTest {
 
     private static final String INDENTED =
@@ -34,7 +36,7 @@
                                     return false;
                                 }
                                 reported.add(
-                                        (afterMalformed ? "after spoilt " : "")
+                                        (afterMalformed ? "after malformed " : "")
                                                 + parsed.get("seq"));
                                 return true;
                             } catch (JsonSyntaxException e) {
@@ -49,7 +51,7 @@
 
                         @Override
                         public void malformed() {
-                            reported.add("spoilt");
+                            reported.add("malformed");
                         }
                     });
 
@@ -81,7 +83,10 @@
                 read(all, chunkBytes));
     }
 
-    /** Nothing is waited for behind the last brace: the next line's end may be a heartbeat away. */
+    /**
+     * An object is reported with its last brace: the line end may follow only with the next
+     * heartbeat.
+     */
     @Test
     void reportsObjectAtItsLastBrace() {
         assertEquals(List.of("1"), read("{\n \"seq\": 1\n}", 3));
@@ -99,7 +104,7 @@
             })
     void reportsMalformedInputAndReadsWhatFollows(String malformed) {
         read(malformed, 1000);
-        assertEquals("spoilt", reported.get(0));
+        assertEquals("malformed", reported.get(0));
         reported.clear();
         assertEquals(List.of("2", "heartbeat"), read("{\"seq\":2}\n\n", 1000));
     }
@@ -107,15 +112,18 @@
     @Test
     void truncatedObjectDoesNotSwallowTheNext() {
         assertEquals(
-                List.of("after spoilt 2", "3"),
+                List.of("after malformed 2", "3"),
                 read("{\"seq\":1,\"a\":[{\"b\":\n{\"seq\":2}\n" + "{\"seq\":3}\n", 5));
         reported.clear();
         assertEquals(
-                List.of("after spoilt 2", "3"),
+                List.of("after malformed 2", "3"),
                 read("{\n \"seq\": 1,\n \"a\": [\n{\n \"seq\": 2\n}\n{\"seq\":3}\n", 5));
     }
 
-    /** The largest fleet's list, indented by four, with names as long as they get. */
+    /**
+     * The complete endpoint list of the largest fleet, indented by four, with fields of maximum
+     * length.
+     */
     @Test
     void readsEndpointListOf3200Hosts() {
         String host =
@@ -134,7 +142,7 @@
     @Test
     void dropsObjectOverTheSizeLimit() {
         read("{\"seq\":1,\"a\":\"" + "v".repeat(JsonObjectSplitter.MAX_OBJECT_BYTES), 100_000);
-        assertEquals("spoilt", reported.get(0));
+        assertEquals("malformed", reported.get(0));
         reported.clear();
         assertEquals(
                 List.of("2"), read("\n{\"seq\":2}\n", 1000).stream().filter("2"::equals).toList());
--- a/src/test/java/cacheproxy/proxy/ProxyFixture.java
+++ b/src/test/java/cacheproxy/proxy/ProxyFixture.java
@@ -19,9 +19,11 @@
              "obligations": {"answer_slack_ms": 20},
              "services": [{"name": "read", "effect": "retryable", "deadline_ms": 1500},
                           {"name": "pay", "effect": "dedup", "deadline_ms": 1500}]}""";
+
+    /** A budget in seconds that no test exhausts. */
     static final double LONG_BUDGET_S = 60;
 
-    /** Of a watch that waits for its first word as long as a test needs to give it. */
+    /** Waits for the first response of a watch as long as any test needs. */
     static final Discovery.Times LENIENT_TIMES =
             new Discovery.Times(
                     Discovery.Times.PUSHED.silenceTimeoutMs(),
@@ -32,19 +34,24 @@
     final TestServer discovery = new TestServer();
     final ScriptedRouter router = new ScriptedRouter();
     Service service;
+
+    /** Limit of file descriptors given to the service. */
     int socketLimit = 256;
+
     Discovery.Times discoveryTimes = LENIENT_TIMES;
     Clock clock = new Clock();
 
-    /** With places for how discovery is asked and for how long idle connections stand. */
+    /**
+     * The settings, with placeholders for the discovery mode and the idle timeout of connections.
+     */
     String settings = SETTINGS;
 
     Map<String, String> environment = Map.of();
 
-    /** Where the service is configured to find discovery. */
+    /** Address under which the service finds discovery. */
     String discoveryAddress = discovery.dial();
 
-    /** The cache nodes that it knows. */
+    /** The cache nodes that the service knows initially. */
     String[] hosts;
 
     private int requestCount;
@@ -109,7 +116,7 @@
         return TestServer.connect(service.clientAddress());
     }
 
-    /** A read with a new id, for which the client waits so long. */
+    /** Returns a read request with a new id and the given budget. */
     String get(double budgetS) {
         return "GET /api/k1?x=1 HTTP/1.1\r\nHost: s\r\nX-Call-Id: id"
                 + requestCount++
@@ -134,7 +141,7 @@
 
     @Override
     public void close() throws IOException {
-        // Without its peers nothing that is still out can hold the service up.
+        // With its nodes and discovery closed, no pending request can delay the service's end.
         node.close();
         discovery.close();
         if (service != null) {
--- a/src/test/java/cacheproxy/proxy/RepeatWindowTest.java
+++ b/src/test/java/cacheproxy/proxy/RepeatWindowTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The window for repeats holds up to the moment in which a repeat's last byte is written, and not
- * only when it is decided.
+ * The repeat window applies until the last byte of a repeat is written, not only when the repeat is
+ * decided.
  */
 class RepeatWindowTest extends WithNodePool {
 
@@ -69,12 +69,15 @@
 
     @Test
     void nothingIsWrittenOnConnectionEstablishedAfterTheWindow() throws Exception {
-        // Its timer is far, but its clock has passed the window when the connection comes up.
+        // Its timer is far from due, but by the clock the window is over when the connection is
+        // established.
         send(50_000);
         nanoClock.addAndGet(TimeUnit.SECONDS.toNanos(51));
         TestServer.Connection connection = lateNode.acceptConnection(ACCEPT_TIMEOUT_MS);
         assertEquals(Outcome.NEVER_SENT, ScriptedRouter.awaitNext(outcomes));
-        assertTrue(connection == null || connection.read() == null, "it was sent after its window");
+        assertTrue(
+                connection == null || connection.read() == null,
+                "sent after the end of its repeat window");
     }
 
     @Test
@@ -82,7 +85,9 @@
         send(100);
         assertEquals(Outcome.NEVER_SENT, ScriptedRouter.awaitNext(outcomes));
         TestServer.Connection connection = lateNode.acceptConnection(ACCEPT_TIMEOUT_MS);
-        assertTrue(connection == null || connection.read() == null, "it was sent after its window");
+        assertTrue(
+                connection == null || connection.read() == null,
+                "sent after the end of its repeat window");
     }
 
     @Test
@@ -96,7 +101,9 @@
         assertEquals(Outcome.OK, ScriptedRouter.awaitNext(outcomes));
     }
 
-    /** The class has no window at all: a repeat that the router asks for by mistake is not sent. */
+    /**
+     * This class has no repeat window: a repeat that the router requests by mistake is not sent.
+     */
     @Test
     void keyedRequestIsNotRepeatedOutsideItsWindowWhateverTheRouterDecides() throws Exception {
         try (ProxyFixture fixture = ProxyFixture.started();
--- a/src/test/java/cacheproxy/proxy/ShutdownWithShortDeadlinesTest.java
+++ b/src/test/java/cacheproxy/proxy/ShutdownWithShortDeadlinesTest.java
@@ -18,27 +18,30 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * SIGKILL comes the longest deadline and 0.7 s after SIGTERM, so soon where deadlines are short;
- * until then clients send.
+ * SIGKILL follows SIGTERM after the longest deadline plus 0.7 s, which is soon if deadlines are
+ * short; clients keep sending until then.
  */
 class ShutdownWithShortDeadlinesTest {
 
     private static final int CLIENTS = 8;
+
+    /** Time from the longest deadline after SIGTERM to SIGKILL. */
     private static final long KILL_DELAY_MS = 700;
+
     private static final long SHORT_DEADLINE_MS = 300;
     private static final long SLEEP_MS = 10;
 
     private final ProxyFixture fixture;
 
     /**
-     * By how much the machine itself was late at most, in milliseconds: so much later the answers
-     * may come.
+     * The largest delay of a sleeping thread in milliseconds, caused by the machine's load;
+     * responses may be later by as much.
      */
     private final AtomicLong maxDelayMs = new AtomicLong();
 
     private final AtomicBoolean testEnded = new AtomicBoolean();
 
-    /** In nanoseconds. */
+    /** When the last response arrived, as {@link System#nanoTime()}. */
     private final AtomicLong lastResponseNanos = new AtomicLong();
 
     private final AtomicLong responseCount = new AtomicLong();
@@ -53,7 +56,7 @@
         fixture.close();
     }
 
-    /** Half of the nodes' answers never come: nodes hang through the whole of the shutdown. */
+    /** Every second request to a node gets no response: nodes hang throughout the shutdown. */
     private void startNode() {
         Thread thread =
                 new Thread(
@@ -111,8 +114,8 @@
     }
 
     /**
-     * One client: asks again and again until its connection ends, which it may do behind a last
-     * answer or between two requests.
+     * Sends one client's requests until its connection ends, which may be after a last response or
+     * between two requests.
      */
     private void sendUntilClosed(int client, double deadlineMs) {
         try (TestServer.Connection connection = fixture.client()) {
@@ -130,7 +133,7 @@
                                             new TestServer.Message(answer, connection)
                                                     .header("Connection"));
                 } else {
-                    // It crossed the end of a connection at rest, so it is sent once more
+                    // The request crossed the close of an idle connection; a client would retry it
                     // elsewhere.
                     assertTrue(
                             new ArrayList<>(fixture.router.requests)
@@ -144,7 +147,7 @@
         }
     }
 
-    /** Its bytes lie unread when the last answers are given, and the rest of it never comes. */
+    /** Its first half lies unread when the last responses are given, and the rest never arrives. */
     @Test
     @Timeout(TestServer.TIMEOUT_S)
     void partialRequestAtLastResponsesIsRejected() throws Exception {
@@ -193,6 +196,6 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(lastResponseNanos.get() - began);
         assertTrue(
                 tookMs < deadlineMs + KILL_DELAY_MS + maxDelayMs.get(),
-                "the last answer came " + tookMs + " ms after the signal");
+                "the last response came " + tookMs + " ms after the signal");
     }
 }
--- a/src/test/java/cacheproxy/proxy/StreamingTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamingTest.java
@@ -30,18 +30,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Long messages flow both ways, in pieces of any size, and neither more nor less of them comes out
- * than went in.
- */
+/** Long messages are streamed in both directions, in pieces of any size, and arrive unchanged. */
 class StreamingTest {
 
     private static final int TIMEOUT_S = 60;
     private static final int LONG_BODY_BYTES = 32 << 20;
 
-    /**
-     * What the node does with a connection once a request's head and body have been read from it.
-     */
+    /** What the node does with a connection once it has read the head and body of a request. */
     private interface NodeScript {
         void play(byte[] body, OutputStream out) throws Exception;
     }
@@ -119,7 +114,7 @@
         return new TestServer.Message(head, null).header(name);
     }
 
-    /** Reads a body as its head says; throws where it breaks off. */
+    /** Reads a body as its head says; throws if it is truncated. */
     private static byte[] readBody(String head, InputStream in) throws IOException {
         var out = new ByteArrayOutputStream();
         if ("chunked".equals(header(head, "transfer-encoding"))) {
@@ -152,7 +147,7 @@
         return bytes;
     }
 
-    /** The same bytes in pieces of any size. */
+    /** Writes the bytes in pieces of random size. */
     private static void writeInPieces(byte[] bytes, OutputStream out) throws IOException {
         Random random = new Random(7);
         for (int offset = 0; offset < bytes.length; ) {
@@ -224,7 +219,8 @@
     void responsesOf32MbAreStreamedToSlowReadersBesideSmallRequests() throws Exception {
         byte[] body = randomBytes(LONG_BODY_BYTES);
         byte[] digest = MessageDigest.getInstance("SHA-256").digest(body);
-        // Four are twice the memory of the smallest proxy, and as many as this site lets be open.
+        // Four are twice the memory of the smallest proxy, and the most requests that may be open
+        // here.
         int readers = 4;
         CountDownLatch begun = new CountDownLatch(readers);
         startNode(
@@ -256,17 +252,20 @@
             try (TestServer.Connection small = fixture.client()) {
                 small.write(ProxyFixture.put("Idempotency-Key: k\r\n", "v"));
                 assertEquals(
-                        503, ProxyFixture.status(small.read()), "others are answered meanwhile");
+                        503,
+                        ProxyFixture.status(small.read()),
+                        "others should be answered meanwhile");
             }
         }
         for (CompletableFuture<byte[]> one : all) {
             assertArrayEquals(digest, one.get(1, TimeUnit.SECONDS));
         }
-        assertTrue(maxUsed < 8 << 20, "held " + maxUsed);
+        assertTrue(maxUsed < 8 << 20, "bytes of direct memory used: " + maxUsed);
     }
 
     /**
-     * Reads no more than the head until all have theirs: so long each answer is held up on its way.
+     * Reads only the head until all readers have theirs: until then every response is stalled by
+     * backpressure.
      */
     private byte[] readSlowly(int length, CountDownLatch begun) {
         try (TestServer.Connection client = fixture.client()) {
@@ -284,7 +283,7 @@
             for (int remaining = length; remaining > 0; ) {
                 int count = in.read(piece, 0, Math.min(piece.length, remaining));
                 if (count < 0) {
-                    throw new IOException("cut off");
+                    throw new IOException("response truncated");
                 }
                 digest.update(piece, 0, count);
                 remaining -= count;
@@ -382,7 +381,7 @@
             }
             assertTrue(
                     fixture.router.requests.get(0).uploadMs() > 0,
-                    "the module is told that its time begins later");
+                    "the router should get the time that the upload may take");
         }
     }
 
@@ -415,7 +414,7 @@
                                                                         .length());
                                     }
                                 } catch (IOException e) {
-                                    // Answered already, and closed.
+                                    // Already answered and closed.
                                     return;
                                 }
                             });
--- a/src/test/java/cacheproxy/proxy/SystemCallFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/SystemCallFailuresTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * System calls that fail in the ways that Linux documents, on the clients' side, at a node, at
- * discovery and in the loop's waits.
+ * System calls fail in the ways that Linux documents: on clients' connections, on connections to a
+ * node and to discovery, and in the event loop's waits.
  */
 class SystemCallFailuresTest {
 
@@ -30,10 +30,10 @@
     private static final int PARTIAL_REQUEST_BYTES = 40;
     private static final long SECOND_MS = 1000;
 
-    /** One each 0.1 s, which is how long accepting rests. */
+    /** One each 0.1 s, the delay before accepting is retried. */
     private static final int ACCEPTS_IN_A_SECOND = 10;
 
-    /** Failures of one call within a second that are no spinning. */
+    /** Most failures of one call within a second that don't count as a busy loop. */
     private static final int MAX_FAILURES_PER_S = 40;
 
     private static final int MANY_FAILURES = 1000;
@@ -55,7 +55,7 @@
         return ProxyFixture.status(client.read());
     }
 
-    /** Asks once where the node is to answer. */
+    /** Asserts that a request is served by the node. */
     private void assertServes() throws Exception {
         try (TestServer.Connection client = fixture.client()) {
             assertServes(client);
@@ -84,7 +84,7 @@
         return message;
     }
 
-    /** Waits until a schedule's channels are closed. */
+    /** Asserts that all of a schedule's channels get closed. */
     private void assertCloses(FaultSchedule schedule) throws Exception {
         long began = System.nanoTime();
         while (schedule.openCount() > 0
@@ -94,7 +94,7 @@
         assertEquals(0, schedule.openCount());
     }
 
-    // Clients.
+    // Connections of clients.
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EAGAIN"})
@@ -115,7 +115,7 @@
         assertTrue(fixture.listener.isOpen());
     }
 
-    /** An accepted socket that can't be used is its client's loss, and nobody else's. */
+    /** An accepted socket that can't be set up affects only its own client. */
     @Test
     void socketSetupFailureClosesOnlyTheAcceptedSocket() throws Exception {
         fixture.clientCalls.fail(SystemCall.CONFIGURE, Errno.ENOMEM, MANY_FAILURES);
@@ -129,7 +129,7 @@
         assertServes();
     }
 
-    /** What breaks with a request half read has no request; nothing is sent on. */
+    /** If the connection breaks before the request was read completely, nothing is sent on. */
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
     void clientConnectionFailureBeforeLastByteSendsNothing(Errno errno) throws Exception {
@@ -161,11 +161,13 @@
         assertTrue(
                 fixture.baseFixture.router.attemptEnds.isEmpty()
                         || fixture.baseFixture.router.attemptEnds.peek().finished(),
-                "told once");
+                "the end of the attempt should be reported once");
         assertServes();
     }
 
-    /** An attempt that would begin for it is not begun: the loop has not read of the break yet. */
+    /**
+     * No new attempt starts for this client, although the event loop has not read the failure yet.
+     */
     @Test
     void noAttemptStartsAfterClientConnectionFailure() throws Exception {
         fixture.baseFixture.router.onEnd =
@@ -189,7 +191,7 @@
         }
         assertCloses(fixture.clientCalls);
         assertCloses(fixture.nodeCalls);
-        assertNull(fixture.baseFixture.node.next().text(), "its end");
+        assertNull(fixture.baseFixture.node.next().text(), "the first connection should be closed");
         assertTrue(fixture.baseFixture.node.receivedNothing());
     }
 
@@ -211,7 +213,7 @@
         }
     }
 
-    // A node.
+    // Connections to a node.
 
     @ParameterizedTest
     @EnumSource(names = {"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"})
@@ -269,7 +271,9 @@
         }
     }
 
-    /** Its last byte can't be written: it has not run, whatever broke the connection. */
+    /**
+     * The last byte can't be written, so the request has not run, whatever broke the connection.
+     */
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
     void nodeConnectionFailureBeforeLastByteIsNotRun(Errno errno) throws Exception {
@@ -306,7 +310,7 @@
         }
     }
 
-    /** Its length is not told, so nothing but a proper end may end it. */
+    /** The response has no length, so only a regular end of the stream may complete it. */
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
     void nodeConnectionFailureDoesNotCompleteResponse(Errno errno) throws Exception {
@@ -325,7 +329,7 @@
         assertCloses(fixture.nodeCalls);
     }
 
-    /** One that is kept and breaks while nothing is asked on it is not used. */
+    /** A pooled connection that breaks while it is idle is not used again. */
     @Test
     void brokenIdleNodeConnectionIsNotUsed() throws Exception {
         try (TestServer.Connection client = fixture.client()) {
@@ -362,15 +366,16 @@
         }
         assertTrue(
                 TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began) >= SECOND_MS,
-                "nothing failed");
+                "discovery answered although its calls should have failed");
         assertTrue(
                 fixture.discoveryCalls.failureCount(call) < MAX_FAILURES_PER_S,
-                "failed: " + fixture.discoveryCalls.failureCount(call));
+                "failed calls: " + fixture.discoveryCalls.failureCount(call));
         assertServes();
     }
 
     /**
-     * Writes a list; whether the module has it in the time in which another watch would be opened.
+     * Writes an endpoint list; returns whether the router receives it before another watch would be
+     * opened.
      */
     private boolean deliversEndpointList(TestServer.Connection watch) throws Exception {
         try {
@@ -407,7 +412,7 @@
         assertEquals(1, fixture.discoveryCalls.openCount());
     }
 
-    // Waits.
+    // The event loop's waits.
 
     @Test
     void interruptedWaitsAreHarmless() throws Exception {
@@ -423,7 +428,7 @@
         }
     }
 
-    /** Which Linux documents for no loop of ours; Netty then makes a selector anew. */
+    /** Linux documents no such failure for our event loop; Netty then creates a new selector. */
     @Test
     void failedWaitLosesNoConnection() throws Exception {
         try (TestServer.Connection client = fixture.client()) {
--- a/src/test/java/cacheproxy/proxy/TestServer.java
+++ b/src/test/java/cacheproxy/proxy/TestServer.java
@@ -17,16 +17,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A scripted server on the loopback address: what it has read waits in a queue, and the test writes
- * each answer.
+ * A scripted server on the loopback address: the messages it reads are queued, and the test writes
+ * each response.
  */
 final class TestServer implements Closeable {
 
+    /** How long tests wait for something that is expected to happen. */
     static final long TIMEOUT_S = 30;
 
     /**
-     * One message as it was read, and the connection to answer it on; null as its text means the
-     * peer closed.
+     * A message and the connection that it was read from; a null text means that the other side
+     * closed the connection.
      */
     record Message(String text, Connection connection) {
         String header(String name) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /** One end of a connection. */
+    /** One end of a TCP connection. */
     record Connection(Socket socket, int number) implements Closeable {
 
         void write(String text) throws IOException {
@@ -66,7 +67,7 @@
                             + body);
         }
 
-        /** Reads one message with its body; null when the other side has closed. */
+        /** Reads one message with its body; returns null if the other side has closed. */
         String read() throws IOException {
             InputStream in = socket.getInputStream();
             String text = readUntil("\r\n\r\n", in);
@@ -92,7 +93,7 @@
         this(0);
     }
 
-    /** At a port that another had before; 0 for one that is free. */
+    /** Binds a given port, which may have been used before; 0 binds a free port. */
     TestServer(int port) throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         Thread acceptor = new Thread(this::accept, "peer");
@@ -108,16 +109,16 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** The next message; one with a null text when a connection was closed instead. */
+    /** Returns the next message, with a null text if a connection was closed instead. */
     Message next() throws InterruptedException {
         Message message = messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (message == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("timed out waiting for a message");
         }
         return message;
     }
 
-    /** The next message, whenever it comes. */
+    /** Returns the next message; waits without a limit. */
     Message await() throws InterruptedException {
         return messages.take();
     }
@@ -126,7 +127,9 @@
         return messages.isEmpty();
     }
 
-    /** Reads up to the end of some text; null when the other side has closed before. */
+    /**
+     * Reads up to and including the given text; returns null if the other side closes before that.
+     */
     static String readUntil(String end, InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.length() < end.length()
@@ -140,12 +143,12 @@
         return text.toString();
     }
 
-    /** One call on an operators' address, and its answer. */
+    /** Sends one call to an operators' address and returns the response. */
     static String callOperators(InetSocketAddress admin, String requestLine) throws IOException {
         try (Connection operator = connect(admin)) {
             operator.write(requestLine + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
             String answer = operator.read();
-            assertNull(operator.read(), "one call to a connection");
+            assertNull(operator.read(), "an operators' connection should close after one call");
             return answer;
         }
     }
--- a/src/test/java/cacheproxy/proxy/UnexpectedResponsesTest.java
+++ b/src/test/java/cacheproxy/proxy/UnexpectedResponsesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Nodes answer with more, or other, than was asked for; no request may get what was made for
+ * Nodes send more than was asked for, or malformed responses; no request may receive a response to
  * another.
  */
 class UnexpectedResponsesTest extends WithProxyFixture {
@@ -18,8 +18,8 @@
     private static final String FIRST_RESPONSE = "HTTP/1.1 200 x\r\nContent-Length: 5\r\n\r\nfirst";
 
     /**
-     * The second request is sent to the node in the very moment in which the first one's answer is
-     * told.
+     * The second request is sent to the node at the moment at which the response to the first is
+     * reported to the router.
      */
     private TestServer.Message secondAfterFirst(String extraBytes) throws Exception {
         fixture.router.onRequest =
@@ -87,7 +87,7 @@
         fixture.node.next().connection().write(answer);
         assertEquals(Outcome.ERROR, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
         assertEquals(502, ProxyFixture.status(client.read()));
-        assertNull(fixture.node.next().text(), "the connection is of no further use");
+        assertNull(fixture.node.next().text(), "the connection should be closed");
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/UnsentRequestTest.java
+++ b/src/test/java/cacheproxy/proxy/UnsentRequestTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A request whose connection comes up late: whatever has changed meanwhile holds for it too, and it
- * is not written any more.
+ * A request waits for a connection that is established late: whatever changes meanwhile applies to
+ * it too, and it is not written any more.
  */
 class UnsentRequestTest {
 
@@ -30,7 +30,7 @@
         fixture = new ProxyFixture();
     }
 
-    /** One cache node that takes connections late, and a router that never gives an attempt up. */
+    /** One cache node that accepts connections late, and a router that never cancels an attempt. */
     @BeforeEach
     void start() throws Exception {
         fixture.hosts = new String[] {ProxyFixture.host("c0", lateNode.dial(), "up", 0)};
@@ -56,10 +56,10 @@
         watch.write(Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
     }
 
-    /** The connection comes up, and either nothing ever comes on it or it ends. */
+    /** The connection is established, and either nothing is ever written to it or it is closed. */
     private void assertNothingIsWritten() throws IOException {
         TestServer.Connection connection = lateNode.acceptConnection(ACCEPT_TIMEOUT_MS);
-        assertTrue(connection == null || connection.read() == null, "it was sent on");
+        assertTrue(connection == null || connection.read() == null, "it reached the node");
     }
 
     @Test
@@ -71,7 +71,7 @@
         assertEquals(
                 Outcome.NEVER_SENT,
                 ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome(),
-                "whatever the router does");
+                "the attempt should end whatever the router does");
         assertNothingIsWritten();
     }
 
@@ -108,7 +108,7 @@
         assertEquals(
                 1,
                 listsAtEnd.get(TestServer.TIMEOUT_S, TimeUnit.SECONDS),
-                "the list was told before the end");
+                "the endpoint list should reach the router before the attempt's end");
         assertEquals(
                 Outcome.NEVER_SENT, ScriptedRouter.awaitNext(fixture.router.attemptEnds).outcome());
         assertEquals(502, ProxyFixture.status(client.read()));
@@ -127,20 +127,20 @@
     }
 
     /**
-     * The connection is up and the client's end has come when the loop goes on: the end is read
-     * before anything is written.
+     * The connection is established and the client has closed by the time the event loop resumes:
+     * the close is read before anything is written.
      */
     @Test
     void clientCloseIsReadBeforeNewConnectionIsUsed() throws Exception {
         duringLoopPause(
                 connection -> client.close(),
-                connection -> assertNull(connection.read(), "it was sent on"));
+                connection -> assertNull(connection.read(), "it reached the node"));
         assertEquals("id0", ScriptedRouter.awaitNext(fixture.router.disconnectedRequests));
     }
 
     /**
-     * As at a process that is killed right after its accept, before the loop sees the connection:
-     * nothing can have run.
+     * As with a process that is killed right after its accept, before the event loop sees the
+     * connection: nothing can have run.
      */
     @Test
     void nodeResetBeforeAnyWriteProvesNotRun() throws Exception {
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Asks, and has the node's connection come up and {@code meanwhile} happen before the loop,
-     * which is held, looks at either.
+     * Sends a request, and has the node's connection established and {@code meanwhile} run before
+     * the paused event loop handles either.
      */
     private void duringLoopPause(ConnectionAction meanwhile, ConnectionAction afterwards)
             throws Exception {
--- a/src/test/java/cacheproxy/proxy/WithProxyFixture.java
+++ b/src/test/java/cacheproxy/proxy/WithProxyFixture.java
@@ -3,7 +3,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A running site with one client connected, for each test anew. */
+/** Starts a fixture with one connected client before each test. */
 abstract class WithProxyFixture {
 
     ProxyFixture fixture;
