--- a/src/main/java/cacheproxy/proxy/ConnectionBackoff.java
+++ b/src/main/java/cacheproxy/proxy/ConnectionBackoff.java
@@ -3,16 +3,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What a proxy keeps to at a node whose table of connections is full: no further connection is
- * opened for a pause, at first {@link #FIRST_MS} and, doubling with each one turned away, at most
- * {@link #MOST_MS}. Times are nanoseconds of one clock.
+ * Back-off for opening connections to a node whose connection table is full. After a rejected
+ * connection no further one is opened for a pause, which starts at {@link #INITIAL_PAUSE_MS} and
+ * doubles with each rejection up to {@link #MAX_PAUSE_MS}. All times are nanoseconds of one
+ * monotonic clock.
  */
 public final class ConnectionBackoff {
 
     /**
-     * A connection beyond the first to a node closes after so long without a use. Nodes hold only
-     * so many, and what the proxies keep for their own next burst is missing for another's present
-     * one; opening one costs a handshake.
+     * Idle time after which every connection to a node but the last one is closed. Nodes accept a
+     * limited number of connections, so connections that proxies keep for their own next burst are
+     * not available to other proxies. Opening a connection costs a handshake.
      */
     public static final double SPARE_IDLE_TIMEOUT_MS = 250;
 
@@ -23,25 +24,30 @@
     private long pauseEndNanos;
     private boolean tableFull;
 
-    /** Whether the last that is known of the table is that it was full. */
+    /** Whether the node's table was full at the latest attempt to open a connection. */
     public boolean isTableFull() {
         return tableFull;
     }
 
     /**
-     * Whether the node turned a new connection away so lately that another is not worth its
-     * handshake.
+     * Whether the node rejected a new connection so recently that another attempt does not justify
+     * its handshake.
      */
     public boolean isPausing(long nowNanos) {
         return tableFull && nowNanos - pauseEndNanos < 0;
     }
 
-    /** What is left of the pause, below 0 where it is over. */
+    /** Remaining pause in nanoseconds; negative once it is over. */
     public long remainingNanos(long nowNanos) {
         return pauseEndNanos - nowNanos;
     }
 
-    /** {@code draw}, from 0 to 1, spreads the pause, as every proxy meets the same full table. */
+    /**
+     * Records that the node rejected a new connection.
+     *
+     * @param jitter random number from 0 to 1 that spreads the pause, as every proxy finds the same
+     *     table full
+     */
     public void recordRejection(long nowNanos, double jitter) {
         tableFull = true;
         pauseEndNanos =
@@ -49,7 +55,7 @@
         pauseMs = Math.min(MAX_PAUSE_MS, 2 * pauseMs);
     }
 
-    /** The node took a connection that was opened after it had turned one away. */
+    /** Records that the node accepted a connection that was opened after a rejection. */
     public void recordAccepted() {
         tableFull = false;
         pauseMs = INITIAL_PAUSE_MS;
--- a/src/main/java/cacheproxy/proxy/Discovery.java
+++ b/src/main/java/cacheproxy/proxy/Discovery.java
@@ -32,35 +32,42 @@
 import java.util.function.LongSupplier;
 
 /**
- * The watch on the list of hosts. Where lists are pushed it is kept up from the start. Where
- * discovery is asked the module has the first call and decides how soon one follows that failed;
- * whatever it decides, this side lets no more than {@link Times#firstWordMs} go by from one call to
- * the next while nobody speaks, as a change counts as told 6 s after discovery had it and could be
- * reached.
+ * Watches the endpoint list of discovery. Where discovery pushes the list, a watch is open from the
+ * start. Where the list has to be requested, the decision module makes the first call and decides
+ * how soon a call follows a failed one. In either case this class makes the next call no later than
+ * {@link Times#firstResponseTimeoutMs} after one that got no response, because a change counts as
+ * notified 6 s after discovery has it and is reachable.
  *
- * <p>One watch is the present one. Those that were opened to follow it are asked beside it, and the
- * first that says a whole word, a list or a heartbeat, takes its place: nobody stops listening to
- * one that may still speak. One timer, {@link #alarm}, owns what happens next.
+ * <p>One watch is the current one. Its possible successors are opened beside it, and the first of
+ * them that delivers a complete message, an endpoint list or a heartbeat, replaces it. So a watch
+ * that may still deliver is never closed early. A single timer, {@link #timer}, triggers the next
+ * step.
  */
 final class Discovery {
 
     /**
-     * How long a watch may say nothing, how soon another is opened beside one that has not said its
-     * first word, and the longest that goes by after the end of one that had spoken, or after
-     * something that could not be read.
+     * Timeouts of watches.
+     *
+     * @param silenceTimeoutMs time without a message after which a watch is considered broken
+     * @param firstResponseTimeoutMs time after which another watch is opened beside one that has
+     *     not delivered its first message
+     * @param maxBackoffMs longest pause after the end of a watch that had delivered messages, or
+     *     after a malformed message
      */
     record Times(long silenceTimeoutMs, long firstResponseTimeoutMs, long maxBackoffMs) {
         /**
-         * A heartbeat comes every 2 s, and what a silent watch misses counts as told 6 s after its
-         * last: two missed, and the rest is for a new one. The agent that pushes is on this machine
-         * and answers at once, at no cost.
+         * For an agent that pushes the list. Heartbeats arrive every 2 s, and what a silent watch
+         * misses counts as notified 6 s after its last message; 4.5 s allow two missed heartbeats
+         * and leave the rest for a new watch. The agent runs on the same machine and answers
+         * immediately, so another attempt is cheap.
          */
         static final Times PUSHED = new Times(4500, 150, 150);
 
         /**
-         * A service that is asked serves calls in turn, and gives them up after 2 s: one that is
-         * reached just after a call was lost has the next within 1.9 s and its answer here within
-         * 3.9. Where a watch that had spoken breaks, the module's own call comes before 400 ms.
+         * For a service that has to be asked. It handles calls one after another and abandons a
+         * call after 2 s. If it becomes reachable just after a call was lost, the next call follows
+         * within 1.9 s and its response arrives within 3.9 s. If a watch that had delivered
+         * messages breaks, the module calls again before 400 ms have passed.
          */
         static final Times ASKED = new Times(4500, 1900, 400);
     }
@@ -69,21 +76,22 @@
     private static final long INITIAL_BACKOFF_MS = 50;
 
     /**
-     * A list that comes on is waited for, as another would bring the same bytes again and be later:
-     * the whole list of a large fleet takes longer than {@link Times#firstWordMs} to read. It comes
-     * on if so much was read since the last look, and is waited for so long at most.
+     * A list that is still arriving is waited for, because another call would transfer the same
+     * bytes again and complete later: the full list of a large fleet takes longer to read than
+     * {@link Times#firstResponseTimeoutMs}. A transfer makes progress if this many bytes were read
+     * since the last check, and is waited for up to {@link #MAX_TRANSFER_MS}.
      */
     private static final int MIN_PROGRESS_BYTES = 16_384;
 
     private static final long MAX_TRANSFER_MS = 1000;
     private static final long PROGRESS_CHECK_INTERVAL_MS = 150;
 
-    /** Watches that may be waited for at once. */
+    /** Maximum number of watches waiting for their first message. */
     private static final int MAX_PENDING_WATCHES = 4;
 
     /**
-     * For so many that are opened after its last byte the quietest of them stays: an agent that is
-     * late is late for each.
+     * Number of watches that may be opened after a watch's last byte before that watch may be
+     * closed: a slow agent is slow for all of them, so a newer watch would not be faster.
      */
     private static final int MAX_OPENED_SINCE_LAST_BYTE = 20;
 
@@ -100,7 +108,7 @@
     private final EndpointListDiff listDiff = new EndpointListDiff();
     private final Deque<Watch> pendingWatches = new ArrayDeque<>();
 
-    /** How many watches were opened. */
+    /** Number of watches opened so far. */
     private long openedCount;
 
     private Watch currentWatch;
@@ -108,15 +116,15 @@
     private long version;
 
     /**
-     * Whether something that the present watch told could not be read; {@link #version} stands
-     * still from then on.
+     * Whether a message of the current watch was malformed, so that an update may be missing.
+     * {@link #version} does not advance from then on.
      */
     private boolean updateMissed;
 
     private long backoffMs = INITIAL_BACKOFF_MS;
     private Future<?> timer;
 
-    /** {@code heard} runs at every list and heartbeat. */
+    /** {@code onMessage} runs at every endpoint list and heartbeat. */
     Discovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -128,7 +136,7 @@
         this(loop, address, proxy, storedList, pushed, times, onMessage, NioSocketChannel::new);
     }
 
-    /** For tests: with channels that may fail to be made, as where no descriptor is left. */
+    /** For tests: with channels that cannot be created, as without free file descriptors. */
     Discovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -150,7 +158,7 @@
                 System::nanoTime);
     }
 
-    /** For tests: with a monotonic clock of theirs too, in nanoseconds. */
+    /** For tests: also with a given monotonic clock in nanoseconds. */
     Discovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -183,9 +191,9 @@
     }
 
     /**
-     * Goes on at another address, from nothing: what the old one numbered may mean something else
-     * there. The module keeps its list until the new one has told its own; nothing more of the old
-     * watch is heard.
+     * Moves to another address and starts from version 0 there, as version numbers of the old
+     * address may have another meaning. The module keeps its endpoint list until the new address
+     * has delivered one. Messages of the old watch are ignored.
      */
     void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -206,8 +214,8 @@
     }
 
     /**
-     * The module's call; without effect while one is out already or the watch is well, as it may
-     * come late.
+     * Called by the decision module. The call may come late, so it has no effect while another
+     * watch is pending or the current one is healthy.
      */
     void subscribe() {
         if (pendingWatches.isEmpty()
@@ -219,8 +227,8 @@
     }
 
     /**
-     * Asks for a watch from the last version seen; the present one is heard until the new one has
-     * spoken.
+     * Opens a watch from the last version seen. The current watch stays active until the new one
+     * has delivered a message.
      */
     private void openWatch() {
         if (pendingWatches.size() >= MAX_PENDING_WATCHES) {
@@ -234,7 +242,7 @@
         pendingWatches.addLast(new Watch());
     }
 
-    /** Opens another beside those that are asked, unless the list of one of them is on its way. */
+    /** Opens another watch unless a list is arriving on one of the pending watches. */
     private void openUnlessReceiving() {
         boolean receiving = false;
         for (Watch watch : pendingWatches) {
@@ -248,8 +256,8 @@
     }
 
     /**
-     * Those that have begun to speak stay as long as the quietest may, and so does the first of
-     * those that have not.
+     * Selects the pending watch to close. Watches that have received bytes are kept up to {@link
+     * #MAX_OPENED_SINCE_LAST_BYTE}, and so is the oldest of those that have not received any.
      */
     private Watch leastPromising() {
         List<Watch> byLastByte =
@@ -276,8 +284,8 @@
     }
 
     /**
-     * A watch has said a whole word: it is the present one from here on, and no other is waited
-     * for.
+     * A watch has delivered a complete message. It becomes the current watch, and the pending ones
+     * are closed.
      */
     private void messageReceived(Watch watch) {
         lastMessageNanos = nanoClock.getAsLong();
@@ -306,8 +314,8 @@
     }
 
     /**
-     * Looks whether the present watch has fallen silent: then it is broken, as missed heartbeats
-     * are the only sign of that.
+     * Checks whether the current watch has become silent. Missed heartbeats are the only sign that
+     * a watch is broken.
      */
     private void checkSilence() {
         long quietMs = msSinceLastMessage();
@@ -324,7 +332,7 @@
         }
     }
 
-    /** Asked for anew, unless it was only late. */
+    /** Opens a watch if the current one is still silent, not merely late. */
     private void reopenIfSilent() {
         if (msSinceLastMessage() < times.silenceTimeoutMs) {
             checkSilence();
@@ -333,7 +341,7 @@
         }
     }
 
-    /** A watch has ended; those that were given up before are of no interest any more. */
+    /** A watch has ended. Watches that were closed deliberately are ignored. */
     private void watchEnded(Watch watch) {
         boolean wasCurrent = watch == currentWatch;
         if (wasCurrent) {
@@ -345,7 +353,7 @@
             log.warnLimited("watch_lost", "version", version);
         }
         if (!pendingWatches.isEmpty()) {
-            // Another is waited for already.
+            // Another watch is pending already.
             return;
         }
         if (pushed) {
@@ -355,13 +363,13 @@
         if (wasCurrent) {
             setTimer(times.maxBackoffMs, this::openWatch);
         }
-        // After a call that failed the alarm runs on from its start.
+        // After a failed call the timer that was set when the call was made stays in effect.
         proxy.discoveryFailed();
     }
 
     /**
-     * The pause grows until a list has been read: one that never can be is not to be asked for
-     * without end.
+     * Opens a watch after a pause. The pause grows until a list has been read, so that a list that
+     * can never be parsed is not requested at a high rate.
      */
     private void retryLater() {
         setTimer(backoffMs, this::openWatch);
@@ -369,26 +377,26 @@
                 Math.min(pushed ? times.maxBackoffMs : times.firstResponseTimeoutMs, 2 * backoffMs);
     }
 
-    /** One connection to discovery. */
+    /** One watch: a connection to discovery with a streamed response. */
     private final class Watch implements JsonObjectSplitter.Sink {
         private final ChannelFuture connecting;
         private final Channel channel;
         private final JsonObjectSplitter splitter = new JsonObjectSplitter(this);
 
-        /** What it was asked to go on from. */
+        /** The version after which updates were requested. */
         private final long fromVersion = version;
 
-        /** How many had been opened when its last byte came. */
+        /** The number of watches opened when this watch's last byte arrived. */
         private long openedAtLastByte = openedCount;
 
         private boolean hasData;
 
-        /** What was wrong with the answer; null where it was only closed. */
+        /** Why the response was rejected; null if the connection was only closed. */
         private String failure;
 
         private long firstByteNanos;
 
-        /** Bytes of its body so far, and those that there were at the last look. */
+        /** Body bytes received so far, and their number at the last progress check. */
         private long receivedBytes;
 
         private long receivedAtLastCheck;
@@ -423,7 +431,7 @@
                             request.headers().set(HttpHeaderNames.HOST, "discovery.internal");
                             channel.writeAndFlush(request);
                         } else if (!loop.isShuttingDown()) {
-                            // Without a descriptor there was no channel, and none that closes.
+                            // Without a file descriptor no channel was created, so none closes.
                             loop.execute(() -> watchEnded(this));
                         }
                     });
@@ -435,7 +443,7 @@
             }
         }
 
-        /** Why it has ended, for the log. */
+        /** Why the watch has ended, for the log. */
         private String failureMessage() {
             if (connecting.cause() != null) {
                 return connecting.cause().getMessage();
@@ -443,7 +451,7 @@
             return failure == null ? "closed by discovery" : failure;
         }
 
-        /** Whether much of it has come since the last look, and it began lately. */
+        /** Whether it has made progress since the last check and its transfer began recently. */
         private boolean isReceiving() {
             boolean hasProgress = receivedBytes - receivedAtLastCheck >= MIN_PROGRESS_BYTES;
             receivedAtLastCheck = receivedBytes;
@@ -479,7 +487,7 @@
                         .forEach(
                                 endpoint ->
                                         Log.event(
-                                                "list",
+                                                "endpoint_list_changed",
                                                 "version",
                                                 update.version(),
                                                 "node",
@@ -501,7 +509,7 @@
                 onMessage.run();
                 return true;
             } catch (RuntimeException e) {
-                log.warnLimited("list_dropped", "cause", e.getMessage());
+                log.warnLimited("endpoint_list_rejected", "cause", e.getMessage());
                 return false;
             }
         }
@@ -514,7 +522,7 @@
             }
         }
 
-        /** What it should have said is asked for again, from the last that was understood. */
+        /** Requests the updates again from the last version that was read completely. */
         @Override
         public void malformed() {
             if (!isActive()) {
@@ -522,18 +530,18 @@
             }
             messageReceived(this);
             if (!updateMissed) {
-                log.warnLimited("list_spoilt", "version", version);
+                log.warnLimited("endpoint_list_malformed", "version", version);
                 updateMissed = true;
                 retryLater();
             }
         }
 
-        /** Passes on what a good answer's body holds; any other answer ends the try. */
+        /** Passes on the body of a successful response; any other response ends the watch. */
         private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
                 if (part.decoderResult().isFailure()) {
-                    failure = "not HTTP";
+                    failure = "invalid HTTP response";
                     ctx.close();
                 } else if (part instanceof HttpResponse head
                         && !head.status().equals(HttpResponseStatus.OK)) {
@@ -554,7 +562,7 @@
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                 failure = cause.getMessage();
                 if (!outage.hasFailed()) {
-                    log.warnLimited("watch_broke", "cause", cause);
+                    log.warnLimited("watch_failed", "cause", cause);
                 }
                 ctx.close();
             }
--- a/src/main/java/cacheproxy/proxy/DiscoveryOutage.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryOutage.java
@@ -5,40 +5,41 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells the log of an outage of discovery: once when it has lasted for {@link #UNREACHABLE_MS}, and
- * once when something is heard again. Decides nothing about attempts. Used on the event loop alone.
+ * Logs outages of discovery: once when an outage has lasted for {@link #UNREACHABLE_AFTER_MS}, and
+ * once when a message is received again. Does not influence the attempts. Not thread-safe: it is
+ * used on the event loop only.
  */
 final class DiscoveryOutage {
 
-    /** How long nothing may be heard before that is worth a line of the log. */
+    /** Time without a message after which discovery is logged as unreachable. */
     static final long UNREACHABLE_AFTER_MS = 4000;
 
     private static final String NO_ANSWER = "no answer";
 
     private final LongSupplier nanoClock;
 
-    /** When the last word came from discovery, or else the first attempt began. */
+    /** When the last message was received, or before any message when the first attempt began. */
     private long silentSinceNanos;
 
     private boolean started;
 
-    /** Attempts since the last word, or since the last move to another address. */
+    /** Attempts since the last message or the last change of the address. */
     private int attemptCount;
 
-    /** Whether one has failed since then. */
+    /** Whether one of these attempts has failed. */
     private boolean hasFailed;
 
     private String lastError = NO_ANSWER;
 
-    /** The address that the log told of as unreachable; null where it told of no outage. */
+    /** The address that was logged as unreachable; null while no outage is logged. */
     private InetSocketAddress reportedAddress;
 
-    /** {@code nanos} is a monotonic clock, in nanoseconds. */
+    /** {@code nanoClock} is a monotonic clock in nanoseconds. */
     DiscoveryOutage(LongSupplier nanoClock) {
         this.nanoClock = nanoClock;
     }
 
-    /** An attempt begins at this address. */
+    /** An attempt to reach discovery at this address begins. */
     void attemptStarted(InetSocketAddress address) {
         if (!started) {
             started = true;
@@ -60,7 +61,10 @@
         attemptCount++;
     }
 
-    /** An attempt, or a watch that had spoken, has failed; true for the first since that word. */
+    /**
+     * An attempt, or a watch that had received messages, has failed. Returns true for the first
+     * failure since the last message.
+     */
     boolean attemptFailed(String error) {
         boolean first = !hasFailed;
         hasFailed = true;
@@ -72,7 +76,7 @@
         return hasFailed;
     }
 
-    /** Discovery has said a whole word, from this address. */
+    /** A complete message was received from this address. */
     void messageReceived(InetSocketAddress address) {
         if (reportedAddress != null) {
             Log.event("discovery_restored", "address", address, "after_ms", silentMs());
@@ -83,7 +87,7 @@
         resetAttempts();
     }
 
-    /** From here on the attempts go to another address. */
+    /** Further attempts go to another address. */
     void addressChanged() {
         resetAttempts();
     }
--- a/src/main/java/cacheproxy/proxy/EndpointListDiff.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListDiff.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 
 /**
- * Picks what is worth a line of the log from each list: weights alone change many times a second in
- * a large fleet.
+ * Selects the changes of the endpoint list that are logged. Changes of weights alone are left out:
+ * they occur many times per second in a large fleet.
  */
 final class EndpointListDiff {
 
     private final Map<String, Endpoint> lastReported = new HashMap<>();
 
     /**
-     * Hosts that came, went, moved, started anew or changed their availability since the list
-     * before.
+     * Returns the endpoints that were added, removed, moved or restarted or that changed their
+     * availability since the previous update.
      */
     List<Endpoint> changedEndpoints(EndpointListUpdate update) {
         List<Endpoint> changed = new ArrayList<>();
--- a/src/main/java/cacheproxy/proxy/EndpointListUpdate.java
+++ b/src/main/java/cacheproxy/proxy/EndpointListUpdate.java
@@ -10,10 +10,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One message of discovery: the whole list of hosts, or those that changed. */
+/**
+ * One message from discovery.
+ *
+ * @param version sequence number of this state of the endpoint list
+ * @param snapshot whether {@code endpoints} is the complete list; otherwise it contains only the
+ *     entries that changed
+ */
 public record EndpointListUpdate(long version, boolean snapshot, List<Endpoint> endpoints) {
 
-    /** A host and where this proxy reaches it. */
+    /** A node and the address at which this proxy reaches it. */
     record Endpoint(Node node, SocketAddress address) {}
 
     public EndpointListUpdate {
@@ -24,7 +30,12 @@
         return endpoints.stream().map(Endpoint::node).toList();
     }
 
-    /** Parses all of it or throws, so that a bad entry never leaves half a list applied. */
+    /**
+     * Parses the whole message.
+     *
+     * @throws IllegalArgumentException if any entry is invalid, so that an update is never applied
+     *     in part
+     */
     static EndpointListUpdate parse(JsonObject json) {
         try {
             List<Endpoint> endpoints = new ArrayList<>();
@@ -37,7 +48,7 @@
                     requiredField(json, "whole").getAsBoolean(),
                     endpoints);
         } catch (IllegalStateException | UnsupportedOperationException | ClassCastException e) {
-            throw new IllegalArgumentException("host list: " + e.getMessage());
+            throw new IllegalArgumentException("endpoint list: " + e.getMessage());
         }
     }
 
@@ -49,7 +60,8 @@
                     case "removed" -> Availability.GONE;
                     default ->
                             throw new IllegalArgumentException(
-                                    "host list: unknown health " + json.get("health"));
+                                    "endpoint list: health must be up, draining or removed, not "
+                                            + json.get("health"));
                 };
         boolean hasAddress =
                 availability != Availability.GONE
@@ -71,7 +83,7 @@
     private static JsonElement requiredField(JsonObject json, String name) {
         JsonElement value = json.get(name);
         if (value == null || value.isJsonNull()) {
-            throw new IllegalArgumentException("host list: " + name + " is missing");
+            throw new IllegalArgumentException("endpoint list: " + name + " is missing");
         }
         return value;
     }
--- a/src/main/java/cacheproxy/proxy/IdleTimeoutEstimator.java
+++ b/src/main/java/cacheproxy/proxy/IdleTimeoutEstimator.java
@@ -3,12 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Learns at what idle age kept connections turn out to be dead. Hosts and middleboxes close them
- * long before the time that is stated, and the news of it crosses the next request, which then ends
- * as a reset. An age at which connections break clearly more often than new ones do is too old.
- * Also guards against hosts that restart unseen and address translators that forget. Could do harm
- * where a request and not its connection is what breaks, at one age by chance: it costs handshakes,
- * so ages under a floor are never too old, and what was learned fades.
+ * Estimates from which idle time on reused connections turn out to be dead. Hosts and middleboxes
+ * may close idle connections long before the documented timeout; the close then crosses the next
+ * request, which ends as a reset. An idle time at which reused connections fail clearly more often
+ * than new ones is too long. This also covers hosts that restart unnoticed and address translators
+ * that drop their mappings. If requests rather than connections fail, chance can make one idle time
+ * look bad, which costs handshakes; therefore idle times below a minimum are always accepted, and
+ * past observations decay.
  */
 final class IdleTimeoutEstimator {
 
@@ -16,31 +17,35 @@
     private static final double BUCKET_RATIO = 1.4;
     private static final int BUCKETS = 32;
 
-    /** No younger connection is too old: each handshake costs more than a reset now and then. */
+    /** Shorter idle times are always accepted: a handshake costs more than an occasional reset. */
     private static final double MIN_TIMEOUT_MS = 40;
 
     /**
-     * Uses that every age is taken to have had and to have gone well, so that one break proves
-     * nothing.
+     * Successful uses that each bucket is assumed to have had already, so that a single failure is
+     * not significant.
      */
     private static final double PRIOR_USES = 10;
 
     /**
-     * By how much a kept connection may break more often than a new one, for the handshake that it
-     * saves.
+     * By how much the failure rate of reused connections may exceed that of new ones, in return for
+     * the handshake that reuse saves.
      */
     private static final double MAX_EXCESS_FAILURE_RATE = 0.1;
 
     private static final double TIME_CONSTANT_MS = 20_000;
 
-    /** Uses and breaks by age; the first place is for new connections. */
+    /** Uses and failures by idle time; bucket 0 is for new connections. */
     private final double[] uses = new double[BUCKETS + 1];
 
     private final double[] failures = new double[BUCKETS + 1];
     private double timeoutMs = Double.POSITIVE_INFINITY;
     private long updatedNanos;
 
-    /** An exchange on a connection that had been idle for so long, or 0 on a new one, ended. */
+    /**
+     * Records the end of an attempt.
+     *
+     * @param idleMs how long its connection had been idle, or 0 if the connection was new
+     */
     void recordUse(double idleMs, boolean failed, long nowNanos) {
         decay(nowNanos);
         int bucket = idleMs <= 0 ? 0 : bucketOf(idleMs);
@@ -48,7 +53,7 @@
         failures[bucket] += failed ? 1 : 0;
     }
 
-    /** The idle time from which on a connection is not used any more. */
+    /** The idle time from which on a connection must not be reused; infinite if there is none. */
     double timeoutMs(long nowNanos) {
         if (nowNanos - updatedNanos > TimeUnit.MILLISECONDS.toNanos(100)) {
             decay(nowNanos);
@@ -87,7 +92,7 @@
                                                         / Math.log(BUCKET_RATIO))));
     }
 
-    /** The shortest idle time of an age. */
+    /** The shortest idle time of a bucket. */
     private static double lowerBoundMs(int bucket) {
         return bucket == 1 ? 0 : FIRST_BUCKET_MS * Math.pow(BUCKET_RATIO, bucket - 2);
     }
--- a/src/main/java/cacheproxy/proxy/NodeChannel.java
+++ b/src/main/java/cacheproxy/proxy/NodeChannel.java
@@ -6,21 +6,20 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * A socket to a node that can be asked whether anything has come on it that the loop has not read
- * yet.
+ * A socket to a node that can tell whether input has arrived that the event loop has not read yet.
  */
 final class NodeChannel extends NioSocketChannel {
 
     NodeChannel() {}
 
-    /** Over a socket of the given provider. */
+    /** Creates a channel on a socket of the given provider. */
     NodeChannel(SelectorProvider provider) {
         super(provider);
     }
 
     /**
-     * Whether neither bytes nor an end wait in the kernel. One byte is taken if there is one, so a
-     * connection that is not quiet is of no use any more.
+     * Whether neither bytes nor an end of stream are waiting in the kernel. If there are bytes, one
+     * of them is consumed, so a connection with pending input cannot be used any more.
      */
     boolean hasNoPendingInput() {
         try {
--- a/src/main/java/cacheproxy/proxy/NodePool.java
+++ b/src/main/java/cacheproxy/proxy/NodePool.java
@@ -53,32 +53,35 @@
 import java.util.stream.Collectors;
 
 /**
- * Connections to the cache nodes and the origin. Each carries one exchange at a time; the newest
- * idle one is used first, so that the rest age and close. Nothing is ever sent a second time from
- * here: every exchange ends once, with the outcome that its own connection showed.
+ * The connections to the cache nodes and the origin. Each connection carries one attempt at a time.
+ * The most recently used idle connection is reused first, so that the others age and are closed.
+ * The pool never retries: every attempt ends exactly once, with the outcome that its own connection
+ * showed.
  */
 final class NodePool {
 
     /**
-     * Idle connections close at this part of the node's own limit: one that it closes first loses a
-     * request.
+     * The part of the node's own idle timeout after which an idle connection is closed. If the node
+     * closed it first, a request written at that moment would be lost.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
 
     /**
-     * How long a connection rests between two exchanges: a second copy of the answer that comes a
-     * moment late would be taken for the next one's. Counted by timers, which run after all that
-     * has arrived was read, also after a pause.
+     * Pause before a connection is reused after a response. A duplicate of the response that
+     * arrives slightly later would be taken for the response to the next request. The pause is
+     * measured by timers, which run after all input that has arrived was read, even if the process
+     * was stopped for a while.
      */
     private static final long REUSE_PAUSE_MS = 4;
 
-    /** Idle connections are looked through so often in the time that they may stand. */
+    /** Number of sweeps for idle connections per idle timeout. */
     private static final double SWEEPS_PER_IDLE_TIMEOUT = 10;
 
     /**
-     * An answer that has begun and does not end in this part of the shortest aim, or at most in so
-     * long, is spoilt: nodes write theirs in one go, and where one came in part its rest never did.
-     * It can then still be had elsewhere in time.
+     * A response that has begun but makes no progress for this fraction of the shortest latency
+     * objective, limited by {@link #MAX_STALL_TIMEOUT_MS}, is treated as broken: nodes write a
+     * response at once, and when one arrived in part its rest never followed. This leaves enough
+     * time to get the response from another node.
      */
     private static final double STALL_TIMEOUT_FRACTION = 0.25;
 
@@ -118,8 +121,10 @@
     }
 
     /**
-     * {@code nanos} is the clock that idle times and pauses are read from; {@code seed} spreads the
-     * pauses.
+     * Creates a pool with a given clock.
+     *
+     * @param seed seed of the random spread of the back-off pauses
+     * @param nanoClock clock for idle times and pauses, in nanoseconds
      */
     NodePool(
             EventLoop loop,
@@ -139,7 +144,7 @@
                 nanoClock);
     }
 
-    /** {@code client} says over what connections are made. */
+    /** Creates a pool whose connections are made by {@code baseBootstrap}. */
     NodePool(
             EventLoop loop,
             Bootstrap baseBootstrap,
@@ -158,7 +163,7 @@
                 baseBootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, this.connectTimeoutMs);
     }
 
-    /** Takes to heart how soon answers are wanted. */
+    /** Derives the stall timeout from the latency objectives of the served classes. */
     void setServiceClasses(List<ServiceClass> classes) {
         stallTimeoutMs = stallTimeoutMs(classes);
     }
@@ -174,9 +179,10 @@
     }
 
     /**
-     * Takes in the list. Idle connections to a host that drains, left, moved or started anew are of
-     * no use, and what has not been written there is not to be any more. The latter ends when the
-     * result runs: whoever is told of it then has to know the list.
+     * Applies an endpoint list update. Closes idle connections to endpoints that are draining, have
+     * left, have moved or have been restarted. Attempts that are not yet written there must not be
+     * written any more; they end when the returned action runs, because whoever is notified of
+     * their end has to know the new list by then.
      */
     Runnable applyEndpointList(EndpointListUpdate update) {
         List<Runnable> cancellations = new ArrayList<>();
@@ -215,7 +221,7 @@
         }
     }
 
-    /** Ends what waits for a connection there, one that is coming up as well. */
+    /** Ends the attempts that wait for a connection there, including one being established. */
     private static void cancelUnwritten(Target target, Outcome outcome) {
         List.copyOf(target.connecting).forEach(attempt -> attempt.abandon(outcome));
         for (UpstreamAttempt attempt = target.pollWaiting();
@@ -226,8 +232,8 @@
     }
 
     /**
-     * Closes what carries nothing there, and ends what waits for a connection: its request has not
-     * been written.
+     * Closes the idle connections to a node and ends the attempts that wait for a connection to it,
+     * since none of their bytes have been written.
      */
     void closeIdle(String node) {
         Target target = targets.get(node);
@@ -249,20 +255,20 @@
         return connectionCount;
     }
 
-    /** Connections to one node, busy and idle. */
+    /** Number of connections to one node, busy and idle. */
     int connectionCount(String node) {
         Target target = targets.get(node);
         return target == null ? 0 : target.connectionCount;
     }
 
-    /** Whether no connection is in the pause that follows an answer. */
+    /** Whether no connection is in the pause that follows a response. */
     boolean hasNoPausingConnection() {
         return pausing.isEmpty();
     }
 
     /**
-     * Starts an exchange that is given up after {@code timeoutMs}. The request is made when a
-     * connection is there to write it to, so that the budget it names is what is left then.
+     * Starts an attempt that times out after {@code timeoutMs}. The request is built when a
+     * connection is ready for it, so that the budget it states is what remains at that time.
      */
     UpstreamAttempt send(
             String node,
@@ -273,8 +279,11 @@
     }
 
     /**
-     * As above, with a body that flows behind the request's head, null where the request is whole,
-     * and with its last byte written within {@code writeWithinMs} or never.
+     * Starts an attempt whose body is streamed behind the head.
+     *
+     * @param upload the body, or null if the request is complete
+     * @param writeWithinMs time until the last byte must have been written; otherwise the attempt
+     *     ends as never sent
      */
     UpstreamAttempt send(
             String node,
@@ -303,18 +312,18 @@
         } else if (connectionCount < maxConnections || closeOldestIdle()) {
             connect(target, attempt);
         } else {
-            // Out of descriptors: opening one more could leave none for a client that is being
-            // accepted. The node is
-            // not to blame, so this must not look like a failure of its own.
+            // The connection limit is reached: another socket could leave no descriptor for a
+            // client that is being accepted. That is no fault of the node, so the outcome must not
+            // count as a failure of the node.
             attempt.finish(Outcome.NEVER_SENT, null);
         }
         return attempt;
     }
 
     /**
-     * Until a connection of ours comes free or one more may be tried, and no longer than making one
-     * may take: what waits until its own time is up is answered late, and the module learns of it
-     * too late.
+     * Queues an attempt until a connection becomes free or one more may be opened, but no longer
+     * than connecting may take. If it waited until its own timeout, the response would be late and
+     * the decision module would learn of it too late.
      */
     private void enqueue(Target target, UpstreamAttempt attempt) {
         target.waiting.addLast(attempt);
@@ -333,7 +342,7 @@
         }
     }
 
-    /** Tries one more connection for the exchange that has waited longest. */
+    /** Opens one more connection for the attempt that has waited longest. */
     private void connectNext(Target target) {
         target.connectScheduled = false;
         if (!target.backoff.isPausing(nanoClock.getAsLong())
@@ -363,7 +372,7 @@
         return null;
     }
 
-    /** Closes what has been idle for too long; runs as long as something is idle. */
+    /** Schedules the next sweep for expired idle connections while there are idle connections. */
     private void scheduleIdleSweep() {
         if (!idleSweepScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
             idleSweepScheduled = true;
@@ -425,8 +434,8 @@
                                 })
                         .connect(target.address);
         if (connectFuture.isDone()) {
-            // Connecting itself is a later step: no socket could be made, as descriptors are out,
-            // and the node is not to blame.
+            // Connecting itself completes later, so no socket could be created: the process is out
+            // of descriptors, which is no fault of the node.
             attempt.finish(Outcome.NEVER_SENT, null);
             return;
         }
@@ -464,7 +473,7 @@
         }
     }
 
-    /** Makes room for a connection that is needed now; false if every one is busy. */
+    /** Closes the oldest idle connection for a new one; false if all connections are busy. */
     private boolean closeOldestIdle() {
         Connection oldest = pausing.peekFirst();
         for (Target target : targets.values()) {
@@ -482,21 +491,21 @@
         return oldest != null;
     }
 
-    /** A host's address, its idle connections, newest first, and what waits for one. */
+    /** An endpoint's address, its idle connections, newest first, and the attempts waiting. */
     private static final class Target {
         final SocketAddress address;
         final double startedAtMs;
         final Deque<Connection> idle = new ArrayDeque<>();
 
         /**
-         * False once the list has moved on: connections that come free then must not wait for a
-         * use.
+         * False once the endpoint has left, moved or restarted: connections that become free are
+         * then closed rather than kept idle.
          */
         boolean listed = true;
 
         final Deque<UpstreamAttempt> waiting = new ArrayDeque<>();
 
-        /** Those for which a connection is being opened. */
+        /** Attempts for which a connection is being established. */
         final Set<UpstreamAttempt> connecting = new HashSet<>();
 
         int connectionCount;
@@ -517,7 +526,7 @@
         }
     }
 
-    /** Hands connections back whose rest is over; runs as long as some are left. */
+    /** Makes connections available whose pause has ended; reschedules itself while any remain. */
     private void endPauses() {
         long now = nanoClock.getAsLong();
         while (!pausing.isEmpty()
@@ -536,7 +545,7 @@
         }
     }
 
-    /** One connection to a host. */
+    /** One connection to an endpoint. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Target target;
         private final StrictHttp.ResponseDecoder decoder = new StrictHttp.ResponseDecoder();
@@ -545,35 +554,34 @@
         private UpstreamAttempt currentAttempt;
 
         /**
-         * The whole answer, until the read that brought it is over and shows whether more came with
-         * it.
+         * The complete response, held until the current read ends, which shows whether surplus
+         * bytes came with it.
          */
         private FullHttpResponse completeResponse;
 
         private boolean hasSurplusInput;
         private int matchedStartBytes;
 
-        /** When its latest bytes came. */
+        /** When the latest bytes were received, in nanoseconds. */
         private long lastReadNanos;
 
-        /** Whether the long answer that flows on it leaves it open. */
+        /** Whether the connection may be kept open after the streamed response. */
         private boolean keepAliveAfterStream;
 
-        /**
-         * Whether nothing but the connection's end ends the long answer; and whether the node has
-         * ended its half, no reset.
-         */
+        /** Whether the streamed response ends only with the connection. */
         private boolean closeDelimited;
 
+        /** Whether the node has closed its sending side in order, as opposed to a reset. */
         private boolean inputShutdown;
+
         private Future<?> stallTimer;
         private long idleSinceNanos;
         private boolean usedBefore;
         private boolean hasAnswered;
 
         /**
-         * Opened after one was turned away: only such a one tells whether the node takes
-         * connections again.
+         * Whether it was opened after the node rejected a connection. Only such a connection shows
+         * whether the node accepts connections again.
          */
         private final boolean openedAfterRejection;
 
@@ -593,8 +601,8 @@
             attempt.connectionIdleMs = usedBefore ? idleMs(nanoClock.getAsLong()) : 0;
             usedBefore = true;
             attempt.channel = context.channel();
-            // The promise covers head and body: it fails if the connection breaks before the last
-            // byte is written.
+            // The promise covers the head and a complete body: it fails if the connection breaks
+            // before the last byte is written.
             context.writeAndFlush(attempt.buildRequest())
                     .addListener(
                             f -> {
@@ -618,8 +626,8 @@
         }
 
         /**
-         * Whether nothing has come on it since its last answer: neither an end nor bytes that the
-         * next answer would begin with.
+         * Whether the connection is open and nothing has arrived since its last response: neither
+         * an end of stream nor bytes that would be read as the start of the next response.
          */
         boolean isUsable() {
             return context.channel().isActive()
@@ -631,7 +639,7 @@
             return Math.max(1, now - idleSinceNanos) / 1e6;
         }
 
-        /** Whether bytes that have come can belong to the answer that is awaited. */
+        /** Whether bytes that have arrived can belong to the pending response. */
         private boolean isExpected(ByteBuf buffer) {
             if (currentAttempt == null
                     || currentAttempt.finished && currentAttempt.bodyConsumer == null
@@ -661,8 +669,8 @@
         }
 
         /**
-         * A long answer: what is not good would be passed on in vain, and of one by far too long
-         * the rest never ends.
+         * Starts a streamed response. Fails the attempt if the response is not a success, which
+         * would be passed on in vain, or if its end cannot be detected, as it might never end.
          */
         private void startStreaming(ChannelHandlerContext ctx, HttpResponse head) {
             if (currentAttempt == null || completeResponse != null) {
@@ -699,8 +707,8 @@
         }
 
         /**
-         * The node has answered on it: if it was tried after one was turned away, there is room
-         * again.
+         * Records that the node has answered on this connection. If the connection was opened after
+         * a rejection, the node has capacity for connections again.
          */
         private void recordAnswered() {
             if (!hasAnswered && openedAfterRejection) {
@@ -717,8 +725,8 @@
             } else if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
                 matchedStartBytes = 0;
             } else if (!declaresLength(response) && !(inputShutdown && announcesClose(response))) {
-                // Nothing but the end of the connection ended it, so nobody can tell whether it is
-                // whole; a reset is no end.
+                // Only the end of the connection delimits this response, and the node did not
+                // close it in order, so the response may be truncated.
                 currentAttempt.connectionBroken();
             } else {
                 completeResponse = response.retain();
@@ -737,7 +745,7 @@
             }
         }
 
-        /** An answer that comes on in pieces is waited for; one that has stopped is not. */
+        /** Fails the attempt if no more bytes of its response arrive within the stall timeout. */
         private void scheduleStallCheck(
                 ChannelHandlerContext ctx, UpstreamAttempt watchedAttempt, double waitMs) {
             stallTimer =
@@ -766,7 +774,8 @@
         }
 
         /**
-         * Ends the exchange with its answer. What came behind it would be taken for the next one's.
+         * Ends the attempt with its complete response. If surplus bytes arrived with it, the
+         * connection is closed, because they would be taken for the next response.
          */
         private void finishAttempt() {
             FullHttpResponse response = completeResponse;
@@ -777,8 +786,8 @@
             keepOrClose(attempt, !hasSurplusInput && HttpUtil.isKeepAlive(response));
             Outcome outcome = outcomeOf(response);
             if (!hasAnswered && outcome == Outcome.REJECTED && !HttpUtil.isKeepAlive(response)) {
-                // A new connection that is closed again unheard: the node's table is full, whatever
-                // its cores do.
+                // A new connection that is rejected and closed at once: the node's connection table
+                // is full, which says nothing about the load of its cores.
                 outcome = Outcome.CONNECT_FAILED;
                 target.backoff.recordRejection(nanoClock.getAsLong(), random.nextDouble());
                 hasAnswered = true;
@@ -793,11 +802,11 @@
         }
 
         /**
-         * Keeps the connection for another exchange if it may be, and if all was read and written
-         * on it that was due.
+         * Keeps the connection for another attempt if that is allowed, the request has been written
+         * completely and no unread bytes remain; otherwise closes it.
          */
         private void keepOrClose(UpstreamAttempt attempt, boolean reusable) {
-            // The last part may have come while the connection was held back for its reader.
+            // Reading may still be paused for a slow client although the last part has arrived.
             context.channel().config().setAutoRead(true);
             boolean requestWritten = attempt.upload == null || attempt.written;
             if (reusable && requestWritten && !decoder.hasUnconsumedBytes() && target.listed) {
@@ -849,8 +858,8 @@
         }
 
         /**
-         * A connection that broke ends its exchange as such, also inside an answer; else the answer
-         * makes no sense.
+         * Ends the attempt and closes the connection. A broken connection is reported as such, even
+         * in the middle of a response; any other fault means that the response is invalid.
          */
         private void failAttempt(ChannelHandlerContext ctx, Throwable cause) {
             boolean broke =
@@ -872,9 +881,10 @@
         }
 
         /**
-         * Sees bytes before they are decoded. Those that come while nothing is awaited, or before
-         * the request is out, belong to an older one, and those that start no answer would only be
-         * seen as such at the end of a line.
+         * Checks bytes before they are decoded. Bytes that arrive while no response is pending, or
+         * before the request is written, belong to an earlier request. Bytes that do not start a
+         * status line are rejected here, since the decoder would notice that only at the line's
+         * end.
          */
         private final class InboundByteHandler extends ChannelInboundHandlerAdapter {
             @Override
@@ -899,7 +909,7 @@
         }
     }
 
-    /** Puts answers together; one that is longer than any may be makes no sense. */
+    /** Aggregates responses; one that exceeds the maximum length is treated as invalid. */
     private static final class ResponseAggregator extends MessageAggregator {
         @Override
         FullHttpMessage aggregate(HttpMessage head, CompositeByteBuf body) {
@@ -914,8 +924,8 @@
     }
 
     /**
-     * Whether the end of an answer can be told from its being cut off, as far as a connection's end
-     * can tell it.
+     * Whether the end of a response can be told from truncation: it declares its length, or it
+     * announces that the end of the connection ends it.
      */
     private static boolean hasDetectableEnd(HttpResponse response) {
         return declaresLength(response) || announcesClose(response);
@@ -926,7 +936,7 @@
                 || HttpUtil.isTransferEncodingChunked(response);
     }
 
-    /** Whether an answer that names no length said that its connection's end would be its own. */
+    /** Whether a response without a declared length announces that it ends with its connection. */
     private static boolean announcesClose(HttpResponse response) {
         return response.headers()
                 .contains(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE, true);
--- a/src/main/java/cacheproxy/proxy/PeerListener.java
+++ b/src/main/java/cacheproxy/proxy/PeerListener.java
@@ -9,14 +9,14 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Listens where peers' messages arrive before the proxy itself does. Peers speak only while they
- * serve clients, so hearing one during a start tells a restart in a fleet at work from the first
- * start of all. Without peers, or where the address can't be had yet, nothing is heard; the proxy's
- * own attempt to listen reports why.
+ * Listens for peer messages during a start, before the proxy itself does. Peers send only while
+ * they serve clients, so a message during the start tells a restart within a serving fleet from the
+ * fleet's first start. Without peers, or if the address cannot be bound yet, no message is
+ * received; the proxy's own attempt to bind the address reports the reason.
  */
 final class PeerListener implements Closeable {
 
-    /** Null where there was no descriptor for them; nothing is heard then. */
+    /** Null if no file descriptor was available; no message is received then. */
     private Selector selector;
 
     private DatagramChannel channel;
@@ -35,16 +35,16 @@
                         .register(selector, SelectionKey.OP_READ);
             }
         } catch (IOException e) {
-            Log.event("peers_unheard", "cause", e.getMessage());
+            Log.event("peer_socket_bind_failed", "cause", e.getMessage());
         }
     }
 
-    /** Where it listens; null where it does not. */
+    /** The bound address; null if it is not listening. */
     InetSocketAddress address() throws IOException {
         return channel == null ? null : (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Whether a message has come, or comes within so long; it is left unread. */
+    /** Whether a message has arrived or arrives within {@code waitMs}; it remains unread. */
     boolean awaitMessage(long waitMs) throws IOException {
         if (selector == null) {
             return false;
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -15,7 +15,10 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Short messages between proxies, over UDP: late, lost, or from strangers. */
+/**
+ * Short messages between proxies over UDP. Messages may be delayed or lost, and datagrams from
+ * unknown senders are dropped.
+ */
 final class PeerSocket {
 
     static final int MAX_MESSAGE_BYTES = 256;
@@ -32,7 +35,7 @@
         this(loop, config, proxy, NioDatagramChannel::new);
     }
 
-    /** With a socket whose system calls may fail, as tests have it. */
+    /** Creates an instance with a given channel factory, for tests with failing system calls. */
     PeerSocket(
             EventLoop loop,
             Config config,
@@ -60,10 +63,10 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Sends to every other proxy. */
+    /** Sends a message to every other proxy. */
     void sendToAll(byte[] contents) {
         if (channel == null || contents.length > MAX_MESSAGE_BYTES) {
-            log.warnLimited("peer_message_unsent", "bytes", contents.length);
+            log.warnLimited("peer_message_send_failed", "bytes", contents.length);
         } else if (config.peersAll() != null) {
             send(contents, config.peersAll());
         } else {
@@ -94,8 +97,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // An unreachable peer shows as an error on this socket; the socket itself is fine.
-            log.warnLimited("peer_socket", "cause", cause);
+            // An unreachable peer causes an error on this socket; the socket itself still works.
+            log.warnLimited("peer_socket_error", "cause", cause);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -32,37 +32,35 @@
 import java.util.stream.Collectors;
 
 /**
- * Joins the decision module to the sockets: every event becomes one call of the module, and what
- * the module asks for is done in order once that call has returned. All of it runs on the one event
- * loop, so there are no locks.
+ * Connects the decision module to the sockets. Every event becomes one call of the module, and the
+ * actions that the module requests are executed in order after that call has returned. Everything
+ * runs on a single event loop, so there are no locks.
  */
 final class Proxy implements Actions {
 
-    /** A time that the module gives to an attempt when it names none. */
+    /** The timeout by which the module requests an attempt that lasts until the deadline. */
     private static final double UNTIL_DEADLINE = 0;
 
     /**
-     * How late a request may have been read: its client's time runs from when it was sent. Taken
-     * off what a node is told, but no more than a part of it, so that with a hold-up of {@link
-     * Router#HOLD_UP_MS} the node is still told of no more than the client has left and the slack
-     * of 0.15 s that the terms give.
+     * How late a request may have been read, in milliseconds; its client's time runs from when it
+     * was sent. This is subtracted from the budget that a node is sent, limited to {@link
+     * #MAX_READ_DELAY_FRACTION} of it. Together they ensure that even after a stall of {@link
+     * Router#MAX_PROCESSING_DELAY_MS} the node gets no more than the client's remaining time plus
+     * the 0.15 s of tolerance in the service agreement.
      */
     private static final double MAX_READ_DELAY_MS = 25;
 
     private static final double MAX_READ_DELAY_FRACTION = 0.25;
 
     /**
-     * When a timer whose handling failed is tried again: without it one fault would end all later
-     * intervals.
+     * Delay after which a timer is repeated if handling it failed. Otherwise a single fault would
+     * stop all later control intervals.
      */
     private static final double TIMER_RETRY_DELAY_MS = 1000;
 
-    /** The client's side of one request. */
+    /** The client's side of a request. */
     interface Client {
-        /**
-         * Whether it waits for no answer any more, as far as it has told up to now; if so its
-         * connection ends.
-         */
+        /** Whether the client is known to have disconnected. If so, its connection is closed. */
         boolean hasDisconnected();
 
         void onServed(FullHttpResponse response);
@@ -72,16 +70,14 @@
         void onFailed();
 
         /**
-         * A long answer begins; the request is over with it, and the client's side has what
-         * follows.
+         * A streamed response begins. The request is complete for this proxy; the client's side
+         * consumes the body.
          */
         UpstreamAttempt.BodyConsumer onStreamedResponse(
                 HttpResponse head, UpstreamAttempt upstreamAttempt);
     }
 
-    /**
-     * Who shares with other proxies what this one sees of the nodes; told of it on the event loop.
-     */
+    /** Is notified on the event loop of what this proxy observes of the nodes. */
     interface NodeObserver {
         void onEndpointList(EndpointListKind kind, List<Router.Node> nodes);
 
@@ -93,9 +89,13 @@
     }
 
     /**
-     * A request as it goes on to nodes. {@code key} and {@code contentType} are null where it has
-     * none. Of one that is too long to be gathered {@code body} is empty, {@code upload} has it,
-     * and {@code length} says how long it is, or is negative.
+     * A request as it is forwarded to nodes.
+     *
+     * @param body the complete body; empty if the body is too long to be aggregated
+     * @param key the idempotency key, or null
+     * @param contentType the content type, or null
+     * @param upload the streamed body, or null if {@code body} is complete
+     * @param length length of the streamed body in bytes, or negative if unknown
      */
     record Payload(
             HttpMethod method,
@@ -107,20 +107,19 @@
             long length) {}
 
     /**
-     * Counts for the log. Fetches are counted apart: an origin that falters shows in nothing else
-     * as soon.
+     * Counts for the log. Fetches are counted separately, because they show a faltering origin
+     * before anything else does.
      */
     static final class Tally {
         final int[] lookUps = new int[Outcome.values().length];
         final int[] fetches = new int[Outcome.values().length];
 
-        /**
-         * Refusals by how the request's last attempt had ended: what a proxy gives up on, and after
-         * what.
-         */
+        /** Rejections by the outcome of the request's last attempt. */
         final int[] refusedAfter = new int[Outcome.values().length];
 
+        /** Rejections of requests that had no attempt. */
         int refusedUntried;
+
         private double servedFetchMs;
         int requests;
         int served;
@@ -128,7 +127,7 @@
         int failed;
         int gone;
 
-        /** Mean time of the fetches that were served, in milliseconds. */
+        /** Mean duration of the successful fetches, in milliseconds. */
         long meanFetchMs() {
             return Math.round(servedFetchMs / Math.max(1, fetches[Outcome.OK.ordinal()]));
         }
@@ -148,7 +147,7 @@
     private final int maxOpenRequests;
     private final Map<String, Call> calls = new HashMap<>();
 
-    /** For how long each keyed class may be repeated. */
+    /** For each class with idempotency keys, how long its requests may be repeated. */
     private final Map<String, Double> repeatWindowsMs;
 
     private final Queue<QueuedEvent> queuedEvents = new ArrayDeque<>();
@@ -159,12 +158,12 @@
     private Runnable endpointListListener = () -> {};
     private Consumer<byte[]> peerSender = contents -> {};
 
-    /** Null where nothing is shared. */
+    /** Null if observations are not shared. */
     private NodeObserver nodeObserver;
 
     private boolean dispatching;
 
-    /** Whether the last answers have been given, as the process ends. */
+    /** Whether the process is terminating and the final responses have been sent. */
     private boolean terminating;
 
     private int pendingRequests;
@@ -193,18 +192,24 @@
                                         (a, b) -> b));
     }
 
-    /** Names what asks discovery and what tells peers; both need this proxy to be made first. */
+    /**
+     * Sets the callbacks that subscribe to discovery and send to peers. They are set later because
+     * both components need this proxy first.
+     */
     void setOutputs(Runnable subscriber, Consumer<byte[]> sender) {
         discoverySubscriber = subscriber;
         peerSender = sender;
     }
 
-    /** Names what runs once the module knows a list and before anything is sent by it. */
+    /**
+     * Sets the action that runs after each endpoint list update, once the module knows the update
+     * and its actions have been executed.
+     */
     void setEndpointListListener(Runnable listener) {
         endpointListListener = listener;
     }
 
-    /** Names who is told of what this proxy sees; before {@link #start}. */
+    /** Sets the observer; call before {@link #start}. */
     void setNodeObserver(NodeObserver observer) {
         nodeObserver = observer;
     }
@@ -216,7 +221,7 @@
         }
     }
 
-    /** Requests that have no final answer yet. */
+    /** Number of requests without a final response. */
     int pendingRequests() {
         return pendingRequests;
     }
@@ -225,9 +230,9 @@
         return tally;
     }
 
-    // Events from the sockets.
+    // Events from the sockets
 
-    /** The module's own account of how it is doing, for the log. */
+    /** The module's description of its state, for the log. */
     String describeState() {
         return router.describeState();
     }
@@ -236,7 +241,7 @@
         return router.controlLevel();
     }
 
-    /** The origin's id; empty as long as no list has named one. */
+    /** The origin's id; empty until an endpoint list has contained the origin. */
     String originId() {
         return originId;
     }
@@ -259,14 +264,14 @@
         endpointListListener.run();
     }
 
-    /** Whether any list ever named this cache node. */
+    /** Whether any endpoint list has contained this cache node. */
     boolean isKnownCacheNode(String node) {
         return router.isKnownCacheNode(node);
     }
 
     /**
-     * The operators take a cache node out or put it back; false where the module has not taken
-     * that.
+     * Starts or ends maintenance of a cache node on behalf of the operators. Returns false if the
+     * module did not accept the change.
      */
     boolean setMaintenance(String node, boolean active) {
         boolean[] accepted = new boolean[1];
@@ -282,7 +287,7 @@
                 () -> {});
     }
 
-    /** Peers doubt a node, or no longer do. */
+    /** Peers suspect a node, or no longer do. */
     void suspicionChanged(String node, boolean suspected) {
         dispatch(now -> router.suspicionChanged(now, node, suspected, this), () -> {});
     }
@@ -291,7 +296,7 @@
         dispatch(now -> router.peerMessageReceived(now, from, contents, this), () -> {});
     }
 
-    /** Whether a request with this id is open: its answer and another's could not be told apart. */
+    /** Whether a request with this id is open; a second one's response would be ambiguous. */
     boolean isRequestOpen(String id) {
         return calls.containsKey(id);
     }
@@ -299,8 +304,8 @@
     void requestReceived(Request request, Payload payload, Client client) {
         tally.requests++;
         if (terminating || calls.size() >= maxOpenRequests) {
-            // Beyond what the settings allow, or after the last answers, the module is not asked;
-            // nothing ran, so this promise is true.
+            // Above the configured limit, or after the final responses, the module is not asked.
+            // Nothing has run, so the rejection is truthful.
             tally.refused++;
             client.onRejected(0);
             return;
@@ -325,8 +330,8 @@
     }
 
     /**
-     * The client's time runs from here; the module knows no closer end of it than the latest, so
-     * this side keeps it.
+     * The request's body is complete, so the client's time starts now. The module only knows the
+     * latest possible deadline, so the actual one is enforced here.
      */
     private void uploadCompleted(Call call) {
         if (call.finished) {
@@ -360,8 +365,8 @@
     }
 
     /**
-     * Asks the client's own side: that it has left may lie unread, as the loop is late or reading
-     * is held back.
+     * Whether the response is still wanted. Asks the client's side, because a disconnect may not
+     * have been read yet if the event loop is late or reading is paused.
      */
     private boolean isWanted(Call call) {
         if (!call.finished && call.client.hasDisconnected()) {
@@ -413,9 +418,9 @@
     }
 
     /**
-     * A long answer has begun: all that can be decided on the request has been, as it can't be made
-     * elsewhere any more. The module is told that it was answered, after the time until its first
-     * bytes.
+     * A streamed response has begun. It cannot be requested from another node any more, so no
+     * decisions remain for the request. The module is notified of a success whose duration is the
+     * time to the first bytes.
      */
     private UpstreamAttempt.BodyConsumer streamingStarted(
             Call call,
@@ -467,12 +472,12 @@
                 call == null ? () -> {} : () -> answerAfterFault(call));
     }
 
-    // The module's calls, one at a time.
+    // Calls of the decision module, one at a time
 
     /**
-     * Tells the module of an event, or queues it if the module is being told of one or its wishes
-     * are being done: it must never be entered from within itself, and its wishes must take effect
-     * in the order it had them.
+     * Notifies the module of an event. While the module is being called or its actions are being
+     * executed the event is queued: the module must not be re-entered, and its actions must take
+     * effect in the order in which it requested them.
      */
     private void dispatch(RouterEvent event, Runnable fallback) {
         queuedEvents.add(new QueuedEvent(event, fallback));
@@ -492,7 +497,7 @@
         dispatching = false;
     }
 
-    /** One fault must not take the process, and with it every other request, along. */
+    /** Runs an action so that a fault in it does not end the process and all other requests. */
     private boolean runGuarded(Runnable action) {
         try {
             action.run();
@@ -504,8 +509,8 @@
     }
 
     /**
-     * Answers for a module that failed: a refusal only where provably nothing ran, as it promises
-     * just that.
+     * Answers a request after a fault of the module. The request is rejected only if it provably
+     * has not run, because a rejection promises that; otherwise it fails.
      */
     private void answerAfterFault(Call call) {
         if (call.finished || call.pendingAttempt != null) {
@@ -519,10 +524,10 @@
         dispatch(now -> router.clientDisconnected(now, call.clientRequest.id(), this), () -> {});
     }
 
-    /** The module owes an answer before this; without one the request would be lost. */
+    /** The module should have answered by now; without an answer the request would be lost. */
     private void deadlinePassed(Call call) {
         if (!call.finished) {
-            log.warnLimited("overdue", "request", call.clientRequest.id());
+            log.warnLimited("request_overdue", "request", call.clientRequest.id());
             if (call.pendingAttempt != null) {
                 call.pendingAttempt.cancel();
             }
@@ -530,7 +535,7 @@
         }
     }
 
-    /** The process ends: whatever is open has its answer now, and what still comes is refused. */
+    /** Answers all open requests as the process terminates; later requests are rejected. */
     void answerPendingRequests() {
         terminating = true;
         for (Call call : List.copyOf(calls.values())) {
@@ -551,7 +556,7 @@
         }
     }
 
-    // What the module asks for. Each is done after the module has returned.
+    // Actions of the decision module, executed after its call has returned
 
     @Override
     public void send(String request, String node, double timeoutMs) {
@@ -598,7 +603,7 @@
 
     @Override
     public void sendToPeers(byte[] contents) {
-        // The module may use its array again before this is sent.
+        // The module may reuse its array before this is sent.
         byte[] copy = Arrays.copyOf(contents, contents.length);
         requestedActions.add(() -> peerSender.accept(copy));
     }
@@ -640,7 +645,7 @@
         pendingRequests--;
         call.deadlineTimer.cancel(false);
         if (call.pendingAttempt != null) {
-            // Nobody waits for it any more: if it has not been written it never is.
+            // The response is not wanted any more, so an unwritten attempt must not be written.
             call.pendingAttempt.cancelIfUnwritten();
         }
         removeIfDone(call);
@@ -670,8 +675,8 @@
         double attemptTimeoutMs =
                 timeoutMs == UNTIL_DEADLINE ? remainingMs : Math.min(timeoutMs, remainingMs);
         double writeWithinMs = call == null ? 0 : remainingRepeatWindowMs(call, now);
-        // Nothing goes out for a request that is over or late, past the attempts allowed, or beside
-        // another of its own.
+        // Nothing is sent for a request that is finished or late, that has used up its attempts, or
+        // that has another attempt in flight.
         if (call == null
                 || call.finished
                 || call.pendingAttempt != null
@@ -691,7 +696,7 @@
         }
         call.firstSentAtMs = call.provenNotRun ? now : call.firstSentAtMs;
         Upload upload = call.payload.upload();
-        // The time of a body that is still coming is its client's.
+        // With a streamed body the attempt may take all of the client's remaining time.
         double limitMs = upload == null ? attemptTimeoutMs : remainingMs;
         pending.upstream =
                 pool.send(
@@ -725,8 +730,8 @@
     }
 
     /**
-     * The time that an attempt tells its node, in milliseconds, read as it is written. Of a body
-     * that is still coming its client's time has not begun.
+     * The budget that an attempt states to its node, in milliseconds, computed when the request is
+     * written. While the body is still arriving the client's time has not started.
      */
     private double statedBudgetMs(Call call, double attemptEndMs) {
         Upload upload = call.payload.upload();
@@ -738,10 +743,10 @@
     }
 
     /**
-     * How long from now a further attempt may still be written: where an earlier one may have run,
-     * no longer than nodes know its key, less the time for which this process may be held up before
-     * it writes. The module minds that when it decides, but what it decides may wait for a
-     * connection.
+     * Time in milliseconds within which a further attempt may still be written. If an earlier
+     * attempt may have run, this is limited to the time for which nodes remember its key, less the
+     * time for which this process may stall before it writes. The module respects that limit when
+     * it decides, but the attempt may then wait for a connection.
      */
     private double remainingRepeatWindowMs(Call call, double now) {
         double windowMs =
@@ -780,7 +785,7 @@
                 });
     }
 
-    /** The attempt that is out; the pool may end it before it has handed the exchange over. */
+    /** The attempt in flight. The pool may end it before {@code send} has returned it. */
     private static final class PendingAttempt {
         private UpstreamAttempt upstream;
 
@@ -802,7 +807,7 @@
     }
 
     /**
-     * A request in the table: open until its final answer, kept on until its last attempt has
+     * A tracked request. It is open until its final response and tracked until its last attempt has
      * ended.
      */
     private static final class Call {
@@ -811,17 +816,17 @@
         final Client client;
         double deadlineMs;
 
-        /** When the last byte of its body came, where that flows. */
+        /** When the last byte of a streamed body was received. */
         double uploadEndMs;
 
         Future<?> deadlineTimer;
         PendingAttempt pendingAttempt;
         int attemptCount;
 
-        /** When the first attempt was sent that may have run. */
+        /** When the first attempt that may have run was sent. */
         double firstSentAtMs;
 
-        /** How its latest attempt ended; null before one has. */
+        /** Outcome of the latest attempt that ended; null if there is none. */
         Outcome lastOutcome;
 
         boolean provenNotRun = true;
@@ -834,7 +839,7 @@
             this.deadlineMs = deadlineMs;
         }
 
-        /** Whether its body has gone to a node already: there is nothing left to send again. */
+        /** Whether a streamed body has been sent to a node already and cannot be sent again. */
         boolean isUploadConsumed() {
             return payload.upload() != null && payload.upload().isConsumed();
         }
--- a/src/main/java/cacheproxy/proxy/UpstreamAttempt.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamAttempt.java
@@ -13,42 +13,43 @@
 import java.util.function.Supplier;
 
 /**
- * One request to one node and its one outcome. Until its last byte is written nothing of it has
- * run: it can be given up without a trace, and is where nobody waits for it any more or its time
- * for being written is over.
+ * One attempt of a request at one node and its single outcome. Until its last byte is written the
+ * node cannot have executed any of it, so it can be dropped without effect. That happens if its
+ * client no longer waits for it or its write deadline has passed.
  */
 final class UpstreamAttempt {
 
-    /**
-     * Takes how an exchange ended; {@code response} is null where no whole answer came and is
-     * released afterwards.
-     */
+    /** Is notified of an attempt's progress and of its outcome. */
     interface Listener {
+        /**
+         * The attempt has ended. {@code response} is null if no complete response was received, and
+         * is released after the call.
+         */
         void onEnded(UpstreamAttempt attempt, Outcome outcome, FullHttpResponse response);
 
         /**
-         * Whether somebody still waits for its answer; asked in the moment in which its first byte
-         * could be written.
+         * Whether the response is still wanted; asked immediately before the first byte could be
+         * written.
          */
         default boolean isWanted() {
             return true;
         }
 
         /**
-         * A good answer that is too long to be gathered has begun; null where nobody takes its
-         * rest.
+         * A successful response that is too long to be aggregated has begun. Returns the consumer
+         * of its body, or null if the body is not wanted.
          */
         default BodyConsumer onStreamedResponse(UpstreamAttempt attempt, HttpResponse head) {
             return null;
         }
     }
 
-    /** Takes the rest of a long answer. */
+    /** Takes the body of a streamed response. */
     interface BodyConsumer {
-        /** A part, which this owns. */
+        /** Takes one part and the ownership of it. */
         void onPart(HttpContent part);
 
-        /** It has come to its end, or will not. */
+        /** The body is complete, or will remain incomplete. */
         void onEnd(boolean complete);
     }
 
@@ -59,24 +60,23 @@
     private final Listener listener;
     final Upload upload;
 
-    /** Who takes the rest of a long answer; null where there is none, or none is left. */
+    /** The consumer of a streamed response; null if there is none or the body has ended. */
     BodyConsumer bodyConsumer;
 
-    /** Its connection, which may be coming up still; null while it waits for one. */
+    /** The connection, which may still be being established; null while waiting for one. */
     Channel channel;
 
-    /** Whether its last byte is. */
+    /** Whether the last byte of the request has been written. */
     boolean written;
 
     boolean finished;
 
-    /**
-     * How long its connection had been idle, 0 for a new one; and whether bytes of an answer have
-     * come.
-     */
+    /** How long the connection had been idle when the request was written; 0 if it was new. */
     double connectionIdleMs;
 
+    /** Whether bytes of a response have been received. */
     boolean responseStarted;
+
     private Future<?> timeoutTimer;
     private Future<?> writeDeadlineTimer;
     private long writeDeadlineNanos;
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Gives it up. The connection goes too: its answer may still come and would be taken for
-     * another's.
+     * Cancels the attempt and closes its connection, because the response may still arrive and
+     * would be taken for another request's.
      */
     void cancel() {
         abandon(Outcome.CANCELLED);
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Stops reading a long answer, or reads on. */
+    /** Pauses or resumes reading of a streamed response. */
     void setPaused(boolean paused) {
         if (bodyConsumer != null) {
             channel.config().setAutoRead(!paused);
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Gives it up after so long from now; said again for a request whose body flows, as its time
-     * begins with its last byte.
+     * Sets the timeout, counted from now. It is set again for a request with a streamed body, whose
+     * time begins with the body's last byte.
      */
     void setTimeout(double timeoutMs) {
         if (!finished) {
@@ -135,8 +135,9 @@
     }
 
     /**
-     * Has its last byte written within so long, or never: what may not run twice may be repeated
-     * for a short while only.
+     * Sets the time, counted from now, within which the last byte must have been written; otherwise
+     * the attempt ends as never sent. A request that must not run twice may be repeated only for a
+     * short while.
      */
     void setWriteDeadline(double timeoutMs) {
         if (timeoutMs < Long.MAX_VALUE / 1e6) {
@@ -150,7 +151,10 @@
         }
     }
 
-    /** Whether it may be written now, which asks its client's side; one that may not ends here. */
+    /**
+     * Whether the request may be written now, which includes asking the client's side. If not, ends
+     * the attempt.
+     */
     boolean mayBeWritten() {
         if (writeDeadlineTimer != null && nanoClock.getAsLong() - writeDeadlineNanos >= 0) {
             cancelIfUnwritten();
@@ -162,8 +166,8 @@
     }
 
     /**
-     * Gives it up if it can't have run, whatever the settings say of giving up: then nothing was
-     * sent.
+     * Ends the attempt if its request is not completely written. Whether cancelling is enabled in
+     * the settings does not matter here, because the request cannot have run.
      */
     void cancelIfUnwritten() {
         if (!written) {
@@ -196,7 +200,7 @@
         consumer.onEnd(true);
     }
 
-    /** The rest of a long answer will not come. */
+    /** Reports that the rest of a streamed response will not arrive. */
     void abortStreaming() {
         BodyConsumer consumer = bodyConsumer;
         bodyConsumer = null;
@@ -206,7 +210,7 @@
     }
 
     private void onTimeout() {
-        // Before its last byte was written the node cannot have begun it.
+        // The node cannot have started the request before its last byte was written.
         abandon(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
