--- a/src/test/java/cacheproxy/proxy/ConnectFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/ConnectFailuresTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * For a second no connection to any node can be made, with the project's own decisions: each
- * request has its answer, and then serving goes on.
+ * No connection to any node can be established for one second, with the real decision module: each
+ * request is answered in time, and afterwards the proxy serves again.
  */
 class ConnectFailuresTest {
 
@@ -33,7 +33,7 @@
     private static final int CONSECUTIVE_SUCCESSES = 20;
     private static final long FAILURE_DURATION_MS = 1000;
 
-    /** A request's own time is 1.5 s; the rest is for a machine that is busy. */
+    /** The budget of a request is 1.5 s; the rest allows for a busy machine. */
     private static final long MAX_RESPONSE_MS = 5000;
 
     private static final long MAX_RECOVERY_MS = 10_000;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** A node that answers whatever it is asked; its address. */
+    /** Starts a node that answers every request, and returns its address. */
     private String startNode() throws IOException {
         TestServer node = new TestServer();
         nodes.add(node);
@@ -95,7 +95,7 @@
                     request.connection().respond(200, "v");
                 }
             } catch (IOException e) {
-                // Its connection was broken by the test.
+                // The test broke the connection.
                 continue;
             } catch (InterruptedException e) {
                 return;
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Asks once; its one final answer has come in time. */
+    /** Sends a request and returns its status; checks that the response comes in time. */
     private int send() throws Exception {
         requestCount++;
         long startNanos = System.nanoTime();
@@ -129,7 +129,7 @@
             TimeUnit.MILLISECONDS.sleep(5);
             assertTrue(
                     TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos) < MAX_RECOVERY_MS,
-                    "it does not serve");
+                    "the proxy did not get back to serving in time");
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/ConnectionBackoffTest.java
+++ b/src/test/java/cacheproxy/proxy/ConnectionBackoffTest.java
@@ -15,14 +15,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that holds one connection and no more, as its table is full of others': it is healthy, and
- * nothing is lost.
+ * A node accepts only one connection from this proxy, as its connection table is full of other
+ * proxies' connections. The node counts as healthy, and no request is lost.
  */
 class ConnectionBackoffTest extends WithNodePool {
 
     private static final String[] REJECTION_HEADERS = {"X-Rejected: 1", "Connection: close"};
 
-    /** One exchange is out on the only connection, and the node has turned a second one away. */
+    /**
+     * Leaves a request pending on the only connection and has the node reject a second connection.
+     * Returns the pending request.
+     */
     private TestServer.Message occupyOnlyConnection() throws Exception {
         send();
         TestServer.Message pending = node.next();
@@ -50,8 +53,8 @@
     }
 
     /**
-     * It was taken before the other was turned away, so its answer says nothing of room for one
-     * more.
+     * The connection was accepted before the other was rejected, so a response on it does not show
+     * that the node has capacity for one more.
      */
     @Test
     void responseOnOlderConnectionDoesNotEndThePause() throws Exception {
@@ -71,8 +74,8 @@
     }
 
     /**
-     * Whether it is wanted is asked in the moment in which the connection that it waited for has
-     * come free.
+     * Whether a waiting request is still wanted is checked when the connection that it waits for
+     * becomes free.
      */
     @Test
     void unwantedRequestIsNotWritten() throws Exception {
@@ -116,8 +119,8 @@
     }
 
     /**
-     * The node keeps its one exchange for ever: what waits is given up long before its own 60 s are
-     * over.
+     * The node never answers the request on its only connection: a waiting request fails after the
+     * connect timeout, long before its own 60 s are over.
      */
     @Test
     void waitIsBoundedByConnectTimeout() throws Exception {
@@ -169,7 +172,7 @@
         ScriptedRouter.awaitNext(outcomes);
         awaitReusable();
         nanoClock.addAndGet(TimeUnit.SECONDS.toNanos(1));
-        assertNull(node.next().text(), "the spare one is closed by the proxy");
+        assertNull(node.next().text(), "the proxy closes the extra connection");
         assertEquals(1, loop.submit(() -> pool.connectionCount("c0")).get());
     }
 }
--- a/src/test/java/cacheproxy/proxy/DiscoveryOutageTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryOutageTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the log says of a long outage of discovery: one line, and one where it has ended. */
+/** A long outage of discovery is logged once when it is detected and once when it ends. */
 @Timeout(DiscoveryOutageTest.TIMEOUT_S)
 class DiscoveryOutageTest {
 
@@ -61,7 +61,7 @@
                 .toList();
     }
 
-    /** What becomes of a call of discovery. */
+    /** How the scripted discovery responds to a watch request. */
     private interface WatchResponse {
         void sendTo(TestServer.Connection connection) throws IOException;
     }
@@ -75,7 +75,10 @@
         connection.write(RESPONSE_HEAD + HEARTBEAT_CHUNK);
     }
 
-    /** Answers the next call, if there is one; the proxy may have given it up meanwhile. */
+    /**
+     * Responds to the next watch request if one has arrived, and returns whether it did. The proxy
+     * may have abandoned the request meanwhile.
+     */
     private boolean respondToNextWatch(TestServer discovery, WatchResponse response)
             throws InterruptedException {
         TestServer.Message request = discovery.receivedNothing() ? null : discovery.next();
@@ -90,7 +93,10 @@
         return true;
     }
 
-    /** Waits for one more line of an event than so many, and answers what calls meanwhile. */
+    /**
+     * Waits until more than {@code previousCount} lines of an event are logged, and responds to
+     * watch requests meanwhile. Returns the first new line.
+     */
     private String awaitLogLine(
             String event, int previousCount, TestServer discovery, WatchResponse response)
             throws Exception {
@@ -119,7 +125,7 @@
         assertTrue(
                 fieldValue(unreachable, "since_ms") >= DiscoveryOutage.UNREACHABLE_AFTER_MS,
                 unreachable);
-        int failureLines = logLines("watch_lost").size() + logLines("watch_broke").size();
+        int failureLines = logLines("watch_lost").size() + logLines("watch_failed").size();
         assertTrue(failureLines <= 2, failureLines + " lines of attempts");
         int attempts = 0;
         while (attempts < ADDITIONAL_ATTEMPTS) {
@@ -130,7 +136,7 @@
             }
         }
         assertEquals(1, logLines("discovery_unreachable").size());
-        assertEquals(failureLines, logLines("watch_lost").size() + logLines("watch_broke").size());
+        assertEquals(failureLines, logLines("watch_lost").size() + logLines("watch_failed").size());
         assertTrue(logLines("left_out").isEmpty() && logLines("discovery_restored").isEmpty());
 
         List<TestServer.Connection> connections = new ArrayList<>();
@@ -156,7 +162,7 @@
     @ValueSource(strings = {"automatic", "subscribe"})
     void logsRefusedConnectionAndRecoveryAtAnotherAddress(String mode) throws Exception {
         fixture.router.subscribesAtStart = mode.equals("subscribe");
-        // Bound and not listening: the system refuses what is sent there.
+        // The socket is bound but not listening: the system refuses connections to it.
         try (Socket refusingSocket = new Socket();
                 TestServer nextServer = new TestServer()) {
             refusingSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/test/java/cacheproxy/proxy/DiscoveryTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The watch: what it tells is applied line by line, and it comes back from where it broke. */
+/**
+ * The discovery watch: each line is applied as it arrives, and after a failure the watch resumes
+ * from the last version applied.
+ */
 class DiscoveryTest {
 
     private static final String RESPONSE_HEAD =
@@ -58,7 +61,7 @@
         sendLine(watch, "");
         sendLine(watch, "{\"seq\":8,\"whole\":false,\"hosts\":[{\"host\":\"c9\"}]}");
         sendLine(watch, "not json");
-        // What they should have said is asked for again; the watch that there is goes on meanwhile.
+        // The content of the malformed lines is requested again; the current watch stays open.
         TestServer.Connection resumed = awaitWatch(7);
         sendLine(
                 watch,
@@ -78,7 +81,7 @@
         assertEquals(9, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
         assertNull(
                 fixture.discovery.next().text(),
-                "the old one is closed once the new one has spoken");
+                "the old watch is closed once the new one delivers");
         resumed.close();
         TestServer.Connection reopened = awaitWatch(9);
         reopened.write(RESPONSE_HEAD);
@@ -115,7 +118,7 @@
                     ProxyFixture.endpointList(
                             8, false, ProxyFixture.host("c0", fixture.node.dial(), "up", 99)));
             assertNull(
-                    fixture.node.next().text(), "the idle connection to the old process is closed");
+                    fixture.node.next().text(), "an idle connection to the old process is closed");
             client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
             TestServer.Message second = fixture.node.next();
             assertEquals(first.connection().number() + 1, second.connection().number());
@@ -129,7 +132,8 @@
             second.connection().respond(200, "v");
             client.read();
             assertNull(
-                    fixture.node.next().text(), "nor is one kept that was busy when the news came");
+                    fixture.node.next().text(),
+                    "a connection that was in use when the update came is closed after its use");
         }
     }
 
@@ -148,8 +152,8 @@
     }
 
     /**
-     * What discovery holds when a process starts counts as told, so nothing may be taken before its
-     * first word.
+     * A process has to follow the state that discovery has when the process starts, so it may
+     * accept no client before it has the first endpoint list.
      */
     @Test
     void opensClientAddressOnlyAfterFirstEndpointList() throws Exception {
@@ -173,7 +177,7 @@
         assertThrows(
                 TimeoutException.class,
                 () -> starting.get(300, TimeUnit.MILLISECONDS),
-                "the clients' address is open");
+                "the clients' address was opened before the first endpoint list");
         sendLine(
                 watch,
                 ProxyFixture.endpointList(
@@ -182,7 +186,7 @@
         assertEquals(
                 2,
                 fixture.router.receivedLists.size(),
-                "the module knew of the drain before the first client");
+                "the decision module should know of the drain before the first client connects");
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/DiscoveryWatchTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryWatchTest.java
@@ -28,19 +28,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The watch at its edges: silent, reset in the middle of an object, moved twice, answered by nobody
- * or by two.
+ * Edge cases of the discovery watch: it falls silent, is reset in the middle of an object, changes
+ * its address twice, or gets no response or two.
  */
 class DiscoveryWatchTest {
 
     private static final String RESPONSE_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+    /** The time limit of the tests; a timer with this delay does not fire during one. */
     private static final long NEVER_MS = TimeUnit.SECONDS.toMillis(TestServer.TIMEOUT_S);
 
-    /**
-     * What a silent watch misses counts as told after this, and a drain that it missed has to be
-     * known by then.
-     */
+    /** Every change has to be applied within this time, even one that a silent watch misses. */
     private static final long UPDATE_DEADLINE_MS = 6000;
 
     @TempDir private Path directory;
@@ -88,8 +87,8 @@
     }
 
     /**
-     * A call that was lost just before discovery could be reached, and the answer to the next: 2 s,
-     * after which a call is given up.
+     * The worst case is a request that is lost just before discovery becomes reachable, and the
+     * response to the next one, which takes up to 2 s, after which discovery abandons a request.
      */
     @Test
     void defaultTimesDeliverChangeInTimeAfterFailedRequest() {
@@ -98,7 +97,7 @@
             assertTrue(times.firstResponseTimeoutMs() + 2000 <= UPDATE_DEADLINE_MS - 2000);
             assertTrue(
                     times.silenceTimeoutMs() + times.maxBackoffMs() <= UPDATE_DEADLINE_MS - 1000,
-                    "the call after a silent watch");
+                    "the request that follows a silent watch");
         }
     }
 
@@ -109,15 +108,15 @@
             assertTrue(times.silenceTimeoutMs() > 4000, "two heartbeats have to be missed");
             assertTrue(
                     times.silenceTimeoutMs() <= UPDATE_DEADLINE_MS - 1500,
-                    "a new one has to be opened and to speak");
+                    "a new watch needs time to open and deliver");
         }
         assertTrue(
                 Discovery.Times.PUSHED.firstResponseTimeoutMs() <= 150
                         && Discovery.Times.PUSHED.maxBackoffMs() <= 150,
-                "grace may be 250 ms, and the agent's return has to be noticed within it");
+                "grace may be 250 ms, and the agent's recovery must be detected within it");
     }
 
-    /** The one that fell silent goes on being heard: it may have been late only. */
+    /** A silent watch is not closed before another delivers, as it may only be late. */
     @Test
     void silentWatchStaysOpenUntilAnotherDelivers() throws Exception {
         start("automatic", new Discovery.Times(300, NEVER_MS, 50));
@@ -129,7 +128,7 @@
         assertEquals(8, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
         assertNull(
                 fixture.discovery.next().text(),
-                "the one that spoke again is kept, and the other closed");
+                "the watch that delivers again stays open, and the other is closed");
         assertEquals(-1, next.socket().getInputStream().read());
         TestServer.Connection third = awaitWatch(8);
         third.write(RESPONSE_HEAD);
@@ -139,12 +138,12 @@
         assertEquals(
                 -1,
                 silent.socket().getInputStream().read(),
-                "the silent one is closed once another has spoken");
+                "the silent watch is closed once another delivers");
     }
 
     /**
-     * An agent that is down takes connections and says nothing: each may be dead for good, so
-     * others are asked beside it.
+     * Connections to an agent that is down succeed, but no response ever comes, so further watches
+     * are opened beside the unanswered ones.
      */
     @Test
     void detectsRecoveryOfAgentThatOnlyAcceptedConnections() throws Exception {
@@ -156,9 +155,7 @@
         assertEquals(8, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
         for (TestServer.Connection watch : unansweredWatches) {
             assertEquals(
-                    -1,
-                    watch.socket().getInputStream().read(),
-                    "those that never spoke are closed");
+                    -1, watch.socket().getInputStream().read(), "unanswered watches are closed");
         }
     }
 
@@ -172,7 +169,7 @@
         assertEquals(8, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
     }
 
-    /** Its backoff does not grow while nobody is there: the return would be noticed late. */
+    /** The backoff stays short during an outage; otherwise the recovery is detected late. */
     @Test
     void repeatedlyResetWatchIsReopenedSoon() throws Exception {
         start(
@@ -187,7 +184,8 @@
         awaitWatch(7);
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
         assertTrue(
-                ms < 7000, "ten times took " + ms + " ms, and 6,550 in doubling from 50 to 1,000");
+                ms < 7000,
+                "ten attempts took " + ms + " ms; a backoff doubling from 50 to 1,000 takes 6,550");
     }
 
     @Test
@@ -228,8 +226,8 @@
     }
 
     /**
-     * Later changes refer to a list that was never had, so they are taken and yet the lost one is
-     * asked for.
+     * Later deltas refer to a list that was never received: they are applied, and the lost list is
+     * requested nevertheless.
      */
     @Test
     void malformedObjectIsRequestedAgainWhileTheWatchStaysOpen() throws Exception {
@@ -283,7 +281,9 @@
                                     3, true, ProxyFixture.host("c0", fixture.node.dial(), "up", 0))
                             + "\n");
             assertEquals(3, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
-            assertTrue(lastServer.receivedNothing(), "one watch was opened there");
+            assertTrue(
+                    lastServer.receivedNothing(),
+                    "only one watch should be opened at the last address");
         }
     }
 
@@ -307,7 +307,7 @@
             assertEquals(
                     EndpointListKind.SNAPSHOT,
                     ScriptedRouter.awaitNext(fixture.router.receivedLists).kind(),
-                    "the module would ask once more");
+                    "a reported failure would make the decision module subscribe once more");
         }
     }
 
@@ -323,12 +323,13 @@
                 ScriptedRouter.awaitNext(fixture.router.receivedLists).kind());
         chunk(silent, drainUpdate(8) + "\n");
         assertEquals(8, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
-        assertTrue(fixture.discovery.receivedNothing(), "the module decides on the next try");
+        assertTrue(fixture.discovery.receivedNothing(), "the module decides when to try again");
     }
 
     /**
-     * It is not given up, as it may wait its turn; whoever is told of a refusal could wait for
-     * longer than the term allows.
+     * An unanswered request is not abandoned, as it may be queued at discovery. A second one is
+     * opened beside it, as the module, notified of a failure, could wait longer than the update
+     * deadline allows.
      */
     @Test
     void inSubscribeModeUnansweredWatchStaysOpenBesideSecondOne() throws Exception {
@@ -342,8 +343,8 @@
     }
 
     /**
-     * The module's late call finds another out, or a watch that is well: calls for lists are
-     * priced.
+     * A late subscribe of the module opens no watch while one is pending or healthy, as every
+     * request for a list has a cost.
      */
     @Test
     void inSubscribeModeRedundantSubscribeOpensNoWatch() throws Exception {
@@ -370,7 +371,7 @@
         }
     }
 
-    /** How a call may fail. */
+    /** Ways in which a watch request may fail. */
     enum Failure {
         REFUSED("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false),
         TOO_MANY("HTTP/1.1 429 x\r\nContent-Length: 2\r\n\r\n{}", false),
@@ -398,14 +399,14 @@
                     connection.close();
                 }
             } catch (IOException e) {
-                // It was given up for another already.
+                // The proxy has already abandoned this watch for another.
             }
         }
     }
 
     /**
-     * Whatever failed, however often, and though the module asks no more: its own pause grows to
-     * twelve seconds.
+     * The change arrives after any number of failures, although the module no longer subscribes in
+     * time: its own backoff grows to twelve seconds.
      */
     @ParameterizedTest
     @EnumSource(Failure.class)
@@ -436,14 +437,14 @@
     }
 
     /**
-     * Answers every call until a list has been had: one may have been given up for others by the
-     * time that its answer is written.
+     * Answers every watch request until the router receives the list: the proxy may have abandoned
+     * a request for others by the time its response is written.
      */
     private void awaitList(TestServer discovery, long seq, Availability expected) throws Exception {
         ScriptedRouter.ReceivedList received = null;
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NEVER_MS);
         while (received == null || received.version() != seq) {
-            assertTrue(System.nanoTime() < deadlineNanos, "nothing was told");
+            assertTrue(System.nanoTime() < deadlineNanos, "the router received no endpoint list");
             TestServer.Message request = discovery.receivedNothing() ? null : discovery.next();
             if (request != null && request.text() != null) {
                 sendList(request.connection(), seq, expected);
@@ -468,7 +469,7 @@
                                             0))
                             + "\n");
         } catch (IOException e) {
-            // It was given up for another.
+            // The proxy has abandoned this watch for another.
         }
     }
 
@@ -484,8 +485,8 @@
     }
 
     /**
-     * SIGHUP finds it with no connection at all: the old address has nobody, and its pause is the
-     * longest.
+     * The configuration is reloaded (SIGHUP) while the proxy has no watch at all: the old address
+     * refuses connections, and the backoff is at its maximum.
      */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
@@ -508,8 +509,8 @@
     }
 
     /**
-     * The new address tells of a drain 0.2 s after it is reached, and by then the next signal has
-     * come.
+     * The first new address would report a drain 0.2 s after it is reached, but by then the next
+     * reload (SIGHUP) has come, so the drain has to be received from the last address.
      */
     @Test
     void drainBetweenTwoAddressChangesIsReceivedFromTheLast() throws Exception {
@@ -525,8 +526,8 @@
     }
 
     /**
-     * An agent under load is late for each watch that is opened, so one of them has to be waited
-     * for.
+     * An agent under load answers every watch late, so one of them has to stay open until its first
+     * message.
      */
     @Test
     void lateFirstMessageIsEventuallyReceived() throws Exception {
@@ -541,8 +542,8 @@
     }
 
     /**
-     * Bytes alone are no sign of life: what never ends is asked for beside it, and the first whole
-     * word counts.
+     * Bytes alone do not show that a watch works: another is opened beside a list that never ends,
+     * and the first to deliver a complete message replaces it.
      */
     @Test
     void endlesslyTricklingListDoesNotBlockUpdates() throws Exception {
@@ -561,7 +562,7 @@
                                     TimeUnit.MILLISECONDS.sleep(10);
                                 }
                             } catch (IOException | InterruptedException e) {
-                                // The watch has been closed, as another has spoken.
+                                // The watch has been closed, as another has delivered.
                             }
                         });
         tricklingThread.start();
@@ -570,8 +571,8 @@
     }
 
     /**
-     * The whole list of a large fleet takes longer than a first word may: asked for again it would
-     * be later and come several times.
+     * The snapshot of a large fleet takes longer than the timeout of the first message. Requested
+     * again it would come later, and several times.
      */
     @Test
     void longListInProgressIsNotRequestedAgain() throws Exception {
@@ -589,10 +590,10 @@
             TimeUnit.MILLISECONDS.sleep(50);
         }
         assertEquals(8, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
-        assertTrue(fixture.discovery.receivedNothing(), "another watch was asked for");
+        assertTrue(fixture.discovery.receivedNothing(), "another watch was opened");
     }
 
-    /** Others are opened beside it meanwhile, and yet it is not given up. */
+    /** Other watches are opened meanwhile, but the slow one is not abandoned. */
     @Test
     void listArrivingByteByByteIsRead() throws Exception {
         start("automatic", new Discovery.Times(4500, 300, 50));
@@ -610,8 +611,8 @@
     }
 
     /**
-     * Ten times no channel can be made, which is more than may be waited for; of such a one nothing
-     * can be closed either.
+     * Creating the channel fails ten times, more often than watches may be pending at once; a watch
+     * without a channel also has nothing to close.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -652,8 +653,8 @@
     }
 
     /**
-     * Of what can never be read nothing is gained by asking at the speed of the network; the least
-     * time is what counts here.
+     * A list that is always malformed must not be requested at the speed of the network, so the
+     * test checks the least time that six requests take.
      */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
@@ -667,13 +668,10 @@
             chunk(watch, "{\"seq\":8,\"whole\":true,\"hosts\":[{\"host\":\"c9\"}]}\n");
         }
         long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-        assertTrue(ms >= 400, "asked for six times in " + ms + " ms");
+        assertTrue(ms >= 400, "the list was requested six times in " + ms + " ms");
     }
 
-    /**
-     * A proxy that nobody comes to keeps its one watch for as long as it is told that nothing
-     * changes.
-     */
+    /** A proxy without client requests keeps its one watch open as long as heartbeats arrive. */
     @ParameterizedTest
     @ValueSource(strings = {"automatic", "subscribe"})
     void watchStaysOpenWithoutClientRequests(String mode) throws Exception {
@@ -688,6 +686,6 @@
         assertEquals(8, ScriptedRouter.awaitNext(fixture.router.receivedLists).version());
         assertTrue(fixture.discovery.receivedNothing());
         fixture.service.shutDown();
-        assertTrue(fixture.discovery.receivedNothing(), "nor at its end");
+        assertTrue(fixture.discovery.receivedNothing(), "shutting down should open no watch");
     }
 }
--- a/src/test/java/cacheproxy/proxy/DroppedRequestsTest.java
+++ b/src/test/java/cacheproxy/proxy/DroppedRequestsTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Cache nodes that read requests with very little time left and drop them without a word, with the
- * project's own decisions. The deadline of each class is far longer than the budgets, so an answer
- * in time is one that the budget brought.
+ * Cache nodes read requests that have little time left and never respond, with the real decision
+ * module. The deadline of each class is far longer than the budgets, so a response in time shows
+ * that the proxy enforces the budget.
  */
 class DroppedRequestsTest {
 
@@ -41,24 +41,24 @@
     private static final int REQUEST_COUNT = 8;
 
     /**
-     * The budgets end within 0.12 s and the classes' deadlines after 60 s; what is between is for a
-     * machine that is busy.
+     * Budgets end within 0.12 s and the classes' deadlines after 60 s; the limit between them
+     * allows for a busy machine.
      */
     private static final long MAX_RESPONSE_MS = 10_000;
 
-    /** The module sends nothing for requests with so little left, or next to nothing. */
+    /** With no more budget than this the decision module sends few requests or none. */
     private static final double INSUFFICIENT_BUDGET_MS = 20;
 
     private final List<SilentNode> nodes = new ArrayList<>();
     private final Map<String, Double> receivedAt = new ConcurrentHashMap<>();
 
-    /** By request and node: when the module decided to send it there. */
+    /** When the module decided to send a request to a node, by request and node. */
     private final Map<String, Double> sentAt = new ConcurrentHashMap<>();
 
     private TestServer discovery;
     private Service service;
 
-    /** Starts a proxy with cache nodes and an origin that never answer. */
+    /** Starts a proxy with cache nodes and an origin that never respond. */
     private void start(String mode) throws Exception {
         discovery = new TestServer();
         List<String> hosts = new ArrayList<>();
@@ -82,14 +82,14 @@
     }
 
     /**
-     * The same decisions, with a note of when each request came and was sent on, by the proxy's own
-     * clock.
+     * Wraps a router and records when each request arrived and when it was sent to a node, by the
+     * proxy's own clock.
      */
     private Router recordTimes(Router decisions) {
         return proxyOf(
                 Router.class,
                 (self, method, arguments) -> {
-                    if (method.getName().equals("request")) {
+                    if (method.getName().equals("requestReceived")) {
                         receivedAt.put(((Router.Request) arguments[1]).id(), (Double) arguments[0]);
                     }
                     Object[] wrappedArguments =
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Asks one thing after another; the statuses, of which each came in time and was the only one
-     * to its request.
+     * Sends requests one after another and returns their statuses; checks that each response comes
+     * in time and that no request gets a second one.
      */
     private List<Integer> sendRequests(String method, String serviceClass, double budgetMs)
             throws Exception {
@@ -164,7 +164,7 @@
                 assertTrue(
                         ms < MAX_RESPONSE_MS, "request " + i + " was answered after " + ms + " ms");
             }
-            // A second answer to one of them would come before this one's.
+            // A second response to an earlier request would arrive before the response to this one.
             client.write("GET /api/k HTTP/1.1\r\nHost: s\r\nX-Call-Class: none\r\n\r\n");
             assertEquals(400, ProxyFixture.status(client.read()));
             service.terminateNow();
@@ -173,7 +173,7 @@
         return statuses;
     }
 
-    /** Requests as the cache nodes read them, by their ids. */
+    /** Returns the requests that the cache nodes read, by request id. */
     private Map<String, List<TestServer.Message>> requestsReadByNodes(double budgetMs)
             throws Exception {
         Map<String, List<TestServer.Message>> byId = new ConcurrentHashMap<>();
@@ -187,16 +187,14 @@
         return byId;
     }
 
-    /**
-     * What a node was told is no more than what was left when the module decided to send it there.
-     */
+    /** The budget sent to a node is at most the time left when the module chose to send there. */
     private void assertBudgetWithinRemainingTime(
             TestServer.Message message, String id, String node, double budgetMs) {
         double remainingMs = receivedAt.get(id) + budgetMs - sentAt.get(id + " at " + node);
         double sentBudgetMs = Double.parseDouble(message.header("X-Budget")) * 1e3;
         assertTrue(
                 sentBudgetMs <= remainingMs,
-                id + ": told " + sentBudgetMs + " ms where " + remainingMs + " were left");
+                id + ": sent a budget of " + sentBudgetMs + " ms with " + remainingMs + " left");
     }
 
     @ParameterizedTest
@@ -222,7 +220,7 @@
     })
     void answersEachRequestOnceInTimeAndRepeatsOnlyWhereAllowed(
             double budgetMs, String method, String serviceClass) throws Exception {
-        // Writes go to the cache nodes only where these store what they are told.
+        // Writes go to the cache nodes only in the mode in which these write through.
         start(method.equals("PUT") ? "through" : "aside");
         List<Integer> statuses = sendRequests(method, serviceClass, budgetMs);
         Map<String, List<TestServer.Message>> readById = requestsReadByNodes(budgetMs);
@@ -240,7 +238,7 @@
                         "id" + i + " may have run " + attempts.size() + " times");
                 assertFalse(
                         status == 503 && !attempts.isEmpty(),
-                        "id" + i + " may have run and was said not to have");
+                        "id" + i + " may have run but was reported as not run");
             }
             for (TestServer.Message attempt : attempts) {
                 assertEquals("key" + i, attempt.header("Idempotency-Key"));
--- a/src/test/java/cacheproxy/proxy/EndpointListDiffTest.java
+++ b/src/test/java/cacheproxy/proxy/EndpointListDiffTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which differences between endpoint lists are reported for the log. */
 class EndpointListDiffTest {
 
     private final EndpointListDiff diff = new EndpointListDiff();
--- a/src/test/java/cacheproxy/proxy/FaultyProxyFixture.java
+++ b/src/test/java/cacheproxy/proxy/FaultyProxyFixture.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The parts of a proxy on one event loop, with the peers of a {@link ProxyFixture}. The system
- * calls of its clients' side, of its connections to the node, of its watch and of the loop itself
- * each go by a schedule of their own.
+ * The parts of a proxy on one event loop, with the node and discovery of a {@link ProxyFixture}.
+ * There is a separate fault schedule for the system calls of each part: client connections, node
+ * connections, the discovery watch, the peer socket and the event loop itself.
  */
 final class FaultyProxyFixture implements Closeable {
 
@@ -41,7 +41,7 @@
     final ClientServer clientServer;
     final Channel listener;
 
-    /** Null where the configuration names no address for them. */
+    /** Null if the configuration has no {@code peer_listen} address. */
     final PeerSocket peers;
 
     private final MultiThreadIoEventLoopGroup group =
@@ -52,7 +52,7 @@
         this("");
     }
 
-    /** With more keys of the configuration. */
+    /** Adds {@code moreFields}, JSON text, to the configuration. */
     FaultyProxyFixture(String moreFields) throws Exception {
         this(new ProxyFixture(), moreFields);
     }
@@ -61,7 +61,10 @@
         this(baseFixture, baseFixture.config("automatic", "60000", moreFields), baseFixture.router);
     }
 
-    /** With decisions and nodes of its own; of the site it uses discovery alone. */
+    /**
+     * Uses the given router and the nodes of {@code config}; of the base fixture it uses discovery
+     * alone.
+     */
     FaultyProxyFixture(ProxyFixture baseFixture, Config config, Router router) throws Exception {
         this.baseFixture = baseFixture;
         loop = group.next();
@@ -121,7 +124,7 @@
         return TestServer.connect((InetSocketAddress) listener.localAddress());
     }
 
-    /** Waits until the loop has nothing more to do for what has happened up to now. */
+    /** Waits until the event loop has processed the events that have arrived up to now. */
     void settle() throws Exception {
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).get();
     }
--- a/src/test/java/cacheproxy/proxy/FetchOnMissTest.java
+++ b/src/test/java/cacheproxy/proxy/FetchOnMissTest.java
@@ -7,9 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * With a proxy that has little to do and an origin that is well, every read that misses is fetched.
- */
+/** With a lightly loaded proxy and a healthy origin, every read that misses is fetched. */
 class FetchOnMissTest {
 
     private static final int CACHE_NODES = 4;
--- a/src/test/java/cacheproxy/proxy/IdleTimeoutEstimatorTest.java
+++ b/src/test/java/cacheproxy/proxy/IdleTimeoutEstimatorTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that says 60 s and drops kept connections after 200 ms; idle time passes on a clock of the
- * test's own.
+ * A node states an idle timeout of 60 s but drops idle connections after 200 ms; idle time passes
+ * on a clock of the test.
  */
 class IdleTimeoutEstimatorTest extends WithNodePool {
 
@@ -22,10 +22,7 @@
 
     private final Set<Integer> seenConnections = new HashSet<>();
 
-    /**
-     * One exchange after so long an idle time; whether its connection was a kept one, and how it
-     * ended.
-     */
+    /** A request on a connection: whether the connection was reused, and how the request ended. */
     private record ConnectionUse(boolean reused, Outcome outcome) {}
 
     private ConnectionUse sendAfterIdle(long idleMs) throws Exception {
@@ -58,8 +55,8 @@
             earlyReuses += i < ROUNDS / 2 && use.reused() ? 1 : 0;
             lateReuses += i >= ROUNDS / 2 && use.reused() ? 1 : 0;
         }
-        assertTrue(earlyReuses > 0, "the stated time is believed at first");
-        // What was learned fades over 20 s of this clock, so an age is tried again now and then.
+        assertTrue(earlyReuses > 0, "connections are reused at first, as the node states 60 s");
+        // What was learned decays over 20 s of this clock, so long idle times are retried at times.
         assertTrue(
                 lateReuses <= ROUNDS / 10,
                 lateReuses + " of the last " + ROUNDS / 2 + " requests went to a dead connection");
@@ -67,6 +64,6 @@
         assertEquals(
                 new ConnectionUse(true, Outcome.OK),
                 sendAfterIdle(SHORT_IDLE_MS),
-                "younger ones are kept");
+                "connections are reused after a short idle time");
     }
 }
--- a/src/test/java/cacheproxy/proxy/JoinedFetchTest.java
+++ b/src/test/java/cacheproxy/proxy/JoinedFetchTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several clients wait for one fetch of a key, and the one whose request fetches it leaves: the
- * others carry on as their own.
+ * Several clients wait for one fetch of a key, and the client whose request started the fetch
+ * disconnects: the requests of the others continue on their own.
  */
 class JoinedFetchTest {
 
@@ -76,7 +76,8 @@
         for (TestServer.Message lookUp : lookUps.subList(1, CLIENT_COUNT)) {
             lookUp.connection().respond(404, "");
         }
-        // A request of another key behind those answers says that the proxy has read them.
+        // The response to a request for another key, sent after the look-ups' responses, shows that
+        // the proxy has read those.
         try (TestServer.Connection other = fixture.client()) {
             other.write(fixture.get(ProxyFixture.LONG_BUDGET_S).replace("k1", "k2"));
             nextRequest(fixture.node).connection().respond(200, "other");
@@ -92,7 +93,7 @@
         assertEquals(Set.of("id1", "id2"), answeredIds);
     }
 
-    /** Answers whatever comes from now on with a value, and notes for which requests. */
+    /** Answers every request from now on with a value, and records the ids of the requests. */
     private static void respondToAll(TestServer server, Set<String> answeredIds) {
         Thread thread =
                 new Thread(
@@ -105,7 +106,7 @@
                                     next.connection().respond(200, "v");
                                 }
                             } catch (Exception | AssertionError e) {
-                                // The test is over.
+                                // The test has ended.
                                 return;
                             }
                         });
--- a/src/test/java/cacheproxy/proxy/LateAcceptingNode.java
+++ b/src/test/java/cacheproxy/proxy/LateAcceptingNode.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A node whose connections come up late: its backlog is full until {@link #open}, and the system
- * tries again after a second.
+ * A node that accepts connections late: its backlog is full until {@link #acceptConnection}, and
+ * the system retries a connect after one second.
  */
 final class LateAcceptingNode implements Closeable {
 
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Accepts what came, and returns the first connection that is not one that filled the backlog;
-     * null where none comes.
+     * Accepts connections and returns the first that was not opened to fill the backlog; null if
+     * none comes within the timeout.
      */
     TestServer.Connection acceptConnection(long timeoutMs) throws IOException {
         server.setSoTimeout((int) timeoutMs);
--- a/src/test/java/cacheproxy/proxy/LongDiscoveryOutageTest.java
+++ b/src/test/java/cacheproxy/proxy/LongDiscoveryOutageTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Minutes of an outage, and trouble after minutes of quiet, on real sockets; the clock moves only
- * when the test says so.
+ * A discovery outage of ten minutes, and a watch that fails after ten quiet minutes, on real
+ * sockets; the clock moves only when the test advances it.
  */
 @Timeout(LongDiscoveryOutageTest.TIMEOUT_S)
 class LongDiscoveryOutageTest {
@@ -41,12 +41,12 @@
     private static final long MINUTE_MS = 60_000;
     private static final long ATTEMPT_WINDOW_MS = 10_000;
 
-    /** What an outage may bring in {@link #WINDOW_MS}: twenty a second. */
+    /** Limit of attempts in {@link #ATTEMPT_WINDOW_MS} of an outage: twenty a second. */
     private static final long MAX_ATTEMPTS_PER_WINDOW = 200;
 
     private static final int REQUEST_COUNT = 20;
 
-    /** A change counts as told 6 s after discovery had it. */
+    /** Every change has to be applied within 6 s after discovery has it. */
     private static final long UPDATE_DEADLINE_MS = 6000;
 
     private static final long POLL_INTERVAL_MS = 10;
@@ -58,7 +58,7 @@
 
     private final AtomicLong attempts = new AtomicLong();
 
-    /** By the loop's clock, in nanoseconds. */
+    /** When lists and heartbeats arrived, by the loop's clock. */
     private final BlockingQueue<Long> heardAtNanos = new LinkedBlockingQueue<>();
 
     private final PrintStream standardError = System.err;
@@ -86,9 +86,7 @@
         standardError.print(log.toString(StandardCharsets.UTF_8));
     }
 
-    /**
-     * Opens the parts of a proxy with the project's own decisions, all by the clock of the loop.
-     */
+    /** Starts the parts of a proxy with the real decision module, all on the loop's clock. */
     private void startProxy(String mode) throws Exception {
         Config config = fixture.config(mode, "60000", "");
         boolean pushed = !config.settings().mustSubscribe();
@@ -163,14 +161,14 @@
         }
     }
 
-    /** Moves the clock on until so many attempts have begun. */
+    /** Advances the clock until {@code number} attempts have started. */
     private void advanceToAttempt(long number) throws Exception {
         while (attempts.get() < number) {
             loop.advance(CLOCK_STEP_MS);
         }
     }
 
-    /** The next call of discovery that is still there. */
+    /** Returns the next watch request; skips the ends of connections. */
     private TestServer.Message awaitWatch() throws Exception {
         TestServer.Message request = fixture.discovery.next();
         while (request.text() == null) {
@@ -180,8 +178,8 @@
     }
 
     /**
-     * Tells whoever calls, or has called, that c0 drains and c1 is up; returns when that was heard,
-     * by the loop's clock.
+     * Answers all pending and new watch requests with a list in which c0 drains and c1 is up.
+     * Returns when the proxy received it, by the loop's clock.
      */
     private long sendChange() throws Exception {
         String endpointList =
@@ -207,7 +205,7 @@
         try {
             connection.write(RESPONSE_HEAD + chunk(endpointList));
         } catch (IOException e) {
-            // This one was given up; another has been made.
+            // The proxy abandoned this watch and has opened another.
             return;
         }
     }
@@ -229,7 +227,7 @@
             assertServedBy(otherNode);
         }
         while (!fixture.node.receivedNothing()) {
-            assertNull(fixture.node.next().text(), "c0 got a request after its drain was told");
+            assertNull(fixture.node.next().text(), "c0 got a request after its drain was reported");
         }
     }
 
@@ -248,7 +246,10 @@
         return TimeUnit.NANOSECONDS.toMillis(loop.nanos() - nanos);
     }
 
-    /** How many attempts are made in {@link #WINDOW_MS} of an outage, in which each is reset. */
+    /**
+     * Returns how many attempts are made in {@link #ATTEMPT_WINDOW_MS} of an outage in which each
+     * attempt is reset.
+     */
     private long countAttemptsInWindow() throws Exception {
         long previousAttempts = attempts.get();
         for (long elapsedMs = 0; elapsedMs < ATTEMPT_WINDOW_MS; elapsedMs += CLOCK_STEP_MS) {
@@ -277,7 +278,9 @@
         long restoredNanos = loop.nanos();
         advanceToAttempt(attempts.get() + 1);
         long receivedAfterMs = TimeUnit.NANOSECONDS.toMillis(sendChange() - restoredNanos);
-        assertTrue(receivedAfterMs < UPDATE_DEADLINE_MS, "heard after " + receivedAfterMs + " ms");
+        assertTrue(
+                receivedAfterMs < UPDATE_DEADLINE_MS,
+                "change received after " + receivedAfterMs + " ms");
         assertServedOnlyByOther();
         assertEquals(1, logLines("discovery_unreachable").size());
         assertEquals(1, logLines("discovery_restored").size());
@@ -302,7 +305,7 @@
             watch.write(chunk("\n"));
             ScriptedRouter.awaitNext(heardAtNanos);
         }
-        assertEquals(1, attempts.get(), "the one watch was well all the time");
+        assertEquals(1, attempts.get(), "the first watch should stay open all the time");
         assertServedBy(fixture.node);
         long startNanos = loop.nanos();
         if (isReset) {
@@ -316,7 +319,10 @@
         long receivedAfterMs = TimeUnit.NANOSECONDS.toMillis(sendChange() - startNanos);
         assertTrue(
                 receivedAfterMs < UPDATE_DEADLINE_MS,
-                "asked anew after " + reopenedAfterMs + " ms and heard after " + receivedAfterMs);
+                "reopened after "
+                        + reopenedAfterMs
+                        + " ms, change received after "
+                        + receivedAfterMs);
         assertServedOnlyByOther();
     }
 }
--- a/src/test/java/cacheproxy/proxy/LossyNodeTest.java
+++ b/src/test/java/cacheproxy/proxy/LossyNodeTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that answers quickly but lets two requests in a row vanish keeps its keys, and is waited
- * for less long.
+ * A node that answers quickly but drops two consecutive requests is not ejected and keeps its keys;
+ * the timeout of its next attempt is shortened.
  */
 class LossyNodeTest {
 
@@ -19,7 +19,8 @@
     private static final int LATENCY_OBJECTIVE_MS = 2000;
 
     /**
-     * Less than a first attempt's usual part of the client's time, and more than the short time.
+     * Less than the usual timeout of a first attempt, which is a fraction of the client's budget,
+     * and more than the shortened one after a loss.
      */
     private static final double TIMEOUT_THRESHOLD_S = 2;
 
@@ -51,16 +52,16 @@
             remainingLosses.put(Integer.valueOf(node.split(":")[1]), new AtomicInteger(2));
             int requestsToNode = 0;
             for (int key = 0; key < FleetFixture.KEY_COUNT; key++) {
-                assertEquals(200, fleet.read(), "repeated elsewhere");
+                assertEquals(200, fleet.read(), "a lost request should be retried elsewhere");
                 if (nodeByKey.get(key).equals(node)) {
                     assertEquals(
                             node,
                             fleet.nodesByRequest.get(fleet.lastId()).get(0),
-                            "key " + key + ", use " + requestsToNode);
+                            "key " + key + ", request " + requestsToNode);
                     assertTrue(
                             requestsToNode++ != 1
                                     || fleet.lastBudget.get(node) < TIMEOUT_THRESHOLD_S,
-                            "waits as long after a loss");
+                            "the timeout should be shorter after a loss");
                 }
             }
             assertTrue(requestsToNode > 2);
--- a/src/test/java/cacheproxy/proxy/NetworkWideFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/NetworkWideFailuresTest.java
@@ -11,23 +11,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Connections that break everywhere alike are the network's doing: neither the origin nor a node is
- * judged by them.
+ * Connection failures at all nodes alike are attributed to the network: they neither throttle the
+ * origin nor eject a node.
  */
 class NetworkWideFailuresTest {
 
-    /**
-     * Intervals until shares are learned and the level may rise, and until it has risen as far as
-     * it goes.
-     */
+    /** Control intervals until failure rates are learned and the controller's level may rise. */
     private static final int LEARNING_INTERVALS = 3;
 
+    /** Control intervals until the level has risen as far as it can. */
     private static final int TEST_INTERVALS = 10;
 
-    /** Requests that do the same on a slow machine, where an interval has few. */
+    /** Requests with the same effect on a slow machine, where an interval has few requests. */
     private static final int MIN_REQUESTS = 500;
 
-    /** Breaks so many requests in a row of every ten. */
+    /** Closes the connection of the first {@code consecutive} of every ten requests. */
     private static FleetFixture.Script closeFirstOfEachTen(int consecutive) {
         return (request, index) -> {
             if (index % 10 < consecutive) {
@@ -49,7 +47,7 @@
                 fleet.write();
                 assertTrue(
                         fleet.nodesByRequest.containsKey(fleet.lastId()),
-                        "a write was refused unsent");
+                        "a write was rejected unsent");
                 int readStatus = fleet.read();
                 List<String> nodes = fleet.nodesByRequest.get(fleet.lastId());
                 if (fleet.controlIntervals() > LEARNING_INTERVALS && i > MIN_REQUESTS) {
@@ -74,7 +72,7 @@
                 if (fleet.controlIntervals() > LEARNING_INTERVALS && i > MIN_REQUESTS) {
                     assertTrue(
                             fleet.nodesByRequest.containsKey(fleet.lastId()),
-                            "a read was refused unsent");
+                            "a read was rejected unsent");
                     nodesByKey
                             .computeIfAbsent(i % FleetFixture.KEY_COUNT, each -> new HashSet<>())
                             .addAll(fleet.nodesByRequest.get(fleet.lastId()));
@@ -104,7 +102,7 @@
             }
             assertTrue(
                     rejectedUnsent,
-                    "an origin that cuts off half of its requests is never relieved");
+                    "an origin that closes half of its connections was not throttled");
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/OutcomeTest.java
+++ b/src/test/java/cacheproxy/proxy/OutcomeTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a node's connection shows becomes the outcome that the protocol names, and the pool stays
- * clean.
+ * Each event on a connection to a node is mapped to the outcome that the protocol defines, and
+ * connections in an unknown state are not reused.
  */
 class OutcomeTest extends WithProxyFixture {
 
@@ -52,8 +52,8 @@
     }
 
     /**
-     * As at a process that is killed: the request was handed to the system by then or not, and only
-     * then may it have run.
+     * As at a process that is killed: the request may have run only if it was written before the
+     * reset.
      */
     @Test
     void nodeResetAfterAcceptMayHaveRunOnlyWhatWasWritten() throws Exception {
@@ -79,7 +79,7 @@
                                     + endpointList
                                     + "\r\n");
             while (ScriptedRouter.awaitNext(fixture.router.receivedLists).version() < 8) {
-                // The list that it starts with comes first.
+                // The endpoint list that the service starts with comes first.
             }
             fixture.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
             fixture.router.onEnd =
@@ -135,7 +135,8 @@
 
     @Test
     void refusedConnectionIsConnectFailed() throws Exception {
-        // Bound and not listening: the port refuses, and no other program can take it.
+        // A socket that is bound but not listening refuses connections, and no other program can
+        // take its port.
         try (Socket boundSocket = new Socket()) {
             boundSocket.bind(new InetSocketAddress("127.0.0.1", 0));
             String endpointList =
@@ -158,7 +159,7 @@
                                     + endpointList
                                     + "\r\n");
             while (ScriptedRouter.awaitNext(fixture.router.receivedLists).version() < 8) {
-                // The list that it starts with comes first.
+                // The endpoint list that the service starts with comes first.
             }
             fixture.router.onRequest = (request, out) -> out.send(request.id(), "c1", 0);
             client.write(fixture.get(ProxyFixture.LONG_BUDGET_S));
@@ -205,8 +206,7 @@
         put.connection().respond(200, "done", "X-Hit: miss");
         assertEquals("done", new TestServer.Message(client.read(), client).body());
         assertEquals(2, ScriptedRouter.awaitNext(fixture.router.attemptEnds).cacheStatus());
-        // A connection rests for a moment before its next request; those that come meanwhile open
-        // others.
+        // A connection is reused only after a short pause; requests that come earlier open others.
         Set<Integer> opened = new HashSet<>(Set.of(put.connection().number()));
         boolean reused = false;
         TestServer.Message get = put;
--- a/src/test/java/cacheproxy/proxy/PeerListenerTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerListenerTest.java
@@ -19,7 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A start hears whether peers are at work, and leaves the address free for the proxy. */
+/**
+ * A starting process detects whether peers are serving, and leaves the address free for the proxy.
+ */
 class PeerListenerTest {
 
     @Test
@@ -33,7 +35,7 @@
             assertFalse(listener.awaitMessage(0));
             peer.send(new DatagramPacket(new byte[] {1}, 1, address));
             assertTrue(listener.awaitMessage(TimeUnit.SECONDS.toMillis(TestServer.TIMEOUT_S)));
-            assertTrue(listener.awaitMessage(0), "what was heard stays heard");
+            assertTrue(listener.awaitMessage(0), "a message stays detected on later calls");
         }
         try (PeerListener nextListener = new PeerListener(address)) {
             assertFalse(nextListener.awaitMessage(0));
--- a/src/test/java/cacheproxy/proxy/PeerSocketFailuresTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketFailuresTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The socket between proxies where its system calls fail for a while: what is lost is lost, and the
- * socket goes on.
+ * System calls of the socket between proxies fail for a while: messages may be lost, but the socket
+ * keeps working.
  */
 class PeerSocketFailuresTest {
 
@@ -63,7 +63,7 @@
             assertEquals(1, fixture.peerCalls.failureCount(SystemCall.SENDTO));
             assertTrue(
                     fixture.loop.submit(() -> fixture.peers.localAddress().getPort() > 0).get(),
-                    "the socket is open");
+                    "the peer socket should still be open");
         }
     }
 
@@ -73,7 +73,7 @@
         return socket;
     }
 
-    /** This proxy is the first of two. */
+    /** Starts the first of two proxies; {@code peer} is the socket of the second. */
     private static FaultyProxyFixture fixtureWithPeer(DatagramSocket peer) throws Exception {
         return new FaultyProxyFixture(
                 "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
--- a/src/test/java/cacheproxy/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -11,7 +11,10 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams between proxies: only peers are heard, and nothing over the limit goes out. */
+/**
+ * Datagrams between proxies: messages are accepted from peers alone, and messages over the size
+ * limit are neither accepted nor sent.
+ */
 class PeerSocketTest {
 
     private static final int TIMEOUT_MS = (int) (TestServer.TIMEOUT_S * 1000);
--- a/src/test/java/cacheproxy/proxy/RefusingAddress.java
+++ b/src/test/java/cacheproxy/proxy/RefusingAddress.java
@@ -7,9 +7,9 @@
 import java.net.Socket;
 
 /**
- * A loopback address that refuses every connection for as long as it is open. Its port is bound and
- * never listened at, so no other process can be given it meanwhile, as it can be after a server
- * there has been closed.
+ * A loopback address that refuses every connection until it is closed. Its port is bound but not
+ * listening, so the system cannot assign it to another process meanwhile, as it could after closing
+ * a server.
  */
 final class RefusingAddress implements Closeable {
 
--- a/src/test/java/cacheproxy/proxy/ScriptedRouter.java
+++ b/src/test/java/cacheproxy/proxy/ScriptedRouter.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A router that does what a test says, and keeps what it was told. */
+/** A router whose decisions a test scripts; records the events that it receives. */
 final class ScriptedRouter implements Router {
 
     interface OnRequest {
@@ -42,10 +42,11 @@
     volatile Runnable onTimer = () -> {};
     volatile boolean subscribesAtStart;
 
+    /** Removes and returns the next recorded event; fails if none comes within the time limit. */
     static <T> T awaitNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TestServer.TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("timed out waiting for an event");
         }
         return next;
     }
--- a/src/test/java/cacheproxy/proxy/SilentNode.java
+++ b/src/test/java/cacheproxy/proxy/SilentNode.java
@@ -7,12 +7,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/**
- * A cache node that reads every request and answers none, or answers each until it is told to hang.
- */
+/** A cache node that reads every request and answers none, or answers each until {@link #hang}. */
 final class SilentNode implements Closeable {
 
-    /** Recognised as the last connection: every connection to the node was accepted before it. */
+    /** Marks the last connection: every other connection to the node was accepted before it. */
     private static final String LAST_REQUEST = "LAST / HTTP/1.1\r\n\r\n";
 
     private final TestServer server = new TestServer();
@@ -35,19 +33,19 @@
         return server.dial();
     }
 
-    /** From here on it answers nothing more. */
+    /** Stops answering requests. */
     void hang() {
         hanging = true;
     }
 
-    /** Requests that it has read and not answered. */
+    /** Returns how many requests the node has read and not answered. */
     synchronized int unansweredCount() {
         return unansweredCount;
     }
 
     /**
-     * All requests that it has ever read; waits until each connection to it has been closed by its
-     * other side.
+     * Waits until the other side has closed each connection to the node, and returns all requests
+     * that the node has ever read.
      */
     List<TestServer.Message> requestsAfterAllConnectionsClosed()
             throws IOException, InterruptedException {
@@ -67,7 +65,7 @@
             try {
                 handle(server.await());
             } catch (IOException e) {
-                // The other side has given the request up.
+                // The other side has closed the connection before the response.
                 continue;
             } catch (InterruptedException e) {
                 return;
@@ -81,7 +79,10 @@
         }
     }
 
-    /** Notes what has come; false for the end of a connection and for the mark of the last one. */
+    /**
+     * Records a message; returns false for the end of a connection and for the marker of the last
+     * connection.
+     */
     private synchronized boolean recordIfRequest(TestServer.Message message) {
         if (message.text() == null) {
             closedCount++;
--- a/src/test/java/cacheproxy/proxy/StaleConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/StaleConnectionTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What has come on an idle connection and lies unread when the next request is to be written to it:
- * it is not written there.
+ * A request is not written to an idle connection on which unread input or an end of stream has
+ * arrived.
  */
 class StaleConnectionTest extends WithProxyFixture {
 
-    private static final String END_OF_STREAM = "an end";
+    private static final String END_OF_STREAM = "end of stream";
 
     @ParameterizedTest
     @ValueSource(
@@ -34,7 +34,7 @@
         TestServer.Connection idle = fixture.node.next().connection();
         idle.respond(200, "v");
         client.read();
-        // Past its rest, so that it would be used, and not yet closed as a spare.
+        // The connection is reusable by now and not yet closed as an extra idle connection.
         TimeUnit.MILLISECONDS.sleep(50);
         EventLoopPause loopPause = new EventLoopPause();
         fixture.router.onRequest =
@@ -59,7 +59,7 @@
         assertEquals("right", new TestServer.Message(client.read(), client).body());
     }
 
-    /** A reset is no end: only an end that the node tells ends an answer without a length. */
+    /** A response without a length is completed by a regular close, but not by a reset. */
     @ParameterizedTest
     @CsvSource({"10, false, OK, 200", "10, true, RESET, 502", "10000, true, RESET, 502"})
     void closeDelimitedResponseIsCompletedByCloseButNotByReset(
@@ -83,8 +83,8 @@
     }
 
     /**
-     * A long one has begun to go to the client, who has to be able to tell that its rest never
-     * came.
+     * A long response is forwarded before it is complete, so the client has to be able to detect
+     * that the remainder is missing.
      */
     @Test
     void longCloseDelimitedResponseThatIsResetIsNotForwardedAsComplete() throws Exception {
@@ -102,7 +102,9 @@
                         Math.max(0, rest.length - 5),
                         Math.min(5, rest.length),
                         StandardCharsets.US_ASCII);
-        assertTrue(!lastBytes.equals("0\r\n\r\n"), "the last chunk says that this was all");
+        assertTrue(
+                !lastBytes.equals("0\r\n\r\n"),
+                "a truncated response was ended with the last chunk");
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/StalledResponseTest.java
+++ b/src/test/java/cacheproxy/proxy/StalledResponseTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An answer that breaks off is not waited for until nobody wants it any more. */
+/** A response that stalls is abandoned while there is still time for another attempt. */
 class StalledResponseTest {
 
     private static ServiceClass serviceClass(double latencyObjectiveMs) {
@@ -32,11 +32,11 @@
     void stallTimeoutLeavesTimeForAnotherAttempt() {
         assertTrue(
                 NodePool.stallTimeoutMs(List.of(serviceClass(160), serviceClass(80))) <= 40,
-                "half of the shortest aim is left");
+                "half of the shortest latency objective should be left");
         assertEquals(
                 200,
                 NodePool.stallTimeoutMs(List.of(serviceClass(10_000))),
-                "nor long where nothing presses");
+                "the stall timeout is limited for long objectives");
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/WithNodePool.java
+++ b/src/test/java/cacheproxy/proxy/WithNodePool.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A pool with one scripted node c0, and a clock that moves only when a test says so. */
+/** A pool with one scripted node c0, and a clock that moves only when a test advances it. */
 abstract class WithNodePool {
 
     private static final int CONNECT_TIMEOUT_MS = 5000;
@@ -80,7 +80,10 @@
                                 (attempt, outcome, response) -> outcomes.add(outcome)));
     }
 
-    /** Waits until each connection's rest is over, which its clock and a timer of the loop end. */
+    /**
+     * Waits until each idle connection may be reused. The pause before that ends by the pool's
+     * clock and a timer of the event loop.
+     */
     void awaitReusable() throws Exception {
         nanoClock.addAndGet(TimeUnit.MILLISECONDS.toNanos(5));
         while (!loop.submit(pool::hasNoPausingConnection).get()) {
--- a/src/test/java/cacheproxy/syscalls/Errno.java
+++ b/src/test/java/cacheproxy/syscalls/Errno.java
@@ -25,7 +25,7 @@
         this.message = message;
     }
 
-    /** The exception for this error of {@code call}; a new one each time. */
+    /** Returns a new exception for this error of {@code call}. */
     public IOException exception(SystemCall call) {
         return switch (call) {
             case ACCEPT, READ, WRITE, CONFIGURE, EPOLL_CREATE, SELECT -> new IOException(message);
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The exception for this error of a call on a datagram socket, or of one that makes or connects
-     * a socket.
+     * Returns a new exception for this error of a call on a datagram socket, or of a call that
+     * creates or connects a socket.
      */
     public SocketException socketException() {
         return switch (this) {
--- a/src/test/java/cacheproxy/syscalls/FaultSchedule.java
+++ b/src/test/java/cacheproxy/syscalls/FaultSchedule.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which calls of a {@link FaultySelectorProvider}'s channels fail, and with what. Everything
- * succeeds until a test says otherwise; tests may change it from any thread.
+ * Defines which system calls of a {@link FaultySelectorProvider}'s channels fail, and with which
+ * error. All calls succeed until a test schedules a fault. Thread-safe.
  */
 public final class FaultSchedule {
 
     /**
-     * The error of a call, for so many calls and until so long; nanoseconds of {@link
-     * System#nanoTime}.
+     * The error of the next {@code remainingCalls} calls, until {@code untilNanos} of {@link
+     * System#nanoTime}; {@link Long#MAX_VALUE} means no time limit.
      */
     private record Fault(Errno errno, long remainingCalls, long untilNanos) {}
 
@@ -26,12 +26,12 @@
     private long remainingWriteBytes = Long.MAX_VALUE;
     private int pendingInterrupts;
 
-    /** The next {@code calls} of these fail. */
+    /** Makes the next {@code calls} calls of this kind fail. */
     public synchronized void fail(SystemCall call, Errno errno, long calls) {
         faults.put(call, new Fault(errno, calls, Long.MAX_VALUE));
     }
 
-    /** Every one of these fails for so long from now. */
+    /** Makes every call of this kind fail for the given time from now. */
     public synchronized void failFor(SystemCall call, Errno errno, long milliseconds) {
         faults.put(
                 call,
@@ -41,59 +41,63 @@
                         System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds)));
     }
 
-    /** Whatever was to fail succeeds from now on. */
+    /**
+     * Removes all scheduled failures and byte limits. Broken connections stay broken, and pending
+     * interrupts remain.
+     */
     public synchronized void clearFaults() {
         faults.clear();
         maxTransferBytes = Integer.MAX_VALUE;
         remainingWriteBytes = Long.MAX_VALUE;
     }
 
-    /** No read and no write moves more bytes than this at once. */
+    /** Limits the bytes that each read and each write transfers. */
     public synchronized void limitTransfers(int bytes) {
         maxTransferBytes = bytes;
     }
 
-    /** So many bytes may be written still; after them the sockets' buffers are as good as full. */
+    /** Limits the bytes written from now on; after them writes behave as with full buffers. */
     public synchronized void limitWrittenBytes(long bytes) {
         remainingWriteBytes = bytes;
     }
 
-    /** Whether anything may be written still. */
+    /** Whether the limit of written bytes is not yet reached. */
     public synchronized boolean mayWrite() {
         return remainingWriteBytes > 0;
     }
 
-    /**
-     * The next so many waits return at once and tell of nothing, as those that a signal interrupts.
-     */
+    /** Makes the next {@code count} waits return at once without events, as after a signal. */
     public synchronized void interruptWaits(int count) {
         pendingInterrupts = count;
     }
 
-    /** How many of these calls have failed by this schedule so far. */
+    /** Returns how many calls of this kind this schedule has made fail so far. */
     public synchronized int failureCount(SystemCall call) {
         return failureCounts.getOrDefault(call, 0);
     }
 
-    /** Waits that were to be interrupted and have not come yet. */
+    /** Returns how many of the waits to interrupt have not happened yet. */
     public synchronized int pendingInterrupts() {
         return pendingInterrupts;
     }
 
-    /** Channels that are open now. */
+    /** Returns how many socket channels are open. */
     public int openCount() {
         return openSockets.size();
     }
 
     /**
-     * Every connection that is open breaks: its next read or write fails with this, and it is ready
-     * at once for that.
+     * Breaks every open connection: it becomes ready at once, and its next read or write fails with
+     * this error.
      */
     public void breakConnections(Errno errno) {
         openSockets.forEach(socket -> socket.breakVisibly(errno));
     }
 
-    /** The same, but the loop learns of it only where it reads or writes for another reason. */
+    /**
+     * Breaks every open connection without making it ready: the event loop notices only when it
+     * reads or writes for another reason.
+     */
     public void breakConnectionsSilently(Errno errno) {
         openSockets.forEach(socket -> socket.breakSilently(errno));
     }
@@ -114,7 +118,7 @@
         return true;
     }
 
-    /** Throws if this call is to fail. */
+    /** Throws the scheduled error if this call is to fail. */
     void failIfScheduled(SystemCall call) throws IOException {
         Errno errno = takeFault(call);
         if (errno != null) {
--- a/src/test/java/cacheproxy/syscalls/FaultyDatagramChannel.java
+++ b/src/test/java/cacheproxy/syscalls/FaultyDatagramChannel.java
@@ -13,7 +13,7 @@
 import java.nio.channels.spi.SelectorProvider;
 import java.util.Set;
 
-/** A datagram socket whose {@code recvfrom} and {@code sendto} fail by a schedule. */
+/** A datagram channel whose system calls fail as its schedule defines. */
 final class FaultyDatagramChannel extends DatagramChannel implements WrappedChannel {
 
     private final DatagramChannel delegate;
--- a/src/test/java/cacheproxy/syscalls/FaultySelector.java
+++ b/src/test/java/cacheproxy/syscalls/FaultySelector.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Waits for wrapped channels and others alike; a wait may fail, or end at once as one that a signal
- * interrupted.
+ * A selector for wrapped and other channels; a wait may fail, or return at once as if interrupted
+ * by a signal.
  */
 final class FaultySelector extends AbstractSelector {
 
--- a/src/test/java/cacheproxy/syscalls/FaultySelectorProvider.java
+++ b/src/test/java/cacheproxy/syscalls/FaultySelectorProvider.java
@@ -10,9 +10,9 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * Channels and selectors of the Java library whose system calls fail by a schedule. Its selectors
- * also wait for channels of other providers, so that one event loop can have several schedules.
- * Pipes are the library's own.
+ * Provides channels and selectors of the Java library whose system calls fail as a schedule
+ * defines. The selectors also wait for channels of other providers, so that one event loop can use
+ * several schedules. Pipes are the library's own and do not fail.
  */
 public final class FaultySelectorProvider extends SelectorProvider {
 
--- a/src/test/java/cacheproxy/syscalls/FaultyServerSocketChannel.java
+++ b/src/test/java/cacheproxy/syscalls/FaultyServerSocketChannel.java
@@ -10,7 +10,10 @@
 import java.nio.channels.spi.SelectorProvider;
 import java.util.Set;
 
-/** A listener whose calls fail as its schedule says; what it accepts goes by the same schedule. */
+/**
+ * A server socket channel whose system calls fail as its schedule defines; accepted connections use
+ * the same schedule.
+ */
 final class FaultyServerSocketChannel extends ServerSocketChannel implements WrappedChannel {
 
     private final ServerSocketChannel delegate;
--- a/src/test/java/cacheproxy/syscalls/FaultySocketChannel.java
+++ b/src/test/java/cacheproxy/syscalls/FaultySocketChannel.java
@@ -10,7 +10,10 @@
 import java.nio.channels.spi.SelectorProvider;
 import java.util.Set;
 
-/** A connection whose calls fail, move fewer bytes or find it broken as its schedule says. */
+/**
+ * A connection whose system calls fail or transfer fewer bytes as its schedule defines, and that
+ * can be broken at any time.
+ */
 final class FaultySocketChannel extends SocketChannel implements WrappedChannel {
 
     private final SocketChannel delegate;
@@ -29,18 +32,21 @@
         return delegate;
     }
 
-    /** From now on every read and write fails with this; no selector is told. */
+    /** Makes every further read and write fail with this error; no selector is notified. */
     void breakSilently(Errno errno) {
         breakError = errno;
     }
 
-    /** The same, and the selector sees the connection as ready, as it would for an error. */
+    /**
+     * Makes every further read and write fail with this error and the connection ready to read, as
+     * a selector reports a connection with an error.
+     */
     void breakVisibly(Errno errno) {
         breakSilently(errno);
         try {
             delegate.shutdownInput();
         } catch (IOException e) {
-            // Not connected, or closed meanwhile: the next call tells.
+            // The connection is not established or already closed: its next call fails anyway.
         }
     }
 
@@ -172,7 +178,7 @@
         return breakError == null ? delegate.socket() : new BrokenSocket();
     }
 
-    /** Tells nothing of the end that {@link #breakWith} has the selector see. */
+    /** Hides the input shutdown by which {@link #breakVisibly} makes the connection ready. */
     private final class BrokenSocket extends Socket {
         @Override
         public boolean isInputShutdown() {
--- a/src/test/java/cacheproxy/syscalls/SystemCall.java
+++ b/src/test/java/cacheproxy/syscalls/SystemCall.java
@@ -1,9 +1,6 @@
 package cacheproxy.syscalls;
 
-/**
- * The system calls that a {@link FaultSchedule} can make fail, as the sockets of the Java library
- * make them.
- */
+/** The system calls of the Java library's sockets that a {@link FaultSchedule} can make fail. */
 public enum SystemCall {
     /** {@code socket}: a channel is opened. */
     SOCKET,
@@ -13,9 +10,9 @@
     ACCEPT,
     /** {@code fcntl}: a socket is made non-blocking. */
     CONFIGURE,
-    /** {@code connect}, as it is called. */
+    /** {@code connect}: the call itself fails. */
     CONNECT,
-    /** The outcome of a connect that was in progress. */
+    /** The result of a connect that was in progress. */
     FINISH_CONNECT,
     READ,
     WRITE,
--- a/src/test/java/cacheproxy/syscalls/WrappedChannel.java
+++ b/src/test/java/cacheproxy/syscalls/WrappedChannel.java
@@ -2,9 +2,9 @@
 
 import java.nio.channels.SelectableChannel;
 
-/** A channel that stands before one of the Java library's own. */
+/** A channel that delegates to one of the Java library's own channels. */
 interface WrappedChannel {
 
-    /** The channel that the system knows. */
+    /** Returns the library's channel, which a selector can register. */
     SelectableChannel delegate();
 }
