--- a/src/main/java/cacheproxy/lab/CachePrefiller.java
+++ b/src/main/java/cacheproxy/lab/CachePrefiller.java
@@ -13,12 +13,12 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * Asks a router of its own, to which nothing else ever happens, at which cache nodes a key is
- * looked for.
+ * Fills the simulated caches before a run. It uses a separate instance of the decision module,
+ * which gets no other traffic, to find the cache nodes at which each key is looked up.
  */
 public final class CachePrefiller extends NoopActions {
 
-    /** Far enough apart that no meter of the router's sees a load. */
+    /** Time between two requests, long enough that the decision module measures no load. */
     private static final double REQUEST_SPACING_MS = 50;
 
     private static final int MAX_PREFILLED_KEYS = 200_000;
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Nodes that run when the day begins hold what they were asked for lately: a router is asked
-     * where each key lives, the popular ones last, so that they are the freshest.
+     * Fills the nodes that run at the start with copies of the most popular keys. Keys are added in
+     * ascending order of popularity, so that the most popular ones are the most recently used.
      */
     public static void prefill(
             World world,
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The nodes that a read of this key is sent to when the first has missed. */
+    /** Returns the nodes that a read of this key is sent to when each of them reports a miss. */
     private List<String> lookUpNodes(long key, String service) {
         now += REQUEST_SPACING_MS;
         String id = "o" + requestCount++;
--- a/src/main/java/cacheproxy/lab/Experiment.java
+++ b/src/main/java/cacheproxy/lab/Experiment.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * An experiment as its file states it: ranges, not draws. Every figure has its unit in its name; a
- * range holds the least and the most. See {@link ExperimentFile} for the keys and their bounds.
+ * An experiment as specified by its file: ranges, not the random values drawn from them. Every
+ * quantity has its unit in its name; a range is a pair of minimum and maximum. See {@link
+ * ExperimentFile} for the keys and their bounds.
  */
 public record Experiment(
         String name,
@@ -25,12 +26,14 @@
         List<Expect> expects) {
 
     /**
-     * The longest value of a key, in bytes: a little over what a proxy of the largest fleet planned
-     * for answers on average.
+     * Largest allowed size of a value, in bytes: slightly above the average response size of a
+     * proxy in the largest planned fleet.
      */
     public static final int MAX_VALUE_BYTES = 2_000_000;
 
-    /** Cache nodes, those that may take another's place, their zones and the links between them. */
+    /**
+     * The cache nodes, spare nodes that may replace them, their zones and the links between zones.
+     */
     public record Fleet(
             int nodes,
             int spares,
@@ -47,25 +50,23 @@
             double[] bytes,
             double kept) {
 
-        /**
-         * The place among the zones of a node or spare, by its number: they are dealt out in turn.
-         */
+        /** Returns the zone index of a node or spare; nodes are assigned to zones in rotation. */
         public int zoneIndex(int node) {
             return node % zones.size();
         }
 
-        /** The least share of its capacity that a node of any kind starts with. */
+        /** Returns the smallest fraction of its capacity that a node of any kind starts with. */
         public double slowStartInitialFraction() {
             return kinds.stream().mapToDouble(k -> k.coldFrom()[0]).min().orElse(1);
         }
 
-        /** When a node of any kind is warm at the latest. */
+        /** Returns the longest warm-up of any kind of node, in ms. */
         public double slowStartMs() {
             return kinds.stream().mapToDouble(k -> 1000 * k.coldS()).max().orElse(0);
         }
     }
 
-    /** A kind of machine and its share of the nodes. */
+    /** A kind of machine and its relative share of the nodes. */
     public record Kind(
             String name,
             double share,
@@ -77,6 +78,10 @@
             double coldS,
             double crowding) {}
 
+    /**
+     * The origin. It stops when the work sent to it over {@code fallS} exceeds {@code fallMultiple}
+     * times its capacity; {@code downS} is the range of the duration of such a stop.
+     */
     public record Origin(
             int cores,
             double speed,
@@ -90,24 +95,32 @@
             double[] downS) {}
 
     /**
-     * {@code listsPerS} is how many whole lists it can hand out in a second, to all proxies
-     * together.
+     * Discovery. {@code delayS} is the delay until an update reaches a proxy, {@code weightS} the
+     * interval between weight updates, {@code listsPerS} the number of snapshots that it can send
+     * per second to all proxies together.
      */
     public record Discovery(double[] delayS, double[] weightS, double listsPerS) {}
 
-    /** {@code run} is the command that starts one; empty for that of deploy/balancer.toml. */
+    /**
+     * The proxies. {@code run} is the command that starts one; if empty, the one in
+     * deploy/balancer.toml is used.
+     */
     public record Proxies(int count, String run, int memoryMb, int sockets, double noticeS) {}
 
     /**
-     * Whether the proxies gossip, the bytes that each may send in a second, headers included, and
-     * whether their timeouts heed their own health.
+     * Gossip between the proxies: whether it is enabled, the bytes per second that each proxy may
+     * send, including headers, and whether a proxy extends its timeouts when its own health is
+     * poor.
      */
     public record Gossip(boolean enabled, int bytesPerS, boolean health) {}
 
-    /** How many of the first proxies vote on the fleet's policy; 0 without one. */
+    /**
+     * The policy log. {@code voters} is the number of proxies, counted from proxy-0, that are
+     * voters; 0 disables the policy log.
+     */
     public record Policy(int voters) {}
 
-    /** {@code proxyShares} is what a proxy's traffic is drawn from, in relation to the others'. */
+    /** The load. {@code proxyShares} is the range of the relative share of traffic of a proxy. */
     public record Load(
             double rate,
             double zipf,
@@ -123,13 +136,16 @@
             double[] proxyShares,
             List<Class> classes) {
 
-        /** The longest time that a client of any class waits. */
+        /** Returns the longest deadline of any class, in ms. */
         public double longestDeadlineMs() {
             return classes.stream().mapToDouble(Class::deadlineMs).max().orElse(0);
         }
     }
 
-    /** A class of requests; {@code effect} as {@link cacheproxy.Router.Effect}. */
+    /**
+     * A class of requests. {@code aimMs} is its latency objective, {@code worth} its priority
+     * weight; {@code effect} is as in {@link cacheproxy.Router.Effect}.
+     */
     public record Class(
             String name,
             double share,
@@ -142,8 +158,8 @@
             double repeatWindowMs) {}
 
     /**
-     * The figures of the rules; {@code slackMs} is how late a final answer may come, {@code
-     * coldFalls} whether a cold node that gets too much falls over.
+     * Parameters of the rules. {@code slackMs} is the tolerance for a final answer after its
+     * deadline, {@code coldFalls} whether a node that is overloaded while warming up crashes.
      */
     public record Rules(
             double slackMs,
@@ -156,11 +172,11 @@
             boolean secondCopies) {}
 
     /**
-     * Points of worth taken off for each new connection, attempt that crosses zones and unit of
-     * abandoned work, by first tries.
+     * Costs subtracted from the share of priority weight served: for each new connection, each
+     * attempt that crosses zones and each unit of abandoned work, all per request.
      */
     public record Prices(double connection, double crossing, double waste) {}
 
-    /** A bound on a figure of the results; infinite where a side is open. */
+    /** Bounds on a figure of the results; an open side is infinite. */
     public record Expect(String figure, double min, double max) {}
 }
--- a/src/main/java/cacheproxy/lab/ExperimentFile.java
+++ b/src/main/java/cacheproxy/lab/ExperimentFile.java
@@ -11,21 +11,21 @@
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
 
-/** Reads an experiment's TOML. Everything is checked before anything starts. */
+/** Reads an experiment from TOML and validates the whole file before anything starts. */
 public final class ExperimentFile {
 
     private static final double DAY_S = 86_400;
     private static final Pattern PERCENTAGE = Pattern.compile("[1-9]\\d?%");
 
     /**
-     * What an origin takes at once and lets wait, by its cores, where a file does not say: as the
-     * smallest has with four.
+     * Default concurrency limit and queue capacity of the origin per core; they match the defaults
+     * of the smallest origin, which has four cores.
      */
     private static final int ORIGIN_SLOTS_PER_CORE = 16;
 
     private static final int ORIGIN_QUEUE_PER_CORE = 50;
 
-    /** Cache nodes, and as many spares, that a file may name; a fleet has 3,200 at most. */
+    /** Maximum of cache nodes, and of spares; the largest fleet has 3,200. */
     private static final int MAX_NODES = 4000;
 
     private static final double MAX_REQUESTS_PER_S = 200_000;
@@ -35,7 +35,7 @@
     private static final int MIN_GOSSIP_BYTES_PER_S = 4096;
     private static final int MAX_GOSSIP_BYTES_PER_S = 1 << 20;
 
-    /** How long a node that is replaced drains before it is gone. */
+    /** How long a replaced node drains before it stops, in seconds. */
     private static final double REPLACEMENT_DRAIN_S = 2;
 
     private static final Pattern FIGURE_NAME = Pattern.compile("[a-z0-9_]+(\\.[A-Za-z0-9_-]+)+");
@@ -46,7 +46,7 @@
         this.toml = toml;
     }
 
-    /** Reads a file with some keys set from outside, as by {@code --set}. */
+    /** Reads a file, with some keys overridden as by {@code --set}. */
     public static Experiment read(Path file, Map<String, String> overrides)
             throws BadFileException {
         Toml toml = Toml.read(file);
@@ -56,6 +56,7 @@
         return parse(toml);
     }
 
+    /** Reads an experiment from parsed TOML. */
     public static Experiment parse(Toml toml) throws BadFileException {
         return new ExperimentFile(toml).experiment();
     }
@@ -98,7 +99,7 @@
             throw policyTable.invalidValue(
                     "voters",
                     String.valueOf(policy.voters()),
-                    "at most proxies.count, with gossip.enabled, as proxies know one another by their gossip keys");
+                    "at most proxies.count, and 0 unless gossip.enabled, as proxies identify one another by their gossip keys");
         }
         policyTable.rejectUnknownKeys();
         Experiment.Load load = load(root.table("load"));
@@ -425,7 +426,7 @@
         return value;
     }
 
-    /** A zone's name stands for all its nodes. */
+    /** Reads the target of a fault on cache nodes; a zone's name means all its nodes. */
     private static String nodeTarget(Toml.Table table, String key, Experiment.Fleet fleet)
             throws BadFileException {
         String value = table.string(key, "");
@@ -449,7 +450,10 @@
         return value;
     }
 
-    /** Evenly over the fault's time, a spare starts and the node whose place it takes drains. */
+    /**
+     * Expands a {@code node-replace} fault: at even intervals over its duration, a spare starts and
+     * the node that it replaces drains.
+     */
     private static List<Fault> expandReplacement(
             Toml.Table table, Fault replacement, Experiment.Fleet fleet) throws BadFileException {
         List<Integer> targets =
@@ -513,12 +517,12 @@
         return IntStream.range(from, to).anyMatch(i -> value.equals(prefix + i));
     }
 
-    /** One {@code [[expect]]}: a figure and its bounds. */
+    /** Reads one {@code [[expect]]} table: a figure and its bounds. */
     public static Experiment.Expect expect(Toml.Table table) throws BadFileException {
         String figure = table.string("figure", "");
         if (!FIGURE_NAME.matcher(figure).matches()) {
             throw table.invalidValue(
-                    "figure", '"' + figure + '"', "a figure's dotted name, as served.worth");
+                    "figure", '"' + figure + '"', "a dotted figure name such as served.worth");
         }
         if (!table.has("min") && !table.has("max")) {
             throw table.invalidValue("min", "nothing", "min, max or both");
--- a/src/main/java/cacheproxy/lab/NoopActions.java
+++ b/src/main/java/cacheproxy/lab/NoopActions.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.Router;
 
-/** Does nothing of what a router asks for; whoever plays a part of a proxy overrides that part. */
+/** Actions that do nothing. Drivers that simulate a part of a proxy override that part. */
 public abstract class NoopActions implements Router.Actions {
 
     @Override
--- a/src/main/java/cacheproxy/lab/ProcessUse.java
+++ b/src/main/java/cacheproxy/lab/ProcessUse.java
@@ -2,14 +2,14 @@
 
 import java.lang.management.ManagementFactory;
 
-/** What this process uses, for the measurements of the laboratory. */
+/** CPU time and memory used by this process, for the measurements of the testbed. */
 public final class ProcessUse {
 
     private static final long NS_PER_MS = 1_000_000;
 
     private ProcessUse() {}
 
-    /** Milliseconds of a core, of all its threads since its start. */
+    /** Returns the CPU time of all threads since the process started, in ms. */
     public static long cpuMs() {
         return ((com.sun.management.OperatingSystemMXBean)
                                 ManagementFactory.getOperatingSystemMXBean())
@@ -17,7 +17,7 @@
                 / NS_PER_MS;
     }
 
-    /** Bytes of heap that are still held after a collection, which this runs. */
+    /** Runs a garbage collection and returns the bytes of heap still in use. */
     public static long retainedBytes() {
         System.gc();
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/main/java/cacheproxy/lab/ProxyCommand.java
+++ b/src/main/java/cacheproxy/lab/ProxyCommand.java
@@ -5,14 +5,15 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The command that starts one proxy, and the folder it is started from. */
+/** The command that starts one proxy, and its working directory. */
 public record ProxyCommand(Path directory, String command) {
 
     private static final String DEPLOY = "deploy/balancer.toml";
 
     /**
-     * Looks for deploy/balancer.toml in a folder and above it; {@code run} stands in for its line
-     * where it is not empty.
+     * Looks for deploy/balancer.toml in a directory and its ancestors.
+     *
+     * @param commandOverride the command to use instead of the one in that file, unless empty
      */
     public static ProxyCommand find(Path start, String commandOverride) throws BadFileException {
         for (Path ancestor = start.toAbsolutePath();
--- a/src/main/java/cacheproxy/lab/ProxySettings.java
+++ b/src/main/java/cacheproxy/lab/ProxySettings.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a proxy of an experiment is told of its site, in the platform's words. */
+/** Settings of a proxy in an experiment, in the format of the platform configuration. */
 public final class ProxySettings {
 
     private static final double MS_PER_S = 1000;
 
     private ProxySettings() {}
 
-    /** The same as the decision module is given them. */
+    /** Returns the settings as passed to the decision module. */
     public static Router.Settings read(
             Experiment experiment,
             Installation installation,
@@ -29,7 +29,7 @@
         return SettingsReader.read(json(experiment, installation, proxy, idleMs, connectMs));
     }
 
-    /** An entry of the world's list as the decision module is told it. */
+    /** Converts an endpoint list entry of the simulated installation for the decision module. */
     public static Router.Node node(Installation installation, World.Entry entry) {
         Router.Availability availability =
                 switch (entry.health()) {
@@ -47,7 +47,7 @@
                 availability);
     }
 
-    /** The {@code settings} object of proxy number {@code proxy}; times in ms. */
+    /** Returns the {@code settings} object of proxy number {@code proxy}; times are in ms. */
     public static JsonObject json(
             Experiment experiment,
             Installation installation,
--- a/src/main/java/cacheproxy/lab/ScenarioGenerator.java
+++ b/src/main/java/cacheproxy/lab/ScenarioGenerator.java
@@ -11,14 +11,17 @@
 import org.apache.commons.math3.random.Well19937c;
 
 /**
- * Draws one installation from an experiment's ranges. Each matter has a generator of its own, so
- * that a change of one leaves the others.
+ * Generates a random installation within an experiment's ranges. Each aspect has its own random
+ * stream, so that changing how one aspect is generated leaves the others unchanged.
  */
 public final class ScenarioGenerator {
 
     private static final double MS_PER_S = 1000;
 
-    /** Numbers of the streams that one seed is split into. */
+    /**
+     * The independent random streams derived from one seed. The ordinal is part of each stream's
+     * seed: append new constants at the end.
+     */
     public enum RandomStream {
         FLEET,
         ARRIVALS,
@@ -37,6 +40,7 @@
 
     private ScenarioGenerator() {}
 
+    /** Returns a new generator for one stream of a seed. */
     public static RandomGenerator randomGenerator(long seed, RandomStream stream) {
         return new Well19937c(new int[] {(int) seed, (int) (seed >>> 32), stream.ordinal()});
     }
@@ -45,7 +49,7 @@
         return range[0] + (range[1] - range[0]) * random.nextDouble();
     }
 
-    /** The installation of a seed; the same for the same experiment and seed. */
+    /** Returns the installation for the experiment's seed; equal experiments give equal results. */
     public static Installation installation(Experiment experiment) {
         RandomGenerator random = randomGenerator(experiment.seed(), RandomStream.FLEET);
         Experiment.Fleet fleet = experiment.fleet();
@@ -58,7 +62,7 @@
                 links[b][a] = links[a][b];
             }
         }
-        // All copies of one pooled cache's worth: the nodes together hold this part of all bytes.
+        // fleet.kept is the total memory of all nodes as a fraction of the bytes of all values.
         double dataBytes = 0.5 * (fleet.bytes()[0] + fleet.bytes()[1]) * fleet.keys();
         long memoryBytes = (long) Math.max(1, fleet.kept() * dataBytes / fleet.nodes());
         List<NodeSpec> nodes = new ArrayList<>();
@@ -114,7 +118,11 @@
                 new Installation.DataSpec(fleet.keys(), fleet.bytes(), fleet.ttlS() * MS_PER_S));
     }
 
-    /** What the world does with a cold node, by the load's {@code meanReadMs}. */
+    /**
+     * Returns the limits on the load of nodes that are warming up.
+     *
+     * @param meanReadMs mean work of a read of the planned load, in core-milliseconds
+     */
     public static World.Limits limits(Experiment experiment, double meanReadMs) {
         Experiment.Rules rules = experiment.rules();
         return new World.Limits(
--- a/src/main/java/cacheproxy/lab/SizeSweep.java
+++ b/src/main/java/cacheproxy/lab/SizeSweep.java
@@ -10,22 +10,24 @@
 import java.util.Map;
 
 /**
- * The sizes that an experiment is played at to find slopes, and the figures that are fitted over
- * them; in its file {@code [sizes]} and {@code [[measure]]}, which a single run leaves aside.
+ * The sizes at which an experiment is run to determine slopes, and the figures that are fitted
+ * against the size. They are read from the {@code [sizes]} and {@code [[measure]]} tables, which a
+ * single run ignores.
  *
- * @param driver what plays it
- * @param against what grows, in the words of {@code cacheproxy.lab.capacity.Target}
- * @param steps the sizes in their order
- * @param measures what is fitted
+ * @param driver what runs the experiment
+ * @param quantity the quantity that grows, named as in {@code cacheproxy.lab.capacity.Target}
+ * @param steps the sizes in order
+ * @param measures the figures to fit
  */
 public record SizeSweep(Driver driver, String quantity, List<Step> steps, List<Measure> measures) {
 
-    /** One size, and the experiment's keys that make it. */
+    /** One size, and the experiment keys to override for it. */
     public record Step(double size, Map<String, String> overrides) {}
 
     /**
-     * A slope to find: {@code figure} and {@code unit} name it, {@code of} is the run's figure,
-     * taken a second and a proxy where that is said.
+     * A slope to determine. {@code figure} and {@code unit} name it; {@code sourceFigure} is the
+     * figure of the run, divided by the duration in seconds if {@code perSecond} and by the number
+     * of proxies if {@code perProxy}.
      */
     public record Measure(
             Slope.Role role,
@@ -35,7 +37,7 @@
             boolean perSecond,
             boolean perProxy) {
 
-        /** The measured value of one run. */
+        /** Returns the measured value of one run; NaN if the run does not have the figure. */
         public double value(Map<String, Double> figures, Experiment experiment) {
             return figures.getOrDefault(sourceFigure, Double.NaN)
                     / (perSecond ? experiment.durationS() : 1)
@@ -43,7 +45,7 @@
         }
     }
 
-    /** What plays it: real proxies, virtual time, or the module alone. */
+    /** What runs the experiment: real proxies, virtual time, or the decision module alone. */
     public enum Driver {
         SOCKETS,
         VIRTUAL,
@@ -52,12 +54,12 @@
 
     private static final double MAX_FACTOR = 1e12;
 
-    /** Two points lie on a line whatever is measured. */
+    /** Minimum number of sizes: two points always lie on a line, whatever is measured. */
     private static final int MIN_STEPS = 3;
 
     private static final String NAME = "[a-z0-9-]{1,60}";
 
-    /** Reads both parts; without them there are no steps. */
+    /** Reads both tables; if they are missing, there are no steps. */
     public static SizeSweep read(Toml.Table root) throws BadFileException {
         Toml.Table table = root.table("sizes");
         Driver driver = table.enumValue("driver", Driver.SOCKETS, Driver.class);
@@ -105,7 +107,7 @@
                 throw table.invalidValue(
                         "over",
                         '"' + line + '"',
-                        "KEY = V, V, V, ..., three values at least and as many in each line");
+                        "KEY = V, V, V, ..., at least three values and the same number in each line");
             }
             for (int i = 0; i < values.length; i++) {
                 if (steps.size() <= i) {
--- a/src/main/java/cacheproxy/lab/WorkerProcess.java
+++ b/src/main/java/cacheproxy/lab/WorkerProcess.java
@@ -10,15 +10,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A Java process that a laboratory driver starts with its own class path. The driver writes
- * commands to its standard input, one a line, and reads its answers from its standard output, one a
- * line.
+ * A Java process that a testbed driver starts with the driver's own class path. The driver writes
+ * commands to its standard input and reads its answers from its standard output, one per line.
  *
  * <p>Not thread safe: one driver thread owns a worker from its start to its end.
  */
 public final class WorkerProcess implements AutoCloseable {
 
-    /** How long a worker may take to end by itself once its input has been closed, in seconds. */
+    /** How long a worker may take to exit after its input has been closed, in seconds. */
     private static final long END_TIMEOUT_S = 5;
 
     private final Process process;
@@ -33,10 +32,10 @@
      * Starts a worker.
      *
      * @param mainClass the class whose main method runs in the new process
-     * @param jvmFlags flags of its Java machine, before the class path
-     * @param arguments what its main method gets
-     * @param errors where its standard error goes
-     * @throws IOException if the system does not start it
+     * @param jvmFlags JVM options, placed before the class path
+     * @param arguments arguments of its main method
+     * @param errors destination of its standard error
+     * @throws IOException if the process cannot be started
      */
     public static WorkerProcess start(
             Class<?> mainClass,
@@ -66,14 +65,14 @@
     }
 
     /**
-     * Reads the next line of its output, waiting for it as long as the process runs.
+     * Reads the next line of its output and blocks until there is one.
      *
-     * @throws IOException if the process has ended and nothing is left to read
+     * @throws IOException if the process has ended and all its output has been read
      */
     public String readLine() throws IOException {
         String line = output.readLine();
         if (line == null) {
-            throw new IOException("worker process " + process.pid() + " has ended");
+            throw new IOException("worker process " + process.pid() + " closed its output");
         }
         return line;
     }
@@ -97,12 +96,12 @@
         return process.isAlive();
     }
 
-    /** Sends SIGKILL and waits for the end, as where a machine fails. */
+    /** Sends SIGKILL and waits for the process to exit, to simulate a machine failure. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor(END_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Ends the process: by the end of its input, and by SIGKILL if that takes too long. */
+    /** Closes the input of the process, and sends SIGKILL if it does not exit in time. */
     @Override
     public void close() {
         try {
--- a/src/main/java/cacheproxy/lab/faults/Fault.java
+++ b/src/main/java/cacheproxy/lab/faults/Fault.java
@@ -5,18 +5,20 @@
 import java.util.Set;
 
 /**
- * One fault of the schedule. Figures that its kind does not have are 0 or empty.
+ * A fault of the schedule. Parameters that its kind does not have are 0 or empty.
  *
- * @param what its kind
+ * @param kind the kind of fault
  * @param atS when it begins, in seconds of the run
  * @param forS how long it lasts, in seconds
- * @param target a node ({@code node-3}, {@code *} for all, {@code 30%} for a part, a zone's name
- *     for its own), {@code origin}, a proxy ({@code proxy-0}, as for nodes) or a zone
- * @param share part of what it strikes, 0 to 1
- * @param factor how much slower or heavier, as a multiple; for {@code discovery-stale} the seconds
- *     that news is later; for {@code hostile} the peers a second
- * @param keys keys that turn hot
- * @param peer the other proxy of a link, as {@code target}
+ * @param target a node ({@code node-3}; {@code *} for all, {@code 30%} for a share of them, the
+ *     name of a zone for its nodes), {@code origin}, a proxy ({@code proxy-0}; {@code *} and {@code
+ *     30%} as for nodes) or a zone
+ * @param share the share of requests, answers, keys or time affected, 0 to 1
+ * @param factor the slowdown or the increase of work or load, as a multiple; for {@code
+ *     discovery-stale} the additional delay in seconds, for {@code hostile} the peers per second,
+ *     for {@code machine-busy} the number of threads
+ * @param keys the number of keys that become hot
+ * @param peer the other proxy of a link, in the form of {@code target}
  */
 public record Fault(
         Kind kind,
@@ -39,16 +41,19 @@
         this(kind, atS, forS, target, share, factor, keys, "");
     }
 
-    /** A prime above any count, so that a part takes each index once and neighbours fall apart. */
+    /**
+     * Stride of the permutation of indexes from which a share of nodes or proxies is taken: a prime
+     * above any count, so that every index occurs once and neighboring indexes are spread.
+     */
     private static final int INDEX_STRIDE = 7919;
 
-    /** How often a liar pretends to have seen something of each node. */
+    /** Interval at which a lying proxy publishes a false claim about each node, in ms. */
     public static final double FALSE_CLAIM_INTERVAL_MS = 250;
 
-    /** A starved proxy is stopped once in so long. */
+    /** A starved proxy is paused once per period of this length, in ms. */
     public static final double STARVATION_PERIOD_MS = 1000;
 
-    /** Keys that a fault's table may hold beside {@code what} and {@code at_s}. */
+    /** Keys of a fault's table in addition to {@code what} and {@code at_s}. */
     public enum Key {
         FOR_S,
         NODE,
@@ -61,118 +66,122 @@
         CLASS
     }
 
-    /** Every kind of fault, and the keys that it has; all of them are needed. */
+    /** The kinds of fault and the keys of each; all keys of a kind are required. */
     public enum Kind {
-        /** The node's process dies; the list hears of it late. */
+        /** The node's process dies; the endpoint list is updated after the delay of discovery. */
         NODE_KILL(Key.NODE),
-        /** It dies and is back, empty and cold, after {@code for_s}. */
+        /** The node dies and restarts after {@code for_s} with an empty cache, warming up. */
         NODE_RESTART(Key.NODE, Key.FOR_S),
-        /** A spare machine starts, empty and cold, under a name that no proxy has heard of. */
+        /** A spare starts with an empty cache, warming up, under a name unknown to the proxies. */
         NODE_START(Key.NODE),
         /**
-         * Spread over {@code for_s}, a spare starts for each, which drains then: read as one {@link
-         * #NODE_START} and {@link #NODE_DRAIN} each.
+         * Each node is replaced by a spare, at even intervals over {@code for_s}. It is read as one
+         * {@link #NODE_START} and one {@link #NODE_DRAIN} per node.
          */
         NODE_REPLACE(Key.NODE, Key.FOR_S),
-        /** The list says that it drains; after {@code for_s} it is gone. */
+        /** The endpoint list marks the node as draining; after {@code for_s} it is killed. */
         NODE_DRAIN(Key.NODE, Key.FOR_S),
         /**
-         * The operators take it out at every proxy, restart it in the middle, and put it back after
-         * {@code for_s}; in virtual time alone.
+         * Operators put the node into maintenance at every proxy, restart it halfway, and end the
+         * maintenance after {@code for_s}. Only in virtual time.
          */
         NODE_MAINTENANCE(Key.NODE, Key.FOR_S),
         /**
-         * The machine says nothing more: connections stay open and silent, new ones never come up.
+         * The machine does not answer: connections stay open but silent, and new ones are never
+         * established.
          */
         NODE_SILENT(Key.NODE, Key.FOR_S),
-        /** All its work takes {@code factor} times as long. */
+        /** All work of the node takes {@code factor} times as long. */
         NODE_SLOW(Key.NODE, Key.FOR_S, Key.FACTOR),
-        /** A share of its requests ends in an error. */
+        /** A share of the node's requests fails with an error. */
         NODE_ERRORS(Key.NODE, Key.FOR_S, Key.SHARE),
         /**
-         * A share of new connections is reset as soon as it is open, and idle ones at the
-         * beginning.
+         * A share of new connections is reset as soon as they are established, and idle connections
+         * are reset at the beginning of the fault.
          */
         RESET_BEFORE(Key.NODE, Key.FOR_S, Key.SHARE),
-        /** A share of connections is reset in place of the answer, when the request has run. */
+        /**
+         * A share of connections is reset instead of the answer, after the request was executed.
+         */
         RESET_AFTER(Key.NODE, Key.FOR_S, Key.SHARE),
-        /** A share of answers ends in the middle. */
+        /** A share of answers is truncated. */
         HALF_ANSWER(Key.NODE, Key.FOR_S, Key.SHARE),
-        /** A share of answers is no HTTP. */
+        /** A share of answers is not valid HTTP. */
         SPOILT_ANSWER(Key.NODE, Key.FOR_S, Key.SHARE),
-        /** The origin works on nothing. */
+        /** The origin suspends all work. */
         ORIGIN_STALL(Key.FOR_S),
-        /** The origin takes {@code factor} times as long. */
+        /** All work of the origin takes {@code factor} times as long. */
         ORIGIN_SLOW(Key.FOR_S, Key.FACTOR),
-        /** A zone is cut off from the others, both ways. */
+        /** A zone is partitioned from the others, in both directions. */
         ZONE_CUT(Key.ZONE, Key.FOR_S),
-        /** Discovery tells a proxy nothing, and takes no connection. */
+        /** Discovery sends a proxy nothing and accepts no connection from it. */
         DISCOVERY_SILENT(Key.PROXY, Key.FOR_S),
-        /** News of the list comes {@code factor} seconds later than usual. */
+        /** Endpoint list updates are delayed by another {@code factor} seconds. */
         DISCOVERY_STALE(Key.FOR_S, Key.FACTOR),
-        /** A share of the keys goes void everywhere at once. */
+        /** All copies of a share of the keys expire at once. */
         MASS_VOIDING(Key.SHARE),
-        /** So many keys draw a share of all requests. */
+        /** A share of all requests is for {@code keys} hot keys. */
         HOT_KEY(Key.FOR_S, Key.SHARE, Key.KEYS),
-        /** A share of one class's requests costs {@code factor} times the usual. */
+        /** The work of a share of one class's requests is multiplied by {@code factor}. */
         HEAVY(Key.CLASS, Key.FOR_S, Key.SHARE, Key.FACTOR),
-        /** All arrivals come {@code factor} times as often. */
+        /** The rate of arrivals is multiplied by {@code factor}. */
         BURST(Key.FOR_S, Key.FACTOR),
-        /** So many peers a second ({@code factor}) that are slow, endless, malformed or silent. */
+        /**
+         * {@code factor} clients per second that send slow, endless or malformed requests, or none.
+         */
         HOSTILE(Key.FOR_S, Key.FACTOR),
-        /** A planned restart: SIGTERM, and it is started again after {@code for_s}. */
+        /** A planned restart of a proxy: SIGTERM, and a new start after {@code for_s}. */
         PROXY_TERM(Key.PROXY, Key.FOR_S),
-        /** SIGKILL, and it is started again after {@code for_s}. */
+        /** A proxy is killed with SIGKILL and started again after {@code for_s}. */
         PROXY_KILL(Key.PROXY, Key.FOR_S),
-        /** Its discovery moves to another address, and SIGHUP tells it so. */
+        /**
+         * The proxy's discovery moves to another address, and the proxy is reloaded with SIGHUP.
+         */
         PROXY_HUP(Key.PROXY),
-        /** It is stopped for so long, and goes on. */
+        /** A proxy's process is paused for {@code for_s} and then resumed. */
         PROXY_STOP(Key.PROXY, Key.FOR_S),
-        /** It has no core for a {@code share} of each second. */
+        /** A proxy gets no CPU for a {@code share} of each second. */
         PROXY_STARVED(Key.PROXY, Key.FOR_S, Key.SHARE),
-        /**
-         * So many threads ({@code factor}) of the laboratory's own keep the machine's cores busy;
-         * on sockets alone.
-         */
+        /** {@code factor} threads of the testbed keep the machine's cores busy. Only on sockets. */
         MACHINE_BUSY(Key.FOR_S, Key.FACTOR),
         /**
-         * Its own link is broken: every machine seems silent to it, while its clients and peers
-         * reach it.
+         * The link from the proxy to the machines is broken: every machine seems silent to it,
+         * while its clients and peers reach it.
          */
         PROXY_BLIND(Key.PROXY, Key.FOR_S),
         /**
-         * Its gossip reaches nobody and nobody's reaches it; requests flow. Several at once are cut
-         * from one another too.
+         * The proxy's gossip is cut off in both directions, requests are not. Several affected
+         * proxies are also cut off from one another.
          */
         GOSSIP_CUT(Key.PROXY, Key.FOR_S),
-        /** No other proxy's packets reach it; its own reach all. */
+        /** The proxy receives no packets of other proxies; its own packets arrive. */
         GOSSIP_DEAF(Key.PROXY, Key.FOR_S),
-        /** Its packets reach no other proxy; it hears all. */
+        /** The proxy's packets reach no other proxy; it receives theirs. */
         GOSSIP_MUTE(Key.PROXY, Key.FOR_S),
-        /** It hears nothing of {@code peer}, which hears it; all else flows. */
+        /** The proxy receives no packets of {@code peer}; all other packets arrive. */
         GOSSIP_ONEWAY(Key.PROXY, Key.PEER, Key.FOR_S),
-        /**
-         * Proxies of two parts hear those of their own part alone: that of the fault, and the rest.
-         */
+        /** The proxies are partitioned into the affected ones and the rest. */
         GOSSIP_SPLIT(Key.PROXY, Key.FOR_S),
         /**
-         * Of the packets between proxies a share is lost, as many arrive twice, and as many late
-         * and out of order.
+         * Of the packets between proxies, a {@code share} is lost, an equal share is duplicated,
+         * and an equal share is delayed and thereby reordered.
          */
         GOSSIP_LOSS(Key.FOR_S, Key.SHARE),
-        /** An operator proposes a new policy there. */
+        /** An operator proposes a new policy at the proxy. */
         POLICY_PROPOSE(Key.PROXY),
-        /** Whoever leads the policy's log then is killed, and started again after {@code for_s}. */
+        /** The present leader of the policy log is killed and restarted after {@code for_s}. */
         LEADER_KILL(Key.FOR_S),
-        /** It accuses every node, whatever it sees. */
+        /** The proxy claims that every node fails, whatever it observes. */
         LIAR_ACCUSES(Key.PROXY, Key.FOR_S),
-        /** It has nothing against any node, dead ones too. */
+        /** The proxy never claims a failure of any node, not even of dead ones. */
         LIAR_PRAISES(Key.PROXY, Key.FOR_S),
-        /** It accuses every node and takes it back, each for a second. */
+        /**
+         * The proxy claims that every node fails and withdraws the claims, alternating every
+         * second.
+         */
         LIAR_FLIPS(Key.PROXY, Key.FOR_S),
         /**
-         * The clock that its gossip goes by steps an hour ahead and runs {@code factor} times as
-         * fast.
+         * The gossip clock of the proxy jumps one hour ahead and runs {@code factor} times as fast.
          */
         PROXY_CLOCK(Key.PROXY, Key.FOR_S, Key.FACTOR);
 
@@ -186,18 +195,18 @@
             return keys;
         }
 
-        /** Its name as files write it. */
+        /** Returns the name of this kind in experiment files. */
         public String configName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
 
-        /** Whether it changes what is asked, and so belongs to the load. */
+        /** Whether this kind of fault changes the load and is applied by the load plan. */
         public boolean changesLoad() {
             return this == HOT_KEY || this == HEAVY || this == BURST;
         }
     }
 
-    /** Its kind and what it strikes. */
+    /** Returns a label of its kind and target. */
     public String label() {
         return kind.configName()
                 + (target.isEmpty() ? "" : " " + target)
@@ -205,15 +214,15 @@
     }
 
     /**
-     * Whether it strikes the machine or proxy of an index among {@code count}: all for {@code *},
-     * that one for its name. A part, as {@code 30%}, is spread evenly and the same at each fault,
-     * and holds one at least.
+     * Whether the target includes the machine or proxy of an index among {@code count}: {@code *}
+     * includes all, a name that one. A percentage such as {@code 30%} includes at least one; it is
+     * spread evenly over the indexes and is the same set for each fault.
      */
     public boolean affects(String prefix, int index, int count) {
         return affects(target, prefix, index, count);
     }
 
-    /** The same of the proxy at the other end of a link. */
+    /** Whether {@code peer}, the other end of a link, includes the proxy of an index. */
     public boolean affectsPeer(int index, int count) {
         return affects(peer, "proxy-", index, count);
     }
@@ -228,14 +237,17 @@
     }
 
     /**
-     * Whether it strikes the cache node of an index among {@code count} that stands in a zone; a
-     * zone's name strikes all of its own.
+     * Whether the target includes the cache node of an index among {@code count} in a zone; the
+     * name of a zone includes all its nodes.
      */
     public boolean affectsNode(int index, String zone, int count) {
         return target.equals(zone) || affects("node-", index, count);
     }
 
-    /** Whether a liar accuses at this time: one that flips does so in every second second. */
+    /**
+     * Whether a lying proxy claims failures at a time; with {@link Kind#LIAR_FLIPS} it does so in
+     * every second second of the run.
+     */
     public boolean accusesAt(double ms) {
         return kind == Kind.LIAR_ACCUSES || kind == Kind.LIAR_FLIPS && (long) (ms / 1000) % 2 == 0;
     }
--- a/src/main/java/cacheproxy/lab/faults/PeerLinkFaults.java
+++ b/src/main/java/cacheproxy/lab/faults/PeerLinkFaults.java
@@ -5,18 +5,18 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * What becomes of what proxies tell one another: cuts, both ways or one, parts, and links that
- * lose, double and delay. Both drivers carry by it.
+ * Faults on the links between proxies: cuts in one or both directions, partitions, and links that
+ * lose, duplicate and delay packets. Both drivers apply it to the packets that they carry.
  */
 public final class PeerLinkFaults {
 
-    /** So many of the first proxies are the seeds of all. */
+    /** Number of proxies, counted from proxy-0, that are gossip seeds of all. */
     public static final int SEED_COUNT = 3;
 
     private static final double MAX_EXTRA_DELAY_MS = 400;
     private static final double[] NO_COPIES = {};
 
-    /** Which of these proxies hear nothing of which, and until when. */
+    /** Until a time, proxies in {@code to} receive nothing from proxies in {@code from}. */
     private record DirectionalCut(boolean[] to, boolean[] from, double until) {}
 
     private final RandomGenerator random;
@@ -31,12 +31,12 @@
     public PeerLinkFaults(int proxies, RandomGenerator random) {
         this.random = random;
         this.proxies = proxies;
-        // One more than there are: a liar that is no proxy has links too.
+        // One more than the number of proxies: a lying member that is not a proxy has links too.
         cutUntil = new double[proxies + 1];
         partition = new int[proxies + 1];
     }
 
-    /** Takes a fault in; returns whether it is one of these links. */
+    /** Begins a fault; returns false if it does not affect these links. */
     public boolean begin(Fault fault) {
         boolean[] affected = affectedProxies(fault);
         switch (fault.kind()) {
@@ -82,7 +82,7 @@
         return affected;
     }
 
-    /** Whether nothing at all goes from one to another now. */
+    /** Whether nothing gets through from one proxy to another at a time. */
     public boolean isCut(int from, int to, double now) {
         return now < cutUntil[from]
                 || now < cutUntil[to]
@@ -91,12 +91,14 @@
                         .anyMatch(d -> now < d.until() && d.to()[to] && d.from()[from]);
     }
 
-    /** Whether links lose packets now; streams are slow then. */
+    /** Whether links lose packets at a time; streams are slow then. */
     public boolean isLossy(double now) {
         return now < lossyUntil;
     }
 
-    /** By how many ms each copy of a packet comes later than usual; none where it is lost. */
+    /**
+     * Returns the additional delay of each copy of a packet, in ms; empty if the packet is lost.
+     */
     public double[] copyDelaysMs(int from, int to, double now) {
         boolean lossyNow = isLossy(now);
         if (isCut(from, to, now) || lossyNow && random.nextDouble() < lossShare) {
--- a/src/main/java/cacheproxy/lab/faults/ProposedPolicies.java
+++ b/src/main/java/cacheproxy/lab/faults/ProposedPolicies.java
@@ -1,11 +1,11 @@
 package cacheproxy.lab.faults;
 
-/** Policies that are proposed in an experiment: each another one that a proxy takes. */
+/** The policies proposed in an experiment; all of them are valid and differ from one another. */
 public final class ProposedPolicies {
 
     private ProposedPolicies() {}
 
-    /** The content of the proposal of a number, from 1 on. */
+    /** Returns the content of a proposal, numbered from 1. */
     public static String content(int proposal) {
         return "[log]\nodd_lines = " + (20 + proposal) + "\n";
     }
--- a/src/main/java/cacheproxy/lab/hunt/FaultSearch.java
+++ b/src/main/java/cacheproxy/lab/hunt/FaultSearch.java
@@ -18,36 +18,38 @@
 import org.apache.commons.math3.random.Well19937c;
 
 /**
- * Plays drawn days until it is told to stop. A day is bad if its ledger proves a broken rule, or if
- * with the load below capacity the control level is not back at 0 or a class still starves some
- * seconds after the last fault has ended. Day {@code n} of a seed is the same whatever came of the
- * days before it.
+ * Fault search: runs random scenarios until it is stopped. A scenario fails if the driver throws an
+ * exception, if a rule is broken, if the proxy had to answer requests that its decision module did
+ * not, if the decision module leaks entries or timers, or if under light load the service is unfair
+ * or does not recover within some seconds after the last fault. Scenario {@code n} of a seed does
+ * not depend on the results of the scenarios before it.
  */
 public final class FaultSearch {
 
-    /** A bad day at its smallest: what is wrong with it, and the file that plays it. */
+    /** A failed scenario after reduction: its failure, and the experiment file that runs it. */
     public record Finding(int number, String failure, Scenario scenario, String toml) {}
 
-    /** How long after the last fault the level may stay up. */
+    /** Time after the last fault in which the control level has to return to 0. */
     private static final double LEVEL_RECOVERY_S = 10;
 
-    /** Offered load, as a share of capacity, below which everything has to come back by itself. */
+    /** Offered load, as a fraction of capacity, below which the service has to recover. */
     private static final double LIGHT_LOAD = 0.6;
 
     private static final double STARVED_SHARE = 0.2;
     private static final int MAX_REDUCTION_STEPS = 60;
 
     /**
-     * Timers that a router may hold with nothing to do: its step and a few that look after lists.
+     * Maximum of timers of an idle decision module: its control interval and a few for the endpoint
+     * list.
      */
     private static final double MAX_IDLE_TIMERS = 4;
 
-    /** Requests of a class from which on its share tells something. */
+    /** Minimum of requests of a class for its served share to be significant. */
     private static final double MIN_CLASS_REQUESTS = 20;
 
     /**
-     * The busiest node's work over the mean, by capacity, on a day without faults that empty or
-     * shut nodes.
+     * Maximum ratio of the busiest node's utilization to the mean, in scenarios without faults that
+     * cause an uneven load.
      */
     private static final double MAX_BUSIEST_OVER_MEAN = 2;
 
@@ -69,15 +71,13 @@
         this(seed, e -> new VirtualRun(e).run());
     }
 
-    /**
-     * {@code play} stands in for the driver, so that a search can be shown to find what is there.
-     */
+    /** Creates a search with another driver, so that tests can check that it finds failures. */
     FaultSearch(long seed, Function<Experiment, Results> driver) {
         this.seed = seed;
         this.driver = driver;
     }
 
-    /** The day of a number. */
+    /** Returns the scenario of a number. */
     Scenario scenario(int number) {
         RandomGenerator random =
                 new Well19937c(new int[] {(int) seed, (int) (seed >>> 32), number});
@@ -85,8 +85,10 @@
     }
 
     /**
-     * Plays days in turn while {@code more} holds; {@code looked} hears of each day's number and
-     * what was wrong with it, or "".
+     * Runs scenarios one after the other while {@code proceed} returns true, and returns one
+     * reduced scenario per kind of failure.
+     *
+     * @param progress called with the number and the failure of each scenario; "" if it passed
      */
     public List<Finding> search(
             BooleanSupplier proceed, java.util.function.BiConsumer<Integer, String> progress) {
@@ -126,23 +128,24 @@
                 number,
                 failure,
                 smallest,
-                smallest.toml(name, "Found by seed " + seed + ", day " + number + "."));
+                smallest.toml(name, "Found by seed " + seed + ", scenario " + number + "."));
     }
 
-    /** The rule or invariant, without what proves it. */
+    /** Returns the name of the rule or invariant of a failure, without the proof. */
     private static String failureKind(String failure) {
         return failure.isEmpty() ? "" : failure.split(" ")[0];
     }
 
     /**
-     * What is wrong with a day, beginning with the rule's or invariant's name; empty if nothing is.
+     * Runs a scenario and returns its failure, which begins with the name of the rule or invariant;
+     * empty if it passes.
      */
     String failureOf(Scenario scenario) {
         Experiment experiment;
         try {
             experiment = ExperimentFile.parse(Toml.parse("day", scenario.toml("day", "drawn")));
         } catch (BadFileException e) {
-            throw new IllegalStateException("a drawn day is a good file", e);
+            throw new IllegalStateException("generated an invalid experiment file", e);
         }
         Results results;
         try {
@@ -153,13 +156,14 @@
         if (!results.violations().isEmpty()) {
             return results.violations().get(0);
         }
-        // A proxy that was stopped answers late what its router had no chance to.
+        // A proxy that was paused answers requests that its decision module could not answer in
+        // time.
         double backstops = results.figures().getOrDefault("proxy.backstops", 0.0);
         if (backstops > 0
                 && scenario.faults().stream().noneMatch(f -> f.kind() == Kind.PROXY_STOP)) {
             return "forgotten: "
                     + Results.formatNumber(backstops)
-                    + " requests that the proxy had to answer in its router's place";
+                    + " requests that the proxy had to answer instead of its decision module";
         }
         String leftOver = leftOver(results.figures());
         if (!leftOver.isEmpty()) {
@@ -195,7 +199,7 @@
             if (served < STARVED_SHARE * asked) {
                 return "starved: "
                         + Results.formatNumber(served / asked)
-                        + " of the worth is served from "
+                        + " of the priority weight is served from "
                         + LEVEL_RECOVERY_S
                         + " s after the last fault";
             }
@@ -203,22 +207,22 @@
         return "";
     }
 
-    /** What is still kept when every request is over. */
+    /** Returns a failure if entries or timers remain after all requests have ended. */
     private static String leftOver(Map<String, Double> figures) {
         double entries = figures.getOrDefault("proxy.entries_left", 0.0);
         double timers = figures.getOrDefault("proxy.timers_left", 0.0);
         return entries > 0
                 ? "leak of "
                         + Results.formatNumber(entries)
-                        + " entries that a router keeps when all requests are over"
+                        + " entries of a decision module after all requests have ended"
                 : timers > MAX_IDLE_TIMERS
                         ? "timers: "
                                 + Results.formatNumber(timers)
-                                + " are still to come when all requests are over"
+                                + " are pending after all requests have ended"
                         : "";
     }
 
-    /** A class, a key or a node that the others live at the cost of. */
+    /** Returns a failure if a class or a key is starved, or a node gets far more than its share. */
     private static String unfairness(Scenario scenario, Map<String, Double> figures) {
         for (Map.Entry<String, Double> figure : figures.entrySet()) {
             if (figure.getKey().matches("class\\..*\\.worth")
@@ -235,7 +239,7 @@
         if (keys > 0) {
             return "keys-starved: "
                     + Results.formatNumber(keys)
-                    + " keys were asked for again and again and never served";
+                    + " keys were requested repeatedly and never served";
         }
         boolean even =
                 scenario.nodes() >= 4
@@ -245,7 +249,7 @@
         return even && busiest > MAX_BUSIEST_OVER_MEAN
                 ? "favourite: the busiest node has "
                         + Results.formatNumber(busiest)
-                        + " times the mean"
+                        + " times the mean utilization"
                 : "";
     }
 }
--- a/src/main/java/cacheproxy/lab/hunt/Scenario.java
+++ b/src/main/java/cacheproxy/lab/hunt/Scenario.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.apache.commons.math3.random.RandomGenerator;
 
-/** One drawn day, small enough to be written down whole and to be made smaller piece by piece. */
+/** A random scenario, small enough to be written to a file and to be reduced step by step. */
 public record Scenario(
         int nodes,
         int zones,
@@ -19,7 +19,7 @@
         int seed,
         List<Fault> faults) {
 
-    /** Kinds that both change the world and can be played in virtual time. */
+    /** Kinds of fault to generate: those that change the installation and run in virtual time. */
     private static final List<Kind> KINDS =
             List.of(
                     Kind.NODE_KILL,
@@ -44,24 +44,24 @@
                     Kind.PROXY_TERM,
                     Kind.PROXY_STOP);
 
-    /** Those that may strike the origin's connections and answers as well as a node's. */
+    /** Kinds that may affect the origin's connections and answers as well as a node's. */
     private static final Set<Kind> ORIGIN_KINDS =
             EnumSet.of(Kind.RESET_BEFORE, Kind.RESET_AFTER, Kind.HALF_ANSWER, Kind.SPOILT_ANSWER);
 
     private static final List<String> ZONES = List.of("a", "b", "c");
 
     /**
-     * Core-milliseconds a second that a node of two cores of speed 1 has, over the mean work of a
-     * request.
+     * Requests per second that a node can serve: the core-milliseconds per second of two cores of
+     * speed 1, divided by the mean work of a request.
      */
     private static final double REQUESTS_PER_S_PER_NODE = 2000 / 35.0;
 
-    /** One day in so many is one of overload. */
+    /** One in this many scenarios has overload. */
     private static final int SCENARIOS_PER_OVERLOAD = 6;
 
     private static final int FIRST_FAULT_S = 4;
 
-    /** Calm at the end, in which everything must come back. */
+    /** Time without faults at the end, in which service has to recover. */
     static final int RECOVERY_S = 14;
 
     public Scenario {
@@ -101,7 +101,7 @@
                             factor,
                             1 + random.nextInt(3)));
         }
-        // Some days ask for far more than there is from beginning to end.
+        // Some scenarios offer far more than the capacity for their whole duration.
         double loadFactor =
                 random.nextInt(SCENARIOS_PER_OVERLOAD) == 0
                         ? 1.5 + random.nextInt(4) / 2.0
@@ -110,12 +110,12 @@
                 nodes, zones, proxies, loadFactor, durationS, random.nextInt(1_000_000), faults);
     }
 
-    /** First tries a second. */
+    /** Returns the number of requests per second, without retries. */
     double requestsPerS() {
         return Math.max(5, loadFactor * nodes * REQUESTS_PER_S_PER_NODE);
     }
 
-    /** The experiment file that plays this day. */
+    /** Returns an experiment file that runs this scenario. */
     String toml(String name, String about) {
         StringBuilder text =
                 new StringBuilder(
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Days that are a little smaller, the greatest step first; a fault whose target is gone goes
-     * with it.
+     * Returns scenarios that are reduced by one step, the largest steps first. Faults whose target
+     * no longer exists are removed.
      */
     List<Scenario> reductions() {
         List<Scenario> reductions = new ArrayList<>();
--- a/src/main/java/cacheproxy/lab/ledger/Ledger.java
+++ b/src/main/java/cacheproxy/lab/ledger/Ledger.java
@@ -13,28 +13,28 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Writes down what a driver saw. Clients and machines may be driven by two threads: tries belong to
- * the first, attempts to the second, and nobody reads before both have ended. Times are
- * milliseconds of the run, as the driver's one clock has them.
+ * Records what a driver observed. Clients and machines may be driven by two threads: tries belong
+ * to the first, attempts to the second, and the records are read only after both threads have
+ * ended. Times are milliseconds of the run by the driver's single clock.
  */
 public final class Ledger {
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
 
-    /** What became of an attempt at its machine. */
+    /** The outcome of an attempt at its machine. The names are written to proofs of violations. */
     public enum Verdict {
-        /** It was taken and nothing has been heard of it: it may have run, or may yet. */
+        /** It was accepted and not answered so far: it may have been executed, or may yet be. */
         OPEN(false),
-        /** 200: it ran. */
+        /** 200: it was executed. */
         RAN(false),
         /** 404 at a cache node: no effect. */
         MISSED(true),
-        /** 503 with X-Rejected: never ran. */
+        /** 503 with X-Rejected: it was not executed. */
         REJECTED(true),
-        /** 500: it may have run. */
+        /** 500: it may have been executed. */
         ERRED(false),
-        /** It ran, and the answer was cut, spoilt or reset. */
+        /** It was executed, and the answer was truncated, malformed or replaced by a reset. */
         BROKEN(false);
 
         private final boolean provesNotRun;
@@ -47,7 +47,7 @@
             return provesNotRun;
         }
 
-        /** What an answer that leaves its machine says of its attempt. */
+        /** Returns the outcome of an attempt whose machine sends this answer. */
         public static Verdict of(Answer answer) {
             if (answer.completion() != World.AnswerCompletion.COMPLETE) {
                 return BROKEN;
@@ -59,8 +59,8 @@
     }
 
     /**
-     * One attempt as its machine saw it; {@code answeredAt} is when the answer's last byte reached
-     * the proxy, or infinite.
+     * An attempt as observed by its machine. {@code answeredAt} is the time at which the last byte
+     * of the answer reached the proxy, infinite if it did not.
      */
     public static final class Attempt {
         public final long number;
@@ -71,19 +71,19 @@
         public final double firstByteAt;
         public final double lastByteAt;
 
-        /** Work that it is at its machine, in core-milliseconds. */
+        /** Work of the attempt at its machine, in core-milliseconds. */
         public final double workMs;
 
         /**
-         * Work of its request where that is a hit, by which it weighs at a cold node; 0 where it
-         * never arrived.
+         * Work of its request as a hit, in core-milliseconds, which counts towards the allowed load
+         * of a node that is warming up; 0 if the attempt never arrived.
          */
         public final double requestWorkMs;
 
         public Verdict verdict = Verdict.OPEN;
         public double answeredAt = Double.POSITIVE_INFINITY;
 
-        /** When the proxy ended its side; infinite while it had not. */
+        /** When the proxy closed its side of the connection; infinite if it did not. */
         public double closedAt = Double.POSITIVE_INFINITY;
 
         public boolean executed;
@@ -112,12 +112,12 @@
     }
 
     /**
-     * A final answer as the client read it. {@code retryAfterMs} is NaN without one; {@code made}
-     * is the attempt named in a served body, or 0.
+     * A final answer as received by the client. {@code retryAfterMs} is NaN without Retry-After;
+     * {@code attemptNumber} is the attempt named in the body of a served answer, or 0.
      */
     public record FinalAnswer(double at, int status, double retryAfterMs, long attemptNumber) {}
 
-    /** One try of a client. */
+    /** A try of a client: a request or a retry of it, sent to one proxy. */
     public static final class ClientTry {
         public final String id;
         public final int requestIndex;
@@ -129,19 +129,22 @@
         public final List<FinalAnswer> replies = new ArrayList<>(1);
         public final List<Attempt> attempts = new ArrayList<>(2);
 
-        /** When the proxy closed on it without a whole answer; infinite if it did not. */
+        /**
+         * When the proxy closed the connection without a complete answer; infinite if it did not.
+         */
         public double connectionLostAt = Double.POSITIVE_INFINITY;
 
-        /** When the client stopped waiting; infinite if it had an answer. */
+        /** When the client stopped waiting; infinite if it got an answer. */
         public double gaveUpAt = Double.POSITIVE_INFINITY;
 
         /**
-         * It was the first request on its connection; closed without a word, such a one has failed
-         * and is not lost.
+         * Whether it was the first request on its connection. If the proxy closes that connection
+         * without sending anything, it rejected the connection, and the request counts as failed
+         * rather than unanswered.
          */
         public boolean firstOnConnection;
 
-        /** The proxy began an answer that it could not finish. */
+        /** Whether the proxy began an answer that it could not complete. */
         public boolean answerBegun;
 
         ClientTry(
@@ -167,13 +170,16 @@
         }
     }
 
-    /** Discovery told a proxy of a machine; {@code startedAt} is negative for long ago. */
+    /**
+     * An endpoint list entry that discovery sent to a proxy. {@code startedAt} is negative for
+     * machines that started before the run.
+     */
     public record ListNotification(
             int proxy, String machine, Health health, double startedAt, double at) {}
 
     /**
-     * A machine started cold; {@code capacity} is what it has when it is warm, in core-milliseconds
-     * a millisecond.
+     * A machine started and is warming up. {@code capacity} is its full capacity, in
+     * core-milliseconds per millisecond.
      */
     public record MachineStart(
             String machine, double at, double capacity, SlowStartAllowance allowance) {
@@ -183,10 +189,10 @@
         }
     }
 
-    /** For a cause of ours a proxy could not do its work from one time to another. */
+    /** An interval in which a proxy could not work because of something the testbed did. */
     public record ExcusedInterval(int proxy, double from, double to, String cause) {}
 
-    /** The origin stopped because of what it was sent. */
+    /** The origin stopped because of overload. */
     public record OriginStop(double at) {}
 
     private final Map<String, ClientTry> tries = new ConcurrentHashMap<>();
@@ -199,7 +205,7 @@
     private final List<ExcusedInterval> excuses = Collections.synchronizedList(new ArrayList<>());
     private final List<OriginStop> originStops = Collections.synchronizedList(new ArrayList<>());
 
-    /** A client's try is about to go out; its time runs from its last byte. */
+    /** Records a try that a client is about to send; its time budget starts at its last byte. */
     public ClientTry sent(
             String id,
             int requestIndex,
@@ -214,8 +220,8 @@
     }
 
     /**
-     * An attempt's last byte has come to a machine; one with an id that no client sent is kept
-     * apart.
+     * Records an attempt whose last byte has reached a machine. An attempt with an id that no
+     * client sent is also recorded as unmatched.
      */
     public void attempt(Attempt attempt) {
         attempts.add(attempt);
@@ -231,7 +237,7 @@
         notifications.add(entry);
     }
 
-    /** The list itself changed; proxies hear of it later. */
+    /** Records a change of the endpoint list itself; proxies are notified later. */
     public void changed(String machine, Health health, double startedAt, double at) {
         changes.add(new ListNotification(-1, machine, health, startedAt, at));
     }
@@ -252,7 +258,7 @@
         return tries.get(id);
     }
 
-    /** All tries in the order in which they were sent. */
+    /** Returns all tries in the order in which they were sent. */
     public List<ClientTry> tries() {
         return tries.values().stream()
                 .sorted(
--- a/src/main/java/cacheproxy/lab/ledger/MembershipLedger.java
+++ b/src/main/java/cacheproxy/lab/ledger/MembershipLedger.java
@@ -13,21 +13,22 @@
 import java.util.regex.Pattern;
 
 /**
- * What proxies held of one another beside what was true of them. Drivers hand in each proxy's
- * events of membership, by the names of {@link cacheproxy.membership.Gossip.What} in lower case,
- * and when processes ended and came back; what was paused or cut off follows from the faults. Times
- * are milliseconds of the run. Drivers may tell from several threads.
+ * Compares the membership state that proxies have of one another with the actual state. Drivers
+ * report the membership events of each proxy, by the names of {@link
+ * cacheproxy.membership.Gossip.EventType} in lower case, and the ends and starts of processes;
+ * pauses and cuts follow from the faults. Times are milliseconds of the run. Thread safe: drivers
+ * may report from several threads.
  */
 public final class MembershipLedger {
 
-    /** Why a proxy was rightly or at least explicably silent. */
+    /** Why a proxy was silent, so that declaring it down is correct or at least explicable. */
     private enum Cause {
         CRASH,
         PAUSE,
         CUT
     }
 
-    /** News of a span that is over still travels for so long. */
+    /** Time for which updates about a disturbance still spread after its end, in ms. */
     private static final double PROPAGATION_MS = 2000;
 
     private static final Pattern INCARNATION = Pattern.compile("incarnation:(\\d+)");
@@ -38,7 +39,7 @@
         final double from;
         double to;
 
-        /** When each observer first declared it down. */
+        /** When each observer first declared the proxy down. */
         final Map<Integer, Double> declaredDownAt = new TreeMap<>();
 
         double steppedDownAt = Double.NaN;
@@ -55,7 +56,7 @@
         }
     }
 
-    /** What one proxy last held of another, and since when. */
+    /** The last event that one proxy reported about another, and its time. */
     private record LastEvent(String event, double at) {}
 
     private final int proxies;
@@ -87,7 +88,7 @@
                         default -> null;
                     };
             for (int i = 0; cause != null && i < proxies; i++) {
-                // Of two parts each proxy is cut off from some.
+                // In a partition, each proxy is cut off from some others.
                 if (fault.affects("proxy-", i, proxies)
                         || fault.kind() == Fault.Kind.GOSSIP_SPLIT) {
                     disturbances.add(new Disturbance(i, cause, fault.atMs(), fault.endMs()));
@@ -96,7 +97,7 @@
         }
     }
 
-    /** A proxy's process has ended. */
+    /** Records that a proxy's process has ended. */
     public synchronized void processEnded(int proxy, double at) {
         if (running[proxy]) {
             running[proxy] = false;
@@ -104,7 +105,7 @@
         }
     }
 
-    /** It runs again, and knows nobody. */
+    /** Records that a proxy's process has started again and knows no members. */
     public synchronized void processStarted(int proxy, double at) {
         disturbances.stream()
                 .filter(s -> s.proxy == proxy && s.cause == Cause.CRASH && Double.isInfinite(s.to))
@@ -116,8 +117,8 @@
     }
 
     /**
-     * A proxy's own event of membership. {@code subject} is a proxy's name; of others nothing is
-     * held.
+     * Records a membership event of a proxy. Events whose {@code subject} is not the name of a
+     * proxy are ignored, except for those about the observer itself stepping down or up.
      */
     public synchronized void recordEvent(
             int observer, String event, String subject, String evidence, double at) {
@@ -150,7 +151,7 @@
                 }
             }
             case "member" -> {
-                // How long after the cause had gone it was taken back.
+                // The time from the end of the disturbance until it was a member again.
                 if (previous != null && previous.event().equals("died")) {
                     disturbances.stream()
                             .filter(
@@ -168,7 +169,7 @@
     }
 
     private List<Disturbance> explanations(int observer, int subjectIndex, double at) {
-        // One that is cut off or was paused itself sees others silent.
+        // An observer that is cut off itself sees others as silent.
         return disturbances.stream()
                 .filter(
                         s ->
@@ -210,7 +211,7 @@
                 && (lastEvent.event().equals("died") || lastEvent.event().equals("left"));
     }
 
-    /** What it came to by the end of the run. */
+    /** Returns the membership figures at the end of the run. */
     public synchronized Map<String, Double> figures() {
         List<Double> detectionMs = new ArrayList<>();
         int missedCrashes = 0;
--- a/src/main/java/cacheproxy/lab/ledger/PolicyLedger.java
+++ b/src/main/java/cacheproxy/lab/ledger/PolicyLedger.java
@@ -15,14 +15,14 @@
 import java.util.stream.IntStream;
 
 /**
- * What proxies ran and when they counted themselves current, and what became of each proposal.
- * Times are milliseconds of the run on one clock; a proxy tells of the end of its being current
- * with the time at which that ended, also where it tells late. Drivers may tell from several
- * threads.
+ * Records which policy epochs proxies ran, when they considered themselves current, and the outcome
+ * of each proposal. Times are milliseconds of the run on one clock. The end of a proxy's current
+ * state is recorded with the time at which it ended, even if it is reported later. Thread safe:
+ * drivers may report from several threads.
  */
 public final class PolicyLedger {
 
-    /** A proxy counted itself current at an epoch. */
+    /** An interval in which a proxy considered itself current at an epoch. */
     private static final class CurrentSpan {
         final int proxy;
         final long epoch;
@@ -67,7 +67,7 @@
     private final List<Violation> violations = new ArrayList<>();
     private int fences;
 
-    /** {@code links} are those between the proxies. */
+    /** {@code links} are the faults on the links between the proxies. */
     public PolicyLedger(Experiment experiment, PeerLinkFaults links) {
         this.links = links;
         proxies = experiment.proxies().count();
@@ -81,25 +81,26 @@
         Arrays.fill(faultEndedAt, Double.NaN);
     }
 
+    /** Records that a proxy's process has ended. */
     public synchronized void processEnded(int proxy, double at) {
         alive[proxy] = false;
         endSpan(proxy, at);
         faultEndedAt[proxy] = Double.NaN;
     }
 
-    /** A new process; what it keeps on its disk it will tell of. */
+    /** Records that a proxy's process has started; it will report the epoch stored on its disk. */
     public synchronized void processStarted(int proxy) {
         alive[proxy] = true;
     }
 
-    /** A process stands still until then. */
+    /** Records that a proxy's process is paused until a time. */
     public synchronized void processPaused(int proxy, double until) {
         pausedUntil[proxy] = until;
     }
 
     /**
-     * Something that may have kept a proxy from the others is over; if a majority of voters is
-     * there for it, it should be current soon.
+     * Records the end of a fault that may have isolated a proxy. If the proxy reaches a majority of
+     * voters, the time until it is current again is measured.
      */
     public synchronized void faultEnded(int proxy, double at) {
         long reachableVoters =
@@ -116,12 +117,12 @@
         }
     }
 
-    /** A proposal that is known by its content, which no other has. */
+    /** Records a proposal; it is identified by its content, which is unique. */
     public synchronized void proposalSent(String content, double at) {
         proposals.put(content, new Proposal(at));
     }
 
-    /** How it ended. */
+    /** Records the answer to a proposal. */
     public synchronized void proposalAnswered(
             String content, Message.ProposalStatus status, double at) {
         Proposal proposal = proposals.get(content);
@@ -129,14 +130,15 @@
         proposal.status = status;
     }
 
-    /** A proxy runs an epoch from now on; {@code content} is null where it could not say it. */
+    /** Records that a proxy runs an epoch; {@code content} is null if it is unknown. */
     public synchronized void epochApplied(int proxy, long epoch, String content, double at) {
         String earlier = content == null ? null : contentByEpoch.putIfAbsent(epoch, content);
         if (earlier != null && !earlier.equals(content)) {
-            addViolation(proxy, at, "runs other content as epoch " + epoch + " than another proxy");
+            addViolation(
+                    proxy, at, "runs epoch " + epoch + " with other content than another proxy");
         }
         if (epoch > 1 && !contentByEpoch.containsKey(epoch - 1)) {
-            addViolation(proxy, at, "runs epoch " + epoch + " and nobody ever ran " + (epoch - 1));
+            addViolation(proxy, at, "runs epoch " + epoch + ", but no proxy ran " + (epoch - 1));
         }
         if (epoch < runningEpochs[proxy]
                 && appliedAt.getOrDefault(epoch, Map.of()).containsKey(proxy)) {
@@ -148,6 +150,7 @@
         appliedAt.computeIfAbsent(epoch, e -> new HashMap<>()).putIfAbsent(proxy, at);
     }
 
+    /** Records that a proxy considers itself current at an epoch. */
     public synchronized void becameCurrent(int proxy, long epoch, double at) {
         endSpan(proxy, at);
         openSpans[proxy] = new CurrentSpan(proxy, epoch, at);
@@ -158,6 +161,7 @@
         }
     }
 
+    /** Records that a proxy no longer considers itself current, since a time. */
     public synchronized void ceasedCurrent(int proxy, double at) {
         endSpan(proxy, at);
     }
@@ -178,8 +182,8 @@
     }
 
     /**
-     * Every violation: two that counted themselves current at different epochs at one moment, and
-     * refusals that took hold.
+     * Returns all violations, among them proxies that considered themselves current at different
+     * epochs at the same time, and rejected proposals that became effective.
      */
     public synchronized List<Violation> violations() {
         List<Violation> all = new ArrayList<>(violations);
@@ -215,13 +219,13 @@
                                         Rule.POLICY,
                                         "proposal",
                                         proposal.answeredAt,
-                                        "was refused and took hold"));
+                                        "was rejected but became effective"));
                     }
                 });
         return all;
     }
 
-    /** What it came to by the end of the run. */
+    /** Returns the policy figures at the end of the run. */
     public synchronized Map<String, Double> figures() {
         List<Double> applyMs = new ArrayList<>();
         int refused = 0;
--- a/src/main/java/cacheproxy/lab/ledger/Rules.java
+++ b/src/main/java/cacheproxy/lab/ledger/Rules.java
@@ -16,45 +16,57 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The rules that a fleet of proxies owes, each proved or disproved from a ledger. */
+/** The rules that a fleet of proxies must obey. Each is checked against the ledger of a run. */
 public final class Rules {
 
-    /** The rules' names, as they stand in results. */
+    /** The rules. Their names are written to results. */
     public enum Rule {
-        /** Exactly one final answer for all that was taken. */
+        /** Every accepted request gets exactly one final answer. */
         ONE_ANSWER,
-        /** It comes before the client gives up, and the slack. */
+        /** The final answer arrives within the client's time budget plus the tolerance. */
         IN_TIME,
-        /** What was served was made by a machine for this request. */
+        /** A served answer was produced by an attempt for this request. */
         MADE_FOR_IT,
-        /** No attempt and no refusal that the class does not allow once it may have run. */
+        /**
+         * Once a request may have been executed, there is no further attempt and no rejection that
+         * its class does not allow.
+         */
         DUPLICATE,
-        /** No new work to a machine that drains or is gone, from a while after that was told. */
+        /**
+         * A draining or removed machine gets no new work, beginning a limited time after the proxy
+         * was notified.
+         */
         DRAIN,
-        /** No cold node is sent more than its allowance by the sum of all proxies. */
+        /** All proxies together send a node that is warming up no more than its allowed load. */
         COLD_NODE,
-        /** Misses at cold nodes make no large part of a load that stops the origin. */
+        /**
+         * Misses at nodes that are warming up are no large share of a load that stops the origin.
+         */
         COLD_ORIGIN,
-        /** A refusal says when to come again, and comes at once. */
+        /** A rejection has a Retry-After header and is sent without delay. */
         REFUSAL,
         /** Every attempt carries an id that a client sent. */
         KNOWN_ID,
         /**
-         * A peer that sends no proper request has an error or a close in time, and is never served.
+         * A client that sends no valid request gets an error or a close in time, and is never
+         * served.
          */
         BAD_INPUT,
-        /** No proxy ends that was not told to. */
+        /** No proxy exits unless it was ordered to. */
         CRASH,
         /**
-         * No two proxies count themselves current at different epochs of the policy, and what was
-         * refused takes hold nowhere.
+         * No two proxies consider themselves current at different epochs of the policy, and a
+         * rejected proposal becomes effective nowhere.
          */
         POLICY,
-        /** The load was sent when it was planned: a late generator measures itself. */
+        /**
+         * The load was sent at the planned times; otherwise the figures would measure the load
+         * generator.
+         */
         GENERATOR
     }
 
-    /** A broken rule with what proves it. */
+    /** A broken rule with its proof. */
     public record Violation(Rule rule, String request, double atMs, String proof) {
 
         @Override
@@ -69,14 +81,21 @@
         }
     }
 
-    /** Part of the load of a cold machine that must come from proxies that knew of its start. */
+    /**
+     * Minimum share of an excessive load of a node that must come from proxies notified of its
+     * start for the rule to be broken.
+     */
     private static final double MIN_NOTIFIED_SHARE = 2.0 / 3;
 
-    /** Part of what a stopping origin was sent that cold nodes' misses may make. */
+    /**
+     * Maximum share of the load of an origin that stops which may come from misses at nodes that
+     * are warming up.
+     */
     private static final double MAX_COLD_MISS_SHARE = 0.3;
 
     /**
-     * Two attempts to connect that never came up: no machine sees them, so they stand in no ledger.
+     * Time allowed for two connection attempts that failed, in ms. No machine sees these, so they
+     * are not in the ledger.
      */
     private static final double UNSEEN_CONNECT_MS = 200;
 
@@ -89,7 +108,7 @@
     private final double originOverloadWindowMs;
     private final List<Violation> violations = new ArrayList<>();
 
-    /** Fetches of each key by each proxy: a read may wait for one that another read has begun. */
+    /** Fetches of each key by each proxy: a read may wait for a fetch that another read started. */
     private final Map<String, List<Attempt>> fetches = new HashMap<>();
 
     private Rules(Ledger ledger, Experiment experiment) {
@@ -105,7 +124,7 @@
         }
     }
 
-    /** Every violation in the ledger, in the order of time. */
+    /** Returns all violations in the ledger, ordered by time. */
     public static List<Violation> check(Ledger ledger, Experiment experiment) {
         Rules rules = new Rules(ledger, experiment);
         ledger.tries().forEach(rules::checkTry);
@@ -116,7 +135,9 @@
                                         Rule.KNOWN_ID,
                                         attempt.callId,
                                         attempt.lastByteAt,
-                                        "came to " + attempt.machine + ", and no client sent it"));
+                                        "reached "
+                                                + attempt.machine
+                                                + " with an id no client sent"));
         rules.checkDrains();
         rules.checkColdNodes();
         ledger.originStops().forEach(s -> rules.checkOriginStop(s.at()));
@@ -210,7 +231,7 @@
                     reply.at(),
                     "its body names attempt "
                             + reply.attemptNumber()
-                            + ", and its own are "
+                            + ", but its attempts are "
                             + describe(attempts));
         }
     }
@@ -224,9 +245,9 @@
                         Rule.DUPLICATE,
                         clientTry.id,
                         reply.at(),
-                        "refused as harmless to repeat though "
+                        "rejected as safe to retry although "
                                 + describe(List.of(attempt))
-                                + " may have run");
+                                + " may have been executed");
             }
         }
         if (Double.isNaN(reply.retryAfterMs())) {
@@ -263,11 +284,11 @@
                     Rule.REFUSAL,
                     clientTry.id,
                     reply.at(),
-                    "held back: nothing was out for it since " + formatMs(idleSince));
+                    "rejection delayed: no attempt was in flight since " + formatMs(idleSince));
         }
     }
 
-    /** Whether by a time the proxy had proof that an attempt did not run. */
+    /** Whether the proxy had proof by a time that an attempt was not executed. */
     private static boolean provedNotRunBy(Attempt attempt, double at) {
         return attempt.verdict.provesNotRun() && attempt.answeredAt <= at;
     }
@@ -287,7 +308,7 @@
                     Rule.DUPLICATE,
                     clientTry.id,
                     clientTry.sentAt,
-                    "ran twice: " + describe(attempts));
+                    "executed more than once: " + describe(attempts));
         }
         Attempt mayHaveRun = null;
         for (Attempt attempt : attempts) {
@@ -296,7 +317,7 @@
                         Rule.DUPLICATE,
                         clientTry.id,
                         attempt.firstByteAt,
-                        "sent again though it may have run: " + describe(attempts));
+                        "sent again although it may have been executed: " + describe(attempts));
             } else if (mayHaveRun != null
                     && requestClass.effect() == Effect.KEYED
                     && attempt.firstByteAt
@@ -307,7 +328,7 @@
                         Rule.DUPLICATE,
                         clientTry.id,
                         attempt.firstByteAt,
-                        "sent again past the window of "
+                        "sent again after the repeat window of "
                                 + formatMs(requestClass.repeatWindowMs())
                                 + ": "
                                 + describe(attempts));
@@ -322,9 +343,9 @@
                         Rule.DUPLICATE,
                         clientTry.id,
                         at,
-                        "a second copy while the first is out: " + describe(attempts));
+                        "second attempt while the first is in flight: " + describe(attempts));
             }
-            // The next one begins after this: what is proved by then decides.
+            // What is proved by the time of the next attempt counts.
             double next =
                     attempts.stream()
                             .filter(b -> b.firstByteAt > at)
@@ -337,14 +358,14 @@
         }
     }
 
-    /** What one proxy knows of one machine as its news comes in, in order. */
+    /** What one proxy knows about one machine, from its notifications in order. */
     private static final class KnownState {
         private ListNotification latest;
         private double unavailableSince;
         private double startedAt = Double.NEGATIVE_INFINITY;
 
         void apply(ListNotification notification) {
-            // What is known of a later start stands against late news of an earlier end.
+            // A delayed notification of an earlier end does not override a later start.
             if (notification.health() == Health.UP) {
                 latest = notification;
                 startedAt = Math.max(startedAt, notification.startedAt());
@@ -402,7 +423,7 @@
                                 + attempt.machine
                                 + " by proxy-"
                                 + attempt.proxy
-                                + ", told "
+                                + ", notified "
                                 + state.latest.health()
                                 + " at "
                                 + formatMs(state.unavailableSince));
@@ -411,8 +432,8 @@
     }
 
     /**
-     * A cold node falls at the first window over what is allowed; the rule is broken if two thirds
-     * of it came from those that knew.
+     * The rule is broken by a window over the allowed load of a node if at least two thirds of the
+     * load came from proxies notified of its start. Each start is reported once.
      */
     private void checkColdNodes() {
         Set<String> reported = new HashSet<>();
@@ -426,7 +447,7 @@
                         window.at(),
                         String.format(
                                 Locale.ROOT,
-                                "sent %.2f of what is allowed %.0f ms after its start, %.0f%% of it by proxies that knew",
+                                "sent %.2f times the allowed load %.0f ms after its start, %.0f%% of it by proxies notified of the start",
                                 window.workRatio(),
                                 window.at() - window.startedAt(),
                                 100 * window.notifiedShare()));
@@ -466,7 +487,7 @@
                     at,
                     String.format(
                             Locale.ROOT,
-                            "stopped, and %.0f%% of what it was sent were misses at cold nodes",
+                            "stopped, and %.0f%% of its load was from misses at nodes warming up",
                             100 * coldMissWorkMs / workMs));
         }
     }
--- a/src/main/java/cacheproxy/lab/ledger/SlowStartLoad.java
+++ b/src/main/java/cacheproxy/lab/ledger/SlowStartLoad.java
@@ -11,21 +11,21 @@
 import java.util.Map;
 
 /**
- * What each node that started in a run was sent while cold, by all proxies together: a window ends
- * at each attempt.
+ * The load that all proxies together sent to each node that started in a run, while it was warming
+ * up. One window ends at each attempt.
  */
 public final class SlowStartLoad {
 
     /**
-     * What discovery has to tell counts as told so long after it changed, whether it arrived or
-     * not.
+     * A proxy counts as notified of a change of the endpoint list this long after the change,
+     * whether or not it received the update, in ms.
      */
     static final double MAX_NOTIFICATION_DELAY_MS = 6000;
 
     /**
-     * What came to a node in the window that ends at {@code at}, over what is allowed then: by
-     * number, and by work in requests of mean work. {@code told} is the part of the work that came
-     * from proxies told of this start.
+     * The load of a node in the window that ends at {@code at}, as a ratio to the allowed load: by
+     * number of requests, and by work in units of an average read. {@code notifiedShare} is the
+     * share of the work sent by proxies that had been notified of this start.
      */
     public record LoadWindow(
             String machine,
@@ -48,13 +48,13 @@
                                 notifications
                                         .computeIfAbsent(t.machine(), m -> new ArrayList<>())
                                         .add(t));
-        // One that never arrived weighs nothing.
+        // Attempts that never arrived have no work.
         ledger.attempts().stream()
                 .filter(a -> a.requestWorkMs > 0 && attempts.containsKey(a.machine))
                 .forEach(a -> attempts.get(a.machine).add(a));
     }
 
-    /** The windows of every start, in the order of the starts and of time. */
+    /** Returns the windows of every start, ordered by start and time. */
     public static List<LoadWindow> windows(Ledger ledger) {
         SlowStartLoad starts = new SlowStartLoad(ledger);
         ledger.started().forEach(starts::addWindows);
--- a/src/main/java/cacheproxy/lab/ledger/package-info.java
+++ b/src/main/java/cacheproxy/lab/ledger/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Who was asked what and when, by id: every try, every attempt that reached a machine, everything
- * that was told. After a run {@link cacheproxy.lab.ledger.Rules} prove or disprove each rule from
- * it. No I/O and no clock; start reading at {@link cacheproxy.lab.ledger.Ledger}.
+ * Records of a run: every try of a client, every attempt that reached a machine, every endpoint
+ * list notification. After the run {@link cacheproxy.lab.ledger.Rules} checks each rule against
+ * them. There is no I/O and no clock. Start reading at {@link cacheproxy.lab.ledger.Ledger}.
  */
 package cacheproxy.lab.ledger;
--- a/src/main/java/cacheproxy/lab/load/ClientBehavior.java
+++ b/src/main/java/cacheproxy/lab/load/ClientBehavior.java
@@ -5,21 +5,21 @@
 import cacheproxy.lab.load.LoadPlan.PlannedRequest;
 
 /**
- * How clients behave: how long a try may take, whether and when they come again. No clock; both
- * drivers ask it.
+ * The behavior of clients: the timeout of a try, and whether and when they retry. It has no clock;
+ * both drivers use it.
  */
 public record ClientBehavior(Experiment experiment) {
 
-    /** How a try ended for its client. */
+    /** Outcome of a try for its client. */
     public enum TryOutcome {
         SERVED,
         REFUSED,
         FAILED,
-        /** No proxy took it: it certainly did not run. */
+        /** No proxy accepted it, so it has certainly not been executed. */
         UNREACHED
     }
 
-    /** Less time than this left of a request is no use to a retry. */
+    /** Minimum time left until the deadline for a retry, in ms; with less it could not succeed. */
     private static final double MIN_RETRY_TIME_MS = 30;
 
     private static final int OK = 200;
@@ -30,7 +30,7 @@
         return experiment.load().classes().get(request.classIndex());
     }
 
-    /** What an answer's status means to the client. */
+    /** Returns the outcome for the client of an answer with this status. */
     public static TryOutcome outcomeOf(int status) {
         return status == OK
                 ? TryOutcome.SERVED
@@ -39,19 +39,19 @@
                         : TryOutcome.FAILED;
     }
 
-    /** How long a try that goes out now is waited for, in ms. */
+    /** Returns how long the client waits for a try that it sends now, in ms. */
     public double tryBudgetMs(PlannedRequest request, double now) {
         return Math.min(
                 request.atMs() + classOf(request).deadlineMs() - now,
                 classOf(request).deadlineMs() * request.timeoutFraction());
     }
 
-    /** The path that names a key. */
+    /** Returns the request path of a key. */
     public static String pathOf(long key) {
         return "/api/" + String.format("%012x", key);
     }
 
-    /** 16 hex digits that no other try of the run has. */
+    /** Returns the id of a try: 16 hex digits, unique in the run. */
     public String tryId(PlannedRequest request, int tries) {
         long mixed =
                 (experiment.seed() << 40 ^ (long) request.index() << 8 ^ tries)
@@ -60,8 +60,9 @@
     }
 
     /**
-     * When the client tries again, a time of the run, or NaN if it does not; {@code retryAfterMs}
-     * is NaN or 0 without one.
+     * Returns the time of the run at which the client retries, or NaN if it does not.
+     *
+     * @param retryAfterMs value of Retry-After; NaN or 0 if the answer has none
      */
     public double retryAt(
             PlannedRequest request,
--- a/src/main/java/cacheproxy/lab/load/LoadBalancer.java
+++ b/src/main/java/cacheproxy/lab/load/LoadBalancer.java
@@ -6,15 +6,16 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The plain front: deals requests out over the proxies in service in a zone, or over all where that
- * zone has none; in turn, or by chance where they have uneven shares.
+ * The load balancer in front of the proxies. It distributes requests over the proxies in service in
+ * the client's zone, or over all proxies in service if that zone has none: round-robin, or at
+ * random by weight if the proxies have unequal shares.
  */
 public final class LoadBalancer {
 
     private final List<Integer> zones;
     private final boolean[] inService;
 
-    /** What each proxy gets in relation to the others; empty where they take turns. */
+    /** Relative share of traffic of each proxy; empty for round-robin. */
     private final double[] shares;
 
     private final RandomGenerator random;
@@ -28,8 +29,10 @@
     }
 
     /**
-     * {@code zones} holds each proxy's zone, by its number. Shares are drawn evenly on a
+     * Creates the load balancer of an experiment. Unequal shares are distributed uniformly on a
      * logarithmic scale.
+     *
+     * @param zones the zone index of each proxy, by its number
      */
     public static LoadBalancer of(Experiment experiment, List<Integer> zones) {
         double[] range = experiment.load().proxyShares();
@@ -54,7 +57,7 @@
         inService[proxy] = on;
     }
 
-    /** The next proxy for a client of a zone, or -1 where none is in service. */
+    /** Returns the next proxy for a client in a zone, or -1 if none is in service. */
     public int pick(int zone) {
         if (shares.length > 0) {
             int near = draw(zone, false);
@@ -78,7 +81,7 @@
         for (int i = 0; i < shares.length; i++) {
             if (inService[i] && (anywhere || zones.get(i) == zone)) {
                 totalShare += shares[i];
-                // Each in turn takes the place of those before it by its part of all so far.
+                // Weighted reservoir sampling: replaces the choice with probability share / total.
                 chosen = random.nextDouble() * totalShare < shares[i] ? i : chosen;
             }
         }
--- a/src/main/java/cacheproxy/lab/load/LoadPlan.java
+++ b/src/main/java/cacheproxy/lab/load/LoadPlan.java
@@ -13,21 +13,24 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * Every first try of a run, in the order of arrival: an open loop, so that nothing a proxy does can
- * change when the next one comes. The same experiment and seed give the same plan, byte for byte.
+ * All requests of a run, in order of arrival. The load is an open loop: arrivals do not depend on
+ * the answers of the proxies. Retries are not part of the plan. The same experiment and seed give
+ * the same plan, byte for byte.
  */
 public final class LoadPlan {
 
     /**
-     * Spread of the work around its class's mean: the square of the coefficient of variation of an
-     * exponential, halved.
+     * Shape parameter of the gamma distribution of the work around the mean of its class. With 2,
+     * the squared coefficient of variation is half that of an exponential distribution.
      */
     private static final double WORK_SHAPE = 2;
 
     /**
-     * A first try. {@code patience} is the part of the deadline after which a try is given up,
-     * {@code pause} places the pause before a retry in its range, {@code honours} whether this
-     * client heeds a Retry-After.
+     * A request of the plan.
+     *
+     * @param timeoutFraction fraction of the deadline after which the client gives up a try
+     * @param retryPauseFraction position of the pause before a retry in its range, 0 to 1
+     * @param honorsRetryAfter whether this client waits as long as Retry-After demands
      */
     public record PlannedRequest(
             int index,
@@ -95,7 +98,7 @@
             int classIndex = pickClass(load.classes(), clientRandom.nextDouble() * totalShare);
             double workMs = meanWorkMs[classIndex] * gammaSample(workRandom);
             long key = keyOfRank(zipf.sample() - 1, atMs, load.drift(), experiment.fleet().keys());
-            // From a stream of their own: a fault that strikes machines leaves the load as it is.
+            // A separate random stream: faults that do not change the load leave the plan as it is.
             for (Fault fault :
                     experiment.faults().stream()
                             .filter(fault -> fault.kind().changesLoad())
@@ -144,19 +147,25 @@
         return classes.size() - 1;
     }
 
-    /** Mean 1: the mean of two exponentials. */
+    /** Returns a gamma sample of shape 2 and mean 1: the mean of two exponential samples. */
     private static double gammaSample(RandomGenerator random) {
         return -Math.log((1 - random.nextDouble()) * (1 - random.nextDouble())) / WORK_SHAPE;
     }
 
-    /** Popularity moves on: each second a part {@code drift} of the ranks belongs to other keys. */
+    /**
+     * Returns the key of a popularity rank at a time. Each second a fraction {@code drift} of the
+     * ranks moves to other keys.
+     */
     private static long keyOfRank(long rank, double atMs, double drift, long keys) {
         long shift =
                 (long) (drift * atMs / 1000 + ((rank * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53);
         return (rank + shift * 7919) % keys;
     }
 
-    /** Mean work of a read that is a hit, as cache nodes get no writes; core-milliseconds. */
+    /**
+     * Returns the mean work of reads as hits, in core-milliseconds. Writes do not count, as cache
+     * nodes get none.
+     */
     public double meanReadMs() {
         return requests.stream()
                 .filter(f -> !load.classes().get(f.classIndex()).write())
@@ -169,7 +178,7 @@
         return requests;
     }
 
-    /** SHA-256 over every field of every first try. */
+    /** Returns the SHA-256 over the fields of all requests. */
     public String digest() {
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
@@ -189,7 +198,7 @@
             }
             return HexFormat.of().formatHex(sha.digest());
         } catch (NoSuchAlgorithmException ex) {
-            throw new IllegalStateException("every Java has SHA-256", ex);
+            throw new IllegalStateException("SHA-256 is not available in this JVM", ex);
         }
     }
 }
--- a/src/main/java/cacheproxy/lab/load/RequestRecord.java
+++ b/src/main/java/cacheproxy/lab/load/RequestRecord.java
@@ -1,9 +1,11 @@
 package cacheproxy.lab.load;
 
 /**
- * How a first try and its retries ended. {@code lateMs} is how late the generator sent it, {@code
- * endedAt} when its last answer came or it was given up (a time of the run), {@code status} the
- * last answer's: 0 for none, -1 where no proxy was reached.
+ * The outcome of a request, including its retries.
+ *
+ * @param sendDelayMs how late the load generator sent the request, in ms
+ * @param endedAt time of the run at which the last answer arrived or the client gave up
+ * @param status status of the last answer; 0 if there was none, -1 if no proxy was reached
  */
 public record RequestRecord(
         LoadPlan.PlannedRequest request,
@@ -24,7 +26,7 @@
         return status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE;
     }
 
-    /** From the time at which it was meant to go out. */
+    /** Returns the latency from the planned time of sending, in ms. */
     public double latencyMs() {
         return endedAt - request.atMs();
     }
--- a/src/main/java/cacheproxy/lab/load/package-info.java
+++ b/src/main/java/cacheproxy/lab/load/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What clients ask, drawn ahead from the seed, and how they behave when they are refused or fail.
- * No I/O and no clock; the drivers send what {@link cacheproxy.lab.load.LoadPlan} holds. Start
- * reading there.
+ * The requests of the clients, generated in advance from the seed, and the behavior of clients
+ * after rejections and failures. There is no I/O and no clock; the drivers send the requests of
+ * {@link cacheproxy.lab.load.LoadPlan}. Start reading there.
  */
 package cacheproxy.lab.load;
--- a/src/main/java/cacheproxy/lab/package-info.java
+++ b/src/main/java/cacheproxy/lab/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The laboratory: an installation made of models, played against real proxies or, later, in virtual
- * time, and judged by a ledger. It may use everything but the platform's run path, and nothing that
- * serves requests may use it. Start reading at {@link cacheproxy.lab.Experiment}, then {@link
- * cacheproxy.lab.sockets.SocketRun}.
+ * The testbed: a simulated installation of cache nodes, origin, discovery and clients that is run
+ * against real proxies or in virtual time, and a ledger from which the rules are checked. It may
+ * use everything except the platform's run path; nothing that serves requests may use it. Start
+ * reading at {@link cacheproxy.lab.Experiment}, then {@link cacheproxy.lab.sockets.SocketRun}.
  */
 package cacheproxy.lab;
--- a/src/main/java/cacheproxy/lab/report/Comparison.java
+++ b/src/main/java/cacheproxy/lab/report/Comparison.java
@@ -14,17 +14,17 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Two sets of runs side by side: each figure's mean, its standard deviation from run to run, and
- * the difference.
+ * Compares two sets of runs: the mean of each figure, its standard deviation between runs, and the
+ * difference of the means.
  */
 public final class Comparison {
 
-    /** A difference of means counts as told apart from noise beyond so many standard errors. */
+    /** A difference of means is marked as significant beyond this number of standard errors. */
     private static final double SIGNIFICANT_ERRORS = 2;
 
     private Comparison() {}
 
-    /** The results in a file, or in a folder and the folders right below it. */
+    /** Reads the results in a file, or in a directory and its immediate subdirectories. */
     public static List<Results> read(Path from) throws BadFileException, IOException {
         if (!Files.isDirectory(from)) {
             return List.of(Results.read(from));
@@ -36,11 +36,12 @@
             }
         }
         if (all.isEmpty()) {
-            throw new BadFileException(from + ": no results.json in it");
+            throw new BadFileException(from + ": found no results.json in this directory");
         }
         return all;
     }
 
+    /** Returns a table that compares every figure of two sets of runs. */
     public static String table(List<Results> a, List<Results> b) {
         Set<String> names = new TreeSet<>();
         a.forEach(r -> names.addAll(r.figures().keySet()));
@@ -97,7 +98,7 @@
         return statistics(runs, r -> r.figures().get(name));
     }
 
-    /** Of one figure over runs; a run that does not have it is left out. */
+    /** Returns the statistics of a figure over runs; runs that do not have it are left out. */
     static SummaryStatistics statistics(List<Results> runs, Function<Results, Double> figure) {
         SummaryStatistics statistics = new SummaryStatistics();
         runs.stream()
--- a/src/main/java/cacheproxy/lab/report/CompletedRun.java
+++ b/src/main/java/cacheproxy/lab/report/CompletedRun.java
@@ -15,8 +15,10 @@
 import java.util.Map;
 
 /**
- * What a driver hands in when its run is over. {@code levels} is the highest control level seen in
- * each second, {@code seen} holds what the driver itself found broken.
+ * The data of a completed run, supplied by its driver.
+ *
+ * @param levels the highest control level observed in each second
+ * @param driverViolations violations found by the driver itself
  */
 public record CompletedRun(
         Experiment experiment,
@@ -32,8 +34,9 @@
     private static final int MAX_REPORTED_VIOLATIONS = 100;
 
     /**
-     * Judges the run by every rule and counts its figures; {@code own} are the driver's own
-     * figures.
+     * Checks the run against all rules and computes its figures.
+     *
+     * @param driverFigures additional figures of the driver
      */
     public Results evaluate(Map<String, Double> driverFigures) {
         List<Violation> violations = new ArrayList<>(Rules.check(ledger, experiment));
@@ -48,7 +51,7 @@
                             Rule.GENERATOR,
                             "load",
                             0,
-                            "p99 of its lateness is "
+                            "p99 of its send delay is "
                                     + Results.formatNumber(sendDelayP99Ms)
                                     + " ms, the bound is "
                                     + Results.formatNumber(experiment.load().latenessMs())));
--- a/src/main/java/cacheproxy/lab/report/CurveReport.java
+++ b/src/main/java/cacheproxy/lab/report/CurveReport.java
@@ -11,16 +11,17 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * The load-service curve of the source paper: what is served against what is offered, over a sweep.
- * Worth is the paper's calls weighted as this site counts them.
+ * The load-service curve of the source paper: served load against offered load over a sweep. The
+ * paper counts calls; here each request counts by its priority weight.
  */
 public final class CurveReport {
 
     private CurveReport() {}
 
     /**
-     * A line a step: worth offered and served a second, by class, refusals and the highest level;
-     * means over a step's runs.
+     * Returns a table with one line per step: priority weight offered and served per second, served
+     * share by class, rejections, and the highest control level, each as the mean over the step's
+     * runs.
      */
     public static String table(
             String key, List<Double> values, Map<String, List<List<Results>>> series) {
@@ -83,6 +84,7 @@
         return Comparison.statistics(runs, r -> r.figures().get(figure)).getMean();
     }
 
+    /** Writes the curve and the table as an HTML page. */
     public static void write(
             String name,
             String key,
@@ -113,7 +115,10 @@
         HtmlReport.appendChart(
                 page,
                 HtmlReport.createChart(
-                        "Worth served against worth offered, a second", "offered", "served", curve),
+                        "Priority weight served against offered, per second",
+                        "offered",
+                        "served",
+                        curve),
                 "load-service curve");
         page.append("<pre>")
                 .append(HtmlReport.escape(table(key, values, series)))
--- a/src/main/java/cacheproxy/lab/report/Figures.java
+++ b/src/main/java/cacheproxy/lab/report/Figures.java
@@ -21,8 +21,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts a run's figures from its ledger and stories. The operator's page on the laboratory says
- * what each one means.
+ * Computes the figures of a run from its ledger and request records. The operator's page on the
+ * testbed describes each figure.
  */
 public final class Figures {
 
@@ -31,12 +31,12 @@
     private static final int WORST_WINDOW_S = 10;
     private static final int HISTOGRAM_DIGITS = 3;
 
-    /** A key that was asked for so often and never served is starved. */
+    /** A key that was requested at least this often and never served counts as starved. */
     private static final int STARVED_KEY_MIN_REQUESTS = 10;
 
     /**
-     * Service counts as back when this part of what was usual before is served again for {@link
-     * #BACK_S} seconds.
+     * Service counts as recovered when the served share of priority weight reaches this fraction of
+     * its value before the first fault for {@link #RECOVERED_S} seconds.
      */
     private static final double RECOVERED_FRACTION = 0.95;
 
@@ -61,7 +61,7 @@
         this.zoneByMachine = installation == null ? Map.of() : installation.zoneByMachine();
     }
 
-    /** Every figure that both drivers have. */
+    /** Returns the figures that both drivers have. */
     public static Map<String, Double> of(
             Experiment experiment,
             Installation installation,
@@ -97,7 +97,10 @@
                 * record.request().workMs();
     }
 
-    /** Worth counts in full within the aim and for nothing after it. */
+    /**
+     * Returns the priority weight that a request counts as served: all of it within the latency
+     * objective, none after it.
+     */
     private double servedWeight(RequestRecord record) {
         return record.served()
                         && record.latencyMs()
@@ -274,7 +277,7 @@
         installation.allNodes().forEach(n -> countByNode.put(n.id(), 0.0));
         lookUps.forEach(a -> countByNode.merge(a.machine, 1.0, Double::sum));
         put("routing.busiest_over_mean", maxOverMean(countByNode));
-        // Of a node's own capacity: machines differ, and a count would blame the large ones.
+        // Relative to each node's capacity, as larger nodes rightly get more requests.
         Map<String, Double> useByNode = new HashMap<>();
         Map<String, Double> capacityByNode = new HashMap<>();
         installation.allNodes().forEach(n -> useByNode.put(n.id(), 0.0));
@@ -351,8 +354,8 @@
     }
 
     /**
-     * Seconds from the end of the last fault until service was back; the rest of the run if it
-     * never was, 0 without a fault.
+     * Returns the seconds from the end of the last fault until service recovered; the rest of the
+     * run if it did not recover, 0 without a fault.
      */
     private double recovery(List<Window> windows) {
         double firstFaultS =
@@ -388,8 +391,9 @@
     }
 
     /**
-     * A window a second, by when requests were meant to go out; {@code levels} is the highest level
-     * seen in each.
+     * Returns one window per second, by the planned time of the requests.
+     *
+     * @param levels the highest control level observed in each second
      */
     public static List<Window> windows(
             Experiment experiment, List<RequestRecord> records, int[] levels) {
--- a/src/main/java/cacheproxy/lab/report/HtmlReport.java
+++ b/src/main/java/cacheproxy/lab/report/HtmlReport.java
@@ -21,7 +21,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** One page with everything in it: no script and nothing to load. */
+/** Writes results as a self-contained HTML page, without scripts or external resources. */
 public final class HtmlReport {
 
     private static final int WIDTH = 900;
@@ -48,15 +48,15 @@
                         .append(", load ")
                         .append(results.load(), 0, 16)
                         .append("…</p>");
-        appendList(page, "Bounds that do not hold", results.missed());
+        appendList(page, "Bounds not met", results.missed());
         appendList(page, "Broken rules", results.violations());
         if (results.passed()) {
-            page.append("<p>All bounds hold, no rule is broken.</p>");
+            page.append("<p>All bounds are met and no rule is broken.</p>");
         }
         appendPlot(
                 page,
                 results,
-                "Requests a second",
+                "Requests per second",
                 Map.of(
                         "asked",
                         Window::asked,
@@ -69,21 +69,21 @@
         appendPlot(
                 page,
                 results,
-                "Share of worth served",
+                "Served share of priority weight",
                 Map.of("worth", w -> w.worthAsked() == 0 ? 1 : w.worthServed() / w.worthAsked()));
         appendPlot(
                 page,
                 results,
-                "Latency of what was served, ms",
+                "Latency of served requests, ms",
                 Map.of("p50", Window::p50Ms, "p99", Window::p99Ms));
         appendPlot(
                 page,
                 results,
-                "Control level, highest of all proxies",
+                "Control level, maximum of all proxies",
                 Map.of("level", Window::level));
         appendList(
                 page,
-                "What happened",
+                "Events",
                 results.marks().stream().map(m -> m.atS() + " s: " + m.what()).toList());
         page.append("<h2>Figures</h2><table>");
         results.figures()
--- a/src/main/java/cacheproxy/lab/report/Results.java
+++ b/src/main/java/cacheproxy/lab/report/Results.java
@@ -15,19 +15,19 @@
 import java.util.Map;
 
 /**
- * A run's results as they stand in {@code results.json}. The form is numbered: a later one adds
- * fields and keeps these.
+ * The results of a run, as written to {@code results.json}. The format is versioned; a later
+ * version adds fields and keeps these. The names of the components are the names of the fields.
  *
  * @param form 1
  * @param experiment its name
  * @param driver {@code sockets} or {@code virtual}
- * @param seed the seed that the installation, load and faults were drawn from
+ * @param seed the seed from which the installation, load and faults were generated
  * @param load SHA-256 of the planned load
  * @param figures every figure by its dotted name, sorted
- * @param timeline a window for each second of the run, by when requests were meant to be sent
+ * @param timeline a window for each second of the run, by the planned time of the requests
  * @param marks faults and other events with their times
- * @param violations broken rules, with their proof; the first hundred
- * @param missed bounds that do not hold
+ * @param violations broken rules with their proof; at most the first hundred
+ * @param missed bounds that are not met
  */
 @JsonInclude(JsonInclude.Include.ALWAYS)
 public record Results(
@@ -43,11 +43,12 @@
         List<String> violations,
         List<String> missed) {
 
+    /** Version of the format of {@code results.json}. */
     public static final int FORM_VERSION = 1;
 
     /**
-     * One second: requests meant for it, what became of them, the highest control level seen, and
-     * how late the generator was at most. Latencies in ms.
+     * One second of a run: the requests planned for it and their outcomes, the highest control
+     * level observed, and the maximum send delay of the load generator. Latencies are in ms.
      */
     public record Window(
             int s,
@@ -62,7 +63,7 @@
             int level,
             double lateMaxMs) {}
 
-    /** Something that happened at a time of the run. */
+    /** An event at a time of the run. */
     public record Mark(double atS, String what) {}
 
     private static final ObjectMapper JSON =
@@ -71,8 +72,8 @@
                     .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
 
     /**
-     * Bounds that do not hold, each with figure and bound; a figure that this run does not have
-     * holds no bound.
+     * Returns the bounds that are not met, each with figure and bound. The bounds of a figure that
+     * the run does not have count as not met.
      */
     public static List<String> missed(
             Map<String, Double> figures, List<Experiment.Expect> expects) {
@@ -97,7 +98,7 @@
         return List.copyOf(missed);
     }
 
-    /** Whether every bound holds and no rule was broken. */
+    /** Whether every bound is met and no rule was broken. */
     public boolean passed() {
         return missed.isEmpty() && violations.isEmpty();
     }
@@ -106,7 +107,7 @@
         try {
             return JSON.writeValueAsString(this);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("results hold nothing that JSON cannot", e);
+            throw new IllegalStateException("could not write the results as JSON", e);
         }
     }
 
@@ -119,16 +120,21 @@
             Results results = JSON.readValue(Files.readString(file), Results.class);
             if (results.form() != FORM_VERSION) {
                 throw new BadFileException(
-                        file + ": form " + results.form() + ", this program reads " + FORM_VERSION);
+                        file + ": found form " + results.form() + ", supported is " + FORM_VERSION);
             }
             return results;
         } catch (IOException e) {
             throw new BadFileException(
-                    file + ": no results: " + e.getMessage().lines().findFirst().orElse(""));
+                    file
+                            + ": not readable as results: "
+                            + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 
-    /** Up to four digits that count. */
+    /**
+     * Formats a number: without decimals if it is whole, else with one decimal from 100 on and four
+     * below; "none" for NaN.
+     */
     public static String formatNumber(double number) {
         return Double.isNaN(number)
                 ? "none"
--- a/src/main/java/cacheproxy/lab/world/FaultInjector.java
+++ b/src/main/java/cacheproxy/lab/world/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Carries out those faults that strike machines and the list; both drivers call it, each for its
+ * Injects the faults that affect machines and the endpoint list. Both drivers use it, each with its
  * own clock.
  */
 public final class FaultInjector {
@@ -26,7 +26,7 @@
         this.ledger = ledger;
     }
 
-    /** The nodes that a fault strikes. */
+    /** Returns the machines that a fault affects. */
     public List<String> affectedNodes(Fault fault) {
         if (fault.kind() == Fault.Kind.NODE_START
                 || fault.target().equals(installation.origin().id())) {
@@ -44,7 +44,7 @@
                 .toList();
     }
 
-    /** Begins a fault; returns false where it is the driver's own. */
+    /** Begins a fault; returns false if the driver has to inject it itself. */
     public boolean begin(Fault fault, double now) {
         switch (fault.kind()) {
             case NODE_KILL, NODE_RESTART ->
@@ -84,7 +84,7 @@
         return true;
     }
 
-    /** Ends a fault that {@link #begin} began. */
+    /** Ends a fault that was begun with {@link #begin}. */
     public void end(Fault fault, double now) {
         switch (fault.kind()) {
             case NODE_RESTART -> affectedNodes(fault).forEach(id -> startNode(id, now));
--- a/src/main/java/cacheproxy/lab/world/Installation.java
+++ b/src/main/java/cacheproxy/lab/world/Installation.java
@@ -6,17 +6,17 @@
 import java.util.stream.Stream;
 
 /**
- * One installation as it was drawn: every figure is fixed here and told to no proxy. Times are in
+ * A generated installation with all its parameters. Proxies do not know these values. Times are in
  * milliseconds.
  *
  * @param zones names of the zones
- * @param linkMs one-way delay between two zones, by their places in {@code zones}
- * @param nodes the cache nodes that run when the day begins
- * @param spares cache nodes that a fault may start in the place of others
+ * @param linkMs one-way delay between two zones, by their indexes in {@code zones}
+ * @param nodes the cache nodes that run at the start
+ * @param spares cache nodes that a fault may start as replacements
  * @param origin the central database
- * @param proxyZones each proxy's zone, by its number
- * @param roster how late news of the list comes
- * @param storing objects and copies
+ * @param proxyZones the zone index of each proxy, by its number
+ * @param discovery delays of endpoint list updates
+ * @param data keys, values and the lifetime of copies
  */
 public record Installation(
         List<String> zones,
@@ -29,8 +29,9 @@
         DataSpec data) {
 
     /**
-     * A cache node. {@code missWorkMs} is what finding nothing costs; {@code handshakeMs} is work
-     * for a new connection and {@code connections} how many it can hold.
+     * A cache node. {@code missWorkMs} is the work of a miss, {@code handshakeMs} the work of
+     * accepting a connection, both in core-milliseconds; {@code connections} is its connection
+     * limit.
      */
     public record NodeSpec(
             String id,
@@ -44,9 +45,10 @@
             double errorShare) {}
 
     /**
-     * The origin. Sent more than {@code fallMultiple} times its capacity over {@code fallMs}, it
-     * stops for a time drawn from {@code downMs}; a multiple of 0 means that it never does. A fetch
-     * costs {@code fetchShare} of the request's work and a write {@code writeTimes} as much.
+     * The origin. If it is sent more than {@code overloadMultiple} times its capacity over {@code
+     * overloadWindowMs}, it stops for a random time in the range {@code stopMs}; with a multiple of
+     * 0 it never stops. A fetch costs {@code fetchWorkFactor} times the work of the request, and a
+     * write {@code writeWorkFactor} times the work of a fetch.
      */
     public record OriginSpec(
             String id,
@@ -61,24 +63,25 @@
             int connections) {}
 
     /**
-     * News of the list reaches a proxy after a delay from {@code delayMs}; weights are renewed at
-     * spans from {@code weightMs}. A whole list, for a proxy that starts, takes discovery {@code
-     * listMs}, one after the other.
+     * Discovery. An endpoint list update reaches a proxy after a random delay in the range {@code
+     * delayMs}; weights are updated at random intervals in the range {@code weightIntervalMs}. A
+     * snapshot, for a proxy that starts, takes discovery {@code snapshotMs}; snapshots are produced
+     * one after the other.
      */
     public record DiscoverySpec(double[] delayMs, double[] weightIntervalMs, double snapshotMs) {}
 
     /**
-     * Objects: how many keys there are, the bytes of one (least and most), and for how long a copy
-     * is kept.
+     * The data: number of keys, the range of the size of a value in bytes, and the time to live of
+     * a copy.
      */
     public record DataSpec(long keys, double[] bytes, double ttlMs) {}
 
-    /** Every cache node that may ever run. */
+    /** Returns all cache nodes, including spares. */
     public List<NodeSpec> allNodes() {
         return Stream.concat(nodes.stream(), spares.stream()).toList();
     }
 
-    /** The zone of each node and of the origin, by its name. */
+    /** Returns the zone index of each node and of the origin, by name. */
     public Map<String, Integer> zoneByMachine() {
         Map<String, Integer> zoneOf = new HashMap<>();
         allNodes().forEach(n -> zoneOf.put(n.id(), n.zone()));
@@ -86,7 +89,7 @@
         return zoneOf;
     }
 
-    /** One-way delay between a proxy and a machine's zone. */
+    /** Returns the one-way delay between a proxy and a zone. */
     public double delayMs(int proxy, int zone) {
         return linkMs[proxyZones.get(proxy)][zone];
     }
--- a/src/main/java/cacheproxy/lab/world/LruStore.java
+++ b/src/main/java/cacheproxy/lab/world/LruStore.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 
-/** What a cache node keeps: copies up to its memory; those used longest ago go first. */
+/** The copies cached by a node, limited by its memory; evicts the least recently used first. */
 final class LruStore {
 
     /**
-     * A kept copy: its size, the version it was made of, and when it goes void (Unix-free run time,
-     * ms).
+     * A cached copy: its size, the version of the value it was made from, and the time of the run
+     * at which it expires, in ms.
      */
     record Copy(int bytes, long version, double expiresAt) {}
 
--- a/src/main/java/cacheproxy/lab/world/Machine.java
+++ b/src/main/java/cacheproxy/lab/world/Machine.java
@@ -7,27 +7,27 @@
 import java.util.PriorityQueue;
 
 /**
- * The processor of one machine: its cores are shared evenly among the requests in its slots, what
- * comes beyond waits in turn, and what comes beyond the waiting room is turned away. Work is in
- * core-milliseconds of a core of speed 1. Started cold, its capacity grows evenly from a share to
- * the whole. Cancelling stops nothing here: whatever was taken is worked on to its end, as the
- * fleet's nodes do.
+ * The processor of one machine (processor sharing with a bounded queue). Its cores are shared
+ * evenly among the requests in its slots; further requests wait in a FIFO queue, and are rejected
+ * when the queue is full. Work is in core-milliseconds of a core of speed 1. After a restart the
+ * capacity grows linearly from a fraction to its full value. Requests cannot be cancelled: accepted
+ * work is always completed, as on the fleet's nodes.
  *
- * <p>An event costs O(log n) of the requests in slots.
+ * <p>An event takes O(log n) time for n requests in slots.
  */
 public final class Machine {
 
-    /** While capacity grows it is taken as constant over steps of this length. */
+    /** During warm-up the capacity is treated as constant over steps of this length. */
     private static final double SLOW_START_STEP_MS = 20;
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** Below this a rest of work is rounding. */
+    /** Remaining work below this is a rounding error, in core-milliseconds. */
     private static final double WORK_EPSILON = 1e-9;
 
     /**
-     * What the machine is made of. {@code crowding} is the part of its capacity that each request
-     * in a slot beyond its cores takes.
+     * Parameters of a machine. With n requests in slots beyond the number of cores, the capacity is
+     * divided by 1 + n * {@code contention}.
      */
     public record MachineSpec(
             int cores,
@@ -38,7 +38,7 @@
             double slowStartMs,
             double contention) {}
 
-    /** A piece of work that is done. */
+    /** A job that has been completed. */
     record CompletedJob(long job, double atMs) {}
 
     private record RunningJob(long job, double finishesAtService)
@@ -61,7 +61,7 @@
     private final Deque<QueuedJob> queue = new ArrayDeque<>();
     private double advancedTo;
 
-    /** Work that each request in a slot has had so far, were it there from the beginning. */
+    /** Cumulative work done for a request that has been in a slot since the start. */
     private double servicePerSlot;
 
     private double startedAt;
@@ -76,7 +76,8 @@
     }
 
     /**
-     * Capacity in core-milliseconds a millisecond at a time, without crowding, stalls and slowness.
+     * Returns the capacity at a time in core-milliseconds per millisecond, without the effects of
+     * contention, stalls and slowdown.
      */
     double capacity(double now) {
         double capacityFraction =
@@ -107,7 +108,7 @@
         return spec.cores();
     }
 
-    /** Loses all it holds; what it does from now on it does cold. */
+    /** Drops all jobs and starts warming up. */
     void restart(double now) {
         running.clear();
         queue.clear();
@@ -121,7 +122,7 @@
         slowdown = factor;
     }
 
-    /** Works on nothing until then, and goes on with all it holds afterwards. */
+    /** Suspends all work until a time; jobs are kept and continue afterwards. */
     void stall(double until) {
         stalledUntil = Math.max(stalledUntil, until);
     }
@@ -130,7 +131,10 @@
         return now < stalledUntil;
     }
 
-    /** Takes a job, or says that it is full. The machine must have been advanced to now. */
+    /**
+     * Accepts a job; returns false if slots and queue are full. The machine must have been advanced
+     * to the present.
+     */
     boolean offer(long job, double workMs) {
         if (running.size() < spec.slots()) {
             running.add(new RunningJob(job, servicePerSlot + workMs));
@@ -157,7 +161,7 @@
                 * Math.min(1, (double) spec.cores() / runningCount);
     }
 
-    /** When it next has something to say; infinite if it is idle. */
+    /** Returns the time of its next event; infinite if it is idle. */
     double nextEventAt() {
         if (running.isEmpty()) {
             return NEVER;
@@ -174,7 +178,7 @@
                 : finishesAt;
     }
 
-    /** Works on until now and returns what was finished, in order. */
+    /** Advances to a time and returns the jobs completed until then, in order. */
     List<CompletedJob> advance(double now) {
         List<CompletedJob> done = new ArrayList<>();
         while (advancedTo < now) {
--- a/src/main/java/cacheproxy/lab/world/SlowStartAllowance.java
+++ b/src/main/java/cacheproxy/lab/world/SlowStartAllowance.java
@@ -1,15 +1,15 @@
 package cacheproxy.lab.world;
 
 /**
- * What a node that has just started may be sent by all proxies together. What it can do by then is
- * taken as the settings state it, the least share and the longest warm-up of any kind, as nobody is
- * told a node's own.
+ * The load that all proxies together may send to a node that is warming up. Its capacity during
+ * warm-up is assumed as in the settings: the smallest initial fraction and the longest warm-up of
+ * any kind of node, because proxies do not know the values of a particular node.
  *
- * @param multiple of what it can do that it may be sent; 0 for no bound
- * @param windowMs over which that counts
- * @param coldFrom share of its capacity at its start
- * @param coldMs until it is warm
- * @param meanWorkMs core-milliseconds of a read of mean work that is a hit
+ * @param loadMultiple multiple of its capacity that the node may be sent; 0 for no limit
+ * @param windowMs length of the window over which the load is counted
+ * @param initialFraction fraction of its capacity at its start
+ * @param slowStartMs time from its start until it has its full capacity
+ * @param meanWorkMs work of an average read that is a hit, in core-milliseconds
  */
 public record SlowStartAllowance(
         double loadMultiple,
@@ -18,21 +18,26 @@
         double slowStartMs,
         double meanWorkMs) {
 
-    /** Deviations of a Poisson count that are put down to chance, and requests beyond them. */
+    /**
+     * Standard deviations of a Poisson count that are attributed to chance, and also the number of
+     * requests allowed beyond them.
+     */
     private static final double DEVIATIONS = 2;
 
-    /** The same where N is small. */
+    /** The same for a small N, at which the Poisson distribution is more skewed. */
     private static final double SMALL_COUNT_DEVIATIONS = 3;
 
-    /** N is small below this. */
+    /** N below this is small. */
     private static final double SMALL_COUNT = 30;
 
     /**
-     * N: reads of mean work in the window that ends so long after the start, by a node's warm
-     * capacity in core-milliseconds a millisecond.
+     * Returns N, the allowed number of average reads in a window.
+     *
+     * @param capacity the full capacity of the node, in core-milliseconds per millisecond
+     * @param ageMs time from the start of the node to the end of the window
      */
     public double allowedReads(double capacity, double ageMs) {
-        // By its middle, as the capacity grows meanwhile.
+        // Uses the capacity at the middle of the window, as it grows during the window.
         double capacityFraction =
                 Math.min(
                         1,
@@ -43,7 +48,10 @@
         return loadMultiple * capacity * capacityFraction * windowMs / meanWorkMs;
     }
 
-    /** N + 2 sqrt(N) + 2, or N + 3 sqrt(N) + 3 where N is below 30: beyond this it falls. */
+    /**
+     * Returns the number of average reads above which the node fails: N + 2 sqrt(N) + 2, or N + 3
+     * sqrt(N) + 3 if N is below 30. The terms beyond N allow for chance.
+     */
     public double maxReads(double capacity, double ageMs) {
         double reads = allowedReads(capacity, ageMs);
         double deviations = reads < SMALL_COUNT ? SMALL_COUNT_DEVIATIONS : DEVIATIONS;
--- a/src/main/java/cacheproxy/lab/world/World.java
+++ b/src/main/java/cacheproxy/lab/world/World.java
@@ -16,16 +16,22 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The installation's machines and list. A driver reports what reaches a machine and asks it to go
- * on to a time; the world answers with effects. Times are milliseconds of the run and never run
- * back. The same calls with the same generator give the same effects.
+ * Simulates the machines and the endpoint list of an installation. A driver reports the requests
+ * that reach a machine and advances the time; this class calls {@link Effects} in response. Times
+ * are milliseconds of the run and must not decrease. The same calls with the same random generator
+ * give the same effects.
  */
 public final class World {
 
-    /** What a request is, whichever attempt of it comes. {@code workMs} is core time at speed 1. */
+    /**
+     * A request, common to all its attempts.
+     *
+     * @param callId the id sent with the request
+     * @param workMs work in core-milliseconds at speed 1
+     */
     public record Job(String callId, long key, boolean write, double workMs) {}
 
-    /** How an answer ends. */
+    /** How completely an answer is sent: as it is, cut in half, not HTTP, reset, or not at all. */
     public enum AnswerCompletion {
         COMPLETE,
         TRUNCATED,
@@ -35,8 +41,11 @@
     }
 
     /**
-     * An attempt's answer. {@code hit} is what the node tells of a read, {@code version} that of
-     * the value in the body, {@code ran} whether the request had its effect or was worked on.
+     * The answer to an attempt.
+     *
+     * @param cacheStatus the value of X-Hit in the answer to a read; empty if it has none
+     * @param version the version of the value in the body
+     * @param executed whether the request was processed or had its effect
      */
     public record Answer(
             int status,
@@ -47,38 +56,39 @@
             long version,
             boolean executed) {}
 
-    /** What the list says of a machine. */
+    /** State of a machine in the endpoint list. The names are sent by the discovery server. */
     public enum Health {
         UP,
         DRAINING,
         REMOVED
     }
 
-    /** One entry of a list. {@code startedAt} is a time of the run, or negative for long ago. */
+    /**
+     * An entry of the endpoint list. {@code startedAt} is a time of the run, or negative if the
+     * machine started long before the run.
+     */
     public record Entry(
             String id, String kind, int zone, Health health, double weight, double startedAt) {}
 
-    /** What the world wants done. */
+    /** Receives the effects of the simulation, to be carried out by the driver. */
     public interface Effects {
 
-        /** An attempt's answer leaves its machine now. */
+        /** The machine sends the answer to an attempt now. */
         void answer(long attempt, Answer answer);
 
-        /** Discovery has this for a proxy now: the entries that changed up to a version. */
+        /** Discovery sends a proxy the entries that changed up to a version. */
         void deliverEndpointList(int proxy, long version, List<Entry> entries);
 
-        /** The machine's process died: its connections are reset and new ones refused. */
+        /** The machine's process died: its connections are reset and new ones are refused. */
         void machineDied(String machine);
 
-        /** The machine's process is up, and takes connections. */
+        /** The machine's process has started and accepts connections. */
         void machineStarted(String machine);
 
-        /** The origin was pushed over, and stops for a while. */
+        /** The origin was overloaded and stops for a limited time. */
         void originStopped();
 
-        /**
-         * Something that belongs into the results: an origin that stops, a node that falls over.
-         */
+        /** Reports an event for the results: the origin stops, or an overloaded node fails. */
         void reportEvent(String text);
     }
 
@@ -87,8 +97,8 @@
     private record ListUpdate(double at, long version, List<Entry> entries) {}
 
     /**
-     * A machine has something to say at a time, unless it has been stamped anew; {@code order}
-     * settles ties.
+     * The next event of a machine. It is stale if the generation of the machine has changed; {@code
+     * order} breaks ties.
      */
     private record MachineEvent(double at, long order, MachineState state, long generation)
             implements Comparable<MachineEvent> {
@@ -104,7 +114,7 @@
     private static final double LONG_AGO = -1;
     private static final String ORIGIN_KIND = "origin";
 
-    /** Stops of the origin that a load can cause in one run; later ones would say nothing new. */
+    /** Maximum of stops of the origin by overload in one run; more would add no information. */
     private static final int MAX_ORIGIN_STOPS = 2;
 
     private final Installation installation;
@@ -114,7 +124,7 @@
     private final Map<String, List<String>> missedNodesByCall = new HashMap<>();
     private final Map<Long, Long> versions = new HashMap<>();
 
-    /** Nodes that may hold a key, so that a write need not ask every node. */
+    /** Nodes that may have a copy of a key, so that a write need not check every node. */
     private final Map<Long, List<MachineState>> holdersByKey = new HashMap<>();
 
     private final List<Deque<ListUpdate>> pendingUpdates = new ArrayList<>();
@@ -128,7 +138,7 @@
     private final double[] lastUpdateAt;
     private final double[] updatesBlockedUntil;
 
-    /** Work that was sent to the origin, in core-milliseconds. */
+    /** Work sent to the origin, in core-milliseconds. */
     private final SlidingSum originWork = new SlidingSum();
 
     private double originOverSince = -1;
@@ -137,7 +147,7 @@
     private long version = 1;
     private double extraDelayMs;
 
-    /** A machine's processor and what it keeps. */
+    /** A machine: its processor, its cached copies and its state in the endpoint list. */
     private final class MachineState {
         final String id;
         final String kind;
@@ -182,7 +192,7 @@
         }
     }
 
-    /** What a cold node may be sent, and whether it falls over when it gets more. */
+    /** The allowed load of a node that is warming up, and whether it fails above that load. */
     public record Limits(SlowStartAllowance allowance, boolean overloadedNodeFails) {}
 
     private final Limits limits;
@@ -220,9 +230,9 @@
         return range[0] + (range[1] - range[0]) * random.nextDouble();
     }
 
-    // What a driver asks.
+    // Queries by drivers.
 
-    /** The whole list as it is now, in truth. */
+    /** Returns the actual present endpoint list, without the delay of discovery. */
     public List<Entry> currentEndpoints() {
         return machines.values().stream()
                 .filter(u -> u.health != Health.REMOVED)
@@ -234,7 +244,7 @@
         return version;
     }
 
-    /** Bytes of a key's value: the same at each machine. */
+    /** Returns the size of the value of a key in bytes, which is the same at every machine. */
     public int valueBytes(long key) {
         double[] range = installation.data().bytes();
         long mixed = key * 0x9E3779B97F4A7C15L;
@@ -247,7 +257,7 @@
         return state != null && state.machine.isWarmingUp(now);
     }
 
-    /** What a node that has just started may be sent. */
+    /** Returns the allowed load of a node that is warming up. */
     public SlowStartAllowance slowStartAllowance() {
         return limits.allowance();
     }
@@ -256,10 +266,7 @@
         return machines.get(machine).alive;
     }
 
-    /**
-     * Fills each node with what it would have been asked for lately: the keys of these ranks at
-     * these nodes.
-     */
+    /** Stores a copy of a key at a node, to fill its cache before the run. */
     public void putCopy(String node, long key, double expiresAt) {
         storeCopy(
                 machines.get(node),
@@ -279,7 +286,7 @@
         return versions.getOrDefault(key, 0L);
     }
 
-    /** When the world next has something to do by itself. */
+    /** Returns the time of the next event of the simulation, until which no advance is needed. */
     public double nextEventAt() {
         dropStaleEvents();
         double next =
@@ -293,7 +300,10 @@
 
     // Events.
 
-    /** Goes on to a time: work that is done by then is answered, news that is due is told. */
+    /**
+     * Advances to a time: answers the requests completed by then and delivers the endpoint list
+     * updates that are due.
+     */
     public void advance(double now, Effects effects) {
         dropStaleEvents();
         while (!machineEvents.isEmpty() && machineEvents.peek().at() <= now) {
@@ -320,7 +330,7 @@
         }
     }
 
-    /** Lets a machine work until now, and notes when it has something to say next. */
+    /** Advances a machine to a time and schedules its next event. */
     private void runMachine(MachineState state, double now, Effects effects) {
         if (state.alive) {
             state.machine.advance(now).forEach(d -> jobFinished(d.atMs(), state, d.job(), effects));
@@ -336,7 +346,7 @@
         }
     }
 
-    /** Wakes that a later event of the same machine has put off. */
+    /** Removes events at the head of the queue that a later change of their machine superseded. */
     private void dropStaleEvents() {
         while (!machineEvents.isEmpty()
                 && machineEvents.peek().generation() != machineEvents.peek().state().generation) {
@@ -344,7 +354,7 @@
         }
     }
 
-    /** A new connection to a machine was opened: that costs it work, which nobody waits for. */
+    /** A connection to a machine was opened; the machine does the work of the handshake. */
     public void handshake(double now, String machine, Effects effects) {
         advance(now, effects);
         MachineState state = machines.get(machine);
@@ -360,8 +370,9 @@
     }
 
     /**
-     * The last byte of an attempt has come to a machine. {@code attempt} is above 0 and never used
-     * again.
+     * The last byte of an attempt has reached a machine.
+     *
+     * @param attempt number of the attempt, above 0 and unique in the run
      */
     public void request(
             double now, String machine, long attempt, int proxy, Job job, Effects effects) {
@@ -390,8 +401,8 @@
     }
 
     /**
-     * What a request weighs at a machine now, in core-milliseconds, whether it is taken or turned
-     * away.
+     * Returns the work of a request at a machine at a time, in core-milliseconds, whether or not
+     * the machine accepts it.
      */
     public double workMsOf(double now, String machine, Job job) {
         MachineState state = machines.get(machine);
@@ -410,12 +421,15 @@
                 : job.workMs();
     }
 
-    /** The answer of a machine that turns a request or its connection away. */
+    /** Returns the answer of a machine that rejects a request or its connection. */
     public static Answer rejected() {
         return new Answer(503, "", true, AnswerCompletion.COMPLETE, 0, 0, false);
     }
 
-    /** Nobody waits for these any more: a fetch of theirs stores nothing. Work goes on. */
+    /**
+     * The client no longer waits for a request: a fetch for it stores no copies. Accepted work is
+     * still completed.
+     */
     public void requestAbandoned(String callId) {
         missedNodesByCall.remove(callId);
     }
@@ -475,7 +489,7 @@
                 : AnswerCompletion.COMPLETE;
     }
 
-    /** A fetched value is stored at the first two nodes that missed for its request. */
+    /** Stores a fetched value at the first two nodes that reported a miss for its request. */
     private void storeWhereMissed(double now, Job job, long valueVersion) {
         List<String> missed = missedNodesByCall.getOrDefault(job.callId(), List.of());
         for (String node : missed.subList(0, Math.min(2, missed.size()))) {
@@ -493,8 +507,8 @@
     }
 
     /**
-     * Adds what a machine was sent to its budget: a cold node falls over for good, the origin stops
-     * for a while.
+     * Records the load sent to a machine. Above its limit, a node that is warming up crashes and
+     * does not restart; the origin stops for a limited time.
      */
     private void recordLoad(double now, MachineState state, Job job, Effects effects) {
         if (state.isOrigin()) {
@@ -504,7 +518,7 @@
                 && state.slowStartWindow.add(now, job.workMs() / limits.allowance().meanWorkMs())
                         > 1
                 && limits.overloadedNodeFails()) {
-            effects.reportEvent(state.id + " was pushed over while cold");
+            effects.reportEvent(state.id + " was overloaded while warming up and fails");
             kill(now, state.id, effects);
         }
     }
@@ -523,7 +537,7 @@
             originStops++;
             double stopMs = draw(originSpec.stopMs());
             effects.reportEvent(
-                    "the origin was sent "
+                    "the origin was sent more than "
                             + originSpec.overloadMultiple()
                             + " times its capacity and stops for "
                             + Math.round(stopMs)
@@ -536,7 +550,7 @@
         }
     }
 
-    // The list.
+    // Endpoint list.
 
     private void updateWeights() {
         for (MachineState state : machines.values()) {
@@ -550,7 +564,7 @@
         version++;
         for (int proxy = 0; proxy < pendingUpdates.size(); proxy++) {
             double delay = draw(installation.discovery().delayMs()) + extraDelayMs;
-            // In order of version: news never overtakes older news.
+            // Updates are delivered in order of version.
             lastUpdateAt[proxy] =
                     Math.max(
                             lastUpdateAt[proxy], Math.max(now + delay, updatesBlockedUntil[proxy]));
@@ -569,7 +583,7 @@
 
     // Faults.
 
-    /** The process dies; the list hears of it. */
+    /** Kills a machine's process; discovery removes it from the endpoint list. */
     public void kill(double now, String machine, Effects effects) {
         advance(now, effects);
         MachineState state = machines.get(machine);
@@ -582,7 +596,7 @@
         publishChange(now, state);
     }
 
-    /** The process starts, empty and cold. */
+    /** Starts a machine's process with an empty cache; it starts warming up. */
     public void start(double now, String machine, Effects effects) {
         advance(now, effects);
         MachineState state = machines.get(machine);
@@ -599,7 +613,7 @@
         publishChange(now, state);
     }
 
-    /** The list says that the machine wants nothing new; it goes on with all it gets. */
+    /** Marks a machine as draining in the endpoint list; it still serves all requests it gets. */
     public void drain(double now, String machine, Effects effects) {
         advance(now, effects);
         MachineState state = machines.get(machine);
@@ -607,17 +621,17 @@
         publishChange(now, state);
     }
 
-    /** The machine does nothing until then. */
+    /** Suspends all work of a machine until a time. */
     public void stall(double now, String machine, double until, Effects effects) {
         changeMachine(now, machine, m -> m.stall(until), effects);
     }
 
-    /** Each piece of work takes so many times as long from now on; 1 is the usual. */
+    /** Multiplies the duration of a machine's work from now on; 1 is normal speed. */
     public void setSlowdown(double now, String machine, double factor, Effects effects) {
         changeMachine(now, machine, m -> m.setSlowdown(factor), effects);
     }
 
-    /** A machine that has worked until now goes on in another way. */
+    /** Advances a machine to the present and then changes it. */
     private void changeMachine(
             double now, String machine, Consumer<Machine> change, Effects effects) {
         advance(now, effects);
@@ -628,8 +642,7 @@
     }
 
     /**
-     * Shares of answers that are cut in half, make no sense, or end in a reset instead, from now
-     * on.
+     * Sets the shares of answers that are truncated, malformed or replaced by a reset from now on.
      */
     public void setAnswerFaults(String machine, double truncated, double malformed, double resets) {
         MachineState state = machines.get(machine);
@@ -638,15 +651,15 @@
         state.resetShare = resets;
     }
 
-    /** Share of requests that end in an error from now on, beside the node's usual ones. */
+    /** Sets the share of requests that fail from now on, in addition to the node's usual share. */
     public void setErrorShare(String machine, double share) {
         MachineState state = machines.get(machine);
         state.errorShare = share + (state.nodeSpec == null ? 0 : state.nodeSpec.errorShare());
     }
 
-    /** This share of the keys goes void at every node at once. */
+    /** Expires all copies of a share of the keys at every node. */
     public void expireCopies(double share) {
-        // By key, not by draw: a key is void at all its nodes or at none.
+        // Selected by a hash of the key, so that a key expires at all its nodes or at none.
         machines.values().stream()
                 .filter(u -> !u.isOrigin())
                 .forEach(
@@ -657,7 +670,7 @@
                                                         < share));
     }
 
-    /** News waits until then for a proxy, what is on its way already too. */
+    /** Withholds endpoint list updates from a proxy until a time, including those in transit. */
     public void blockListUpdates(int proxy, double until) {
         updatesBlockedUntil[proxy] = until;
         List<ListUpdate> queued = new ArrayList<>(pendingUpdates.get(proxy));
@@ -670,7 +683,7 @@
         lastUpdateAt[proxy] = Math.max(lastUpdateAt[proxy], until);
     }
 
-    /** Every later news comes so much later than usual; 0 is the usual. */
+    /** Adds a delay to every later endpoint list update; 0 is the normal delay. */
     public void setExtraListDelay(double moreMs) {
         extraDelayMs = moreMs;
     }
--- a/src/test/java/cacheproxy/lab/LabTest.java
+++ b/src/test/java/cacheproxy/lab/LabTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Short experiments from end to end on sockets, with real proxies as child processes. */
+/** Runs short end-to-end experiments on sockets, with real proxies as child processes. */
 class LabTest {
 
     static final String JAVA =
@@ -35,7 +35,8 @@
                     + "' ";
 
     /**
-     * Bounds of time are generous: this is about rules, and other tests may be running beside it.
+     * The time limits are generous: the tests check rules, not speed, and other tests may run at
+     * the same time.
      */
     private static final String SMALL =
             """
@@ -145,7 +146,7 @@
         String word = rule.name().toLowerCase(Locale.ROOT);
         assertTrue(
                 results.figures().get("violations." + word) > 0,
-                fault + " was not caught: " + results.violations() + results.figures());
+                fault + " was not reported: " + results.violations() + results.figures());
         assertTrue(
                 results.violations().stream()
                         .anyMatch(v -> v.startsWith(word.replace('_', '-') + " ")),
@@ -195,11 +196,9 @@
                         .start();
         try {
             Path config = directory.resolve("out").resolve("proxy-1.json");
-            await(
-                    "a proxy that listens",
-                    () -> Files.exists(config) && isListening(address(config)));
+            await("a listening proxy", () -> Files.exists(config) && isListening(address(config)));
             lab.destroyForcibly().waitFor();
-            await("its end", () -> !isListening(address(config)));
+            await("the exit of the proxy", () -> !isListening(address(config)));
         } finally {
             lab.destroyForcibly();
         }
@@ -213,7 +212,7 @@
             throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() < end, "waited in vain for " + what);
+            assertTrue(System.nanoTime() < end, "timed out after 60 s waiting for " + what);
             Thread.sleep(20);
         }
     }
--- a/src/test/java/cacheproxy/lab/ProcessesTest.java
+++ b/src/test/java/cacheproxy/lab/ProcessesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five processes of the program with faults between them. Bounds are generous: other tests may be
- * running beside these.
+ * Tests gossip membership between five processes of the program with pauses, cuts and crashes. The
+ * time limits are generous, as other tests may run at the same time.
  */
 class ProcessesTest {
 
--- a/src/test/java/cacheproxy/lab/SizeSweepTest.java
+++ b/src/test/java/cacheproxy/lab/SizeSweepTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The sizes that an experiment is played at, and what is taken of each run. */
+/** Tests the sizes at which an experiment is run, and the measures taken from each run. */
 class SizeSweepTest {
 
     private static final String GOOD =
@@ -66,7 +66,7 @@
         assertTrue(cost.cpuUs() > 0 && cost.allocatedBytes() > 0);
         assertTrue(
                 cost.retainedBytes() > 10_000,
-                "a router that knows four nodes and their keys in use holds more than "
+                "a decision module with four nodes and their keys in use must retain more than "
                         + cost.retainedBytes()
                         + " bytes");
     }
--- a/src/test/java/cacheproxy/lab/hunt/FaultSearchTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/FaultSearchTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The search finds what is there, makes it as small as it can be, and says nothing of what is not
- * there.
+ * Tests that the fault search finds an injected fault, reduces the scenario to its causes, and
+ * reports nothing else.
  */
 class FaultSearchTest {
 
     /**
-     * A stand-in for a module with a weakness: a zone's cut and a silent node in one day break a
-     * rule.
+     * A driver that simulates a faulty decision module: a rule is broken if a scenario has both a
+     * zone cut and a silent node.
      */
     private static Results faultyDriver(Experiment experiment) {
         boolean cut = experiment.faults().stream().anyMatch(f -> f.kind() == Fault.Kind.ZONE_CUT);
--- a/src/test/java/cacheproxy/lab/hunt/MutantsTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/MutantsTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Faults planted in the module one at a time: the search finds each of them within its budget of
- * days, under the right name.
+ * Mutation tests: with each single mutation of the decision module, the fault search reports the
+ * expected kind of failure within a number of scenarios.
  */
 class MutantsTest {
 
     private static final long SEED = 5;
 
     /**
-     * What the unchanged module is let off without a find; each mutant's own budget is at most
-     * that.
+     * Number of scenarios that the unchanged module must pass; the limit of each mutation is at
+     * most this.
      */
     private static final int SCENARIOS = 60;
 
@@ -33,56 +33,57 @@
     static Stream<Arguments> mutants() {
         return Stream.of(
                 Arguments.of(
-                        "a ladder whose rungs are one off",
-                        "base * LADDER[level - 1]",
-                        "base * LADDER[level]",
+                        "rate multiples are off by one level",
+                        "baseRate * RATE_MULTIPLES[level - 1]",
+                        "baseRate * RATE_MULTIPLES[level]",
                         "threw",
                         60),
                 Arguments.of(
-                        "a bank that is never refilled",
+                        "the token bucket is never refilled",
                         "tokens = Math.min(capacity, tokens + gained);",
                         "",
                         "level-stays",
                         60),
                 Arguments.of(
-                        "a drain that is noticed with the end only",
-                        "listed = e.availability() == Availability.UP;",
-                        "listed = e.availability() != Availability.GONE;",
+                        "a draining node is used until it is removed",
+                        "listed = newEntry.availability() == Availability.UP;",
+                        "listed = newEntry.availability() != Availability.GONE;",
                         "drain",
                         30),
                 Arguments.of(
-                        "a repeat of what may have run",
-                        "case UNSAFE -> r.neverRan;\n            case KEYED -> r.neverRan ||",
-                        "case UNSAFE -> true;\n            case KEYED -> r.neverRan ||",
+                        "a request that may have been executed is sent again",
+                        "case UNSAFE -> pending.neverRan;",
+                        "case UNSAFE -> true;",
                         "duplicate",
                         60),
                 Arguments.of(
-                        "an answer lost when time-out and attempt's end meet",
-                        "if (r != null && !r.streaming) {\n                end(now, r, out);",
-                        "if (r != null && !r.streaming && (!r.inFlight || requests.remove(r.request.id()) == null)) {\n                end(now, r, out);",
+                        "no answer if the deadline passes while an attempt is in flight",
+                        "if (pending != null && !pending.streaming) {",
+                        "if (pending != null && !pending.streaming && (!pending.inFlight"
+                                + " || requests.remove(pending.request.id()) == null)) {",
                         "forgotten",
                         30),
                 Arguments.of(
-                        "an entry left behind by each refusal",
-                        "requests.remove(r.request.id());\n        letGo(now, r, out);\n        boolean",
-                        "letGo(now, r, out);\n        boolean",
+                        "each rejection leaks an entry",
+                        "requests.remove(pending.request.id());\n        cancelWork(",
+                        "cancelWork(",
                         "leak",
                         10),
                 Arguments.of(
-                        "a level that never falls",
+                        "the control level never decreases",
                         "level = Math.max(level - 1, 0);",
                         "",
                         "level-stays",
                         60),
                 Arguments.of(
-                        "a favourite node",
-                        "return r.pickedSecond ? second",
-                        "return caches.get(0).usable(now) && !r.tried.contains(caches.get(0))"
-                                + " ? caches.get(0) : r.pickedSecond ? second",
+                        "one node is always preferred",
+                        "return pending.pickedSecond ? second",
+                        "return caches.get(0).isUsable(now) && !pending.tried.contains("
+                                + "caches.get(0)) ? caches.get(0) : pending.pickedSecond ? second",
                         "favourite",
                         60),
                 Arguments.of(
-                        "refusals without advice",
+                        "rejections have no Retry-After",
                         "double wait = settings.limits().retryAfter() ? pause : 0;",
                         "double wait = 0;",
                         "refusal",
@@ -113,14 +114,14 @@
         int scenario =
                 firstFailingScenario(MutatedModule.of(scratch, original, changed), kind, scenarios);
         System.out.printf(
-                "found on day %d after %d ms: %s%n",
+                "found by scenario %d after %d ms: %s%n",
                 scenario, (System.nanoTime() - startedAt) / 1_000_000, what);
-        assertTrue(scenario > 0, what + " is not found in " + scenarios + " days");
+        assertTrue(scenario > 0, what + ": not found in " + scenarios + " scenarios");
     }
 
     /**
-     * What stands while {@link #theModuleItselfIsLetOff} fails for cold nodes: nothing else may be
-     * found.
+     * {@link #theModuleItselfIsLetOff} fails because of the rule on nodes that are warming up;
+     * until that is fixed, this test checks that no other failure is found.
      */
     @Test
     void unchangedModuleBreaksOnlyColdNodeRule() {
@@ -129,7 +130,7 @@
             String failure = search.failureOf(search.scenario(scenario));
             assertTrue(
                     failure.isEmpty() || failure.startsWith("cold-node"),
-                    "day " + scenario + ": " + failure);
+                    "scenario " + scenario + ": " + failure);
         }
     }
 
--- a/src/test/java/cacheproxy/lab/hunt/MutatedModule.java
+++ b/src/test/java/cacheproxy/lab/hunt/MutatedModule.java
@@ -22,17 +22,18 @@
 import javax.tools.ToolProvider;
 
 /**
- * The module with one line of its sources changed, compiled anew and loaded beside the real one.
+ * The decision module with one change in its source, compiled and loaded in a class loader of its
+ * own beside the original.
  */
 final class MutatedModule {
 
     /**
-     * The module's classes in the package of its interface; they see one another's package-private
-     * parts, so all are loaded anew.
+     * The classes of the decision module in the package of its interface. They use package-private
+     * members of one another, so all of them are compiled and loaded again.
      */
     private static final List<String> CLASSES =
             List.of(
-                    "Decide",
+                    "DecisionModule",
                     "HysteresisController",
                     "PendingRequest",
                     "SlowStartBudget",
@@ -42,7 +43,12 @@
 
     private MutatedModule() {}
 
-    /** {@code original} must stand in the module's sources once, or the mutant would be none. */
+    /**
+     * Returns a factory of mutated modules.
+     *
+     * @param original source text that must occur exactly once in the module's sources
+     * @param changed the text that replaces it
+     */
     static VirtualRun.RouterFactory of(Path scratch, String original, String changed)
             throws IOException, ReflectiveOperationException {
         List<JavaFileObject> units = new ArrayList<>();
@@ -55,7 +61,8 @@
             units.add(sourceUnit(name, found.replaceAll(Matcher.quoteReplacement(changed))));
         }
         if (occurrences != 1) {
-            throw new IllegalArgumentException("stands not once in the module: " + original);
+            throw new IllegalArgumentException(
+                    "found " + occurrences + " times in the module instead of once: " + original);
         }
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         Path classes = Files.createTempDirectory(scratch, "mutant");
@@ -74,7 +81,7 @@
                                 units)
                         .call();
         if (!compiled) {
-            throw new IllegalArgumentException("does not compile: " + changed);
+            throw new IllegalArgumentException("mutation does not compile: " + changed);
         }
         ClassLoader loader = new MutationClassLoader(classes.toUri().toURL());
         var constructor =
@@ -84,7 +91,7 @@
             try {
                 return (Router) constructor.newInstance(settings, seed);
             } catch (ReflectiveOperationException e) {
-                throw new IllegalStateException("a mutant has the module's constructor", e);
+                throw new IllegalStateException("could not create the mutated module", e);
             }
         };
     }
@@ -108,7 +115,7 @@
         };
     }
 
-    /** Takes the module's own classes from the mutant and all else from the program. */
+    /** Loads the classes of the module from the mutation and all others from the program. */
     private static final class MutationClassLoader extends URLClassLoader {
 
         MutationClassLoader(URL classes) {
--- a/src/test/java/cacheproxy/lab/hunt/ScenarioReproducibilityTest.java
+++ b/src/test/java/cacheproxy/lab/hunt/ScenarioReproducibilityTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A drawn day gives the same bytes in a program with another heap, another number of cores and
- * other identity hashes.
+ * Tests that a scenario gives byte-identical results in JVMs with other heap sizes, garbage
+ * collectors, numbers of cores and identity hashes.
  */
 class ScenarioReproducibilityTest {
 
     private static final int SCENARIOS = 20;
     private static final long SEED = 77;
 
-    /** Prints a digest of each day's results; what the child processes run. */
+    /** Prints a digest of the results of each scenario; the child processes run this. */
     public static void main(String[] args) throws Exception {
         digests().forEach(System.out::println);
     }
--- a/src/test/java/cacheproxy/lab/ledger/SlowStartLoadTest.java
+++ b/src/test/java/cacheproxy/lab/ledger/SlowStartLoadTest.java
@@ -16,14 +16,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The rule on cold nodes, by hand. N of nine calls allows 3 x 3 + 3 more by chance in a window, as
- * it is under 30; N of 36 allows 2 x 6 + 2 more.
+ * Tests the rule on nodes that are warming up with values computed by hand. An N of 9 requests
+ * allows 3 x 3 + 3 more by chance in a window, as it is under 30; an N of 36 allows 2 x 6 + 2 more.
  */
 class SlowStartLoadTest {
 
     private static final double START = 10_000;
 
-    /** Warm so late that the allowance stays; 3 x 0.2 x capacity 1 x 1500 ms over 100 ms. */
+    /**
+     * Allows N = 3 x 0.2 x capacity 1 x 1500 ms / 100 ms = 9 requests. The warm-up is so long that
+     * the allowance does not change during the test.
+     */
     private static final SlowStartAllowance ALLOWANCE_OF_NINE =
             new SlowStartAllowance(3, 1500, 0.2, 1e12, 100);
 
@@ -37,7 +40,7 @@
             if (i < notified) {
                 ledger.notified(new ListNotification(i, "node-0", Health.UP, START, START));
             }
-            // Of no client: that breaks another rule, which is not looked at here.
+            // The attempts belong to no client; that breaks another rule, which is ignored here.
             ledger.attempt(
                     new Attempt(
                             i + 1, "call-" + i, "node-0", false, i, at, at, 0.5, requestWorkMs));
@@ -51,7 +54,7 @@
                 .toList();
     }
 
-    @ParameterizedTest(name = "{0} calls of {2} ms, {1} by proxies that knew, {3} ms apart: {4}")
+    @ParameterizedTest(name = "{0} calls of {2} ms, {1} by notified proxies, {3} ms apart: {4}")
     @CsvSource({
         "21, 21, 100, 10, 0",
         "22, 22, 100, 10, 1",
