--- a/src/main/java/cacheproxy/lab/sockets/Clients.java
+++ b/src/main/java/cacheproxy/lab/sockets/Clients.java
@@ -43,9 +43,9 @@
 import java.util.function.Consumer;
 
 /**
- * The clients and the plain front that spreads them over the proxies of their zone. Open loop: each
- * first try goes out at its planned time whatever became of others, and how late it really went out
- * is kept. Runs on one event loop.
+ * The load generator: the clients, with a load balancer that distributes their requests over the
+ * proxies of their zone. The load is an open loop: each request is sent at its planned time, no
+ * matter how others end, and the delay of its sending is recorded. Runs on one event loop.
  */
 final class Clients implements UpstreamServers.RequestLookup {
 
@@ -57,17 +57,20 @@
     private static final int WRITE_BODY_BYTES = 200;
     private static final double MS_PER_S = 1000;
 
-    /** How a first try and its retries ended. */
+    /** The state of a request, including its retries. */
     static final class RequestState {
         final PlannedRequest request;
 
-        /** How late it went out. */
+        /** How late the first try was sent. */
         double sendDelayMs;
 
-        /** When its last answer came, or it was given up; infinite while it goes on. */
+        /**
+         * Time of the run at which the last response arrived or the client gave up; infinite while
+         * the request is in progress.
+         */
         double endedAt = Double.POSITIVE_INFINITY;
 
-        /** Status of the last answer: 0 none, -1 no proxy reached. */
+        /** Status of the last response; 0 if there was none, -1 if no proxy was reached. */
         int status;
 
         int tries;
@@ -115,7 +118,10 @@
         return requestsByTryId.get(id);
     }
 
-    /** How every first try that was sent has ended; read once the loop has. */
+    /**
+     * Returns the outcomes of all requests that were sent. Must be called after the event loop has
+     * terminated.
+     */
     List<cacheproxy.lab.load.RequestRecord> records() {
         return java.util.Arrays.stream(states)
                 .limit(nextIndex)
@@ -130,15 +136,15 @@
                 .toList();
     }
 
-    /** The front puts a proxy into service or takes it out. */
+    /** Sets whether the load balancer sends requests to a proxy. */
     void setInService(int proxy, boolean inService) {
         loop.execute(() -> loadBalancer.setInService(proxy, inService));
     }
 
     /**
-     * Asks every proxy whether it is up, many times: a generator whose own code is still being
-     * loaded would send the first requests of a run late, and lay its lateness at the proxies'
-     * door.
+     * Warms up the code of the load generator by sending many requests to every proxy. Without
+     * warm-up, class loading would delay the first requests of a run, and the delay would be
+     * attributed to the proxies.
      */
     void warmUp() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(proxies.size() * WARMUP_CONNECTIONS);
@@ -148,8 +154,8 @@
                     channel -> channel.pipeline().addLast(new WarmupHandler(done)));
         }
         done.await(WARMUP_TIMEOUT_S, TimeUnit.SECONDS);
-        // And the way of a request: one of no known class is refused with 400 on a connection of
-        // its own.
+        // Also warms up the code that builds requests. A request of an unknown class is rejected
+        // with status 400, each on a separate connection, and reaches no cache node.
         CountDownLatch rejected = new CountDownLatch(WARMUP_REQUESTS * proxies.size());
         for (int i = 0; i < WARMUP_CONNECTIONS; i++) {
             loop.execute(() -> sendInvalidRequest(rejected));
@@ -185,6 +191,7 @@
                         });
     }
 
+    /** Sends {@code GET /up} repeatedly on one connection and then closes it. */
     private static final class WarmupHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final CountDownLatch done;
         private int requestsSent;
@@ -217,6 +224,7 @@
         }
     }
 
+    /** Starts the load; the first request is sent at its planned time of the run. */
     void start() {
         loop.execute(this::sendDueRequests);
     }
@@ -234,7 +242,10 @@
                                 + (outcome == TryOutcome.SERVED ? weightedWork : 0));
     }
 
-    /** How many first tries have ended so far, and how; worth is the class's times the work. */
+    /**
+     * Numbers of requests that have ended so far, by outcome. The weighted work of a request is the
+     * priority weight of its class times its work in core-milliseconds.
+     */
     record OutcomeCounts(
             int ended, int served, int refused, double weightedWork, double weightedWorkServed) {}
 
@@ -242,7 +253,7 @@
         return counts;
     }
 
-    /** Sends what is due and comes back when the next one is. */
+    /** Sends the requests that are due and schedules itself for the next one. */
     private void sendDueRequests() {
         while (nextIndex < states.length && states[nextIndex].request.atMs() <= clock.now()) {
             RequestState state = states[nextIndex++];
@@ -299,7 +310,7 @@
                         });
     }
 
-    /** Opens a connection to a proxy; {@code more} adds to what reads and writes HTTP on it. */
+    /** Opens an HTTP connection to a proxy; {@code configurer} adds handlers behind the codec. */
     private ChannelFuture openConnection(int proxy, Consumer<Channel> configurer) {
         return new Bootstrap()
                 .group(loop)
@@ -349,7 +360,7 @@
         return request;
     }
 
-    /** One try from its first byte to its end. */
+    /** One try of a request, from sending to its end. */
     private final class ClientExchange {
         final RequestState state;
         final String id;
@@ -366,7 +377,7 @@
             this.budgetMs = budgetMs;
         }
 
-        /** The client's side is over: it has an answer, or has given up. */
+        /** Ends the try for the client and schedules a retry if the client makes one. */
         void end(TryOutcome outcome, int status, double retryAfterMs) {
             if (ended) {
                 return;
@@ -387,7 +398,7 @@
         }
     }
 
-    /** A connection to a proxy; one request at a time. */
+    /** A connection to a proxy that carries one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
         private final int proxy;
@@ -424,8 +435,8 @@
         }
 
         /**
-         * The client has given up; the connection stays a little longer, to tell a late answer from
-         * none.
+         * Ends the try as failed because its time is over. The connection is kept open slightly
+         * longer, to distinguish a late response from none.
          */
         private void onTryTimeout(ClientExchange exchange) {
             if (current != exchange || exchange.ended) {
@@ -471,7 +482,10 @@
             }
         }
 
-        /** The attempt that a served body names, if it names this request; else 0. */
+        /**
+         * Returns the number of the attempt named in a response body, or 0 if the body does not
+         * belong to this try.
+         */
         private long servedAttempt(String id, FullHttpResponse response) {
             String body =
                     response.content()
@@ -492,8 +506,8 @@
                 return;
             }
             if (!exchange.sentOnNewConnection) {
-                // The proxy's close crossed our request on a connection from before: it is sent
-                // once more on a new one.
+                // The proxy closed a reused connection while the request was on its way: the
+                // request is sent again on a new connection.
                 exchange.sentOnNewConnection = true;
                 connect(exchange);
                 return;
--- a/src/main/java/cacheproxy/lab/sockets/DiscoveryServer.java
+++ b/src/main/java/cacheproxy/lab/sockets/DiscoveryServer.java
@@ -34,8 +34,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One proxy's discovery agent: the whole list, and a watch that tells what the world has let it
- * hear. Runs on the world's loop.
+ * The discovery agent of one proxy. It serves the endpoint list and a watch with those changes that
+ * the simulated discovery has delivered to this proxy. Runs on the event loop of the simulated
+ * installation.
  */
 final class DiscoveryServer {
 
@@ -48,9 +49,11 @@
     private final int proxy;
     private final UpstreamServers upstreamServers;
     private final Ledger ledger;
+
+    /** The endpoint list as this agent has it, by machine. */
     private final Map<String, Entry> endpoints = new LinkedHashMap<>();
 
-    /** Entries as the proxy was told them last. */
+    /** The entries last sent to the proxy, by machine. */
     private final Map<String, Entry> lastSent = new LinkedHashMap<>();
 
     private final Set<SocketChannel> watchers = new HashSet<>();
@@ -58,7 +61,7 @@
     private long version;
     private long sentBytes;
 
-    /** The whole list as it was written last; null once it has changed. */
+    /** The serialized snapshot; null if the list has changed since it was serialized. */
     private String snapshotText;
 
     private boolean silent;
@@ -93,8 +96,8 @@
     }
 
     /**
-     * Goes to another address; the old one takes nothing new, and closes what is open a while
-     * later. Returns the new one.
+     * Moves the agent to another address and returns that. The old address accepts no new
+     * connections, and closes the open ones after a delay.
      */
     String changeAddress() throws InterruptedException {
         FaultyListener oldListener = listener;
@@ -112,21 +115,22 @@
         return newListener.address();
     }
 
-    /** Bytes of lists and changes written to this proxy so far, heartbeats left out. */
+    /** Returns the bytes of snapshots and watch events written so far, without heartbeats. */
     long sentBytes() {
         return sentBytes;
     }
 
+    /** Sets whether the agent ignores requests and sends no heartbeats. */
     void setSilent(boolean enabled) {
         silent = enabled;
     }
 
-    /** The list as a proxy is given it at its start: what it had last, or the first one. */
+    /** Returns the current snapshot in the format of discovery. */
     JsonObject snapshot() {
         return message(true, new ArrayList<>(endpoints.values()));
     }
 
-    /** News that reaches this agent now. */
+    /** Applies changed entries to the list and sends them to the open watches. */
     void publish(long newVersion, List<Entry> entries) {
         version = newVersion;
         snapshotText = null;
@@ -203,6 +207,7 @@
                         new DiscoveryRequestHandler(channel));
     }
 
+    /** Answers requests for a snapshot or a watch on one connection. */
     private final class DiscoveryRequestHandler
             extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final SocketChannel channel;
@@ -228,7 +233,7 @@
             snapshotText = snapshotText == null ? snapshot().toString() : snapshotText;
             String json = snapshotText;
             recordSent(new ArrayList<>(endpoints.values()));
-            // What was told before and is no more on the whole list is gone with it.
+            // The snapshot replaces the proxy's list: entries that it lacks are removed there.
             lastSent.keySet().removeIf(id -> !endpoints.containsKey(id));
             if (!uri.parameters().containsKey("watch")) {
                 FullHttpResponse response =
--- a/src/main/java/cacheproxy/lab/sockets/FaultyListener.java
+++ b/src/main/java/cacheproxy/lab/sockets/FaultyListener.java
@@ -17,16 +17,16 @@
 import java.util.function.Consumer;
 
 /**
- * One listening address that belongs to one proxy alone, so that a connection tells by where it
- * came in who it is from. It can be shut (connections are refused) or made silent (they never come
- * up): nothing is accepted any more and the queue of the listener is filled, upon which the system
- * drops further attempts as a network that is cut would.
+ * A listening TCP socket for one proxy, so that the proxy behind a connection is known from the
+ * address it connects to. The socket can be closed (connections are refused) or made silent
+ * (connections are never established). A silent socket accepts nothing and has its backlog filled,
+ * so that the kernel drops further SYN packets, as they would be in a network partition.
  */
 final class FaultyListener {
 
     private static final int BACKLOG = 32;
 
-    /** The system lets in a few more than it was asked to queue. */
+    /** More than the backlog, as the kernel queues a few connections more than requested. */
     private static final int FILLER_CONNECTIONS = BACKLOG + 8;
 
     private final EventLoop loop;
@@ -38,13 +38,17 @@
     private Channel server;
     private boolean silent;
 
-    /** {@code onOpen} fills the pipeline of each accepted connection, on the loop. */
+    /**
+     * Creates a closed listener.
+     *
+     * @param initializer sets up the pipeline of each accepted connection; runs on the event loop
+     */
     FaultyListener(EventLoop loop, Consumer<SocketChannel> initializer) {
         this.loop = loop;
         this.initializer = initializer;
     }
 
-    /** Listens, on the address it had before if it had one. */
+    /** Binds the socket, to its previous address if it had one, and waits until it is bound. */
     void open() throws InterruptedException {
         server =
                 bind(address == null
@@ -55,7 +59,7 @@
         address = (InetSocketAddress) server.localAddress();
     }
 
-    /** The same from the loop itself, which may not wait. */
+    /** Binds the socket to its previous address without waiting; for use on the event loop. */
     void reopen() {
         server = bind(address).channel();
     }
@@ -83,6 +87,7 @@
                 .bind(bindAddress);
     }
 
+    /** Returns the address as {@code host:port}. */
     String address() {
         return "127.0.0.1:" + address.getPort();
     }
@@ -95,7 +100,7 @@
         return List.copyOf(connections);
     }
 
-    /** The process died: open connections are reset, new ones refused. */
+    /** Acts as a crashed process: resets open connections and refuses new ones. */
     void closeAndReset() {
         if (server != null) {
             server.close();
@@ -103,11 +108,12 @@
         connections().forEach(FaultyListener::reset);
     }
 
-    /** Stops taking new connections; those that are open stay. */
+    /** Refuses new connections; open ones are kept. */
     void closeListener() {
         server.close();
     }
 
+    /** Stops accepting and fills the backlog, so that new connections are not established. */
     void makeSilent() {
         if (silent || server == null || !server.isOpen()) {
             return;
@@ -129,8 +135,8 @@
     }
 
     /**
-     * Connections come up again; those from before are reset, as the other side has long given them
-     * up.
+     * Accepts connections again. Connections from before the silence are reset, as the proxy has
+     * abandoned them by now.
      */
     void endSilence() {
         if (!silent) {
@@ -149,7 +155,7 @@
         server.config().setAutoRead(true);
     }
 
-    /** Ends a connection with a reset. */
+    /** Closes a connection with a TCP reset. */
     static void reset(SocketChannel channel) {
         if (channel.isActive()) {
             channel.config().setSoLinger(0);
--- a/src/main/java/cacheproxy/lab/sockets/HostileClients.java
+++ b/src/main/java/cacheproxy/lab/sockets/HostileClients.java
@@ -19,12 +19,12 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * Peers that are no clients: slow, endless, malformed, silent. Each is owed an error or a close
- * within 3 s.
+ * Clients that violate the protocol: slow, endless, malformed or silent ones. The proxy has to
+ * answer each with an error or close its connection within 3 s.
  */
 final class HostileClients {
 
-    /** How a peer behaves. */
+    /** The behavior of a hostile client. */
     enum Kind {
         SLOW,
         ENDLESS,
@@ -33,8 +33,8 @@
     }
 
     /**
-     * One peer's fate; {@code endedAt} is infinite while nothing came, {@code status} 0 for a close
-     * without an answer.
+     * A hostile client and its outcome. {@code endedAt} is infinite until a response or a close
+     * arrives; {@code status} is 0 if the connection was closed without a response.
      */
     static final class HostileClient {
         final Kind kind;
@@ -60,7 +60,10 @@
                     "PUT /api/1 HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nzz\r\n");
     private static final long SLOW_BYTE_INTERVAL_MS = 200;
 
-    /** Longer than a peer is owed anything, so that the end of ours is none of the proxy's. */
+    /**
+     * Time after which the client itself closes. It is longer than the proxy's time limit, so that
+     * this close is not taken for the proxy's.
+     */
     private static final long LIFETIME_MS = 8000;
 
     private static final int CHUNK_BYTES = 4096;
@@ -86,7 +89,7 @@
         return List.copyOf(clients);
     }
 
-    /** So many a second from now until a time of the run. */
+    /** Opens {@code perSecond} connections per second until a time of the run. */
     void start(double perSecond, double until) {
         loop.execute(() -> openNext(perSecond, until));
     }
@@ -116,6 +119,7 @@
                 () -> openNext(perSecond, until), (long) (1e9 / perSecond), TimeUnit.NANOSECONDS);
     }
 
+    /** Behaves as the kind of its client demands and records what the proxy does. */
     private final class HostileClientHandler extends ChannelInboundHandlerAdapter {
         private final HostileClient client;
         private final String malformedRequest;
@@ -141,7 +145,9 @@
                 }
                 case MALFORMED -> write(ctx, malformedRequest);
                 case SILENT -> {}
-                default -> throw new IllegalStateException("no such kind: " + client.kind);
+                default ->
+                        throw new IllegalStateException(
+                                "unknown kind of hostile client: " + client.kind);
             }
         }
 
--- a/src/main/java/cacheproxy/lab/sockets/PacketRelay.java
+++ b/src/main/java/cacheproxy/lab/sockets/PacketRelay.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands between proxies that gossip: each is known to the others by a socket here, and what one
- * sends to another's is passed on from its own, or lost, doubled or held back as {@link
- * PeerLinkFaults} says. All of it runs on one loop.
+ * Relays the gossip datagrams between proxies. Each proxy advertises the address of a relay socket.
+ * A datagram sent to that socket is forwarded from the relay socket of its sender, or dropped,
+ * duplicated or delayed as {@link PeerLinkFaults} demands. Runs on one event loop.
  */
 final class PacketRelay {
 
@@ -44,7 +44,10 @@
         this.memberAddresses = new ArrayList<>(proxyAddresses);
     }
 
-    /** Opens a socket for each proxy, and one for a liar, which has no address yet. */
+    /**
+     * Opens a socket for each proxy, and one for a false reporter, whose own address is not known
+     * yet.
+     */
     void open() throws IOException, InterruptedException {
         InetAddress lastAddress = proxyAddresses.get(proxyAddresses.size() - 1).getAddress();
         for (int i = 0; i <= proxyAddresses.size(); i++) {
@@ -59,22 +62,24 @@
                             .await();
             if (!bindFuture.isSuccess()) {
                 throw new IOException(
-                        "no socket to relay gossip: " + bindFuture.cause().getMessage());
+                        "cannot bind a UDP socket for the gossip relay: "
+                                + bindFuture.cause().getMessage());
             }
             sockets.add(bindFuture.channel());
         }
     }
 
-    /** Where the others reach a proxy. */
+    /** Returns the relay address at which the others reach a proxy. */
     InetSocketAddress address(int proxy) {
         return (InetSocketAddress) sockets.get(proxy).localAddress();
     }
 
-    /** The liar has come up at an address; it is the member after the last proxy. */
+    /** Sets the address of the false reporter, which is the member after the last proxy. */
     void addFalseReporter(InetSocketAddress address) {
         loop.execute(() -> memberAddresses.add(address));
     }
 
+    /** Forwards the datagrams that arrive for one recipient. */
     private final class DatagramRelayHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int recipient;
 
@@ -103,7 +108,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A proxy that is killed shows as an error here; the others' packets go on.
+            // Killing a proxy causes socket errors here; relaying between the others continues.
         }
     }
 }
--- a/src/main/java/cacheproxy/lab/sockets/ProxyProcess.java
+++ b/src/main/java/cacheproxy/lab/sockets/ProxyProcess.java
@@ -21,13 +21,17 @@
 import java.util.stream.Stream;
 
 /**
- * One proxy as a child process, started by the deploy file's {@code run} line through a shell that
- * outlives it: the shell holds a pipe from us, and when that ends, however we ended, it kills the
- * proxy. CPU time, memory and descriptors are read from outside.
+ * One proxy as a child process. It is started with the {@code run} line of the deploy file by a
+ * wrapper shell that outlives it: the shell reads a pipe from the testbed and kills the proxy when
+ * the pipe is closed, also if the testbed was killed. CPU time, memory and descriptors are read
+ * from {@code /proc}.
  */
 final class ProxyProcess {
 
-    /** Starts the program, tells its process id, and kills it when standard input ends. */
+    /**
+     * Starts the program, prints its process id and later its exit code, and kills it at the end of
+     * standard input.
+     */
     private static final String WRAPPER_SCRIPT =
             "exec 3<&0; /bin/sh -c \"$1\" </dev/null 3<&- & p=$!; echo \"pid $p\"; "
                     + "(while read -r _; do :; done <&3; kill -KILL $p) 2>/dev/null & w=$!; exec 3<&-; wait $p; c=$?; kill $w 2>/dev/null; echo \"exit $c\"";
@@ -42,14 +46,14 @@
     private static final double CLOCK_TICKS_PER_S = 100;
     private static final double KB_PER_MB = 1024;
 
-    /** Takes the events of a proxy's log that name a subject and evidence, as they are read. */
+    /** Receives those log events of a proxy that have a subject and evidence, as they are read. */
     interface LogEventListener {
         void onEvent(String event, String subject, String evidence);
     }
 
     /**
-     * What a look from outside tells: CPU seconds so far, those of them in the system, resident
-     * megabytes, open descriptors.
+     * Resources used by a proxy: total CPU seconds since its start, the part of them in kernel
+     * mode, resident memory in megabytes, and open descriptors.
      */
     record Usage(double cpuS, double systemS, double residentMb, int descriptors) {}
 
@@ -80,15 +84,15 @@
         this.config = directory.resolve(name + ".json");
         deleteDirectory(directory.resolve(name + TEMPORARY_SUFFIX));
         this.log = new PrintWriter(Files.newBufferedWriter(directory.resolve(name + ".log")));
-        // The address is this run's own, so nobody else takes the port between this and the proxy's
-        // own bind.
+        // The loopback address is unique to this run, so no other process takes the port between
+        // this probe and the proxy's own bind.
         try (ServerSocket probe = new ServerSocket()) {
             probe.bind(new InetSocketAddress(listenAddress, 0));
             address = new InetSocketAddress(listenAddress, probe.getLocalPort());
         }
     }
 
-    /** What an earlier run's proxy of this name kept is none of this one's. */
+    /** Deletes the files that a proxy of the same name left in an earlier run. */
     private static void deleteDirectory(Path directory) throws IOException {
         if (Files.isDirectory(directory)) {
             try (Stream<Path> paths = Files.walk(directory)) {
@@ -100,14 +104,14 @@
     }
 
     /**
-     * Names who is told of its events; before the first start. Called by the thread that reads its
-     * log.
+     * Sets the listener for log events. Must be called before the first start. The listener is
+     * called by the thread that reads the log.
      */
     void setEventListener(LogEventListener listener) {
         eventListener = listener;
     }
 
-    /** Writes the configuration that the next start, or SIGHUP, reads. */
+    /** Writes the configuration that the proxy reads at its next start or at SIGHUP. */
     void writeConfig(JsonObject json) throws IOException {
         Path temporaryFile = directory.resolve(name + ".json.new");
         Files.writeString(temporaryFile, json.toString());
@@ -176,7 +180,7 @@
             }
         } catch (IOException | NumberFormatException e) {
             synchronized (log) {
-                log.println("the laboratory can read no more of this: " + e);
+                log.println("reading the output of the proxy failed: " + e);
             }
         }
         synchronized (log) {
@@ -184,7 +188,10 @@
         }
     }
 
-    /** Waits until it answers {@code GET /up} with 200; returns whether it did in time. */
+    /**
+     * Waits until the proxy answers {@code GET /up} with status 200; returns false if it has exited
+     * or has not done so within the timeout.
+     */
     boolean awaitReady(long timeoutMs) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (System.nanoTime() < deadlineNanos && exitCode == null) {
@@ -211,7 +218,7 @@
         }
     }
 
-    /** Sends a signal by name; one that ends the process makes its end an expected one. */
+    /** Sends a signal by name. After TERM or KILL the exit of the process is expected. */
     void sendSignal(String signal) throws IOException, InterruptedException {
         exitExpected |= signal.equals("TERM") || signal.equals("KILL");
         if (pid > 0) {
@@ -226,25 +233,30 @@
         return wrapper == null || wrapper.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Its exit code if it has ended though nobody told it to, else null. */
+    /** Returns the exit code if the proxy has exited unexpectedly, else null. */
     Integer unexpectedExitCode() {
         return exitExpected ? null : exitCode;
     }
 
+    /** Returns the last level of the hysteresis controller found in the log. */
     int controlLevel() {
         return controlLevel;
     }
 
-    /** What its gossip has put on the wire since its start, by its own count; 0 without gossip. */
+    /**
+     * Returns the average rate of gossip sent since the start of the proxy, headers included,
+     * according to its own log; 0 without gossip.
+     */
     double gossipBytesPerS() {
         return gossipBytesPerS;
     }
 
+    /** Returns how many times the proxy has been started. */
     int startCount() {
         return startCount;
     }
 
-    /** What it uses now; null when it cannot be seen. */
+    /** Reads the current resource usage; null if it cannot be read. */
     Usage readUsage() {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
@@ -266,7 +278,7 @@
         }
     }
 
-    /** Ends it at once if it still runs: the keeper kills it when its pipe from us closes. */
+    /** Kills the proxy if it is running: the wrapper shell does so when its input is closed. */
     void destroy() {
         exitExpected = true;
         if (wrapper != null) {
--- a/src/main/java/cacheproxy/lab/sockets/RunClock.java
+++ b/src/main/java/cacheproxy/lab/sockets/RunClock.java
@@ -1,13 +1,14 @@
 package cacheproxy.lab.sockets;
 
 /**
- * Milliseconds of the run, by the monotonic clock; negative before it begins. One for all parties.
+ * The clock of a run, shared by all its parts: milliseconds since the start by the monotonic clock,
+ * negative before the start.
  */
 final class RunClock {
 
     private static final double NANOS_PER_MS = 1e6;
 
-    /** Until it begins, the run is far ahead. */
+    /** Delay until the start that is assumed while no start is scheduled: one hour. */
     private static final double NOT_STARTED_MS = 3_600_000;
 
     private volatile long startNanos;
@@ -17,12 +18,13 @@
         startIn(NOT_STARTED_MS);
     }
 
-    /** Begins the run so many milliseconds from now. */
+    /** Schedules the start of the run. */
     final void startIn(double delayMs) {
         startUnixMs = System.currentTimeMillis() + delayMs;
         startNanos = System.nanoTime() + (long) (delayMs * NANOS_PER_MS);
     }
 
+    /** Returns the current time of the run in ms. */
     double now() {
         return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
@@ -31,7 +33,7 @@
         return Math.max(0, (long) Math.ceil((atMs - now()) * NANOS_PER_MS));
     }
 
-    /** A time of the run as discovery tells it. */
+    /** Converts a time of the run to Unix time in ms; 0 for times before the start. */
     long unixMs(double runMs) {
         return runMs < 0 ? 0 : Math.round(startUnixMs + runMs);
     }
--- a/src/main/java/cacheproxy/lab/sockets/SocketGossip.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketGossip.java
@@ -22,9 +22,9 @@
 import java.util.stream.IntStream;
 
 /**
- * What proxies on sockets need to gossip: keys, a ring, and options beside their configuration. A
- * liar on sockets is one more member of the fleet, with a key of its own, that runs no proxy and
- * tells what it never saw.
+ * Sets up gossip between proxies on sockets: keys, key ring and options files. A false reporter is
+ * an additional gossip member with its own key that runs no proxy and reports outcomes of attempts
+ * it never made.
  */
 final class SocketGossip {
 
@@ -33,12 +33,15 @@
     private static final int VERIFICATIONS_PER_S = 200;
     private static final String JAR_ARGUMENTS = "-jar target/cache-proxy.jar serve";
 
-    /** The same where the tools' libraries are on the class path already. */
+    /** End of a run line whose class path already includes the libraries of the tools. */
     private static final String CLASS_PATH_ARGUMENTS = " cacheproxy.Main serve";
 
     private SocketGossip() {}
 
-    /** The run line with the options, which need the tools' libraries beside the program. */
+    /**
+     * Returns the run line with an options file added. Options need the libraries of the tools on
+     * the class path.
+     */
     static String commandWithOptions(String runCommand, Path directory, int proxy)
             throws IOException {
         String optionsArgument = " --options " + optionsFile(directory, proxy);
@@ -47,7 +50,7 @@
         }
         if (!runCommand.contains(JAR_ARGUMENTS)) {
             throw new IOException(
-                    "gossip on sockets needs a run line that holds "
+                    "gossip on sockets needs a run line that contains "
                             + JAR_ARGUMENTS
                             + " or ends with"
                             + CLASS_PATH_ARGUMENTS);
@@ -63,9 +66,11 @@
     }
 
     /**
-     * Begins to lie, on the loop, about these nodes; returns what ends it.
+     * Starts a false reporter on the event loop; the returned action stops it.
      *
-     * @param accuses whether it accuses at this moment, by the time since it began in ms
+     * @param nodes the nodes about which it reports
+     * @param accuses whether it reports failures rather than successes, by the time since its start
+     *     in ms
      */
     static Runnable startFalseReporter(
             EventLoop loop,
@@ -137,8 +142,8 @@
     }
 
     /**
-     * Each proxy gossips at the address of its clients, by UDP, and is known to the others by the
-     * relay's.
+     * Writes the keys, the key ring and the options of all proxies. Each proxy gossips over UDP on
+     * the address and port on which it serves clients, and advertises its relay address.
      */
     static void writeFiles(
             Path directory,
--- a/src/main/java/cacheproxy/lab/sockets/SocketPolicy.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketPolicy.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The fleet's policy among proxies on sockets: their options, the relays between them, proposals,
- * and what their logs tell.
+ * The policy log between proxies on sockets: their options, the relays between them, proposals, and
+ * the policy events in their logs.
  */
 final class SocketPolicy {
 
@@ -52,7 +52,7 @@
         return experiment.policy().voters() > 0;
     }
 
-    /** Finds each voter an address, and a way from each proxy to it. */
+    /** Picks an address for each voter and opens a relay to it from each other proxy. */
     void open(List<InetSocketAddress> proxies) throws IOException, InterruptedException {
         for (int to = 0; to < experiment.policy().voters(); to++) {
             try (ServerSocket probe = new ServerSocket()) {
@@ -73,7 +73,8 @@
     }
 
     /**
-     * What stands in a proxy's options; a voter's own place among the voters is its true address.
+     * Returns the policy section of a proxy's options file. A voter lists its own true address and
+     * the relay addresses of the others.
      */
     String optionsText(int proxy) {
         if (!isEnabled()) {
@@ -98,7 +99,10 @@
                 + "\"\n";
     }
 
-    /** An event of a proxy's log; its own time is that of the machine's monotonic clock. */
+    /**
+     * Records a policy event from the log of a proxy. The time in its evidence is read from the
+     * monotonic clock, which all processes of this machine share.
+     */
     void recordLogEvent(int proxy, String event, String subject, String evidence) {
         if (!isEnabled() || !event.startsWith(EVENT_PREFIX) || !evidence.startsWith("at:")) {
             return;
@@ -118,7 +122,7 @@
         }
     }
 
-    /** What the proxy itself says that an epoch holds. */
+    /** Asks a proxy for the content of an epoch; null if it is not known there. */
     private String readEpochContent(int proxy, long epoch) {
         try {
             String history = PolicySocket.ask(operatorSocket(proxy), "history", "", 0).text();
@@ -155,14 +159,14 @@
         ledger.faultEnded(proxy, clock.now());
     }
 
-    /** A cut is over. */
+    /** Records that the links between proxies have been restored. */
     void linksRestored() {
         for (int i = 0; i < experiment.proxies().count(); i++) {
             faultEnded(i);
         }
     }
 
-    /** An operator at this proxy; returns once it has an answer. */
+    /** Proposes the next policy through a proxy as an operator would, and waits for the answer. */
     String propose(int proxy) {
         String content = ProposedPolicies.content(proposalCount.incrementAndGet());
         ledger.proposalSent(content, clock.now());
@@ -177,7 +181,7 @@
         }
     }
 
-    /** The proxy that last said that it leads, or -1. */
+    /** Returns the proxy that last logged that it became leader, or -1. */
     int leader() {
         return leader;
     }
--- a/src/main/java/cacheproxy/lab/sockets/SocketRun.java
+++ b/src/main/java/cacheproxy/lab/sockets/SocketRun.java
@@ -47,11 +47,15 @@
 import java.util.function.Consumer;
 
 /**
- * One experiment on sockets: starts everything, plays load and faults, ends everything, and counts.
+ * One experiment on sockets: starts all servers and proxies, generates the load, injects the
+ * faults, stops everything and evaluates the results.
  */
 public final class SocketRun {
 
-    /** How a run is going; told a few times a second. */
+    /**
+     * The progress of a run, reported several times per second. {@code ended}, {@code served},
+     * {@code refused} and {@code failed} count requests.
+     */
     public record Progress(
             double elapsedS,
             double durationS,
@@ -71,20 +75,22 @@
     private static final int WORLD_TICK_MS = 1;
     private static final double MS_PER_S = 1000;
 
-    /** Room after the last deadline in which late answers still show. */
+    /** Time after the last deadline during which late responses are still observed. */
     private static final double SETTLING_TIME_MS = 500;
 
-    /** What SIGTERM leaves before SIGKILL, beyond the longest deadline. */
+    /** Time from SIGTERM to SIGKILL, in addition to the longest deadline. */
     private static final double TERM_GRACE_MS = 700;
 
+    /** Upper limit of the deadline that is waited for between SIGTERM and SIGKILL. */
     private static final double MAX_TERM_DEADLINE_MS = 3000;
 
-    /** Clients that are on their way still come for so long after SIGTERM. */
+    /** Time after SIGTERM during which the load balancer still sends requests to the proxy. */
     private static final double LOAD_BALANCER_DELAY_MS = 300;
 
+    /** Time within which a proxy has to answer or disconnect a hostile client. */
     private static final double HOSTILE_TIMEOUT_MS = 3000;
 
-    /** What the names of gossip's events in a log begin with. */
+    /** Prefix of the names of gossip events in a log. */
     private static final String GOSSIP_EVENT_PREFIX = "gossip_";
 
     private final Experiment experiment;
@@ -107,7 +113,10 @@
     private final List<DiscoveryServer> discoveryServers = new ArrayList<>();
     private final List<Mark> marks = Collections.synchronizedList(new ArrayList<>());
     private final List<Violation> violations = Collections.synchronizedList(new ArrayList<>());
+
+    /** Figures that are not computed from the ledger, by their name in the results. */
     private final Map<String, Double> extraFigures = new HashMap<>();
+
     private final int[] maxControlLevels;
     private final Set<Integer> restartingProxies = ConcurrentHashMap.newKeySet();
     private UpstreamServers upstreamServers;
@@ -115,7 +124,7 @@
     private HostileClients hostileClients;
     private final PeerLinkFaults linkFaults;
 
-    /** Null without gossip. */
+    /** Null if gossip is disabled. */
     private PacketRelay packetRelay;
 
     private final SocketPolicy policy;
@@ -123,8 +132,11 @@
     private final FaultInjector faultInjector;
 
     /**
-     * {@code directory} takes the proxies' logs and configurations; {@code run} starts one from
-     * {@code root}.
+     * Prepares a run.
+     *
+     * @param directory directory for the logs and configurations of the proxies
+     * @param root working directory of the proxies
+     * @param runCommand shell command that starts a proxy
      */
     public SocketRun(Experiment experiment, Path directory, Path root, String runCommand) {
         this.experiment = experiment;
@@ -151,6 +163,7 @@
                 new SocketPolicy(experiment, clock, linkFaults, this.directory, clientGroup.next());
     }
 
+    /** Carries out the effects of the simulated installation on the servers. */
     private final class SocketWorldEffects implements World.Effects {
         @Override
         public void answer(long attempt, Answer answer) {
@@ -189,7 +202,10 @@
         marks.add(new Mark(Math.round(clock.now()) / MS_PER_S, text));
     }
 
-    /** Plays it and returns what came of it; nothing that it started is left, however it ends. */
+    /**
+     * Runs the experiment and returns its results. All processes and threads that it started are
+     * stopped, also after a failure.
+     */
     public Results run(Consumer<Progress> progress) throws IOException, InterruptedException {
         Files.createDirectories(directory);
         Thread shutdownHook = new Thread(this::shutDown, "lab-end");
@@ -205,7 +221,7 @@
             try {
                 Runtime.getRuntime().removeShutdownHook(shutdownHook);
             } catch (IllegalStateException e) {
-                // The Java machine is ending: the hook has done this already.
+                // The JVM is shutting down: the hook runs anyway.
                 Thread.currentThread().interrupt();
             }
         }
@@ -227,7 +243,8 @@
         for (int i = 0; i < isWriteClass.length; i++) {
             isWriteClass[i] = experiment.load().classes().get(i).write();
         }
-        // Addresses that are this process's own, so that no other run's port can be ours.
+        // Loopback addresses derived from the process id keep runs apart, so that another run
+        // cannot take a port of this one.
         long pid = ProcessHandle.current().pid();
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < experiment.proxies().count(); i++) {
@@ -385,19 +402,19 @@
             mark(fault.label());
             new FaultExecution(fault).inject();
         } catch (IOException | ExecutionException e) {
-            mark("fault failed: " + e);
+            mark("fault injection failed: " + e);
             violations.add(
                     new Violation(
                             Rule.CRASH,
                             fault.label(),
                             clock.now(),
-                            "the laboratory could not cause it: " + e));
+                            "the testbed could not inject the fault: " + e));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Carries one fault out, begin and end. */
+    /** Injects one fault, and ends it after its duration. */
     private final class FaultExecution {
         private final Fault fault;
 
@@ -473,7 +490,7 @@
                             () -> forEachTargetProxy(i -> upstreamServers.setProxyCut(i, false)));
                 }
                 case PROXY_CLOCK, NODE_MAINTENANCE ->
-                        mark(fault.kind().configName() + " is not played on sockets");
+                        mark(fault.kind().configName() + " is not supported on sockets");
                 default -> {
                     onWorldLoop(() -> faultInjector.begin(fault, clock.now()));
                     if (fault.forS() > 0) {
@@ -564,7 +581,7 @@
                                             Rule.CRASH,
                                             "proxy-" + proxy,
                                             clock.now(),
-                                            "it had not ended when SIGKILL was due"));
+                                            "the proxy had not exited when SIGKILL was due"));
                             proxies.get(proxy).sendSignal("KILL");
                             ledger.excuse(
                                     new Ledger.ExcusedInterval(
@@ -580,7 +597,8 @@
 
         private void killProxy(int proxy) {
             if (!restartingProxies.add(proxy)) {
-                // It is on its way back already; a second start would take the first one's address.
+                // The proxy is already being restarted. A second start would fail, as its
+                // address is already in use.
                 return;
             }
             runReportingFailure(
@@ -634,7 +652,10 @@
             } else {
                 violations.add(
                         new Violation(
-                                Rule.CRASH, "proxy-" + proxy, clock.now(), "it did not come back"));
+                                Rule.CRASH,
+                                "proxy-" + proxy,
+                                clock.now(),
+                                "the proxy did not become ready after its restart"));
             }
         }
 
@@ -725,12 +746,15 @@
                                 Rule.CRASH,
                                 fault.label(),
                                 clock.now(),
-                                "the laboratory could not cause it: " + e));
+                                "the testbed could not inject the fault: " + e));
             }
         }
     }
 
-    /** Looks on until everything asked has ended, or should have long ago. */
+    /**
+     * Samples the proxies until the last request and the last hostile client should have ended.
+     * Returns early if a proxy exits unexpectedly.
+     */
     private void monitor(Consumer<Progress> progress) throws InterruptedException {
         double longestMs = experiment.load().longestDeadlineMs();
         double faultsEndAt = experiment.faults().stream().mapToDouble(Fault::endMs).max().orElse(0);
@@ -756,7 +780,8 @@
                 level = Math.max(level, proxy.controlLevel());
                 ProxyProcess.Usage usage = proxy.readUsage();
                 if (usage != null) {
-                    // What a start costs is none of the requests'; a new life counts from nothing.
+                    // CPU time before the start of the run is not caused by requests. The counters
+                    // of a restarted proxy begin at 0.
                     cpuS[i] +=
                             clock.now() < 0
                                     ? 0
@@ -786,9 +811,9 @@
                                     Rule.CRASH,
                                     proxy.name,
                                     clock.now(),
-                                    "exit code "
+                                    "the proxy exited with code "
                                             + proxy.unexpectedExitCode()
-                                            + " though nobody had told it to end"));
+                                            + " without a signal from the testbed"));
                     return;
                 }
             }
@@ -870,7 +895,7 @@
                                 Rule.BAD_INPUT,
                                 client.kind.name().toLowerCase(Locale.ROOT),
                                 client.openedAt,
-                                "served with " + client.status));
+                                "a hostile client was served with status " + client.status));
             } else if (!inTime) {
                 violations.add(
                         new Violation(
@@ -879,7 +904,7 @@
                                 client.openedAt,
                                 "proxy-"
                                         + client.proxy
-                                        + " gave it neither an error nor a close in 3 s"));
+                                        + " sent neither an error response nor a close in 3 s"));
             }
         }
         extraFigures.put("hostile.peers", (double) observed.size());
@@ -888,7 +913,7 @@
                 observed.isEmpty() ? 1.0 : (double) handled / observed.size());
     }
 
-    // What a proxy is told.
+    // Configuration of the proxies.
 
     private JsonObject proxyConfig(int proxy) {
         JsonObject config = new JsonObject();
@@ -910,7 +935,7 @@
         config.add("limits", limits);
         JsonObject known = discoveryServers.get(proxy).snapshot();
         if (proxies.get(proxy).startCount() == 0) {
-            // A first life: the list is there, but discovery has numbered none for it.
+            // At its first start a proxy has the list, but no sequence number from discovery.
             known.addProperty("seq", 0);
         }
         config.add("known", known);
--- a/src/main/java/cacheproxy/lab/sockets/StreamRelay.java
+++ b/src/main/java/cacheproxy/lab/sockets/StreamRelay.java
@@ -22,9 +22,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in each connection between two proxies: every pair has an address of its own, so that it
- * is known who connects. While one direction is cut neither carries anything, as TCP needs both;
- * what was sent meanwhile arrives after the cut, if both ends still wait.
+ * Relays the TCP connections between proxies. Each ordered pair of proxies has its own relay
+ * address, so that the connecting proxy is known. While one direction is cut neither direction
+ * carries data, as TCP needs both; data sent meanwhile arrives after the cut if both ends have kept
+ * the connection open.
  */
 final class StreamRelay {
 
@@ -41,7 +42,7 @@
         this.linkFaults = linkFaults;
     }
 
-    /** Opens the way from one proxy to another, whose own address is given. */
+    /** Opens a relay from one proxy to another, whose true address is {@code target}. */
     void open(int from, int to, InetAddress bindAddress, InetSocketAddress target)
             throws IOException, InterruptedException {
         ChannelFuture bindFuture =
@@ -60,18 +61,19 @@
                         .await();
         if (!bindFuture.isSuccess()) {
             throw new IOException(
-                    "no socket to relay connections: " + bindFuture.cause().getMessage());
+                    "cannot bind a TCP socket for the stream relay: "
+                            + bindFuture.cause().getMessage());
         }
         addresses.put(
                 (long) from << 32 | to, (InetSocketAddress) bindFuture.channel().localAddress());
     }
 
-    /** Where the first one connects to reach the other. */
+    /** Returns the relay address at which one proxy reaches another. */
     InetSocketAddress address(int from, int to) {
         return addresses.get((long) from << 32 | to);
     }
 
-    /** One connection: two channels, each of which is read only while the link is whole. */
+    /** A relayed connection: two channels that are read only while the link is not cut. */
     private final class RelayedConnection {
         private final int from;
         private final int to;
@@ -89,7 +91,7 @@
                     || linkFaults.isCut(to, from, clock.now());
         }
 
-        /** One that is made while the link is cut comes up once it is whole again. */
+        /** Connects to the target. While the link is cut this is postponed until it is restored. */
         void connect(InetSocketAddress target) {
             if (isCut()) {
                 if (inbound.isOpen()) {
@@ -129,6 +131,7 @@
         }
     }
 
+    /** Writes everything that one channel reads to another. */
     private static final class ForwardingHandler extends ChannelInboundHandlerAdapter {
         private final Channel destination;
 
--- a/src/main/java/cacheproxy/lab/sockets/UpstreamServers.java
+++ b/src/main/java/cacheproxy/lab/sockets/UpstreamServers.java
@@ -40,15 +40,15 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The world's cache nodes and origin on sockets, in the platform's HTTP/1.1. All of it runs on one
- * event loop, which is the world's only caller. Delays of links are waited for here; a cut or
- * silent machine reads nothing and says nothing.
+ * The HTTP/1.1 servers of the simulated cache nodes and the origin. All of them run on one event
+ * loop, which is the only caller of {@link World}. Link delays are implemented here by timers. A
+ * silent machine, or one whose link is cut, neither reads nor writes.
  */
 final class UpstreamServers {
 
     static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    /** What is asked under an id. */
+    /** Finds the planned request behind the id of a try; null if the id is unknown. */
     interface RequestLookup {
         LoadPlan.PlannedRequest find(String id);
     }
@@ -69,9 +69,10 @@
     private int openedConnections;
     private int rejectedConnections;
 
-    /** An attempt that waits for its answer, and where that goes. */
+    /** An attempt without an answer so far, its connection, and the one-way delay of the link. */
     private record PendingResponse(Attempt attempt, ProxyConnection connection, double delayMs) {}
 
+    /** One cache node or the origin, with one listener for each proxy. */
     private static final class UpstreamServer {
         final String id;
         final int zone;
@@ -154,18 +155,22 @@
         return servers.get(machine).listeners.get(proxy).address();
     }
 
-    /** New connections that proxies opened so far. */
+    /** Returns the number of connections that proxies have opened so far. */
     int openedConnections() {
         return openedConnections;
     }
 
-    /** Those of them that a full table turned away. */
+    /**
+     * Returns the number of these connections that were rejected at the connection limit; each is
+     * counted when its first request arrives.
+     */
     int rejectedConnections() {
         return rejectedConnections;
     }
 
-    // Faults, on the loop.
+    // Faults; called on the event loop.
 
+    /** Acts as a crashed machine: resets its connections, refuses new ones and drops attempts. */
     void closeListeners(String machine) {
         servers.get(machine).listeners.forEach(FaultyListener::closeAndReset);
         pendingResponses.values().removeIf(o -> o.attempt().machine.equals(machine));
@@ -188,7 +193,7 @@
                         });
     }
 
-    /** Cuts or heals every link between a zone and the others. */
+    /** Cuts or restores all links between a zone and the others. */
     void setZoneCut(int zone, boolean cut) {
         setCut(
                 (proxy, server) ->
@@ -196,7 +201,7 @@
                 cut);
     }
 
-    /** Breaks or heals a proxy's own link: every machine is silent to it. */
+    /** Cuts or restores the links of one proxy: while cut, every machine is silent to it. */
     void setProxyCut(int proxy, boolean cut) {
         setCut((other, server) -> other == proxy, cut);
     }
@@ -216,7 +221,7 @@
         }
     }
 
-    /** Resets this share of new connections from now on, and of those that are idle at once. */
+    /** Resets a share of the idle connections now, and the same share of new ones from now on. */
     void setResetShare(String machine, double share) {
         UpstreamServer server = servers.get(machine);
         server.resetShare = share;
@@ -237,7 +242,7 @@
         server.openConnections++;
         channel.closeFuture().addListener(f -> server.openConnections--);
         if (random.nextDouble() < server.resetShare) {
-            // After the accept: the other side sees a connection that comes up and breaks.
+            // Reset after the accept: the proxy sees an established connection that breaks.
             loop.execute(() -> FaultyListener.reset(channel));
             return;
         }
@@ -254,7 +259,7 @@
                         connection);
     }
 
-    /** An answer leaves its machine. */
+    /** Sends an answer from its machine; it reaches the proxy after the delay of the link. */
     void sendAnswer(long number, Answer answer) {
         PendingResponse pending = pendingResponses.remove(number);
         if (pending == null) {
@@ -278,8 +283,8 @@
         private final FaultyListener listener;
 
         /**
-         * The host's table was full when it came: its first request is turned away, and it is
-         * closed.
+         * Whether the server was at its connection limit when this connection was accepted. Its
+         * first request is then rejected and the connection is closed.
          */
         private final boolean overConnectionLimit;
 
@@ -327,7 +332,7 @@
             }
             LoadPlan.PlannedRequest plannedRequest = requestLookup.find(id);
             double delayMs = installation.delayMs(proxy, server.zone);
-            // A new connection has come up by a round trip before its first request.
+            // On a new connection the handshake takes one round trip before the first request.
             double arrivalDelayMs = used ? delayMs : 3 * delayMs;
             used = true;
             long number = ++lastAttemptNumber;
@@ -339,8 +344,8 @@
                                     plannedRequest.key(),
                                     isWriteClass[plannedRequest.classIndex()],
                                     plannedRequest.workMs());
-            // When the link is cut it never arrives, which its proxy cannot know, and nothing is
-            // ever said.
+            // While the link is cut the request never arrives and is never answered, which the
+            // proxy cannot know.
             boolean silent = listener.isSilent();
             double workMs = job == null || silent ? 0 : world.workMsOf(now, server.id, job);
             Attempt attempt =
@@ -391,7 +396,7 @@
             channel.writeAndFlush(response);
         }
 
-        /** The answer has crossed the link and reaches the proxy. */
+        /** Writes an answer that has crossed the link, unless the link is cut by now. */
         void writeAnswer(Attempt attempt, Answer answer) {
             pendingCount--;
             if (!channel.isActive() || listener.isSilent()) {
@@ -401,7 +406,7 @@
             byte[] body = buildBody(attempt, answer);
             if (answer.completion() != World.AnswerCompletion.COMPLETE
                     && answer.completion() != World.AnswerCompletion.NEVER) {
-                // It is we who end the connection.
+                // This side closes the connection.
                 attempt.closedAt = clock.now();
             }
             switch (answer.completion()) {
@@ -443,7 +448,8 @@
                 case RESET -> FaultyListener.reset(channel);
                 case NEVER -> pendingCount++;
                 default ->
-                        throw new IllegalStateException("no such manner: " + answer.completion());
+                        throw new IllegalStateException(
+                                "unknown answer completion: " + answer.completion());
             }
         }
 
@@ -461,7 +467,10 @@
             }
         }
 
-        /** Names request, attempt and version, so that a client can tell what it was served. */
+        /**
+         * Returns a body that starts with call id, attempt number and version, from which a client
+         * sees which attempt produced it.
+         */
         private byte[] buildBody(Attempt attempt, Answer answer) {
             byte[] prefix =
                     (attempt.callId + ":" + attempt.number + ":" + answer.version() + ":")
