--- a/src/main/java/cacheproxy/lab/virtual/EventQueue.java
+++ b/src/main/java/cacheproxy/lab/virtual/EventQueue.java
@@ -6,7 +6,11 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** What happens next, in the order of time and then of asking. Time moves only here. */
+/**
+ * The simulation's event queue and its only clock. Actions run in the order of their times; those
+ * with equal times run in the order in which they were scheduled. Times are milliseconds of the
+ * run.
+ */
 final class EventQueue {
 
     private record TimedAction(double at, long sequence, Runnable action)
@@ -19,8 +23,8 @@
     }
 
     /**
-     * Most of what is asked for is a time-out far ahead; a heap of all of it would not fit a
-     * processor's cache.
+     * Width of a time bucket. Most scheduled actions are time-outs far in the future, and one heap
+     * of all of them would not fit into a processor's cache; only the current bucket is a heap.
      */
     private static final double BUCKET_WIDTH_MS = 4;
 
@@ -35,7 +39,7 @@
         return now;
     }
 
-    /** Does something at a time, or now if that has passed. */
+    /** Schedules an action for a time, or for the present time if that has passed. */
     void scheduleAt(double time, Runnable action) {
         TimedAction item = new TimedAction(Math.max(now, time), nextSequence++, action);
         long bucket = (long) (item.at() / BUCKET_WIDTH_MS);
@@ -53,11 +57,12 @@
         }
     }
 
+    /** Schedules an action for {@code delayMs} from now. */
     void scheduleIn(double delayMs, Runnable action) {
         scheduleAt(now + delayMs, action);
     }
 
-    /** When the next item is due; infinite when there is none. */
+    /** Returns the time of the next action, or infinity if none is scheduled. */
     double nextEventAt() {
         loadNextBucket();
         return dueSoon.isEmpty() ? Double.POSITIVE_INFINITY : dueSoon.peek().at();
@@ -70,12 +75,12 @@
         }
     }
 
-    /** Moves time on; never back. */
+    /** Advances the clock to a time; a time in the past has no effect. */
     void advanceTo(double time) {
         now = Math.max(now, time);
     }
 
-    /** Does the next item. */
+    /** Advances the clock to the next action and runs it. */
     void runNext() {
         loadNextBucket();
         TimedAction next = dueSoon.remove();
--- a/src/main/java/cacheproxy/lab/virtual/HashIdentity.java
+++ b/src/main/java/cacheproxy/lab/virtual/HashIdentity.java
@@ -5,10 +5,11 @@
 import java.util.Set;
 
 /**
- * Signs by a hash that depends on the name, where signatures must differ and cost nothing. Anybody
- * could forge it.
+ * An identity whose signature is a hash over the signer's name and the data. Signatures of
+ * different members differ and cost almost no CPU time, but they are no protection: anyone can
+ * forge them.
  *
- * @param strangers names without a key in the ring
+ * @param namesWithoutKey names that have no key in the key ring
  */
 public record HashIdentity(String name, Set<String> namesWithoutKey) implements Identity {
 
--- a/src/main/java/cacheproxy/lab/virtual/InMemoryRaftStore.java
+++ b/src/main/java/cacheproxy/lab/virtual/InMemoryRaftStore.java
@@ -13,7 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * A voter's disk in virtual time: what was flushed outlasts a crash, what was not is lost with it.
+ * An in-memory Raft store for virtual time. Log entries and snapshot chunks that were flushed
+ * survive {@link #crash}; those that were not are lost.
  */
 final class InMemoryRaftStore implements RaftStore {
 
@@ -23,12 +24,12 @@
     private TreeMap<Long, LogEntry> entries = new TreeMap<>();
     private TreeMap<Long, LogEntry> flushedEntries = new TreeMap<>();
 
-    /** Parts of snapshots by the index that they stand for. */
+    /** Snapshot chunks, by the log index of their snapshot and then by chunk index. */
     private TreeMap<Long, TreeMap<Integer, SnapshotChunk>> snapshots = new TreeMap<>();
 
     private TreeMap<Long, TreeMap<Integer, SnapshotChunk>> flushedSnapshots = new TreeMap<>();
 
-    /** The process has ended without a word. */
+    /** Simulates the end of the process without a shutdown: discards what was not flushed. */
     void crash() {
         entries = new TreeMap<>(flushedEntries);
         snapshots = copy(flushedSnapshots);
@@ -41,7 +42,10 @@
         return copied;
     }
 
-    /** Null before anything was kept. */
+    /**
+     * Returns the stored state with the latest snapshot of which all chunks are present, or null if
+     * the endpoint, the members or the term have not been stored yet.
+     */
     RestoredRaftState restoredState() {
         if (self == null || members == null || term == null) {
             return null;
--- a/src/main/java/cacheproxy/lab/virtual/ModuleCost.java
+++ b/src/main/java/cacheproxy/lab/virtual/ModuleCost.java
@@ -27,21 +27,23 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * What the module itself costs: one router is told of a fleet and of requests, whose attempts all
- * end well some time later, and nothing else runs. Time is the thread's CPU time; it differs from
- * machine to machine, and between two columns of one run it can be compared.
+ * Measures the decision module alone. One router gets a fleet and a sequence of requests whose
+ * attempts all succeed after a fixed time or end as a cache miss; nothing else runs. Time is the
+ * thread's CPU time: it differs from machine to machine, so only figures of one run are comparable.
  */
 public final class ModuleCost extends NoopActions {
 
     /**
-     * CPU time of a request in microseconds, with its standard deviation over blocks, bytes
-     * allocated for it, and the heap in bytes that the router still holds when all are over: by
-     * difference of two collected heaps, so true to some tens of KB.
+     * The cost of the module. {@code cpuUs} is the mean CPU time per request in microseconds,
+     * {@code cpuStdDevUs} its standard deviation over the measured blocks, {@code allocatedBytes}
+     * the bytes allocated per request, and {@code retainedBytes} the heap that the router retains
+     * after the last request. The latter is the difference of two heap sizes after garbage
+     * collection and therefore accurate to some tens of KB.
      */
     public record Cost(
             double cpuUs, double cpuStdDevUs, double allocatedBytes, double retainedBytes) {
 
-        /** Its figures by dotted names, as a run has them. */
+        /** Returns the figures by their dotted names, as in the results of a run. */
         public Map<String, Double> figures() {
             return Map.of(
                     "module.cpu_us",
@@ -57,7 +59,7 @@
     private static final int WARM_UP_BLOCKS = 3;
     private static final int MEASURED_BLOCKS = 7;
 
-    /** One proxy's part of the load: what a proxy on one small core is given. */
+    /** Request rate of one proxy: the load intended for a proxy on one small core. */
     private static final double REQUESTS_PER_S = 480;
 
     private static final double RESPONSE_TIME_MS = 30;
@@ -121,8 +123,8 @@
     }
 
     /**
-     * Measures one fleet. The experiment's nodes, proxies and keys count; its load and faults are
-     * not played.
+     * Measures the module with the fleet of an experiment. The experiment's nodes, proxies and keys
+     * are used; its request rate and faults are not.
      */
     public static Cost measure(Experiment experiment) {
         ModuleCost cost = new ModuleCost(experiment);
@@ -130,7 +132,7 @@
         SummaryStatistics cpuUs = new SummaryStatistics();
         SummaryStatistics allocatedBytes = new SummaryStatistics();
         for (int block = 0; block < WARM_UP_BLOCKS + MEASURED_BLOCKS; block++) {
-            // Drawn outside of what is timed: the draw of a key costs more than a decision.
+            // Keys are sampled outside the timed section: sampling one costs more than a decision.
             long[] drawnKeys = new long[REQUESTS_PER_BLOCK];
             for (int i = 0; i < REQUESTS_PER_BLOCK; i++) {
                 drawnKeys[i] = (long) cost.keys.sample() * 0x9E3779B97F4A7C15L >>> 1;
@@ -151,7 +153,7 @@
             }
         }
         double heapWithRouter = ProcessUse.retainedBytes();
-        // Without this the router may be collected as soon as its last request is over.
+        // Without the fence the router could be collected right after its last request.
         Reference.reachabilityFence(cost);
         cost = null;
         return new Cost(
--- a/src/main/java/cacheproxy/lab/virtual/VirtualConnectionPool.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualConnectionPool.java
@@ -10,26 +10,28 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The connections of all proxies to all machines, kept as {@code cacheproxy.proxy.NodePool} keeps
- * those of one: an exchange each, the newest idle one first, spare ones closed soon, a pause where
- * a machine's table is full. What lies idle for too long is closed when somebody next looks, which
- * nobody can tell from closing it in time.
+ * The connections of all proxies to all machines, under the rules by which {@code
+ * cacheproxy.proxy.NodePool} manages the connections of one proxy: one request at a time per
+ * connection, the most recently used idle connection first, connections beyond the first close
+ * after a short idle time, and no new connections for a while after a machine's connection table
+ * was full. Expired idle connections are closed at the next access; the outcome is the same as if
+ * they were closed on time.
  */
 final class VirtualConnectionPool {
 
-    /** Wants a connection. */
+    /** A request for a connection. */
     interface ConnectionRequest {
-        /** Whether its proxy still waits for it. */
+        /** Returns whether the proxy still waits for the connection. */
         boolean isStillWaiting();
 
-        /** It has this connection from now on, and frees or closes it. */
+        /** Hands over a connection; the receiver must release, reject or close it. */
         void connected(PooledConnection connection);
 
-        /** It has waited as long as making a connection may take. */
+        /** The request has waited for the connect time-out without getting a connection. */
         void timedOut();
     }
 
-    /** A proxy's connections to one machine. */
+    /** The connections of one proxy to one machine. */
     private final class ConnectionSet {
         final ConnectionTable table;
         final Deque<Double> idleSince = new ArrayDeque<>();
@@ -69,7 +71,7 @@
         }
     }
 
-    /** A machine's table: how many connections it holds, and by whom. */
+    /** A machine's connection table: its limit, its open connections, and those of each proxy. */
     private static final class ConnectionTable {
         final int maxConnections;
         final Map<Integer, ConnectionSet> setsByProxy = new HashMap<>();
@@ -99,12 +101,12 @@
         }
     }
 
-    /** One connection while an exchange has it. */
+    /** A connection while a request uses it. */
     static final class PooledConnection {
-        /** It was made for this exchange. */
+        /** Whether the connection was opened for this request. */
         final boolean newlyOpened;
 
-        /** The machine's table was full when it was made. */
+        /** Whether the machine's connection table was full when the connection was opened. */
         final boolean overLimit;
 
         private final ConnectionSet connectionSet;
@@ -120,6 +122,7 @@
         }
     }
 
+    /** Pause of a connection between two requests, as in {@code NodePool}. */
     private static final double REUSE_PAUSE_MS = 4;
 
     private final EventQueue eventQueue;
@@ -153,7 +156,7 @@
         return rejectedCount;
     }
 
-    /** Closes what is due and notes how many connections each machine has. */
+    /** Closes expired connections and records how many connections each machine has open. */
     void sampleOpenCounts() {
         for (ConnectionTable table : tables.values()) {
             table.setsByProxy.values().forEach(ConnectionSet::closeExpired);
@@ -161,7 +164,7 @@
         }
     }
 
-    /** The most connections that a machine had at any look. */
+    /** Returns the largest number of open connections that any sample found at a machine. */
     int maxOpenCount(String machine) {
         return tables.get(machine).maxOpenCount;
     }
@@ -175,7 +178,10 @@
         return table.setsByProxy.computeIfAbsent(proxy, p -> new ConnectionSet(table));
     }
 
-    /** Finds a connection for an exchange: now, when one comes free, or not at all. */
+    /**
+     * Gets a connection for a request. An idle connection or a new one is handed over at once;
+     * while new connections are suspended the request waits, at most for the connect time-out.
+     */
     void acquire(int proxy, String machine, ConnectionRequest request) {
         ConnectionSet connections = connectionSet(proxy, machine);
         connections.closeExpired();
@@ -211,6 +217,7 @@
                         connections.table.openCount > connections.table.maxConnections));
     }
 
+    /** Schedules new connections for the waiting requests, one at a time, after the suspension. */
     private void scheduleOpen(ConnectionSet connections) {
         if (!connections.openScheduled && !connections.queue.isEmpty()) {
             connections.openScheduled = true;
@@ -229,7 +236,7 @@
         }
     }
 
-    /** A whole answer has come over it. */
+    /** Returns a connection to the pool after a complete answer. */
     void release(PooledConnection connection) {
         if (connection.released || connection.connectionSet.discarded) {
             return;
@@ -255,14 +262,14 @@
         }
     }
 
-    /** The machine's table was full, and its word of that has come. */
+    /** The machine rejected the connection because its connection table was full. */
     void rejected(PooledConnection connection) {
         rejectedCount++;
         connection.connectionSet.backoff.recordRejection(nowNanos(), random.nextDouble());
         close(connection);
     }
 
-    /** It is of no further use, to either side. */
+    /** Closes a connection; without effect if it was released before. */
     void close(PooledConnection connection) {
         if (!connection.released && !connection.connectionSet.discarded) {
             connection.connectionSet.addToOpenCount(-1);
@@ -270,12 +277,12 @@
         connection.released = true;
     }
 
-    /** Every idle connection to a machine is gone; those in use are closed by whoever has them. */
+    /** Closes all idle connections to a machine; those in use are closed by their users. */
     void machineDied(String machine) {
         tables.get(machine).setsByProxy.values().forEach(VirtualConnectionPool::closeIdle);
     }
 
-    /** A proxy's process has ended: its connections go, and what it knew of tables. */
+    /** Removes all connections of a proxy whose process has ended, and its connection back-off. */
     void proxyEnded(int proxy) {
         for (ConnectionTable table : tables.values()) {
             ConnectionSet connections = table.setsByProxy.remove(proxy);
--- a/src/main/java/cacheproxy/lab/virtual/VirtualGossip.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualGossip.java
@@ -28,9 +28,9 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The proxies' gossip in virtual time: each proxy's {@link Gossip}, the links between them, clocks
- * that are wrong, and liars. A liar runs the same code on what it pretends to have seen, so that
- * its lies are as well signed as the truth.
+ * The proxies' gossip in virtual time: each proxy's {@link Gossip}, the links between the proxies,
+ * faulty clocks, and lying proxies. A lying proxy feeds false outcomes into the same gossip code,
+ * so its false claims carry valid signatures.
  */
 final class VirtualGossip {
 
@@ -39,7 +39,7 @@
     private static final int VERIFICATIONS_PER_S = 400;
     private static final int MAX_MARKS = 100;
 
-    /** One proxy's gossip in one life. */
+    /** The gossip of one proxy process, from its start to its end. */
     private final class GossipInstance implements Gossip.Actions {
         final VirtualProxy proxy;
         final Gossip gossip;
@@ -132,14 +132,15 @@
     private final GossipInstance[] instances;
     private final int[][] bytesBySecond;
 
-    /**
-     * Of each proxy's clock: what it showed when it last changed its pace, when that was, and the
-     * pace.
-     */
+    /** Reading of each proxy's clock, in ms, when its rate last changed. */
     private final double[] clockBaseMs;
 
+    /** Time of the run at which each proxy's clock last changed its rate, in ms. */
     private final double[] clockRateChangedAt;
+
+    /** Rate of each proxy's clock; 1 is correct. */
     private final double[] clockRate;
+
     private final PeerLinkFaults links;
     private final double[] pausedUntil;
     private final MembershipLedger membership;
@@ -154,7 +155,7 @@
     private int markCount;
     private double maxJoinMs;
 
-    /** {@code bad} tells whether a node truly is dead or silent now. */
+    /** {@code isFaulty} returns whether a node is in fact dead or silent at the present time. */
     VirtualGossip(
             Experiment experiment,
             Installation plan,
@@ -195,7 +196,10 @@
                 + (eventQueue.now() - clockRateChangedAt[proxy]) * clockRate[proxy];
     }
 
-    /** A proxy starts, knowing these nodes; without gossip nothing of it is made. */
+    /**
+     * Starts the gossip of a proxy process that knows the given nodes. Does nothing if the
+     * experiment has no gossip.
+     */
     void proxyStarted(VirtualProxy proxy, int incarnation, Supplier<List<Node>> nodes) {
         if (experiment.gossip().enabled()) {
             GossipInstance instance = new GossipInstance(proxy, incarnation);
@@ -210,7 +214,7 @@
         }
     }
 
-    /** Looks until a proxy that came back knows all that are there. */
+    /** Checks every 10 ms whether a restarted proxy has learned of all running proxies. */
     private void pollUntilJoined(GossipInstance instance) {
         long runningCount = Arrays.stream(instances).filter(v -> v != null && !v.ended).count();
         if (instance.gossip.table().stream().filter(Member::isPresent).count() >= runningCount) {
@@ -228,6 +232,7 @@
         }
     }
 
+    /** Updates the nodes that a proxy knows from discovery. */
     void updateNodes(int proxy, Supplier<List<Node>> nodes) {
         if (instances[proxy] != null) {
             instances[proxy].nodes = nodes.get();
@@ -236,6 +241,7 @@
         }
     }
 
+    /** Passes the outcome of a proxy's attempt or probe to its gossip, unless the proxy lies. */
     void outcomeObserved(
             VirtualProxy proxy, String node, Outcome outcome, double elapsedMs, boolean probe) {
         GossipInstance instance = honestInstance(proxy);
@@ -254,8 +260,8 @@
     }
 
     /**
-     * The voice of a proxy's present life; null without gossip, and where it tells lies instead of
-     * what it sees.
+     * Returns the gossip of a proxy's current process, or null if the experiment has no gossip, the
+     * process has been replaced, or the proxy reports false outcomes instead of its own.
      */
     private GossipInstance honestInstance(VirtualProxy proxy) {
         GossipInstance instance = instances[proxy.index];
@@ -271,9 +277,7 @@
         }
     }
 
-    /**
-     * A process that stands still finds in its socket, when it goes on, what has come meanwhile.
-     */
+    /** Delivers a packet. A paused process reads it from its socket buffer when it resumes. */
     private void deliver(int from, int to, byte[] packet) {
         GossipInstance instance = instances[to];
         if (eventQueue.now() < pausedUntil[to]) {
@@ -287,7 +291,7 @@
         pausedUntil[proxy] = until;
     }
 
-    /** Begins a fault of the proxies' gossip. */
+    /** Starts a fault of the links, of a proxy's clock, or of a lying proxy. */
     void startFault(Fault fault) {
         if (links.begin(fault)) {
             return;
@@ -315,6 +319,7 @@
         }
     }
 
+    /** Moves a proxy's clock forward by {@code jumpMs} and sets its rate from now on. */
     private void adjustClock(int proxy, double jumpMs, double rate) {
         clockBaseMs[proxy] = clockMs(proxy) + jumpMs;
         clockRateChangedAt[proxy] = eventQueue.now();
@@ -337,7 +342,10 @@
                 Fault.FALSE_CLAIM_INTERVAL_MS, () -> reportFalseOutcomes(proxy, fault));
     }
 
-    /** What it came to; empty without gossip, but for where requests went. */
+    /**
+     * Returns the figures of the gossip and, for fleets of at most 20 nodes, the number of attempts
+     * sent to each node. Without gossip only the latter are present.
+     */
     Map<String, Double> figures(List<VirtualProxy> alive, Ledger ledger) {
         Map<String, Double> figures = new TreeMap<>();
         if (plan.nodes().size() <= 20) {
--- a/src/main/java/cacheproxy/lab/virtual/VirtualPolicy.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualPolicy.java
@@ -23,16 +23,16 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * The proxies' policy in virtual time: each proxy's {@link PolicyMember}, a {@link RaftLog} where
- * it votes, the links between them, and what outlasts a process. The same code as in a proxy but
- * for its sockets and its file.
+ * The proxies' policy log in virtual time: each proxy's {@link PolicyMember}, a {@link RaftLog} for
+ * each voter, the links between the proxies, and the state that survives a restart. Apart from
+ * sockets and files this is the code that a real proxy runs.
  */
 final class VirtualPolicy {
 
     private static final double TICK_INTERVAL_MS = 20;
     private static final double MAX_LOSSY_DELAY_MS = 400;
 
-    /** One proxy's part in one life. */
+    /** The policy member of one proxy process, from its start to its end. */
     private final class PolicyInstance implements PolicyMember.Out, RaftNodeExecutor {
         final int proxy;
         final Epochs epochs = new Epochs();
@@ -99,7 +99,10 @@
                     });
         }
 
-        /** Now, or when the process goes on; never once it has ended. */
+        /**
+         * Runs an action now, or when the process resumes if it is paused; never after the process
+         * has ended.
+         */
         void whenRunning(Runnable action) {
             if (eventQueue.now() < pausedUntil[proxy]) {
                 eventQueue.scheduleAt(pausedUntil[proxy], () -> whenRunning(action));
@@ -156,6 +159,7 @@
         }
     }
 
+    /** Delivers a message to the receiving process. */
     private interface Delivery {
         void deliverTo(PolicyInstance instance);
     }
@@ -238,13 +242,14 @@
         scheduleFaultEnded(proxy, until);
     }
 
+    /** Notifies the ledger at a time that a fault of the proxy or of its links has ended. */
     private void scheduleFaultEnded(int proxy, double at) {
         eventQueue.scheduleAt(at, () -> ledger.faultEnded(proxy, eventQueue.now()));
     }
 
     /**
-     * A stream between two proxies: what is cut off is lost with its connection, and a lossy link
-     * is slow.
+     * Carries a message over a TCP connection between two proxies. A cut in either direction loses
+     * the message together with its connection; packet loss only delays it.
      */
     private void transmit(int from, int to, Delivery delivery) {
         double now = eventQueue.now();
@@ -295,7 +300,7 @@
                                 }));
     }
 
-    /** The proxy that leads the log, or -1. */
+    /** Returns the index of the proxy that leads the policy log, or -1 if there is none. */
     int leader() {
         return IntStream.range(0, voters.size())
                 .filter(
--- a/src/main/java/cacheproxy/lab/virtual/VirtualProxy.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualProxy.java
@@ -16,28 +16,33 @@
 import java.util.Map;
 
 /**
- * One proxy around one router, as {@code cacheproxy.proxy.Proxy} is on sockets: the same table of
- * requests, the same limits on attempts, the same backstop, wishes done in order after each call.
- * It costs no time itself.
+ * One proxy around one router, the counterpart of {@code cacheproxy.proxy.Proxy} without sockets.
+ * It has the same table of requests, the same limits on attempts and the same deadline enforcement,
+ * and performs the router's actions in order after each call. Its own work takes no virtual time.
  */
 final class VirtualProxy extends NoopActions {
 
-    /** The client's side of a request. */
+    /** Receives the answer to a request. */
     interface Client {
+        /**
+         * Called at most once per request. {@code retryAfterMs} is NaN if the answer has no
+         * Retry-After; {@code bodyAttempt} is the attempt that a served body names, or 0.
+         */
         void onResponse(int status, double retryAfterMs, long bodyAttempt);
     }
 
-    /** The network's side: an attempt on its way. The end comes once, by {@link #ended}. */
+    /** The network between the proxy and the machines. */
     interface Network {
+        /** Sends an attempt; its end is reported once, by {@link VirtualProxy#attemptEnded}. */
         void send(VirtualProxy from, String request, int attempt, String node, double waitMs);
 
-        /** The proxy gives an attempt up: nothing of it is heard any more. */
+        /** Abandons an attempt; its end is not reported any more. */
         void abandon(VirtualProxy from, String request, int attempt);
 
-        /** Asks a node whether it is alive; the end comes once, by {@link #probed}. */
+        /** Probes a node; the end is reported once, by {@link VirtualProxy#probeCompleted}. */
         void probe(VirtualProxy from, String node);
 
-        /** What the proxy's gossip is told of its attempts and probes. */
+        /** Passes the outcome of an attempt or a probe to the proxy's gossip. */
         void outcomeObserved(
                 VirtualProxy from, String node, Outcome outcome, double elapsedMs, boolean probe);
     }
@@ -99,7 +104,7 @@
                                 this));
     }
 
-    /** It is gone: whoever waits for it hears nothing more of it. */
+    /** Ends the process; requests in progress get no answer. */
     void kill() {
         dead = true;
         activeRequests.clear();
@@ -109,12 +114,12 @@
         return dead;
     }
 
-    /** Does nothing until then; what comes meanwhile is handled afterwards, in order. */
+    /** Pauses the process until a time; events that arrive meanwhile are handled then, in order. */
     void pause(double until) {
         pausedUntil = until;
     }
 
-    /** Whether it does nothing now; then it does this when it goes on. */
+    /** Returns whether the process is paused; if so, schedules the action for when it resumes. */
     private boolean deferIfPaused(Runnable action) {
         boolean paused = eventQueue.now() < pausedUntil;
         if (paused) {
@@ -127,13 +132,13 @@
         return router.controlLevel();
     }
 
-    /** Whether this attempt of a request is still out. */
+    /** Returns whether an attempt is the pending attempt of a request. */
     boolean isAttemptPending(String id, int attempt) {
         ActiveRequest active = activeRequests.get(id);
         return active != null && active.pendingAttempt == attempt;
     }
 
-    /** Requests it owes an answer, for the invariants. */
+    /** Returns the number of requests without an answer, for the invariants. */
     long unansweredCount() {
         return activeRequests.values().stream().filter(c -> !c.finished).count();
     }
@@ -142,16 +147,17 @@
         return activeRequests.size();
     }
 
-    /** What its router keeps for requests, and timers of the router's that are still to come. */
+    /** Returns the number of request entries in the router. */
     int routerEntryCount() {
         return router.entryCount();
     }
 
-    /** Requests that the proxy had to answer in its router's place. */
+    /** Returns the number of requests that the proxy answered at their deadline, not the router. */
     int backstopCount() {
         return backstopCount;
     }
 
+    /** Returns the number of timers of the router that have not fired yet. */
     int pendingTimerCount() {
         return pendingTimerCount;
     }
@@ -160,7 +166,7 @@
         dispatch(() -> router.endpointListReceived(eventQueue.now(), kind, version, entries, this));
     }
 
-    /** The operators take a node out, or put it back. */
+    /** The operators start or end a node's maintenance. */
     void setMaintenance(String node, boolean inMaintenance) {
         if (!dead) {
             dispatch(() -> router.setMaintenance(eventQueue.now(), node, inMaintenance, this));
@@ -168,7 +174,7 @@
     }
 
     void requestReceived(Request request, Client client) {
-        // A proxy that stands still reads it when it goes on, and counts its time from there.
+        // A paused proxy reads the request when it resumes, and its budget starts then.
         if (dead || deferIfPaused(() -> requestReceived(request, client))) {
             return;
         }
@@ -191,7 +197,10 @@
         }
     }
 
-    /** An attempt has ended; {@code made} is the attempt that a served body names. */
+    /**
+     * An attempt has ended; {@code bodyAttempt} is the attempt that a served body names, or 0. Does
+     * nothing if the attempt is not pending any more.
+     */
     void attemptEnded(String id, int attempt, Outcome outcome, int cacheStatus, long bodyAttempt) {
         if (deferIfPaused(() -> attemptEnded(id, attempt, outcome, cacheStatus, bodyAttempt))) {
             return;
@@ -260,6 +269,10 @@
         dispatch(() -> router.suspicionChanged(eventQueue.now(), node, suspected, this));
     }
 
+    /**
+     * Calls the router and then performs the actions that it asked for. Calls that arise meanwhile
+     * are queued, so that the router is never called recursively.
+     */
     private void dispatch(Runnable event) {
         if (dead) {
             return;
@@ -281,6 +294,7 @@
         dispatching = false;
     }
 
+    /** Answers a request that the router has left unanswered beyond its deadline and the slack. */
     private void enforceDeadline(ActiveRequest active) {
         if (deferIfPaused(() -> enforceDeadline(active))) {
             return;
@@ -317,7 +331,7 @@
         attemptEnded(active.request.id(), attempt, Outcome.CANCELLED, 0, 0);
     }
 
-    /** An attempt's time is up. */
+    /** The time-out of an attempt has expired. */
     void attemptTimedOut(String id, int attempt) {
         if (deferIfPaused(() -> attemptTimedOut(id, attempt))) {
             return;
--- a/src/main/java/cacheproxy/lab/virtual/VirtualRun.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualRun.java
@@ -46,27 +46,29 @@
 import org.apache.commons.math3.random.RandomGenerator;
 
 /**
- * One experiment in virtual time. The same experiment and seed give the same results to the last
- * digit.
+ * Runs one experiment in virtual time. The same experiment and seed give identical results, to the
+ * last digit.
  */
 public final class VirtualRun {
 
     private static final double IDLE_TIMEOUT_MS = 10_000;
     private static final double CONNECT_TIMEOUT_MS = 100;
     private static final double MS_PER_S = 1000;
+
+    /** Time until the load balancer stops sending to a proxy that shuts down. */
     private static final double LOAD_BALANCER_DELAY_MS = 300;
 
     /** How long a proxy waits for a probe's answer, as on sockets. */
     private static final double PROBE_TIMEOUT_MS = 2 * CONNECT_TIMEOUT_MS;
 
-    /** How long a proxy's start takes before it serves. */
+    /** Time from the start of a proxy's process until it serves requests. */
     private static final double STARTUP_MS = 1200;
 
     private static final double SETTLING_TIME_MS = 500;
     private static final int NOT_FOUND = 404;
     private static final int OK = 200;
 
-    /** Makes the router of a proxy that starts. */
+    /** Creates the router of a starting proxy. */
     @FunctionalInterface
     public interface RouterFactory {
         Router create(Settings settings, long seed);
@@ -85,13 +87,12 @@
     private final RandomGenerator random;
     private final List<VirtualProxy> proxies = new ArrayList<>();
 
-    /**
-     * What discovery has for each proxy, and what that has taken in, in this life or an earlier
-     * one.
-     */
+    /** The endpoint list that discovery has ready for each proxy, by machine. */
     private final List<Map<String, Entry>> discoveryEntries = new ArrayList<>();
 
+    /** The entries that each proxy has received, in its current process or an earlier one. */
     private final List<Map<String, Entry>> knownEntries = new ArrayList<>();
+
     private final boolean[] hasEndpointList;
     private final double[] listBlockedUntil;
     private double discoveryFreeAt;
@@ -99,8 +100,8 @@
     private final Map<Long, InFlightAttempt> inFlightByNumber = new HashMap<>();
 
     /**
-     * The attempt that is out for a try; a try goes to one proxy, and that has one attempt out at a
-     * time.
+     * The attempt in flight for each client try. A try goes to one proxy, and a proxy has one
+     * attempt of it in flight at a time.
      */
     private final Map<String, InFlightAttempt> inFlightByTry = new HashMap<>();
 
@@ -109,7 +110,7 @@
     private final Map<String, Double> resetShareByNode = new HashMap<>();
     private final Map<String, Double> silentUntil = new HashMap<>();
 
-    /** Nodes that the operators have taken out. */
+    /** Nodes that the operators have in maintenance. */
     private final Set<String> inMaintenance = new TreeSet<>();
 
     private final Map<String, PlannedRequest> requestsByTry = new HashMap<>();
@@ -125,7 +126,7 @@
     private int proxyStarts;
     private long maxActiveRequests;
 
-    /** An attempt that has left its proxy. */
+    /** An attempt that its proxy has sent and that has not ended. */
     private static final class InFlightAttempt {
         final VirtualProxy proxy;
         final String request;
@@ -154,11 +155,15 @@
         }
     }
 
+    /** Runs the experiment with the decision module. */
     public VirtualRun(Experiment experiment) {
         this(experiment, DecisionModule::new);
     }
 
-    /** With another router than the module, to compare them or to show what the ledger catches. */
+    /**
+     * Runs the experiment with another router than the decision module, to compare routers or to
+     * show which faults the ledger detects.
+     */
     public VirtualRun(Experiment experiment, RouterFactory routerFactory) {
         this.experiment = experiment;
         this.routerFactory = routerFactory;
@@ -230,7 +235,7 @@
         @Override
         public void machineDied(String machine) {
             ledger.changed(machine, Health.REMOVED, -1, eventQueue.now());
-            // Their connections are reset: what was out ends a link's delay later.
+            // Connections to it are reset: attempts in flight end one link delay later.
             for (InFlightAttempt pending :
                     inFlightMatching(pending -> pending.node.equals(machine))) {
                 removeInFlight(pending);
@@ -256,6 +261,7 @@
         }
     }
 
+    /** Stores an entry that a proxy receives, and records in the ledger what is new in it. */
     private void recordNotification(int proxy, Entry entry) {
         Entry previous = knownEntries.get(proxy).put(entry.id(), entry);
         if (previous == null
@@ -271,7 +277,7 @@
         }
     }
 
-    /** What a proxy takes for the fleet, without those that it was told are gone. */
+    /** Returns the nodes that a proxy knows, except those that discovery reported as removed. */
     private List<Node> rememberedNodes(int proxy) {
         return knownEntries.get(proxy).values().stream()
                 .filter(e -> e.health() != Health.REMOVED)
@@ -280,7 +286,8 @@
     }
 
     /**
-     * A proxy that starts asks for the whole list; discovery hands those out one after the other.
+     * Requests the full endpoint list for a starting proxy. Discovery sends one full list at a
+     * time.
      */
     private void requestEndpointList(int index, VirtualProxy proxy) {
         discoveryFreeAt =
@@ -307,6 +314,7 @@
                 .toList();
     }
 
+    /** Adds an annotation to the results' time line. */
     private void mark(String text) {
         marks.add(new Mark(Math.round(eventQueue.now()) / MS_PER_S, text));
     }
@@ -315,6 +323,7 @@
         return ProxySettings.node(plan, entry);
     }
 
+    /** Runs the experiment to its end and returns its results. To be called once. */
     public Results run() {
         CachePrefiller.prefill(
                 world,
@@ -369,6 +378,7 @@
         return buildResults();
     }
 
+    /** Samples the control levels, request tables and connections; called every 100 ms. */
     private void sample(double at) {
         int second = (int) (at / MS_PER_S);
         if (at % MS_PER_S == 0) {
@@ -582,8 +592,8 @@
                             requestClass.write(),
                             plannedRequest.workMs());
             boolean origin = node.equals(plan.origin().id());
-            // On sockets the request's bytes are there at once, and wait for the link's delay at
-            // the machine.
+            // Both byte times are the time of sending: on sockets the request's bytes reach the
+            // machine at once and wait there for the link delay.
             Attempt attempt =
                     new Attempt(
                             ++attemptCount,
@@ -601,7 +611,7 @@
                     new InFlightAttempt(from, request, number, node, attempt, delayMs, connection);
             inFlightByTry.put(request, pending);
             if (silent) {
-                // It never arrives, which its proxy cannot know.
+                // The attempt never arrives, which the proxy cannot detect.
                 return;
             }
             inFlightByNumber.put(attempt.number, pending);
@@ -626,7 +636,7 @@
                     });
         }
 
-        /** The attempt never reaches its machine. */
+        /** Ends an attempt that does not reach its machine, after a delay. */
         private void failLater(
                 VirtualProxy from,
                 String request,
@@ -686,7 +696,7 @@
             InFlightAttempt pending, Outcome outcome, int cacheStatus, long bodyAttempt) {
         if (!pending.ended) {
             pending.ended = true;
-            // Nothing but a whole answer leaves it of use, and that has freed it.
+            // Only a complete answer leaves the connection usable, and has then released it.
             pool.close(pending.connection);
             inFlightByTry.remove(pending.request, pending);
             pending.attempt.closedAt =
@@ -847,7 +857,7 @@
                                                 "starved"));
                                 starveProxy(i, fault);
                             });
-            case MACHINE_BUSY -> mark("a busy machine is not played in virtual time");
+            case MACHINE_BUSY -> mark("a busy machine is not simulated in virtual time");
             case PROXY_BLIND -> forEachTarget(fault, i -> blindUntil[i] = fault.endMs());
             case GOSSIP_CUT, GOSSIP_SPLIT, GOSSIP_LOSS, GOSSIP_DEAF, GOSSIP_MUTE, GOSSIP_ONEWAY -> {
                 gossip.startFault(fault);
@@ -862,15 +872,17 @@
                 }
             }
             case LIAR_ACCUSES, LIAR_PRAISES, LIAR_FLIPS, PROXY_CLOCK -> gossip.startFault(fault);
-            case PROXY_HUP -> mark("proxy-hup changes nothing in virtual time");
-            case HOSTILE -> mark("hostile peers are not played in virtual time");
-            default -> throw new IllegalStateException("no such fault: " + fault.kind());
+            case PROXY_HUP -> mark("proxy-hup has no effect in virtual time");
+            case HOSTILE -> mark("hostile peers are not simulated in virtual time");
+            default ->
+                    throw new IllegalStateException(
+                            "fault not supported in virtual time: " + fault.kind());
         }
     }
 
     /**
-     * In the order in which they were sent: a hash table's own would not be the same from run to
-     * run.
+     * Returns the matching attempts in flight in the order in which they were sent: the iteration
+     * order of the hash map could differ from run to run.
      */
     private List<InFlightAttempt> inFlightMatching(
             java.util.function.Predicate<InFlightAttempt> filter) {
@@ -880,7 +892,7 @@
                 .toList();
     }
 
-    /** Connections from before a cut are reset when the link is back. */
+    /** Resets the connections from before a cut when the link works again. */
     private void resetMatching(java.util.function.Predicate<InFlightAttempt> filter) {
         for (InFlightAttempt pending : inFlightMatching(filter)) {
             removeInFlight(pending);
@@ -897,8 +909,8 @@
     }
 
     /**
-     * A node in maintenance is down for the middle half of it, so it is back cold when it may serve
-     * again.
+     * Starts a node's maintenance. The node is down for the middle half of it, so that its cache is
+     * cold when it may serve again.
      */
     private void startMaintenance(String node, Fault fault) {
         Fault restart =
@@ -938,13 +950,13 @@
     private void killProxy(int index, Fault fault) {
         VirtualProxy old = proxies.get(index);
         if (old.isDead()) {
-            // It is on its way back already; a second start would take the place of the first.
+            // A restart is already scheduled; a second one would replace the first.
             return;
         }
         if (old.unansweredCount() > 0) {
             ledger.excuse(
                     new Ledger.ExcusedInterval(
-                            index, eventQueue.now(), eventQueue.now(), "it ended"));
+                            index, eventQueue.now(), eventQueue.now(), "process ended"));
         }
         old.kill();
         hasEndpointList[index] = false;
@@ -977,7 +989,7 @@
                             Rule.GENERATOR,
                             "load",
                             eventQueue.now(),
-                            records.length - completed.size() + " first tries have no end"));
+                            records.length - completed.size() + " requests have no final outcome"));
         }
         List<VirtualProxy> alive = proxies.stream().filter(p -> !p.isDead()).toList();
         alive.stream()
@@ -990,7 +1002,7 @@
                                                 "proxy-" + p.index,
                                                 eventQueue.now(),
                                                 p.unansweredCount()
-                                                        + " requests are still owed an answer")));
+                                                        + " requests have not been answered")));
         Map<String, Double> proxyFigures =
                 new TreeMap<>(
                         Map.of(
--- a/src/main/java/cacheproxy/lab/virtual/VirtualStream.java
+++ b/src/main/java/cacheproxy/lab/virtual/VirtualStream.java
@@ -25,12 +25,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The change stream in virtual time: each proxy's {@link Subscriber}, four {@link ControlMachine}s
- * with disks that lose what was not flushed, and connections as TCP makes them: in order, a lost
- * segment late by its retransmissions, a reset or a silence at the end. The same code as in
- * processes but for sockets and files; every message to a proxy passes through {@link FrameCodec}.
- * What proxies are given is held against one another at every entry, and against what its author
- * was told.
+ * The change stream in virtual time: each proxy's {@link Subscriber}, the {@link ControlMachine}s
+ * with stores that lose what was not flushed, and connections that behave like TCP: data arrives in
+ * order, a lost segment is delayed by its retransmissions, and a connection ends by a reset or
+ * without notice. Apart from sockets and files this is the code that runs in real processes; every
+ * message between a proxy and a control machine passes through {@link FrameCodec}. Each entry that
+ * a proxy receives is compared with the entry that the other proxies received at that sequence
+ * number and with the change that was confirmed to its author.
  */
 final class VirtualStream {
 
@@ -40,15 +41,17 @@
     private static final double INITIAL_RTO_MS = 200;
 
     /**
-     * The length before a frame, TCP and IP's headers, and an acknowledgement of its own for each.
+     * Overhead of a frame: its length field, the TCP and IP headers, and one separate TCP
+     * acknowledgement.
      */
     private static final int PACKET_OVERHEAD_BYTES = 4 + 52 + 52;
 
     private static final int ENTRIES_PER_SNAPSHOT = 1000;
 
     /**
-     * What is played; links take {@code delayMs} to three times that, a share of the segments is
-     * lost, and a share of the messages resets.
+     * The scenario to simulate. The one-way delay of a link is between {@code minDelayMs} and three
+     * times that; {@code lossShare} is the share of segments that are lost and {@code resetShare}
+     * the share of messages that cause a reset of their connection.
      */
     record StreamScenario(
             int subscribers,
@@ -60,7 +63,7 @@
             RetainedLog.Bounds bounds,
             double rateBytesPerS) {}
 
-    /** A connection, seen by both ends. */
+    /** A connection between a proxy and a control machine. */
     private final class StreamLink {
         final long id = ++lastLinkId;
         final SubscribingProxy proxy;
@@ -79,8 +82,8 @@
         }
 
         /**
-         * Carries something; what meets a cut is gone, and the connection with it, though nobody
-         * hears of that.
+         * Transmits a message in one direction. If the proxy is isolated, the message and the
+         * connection are lost and neither end is notified.
          */
         void transmit(boolean toProxy, int bytes, Runnable onArrival) {
             if (closed || proxy.isolated) {
@@ -109,7 +112,7 @@
                     });
         }
 
-        /** Both ends hear of the end. */
+        /** Resets the connection; both ends are notified after the link's delay. */
         void reset() {
             closed = true;
             eventQueue.scheduleIn(
@@ -126,7 +129,7 @@
         }
     }
 
-    /** What a lost segment's retransmissions cost. */
+    /** Draws the delay of a segment by retransmissions; the time-out doubles with each loss. */
     private double retransmissionDelayMs() {
         double delayMs = 0;
         for (double rto = INITIAL_RTO_MS; random.nextDouble() < scenario.lossShare(); rto *= 2) {
@@ -135,14 +138,17 @@
         return delayMs;
     }
 
-    /** A control machine, life after life. */
+    /** A control machine across its restarts; {@code incarnation} counts its starts. */
     private final class ControlServer implements ControlMachine.Out, RaftNodeExecutor {
         final int index;
         final String name;
         final InMemoryRaftStore store = new InMemoryRaftStore();
         final Map<Long, StreamLink> connections = new HashMap<>();
 
-        /** When what was sent last to another one comes there: its connections keep their order. */
+        /**
+         * Arrival time of the last message to each other control machine. Later messages do not
+         * arrive earlier, because the connections preserve their order.
+         */
         final Map<String, Double> lastArrivalAt = new HashMap<>();
 
         ControlMachine machine;
@@ -288,7 +294,7 @@
         }
     }
 
-    /** A proxy, and what it has been told. */
+    /** A proxy with its subscriber and the entries that it has applied. */
     final class SubscribingProxy implements Subscriber.SubscriberActions {
         final int index;
         final Subscriber subscriber;
@@ -407,7 +413,12 @@
                                         deliveredChanges.computeIfAbsent(
                                                 entry.seq(), n -> entry.change()))) {
                     throw new IllegalStateException(
-                            "proxy-" + index + " at " + (lastSeq - 1) + " was given " + entry);
+                            "proxy-"
+                                    + index
+                                    + " after entry "
+                                    + (lastSeq - 1)
+                                    + " received unexpected "
+                                    + entry);
                 }
                 recordApplied(entry.seq());
                 head = Math.max(head, entry.seq());
@@ -427,7 +438,7 @@
             appliedAt[(int) seq] = (float) eventQueue.now();
         }
 
-        /** When it had this entry; not a number where it has not. */
+        /** Returns when the proxy applied an entry, or NaN if it has not. */
         float appliedAt(int seq) {
             return seq < appliedAt.length ? appliedAt[seq] : Float.NaN;
         }
@@ -449,7 +460,7 @@
             events.merge(event, 1, Integer::sum);
         }
 
-        /** The most bytes that went both ways within any minute, a second. */
+        /** Returns the highest mean rate over any minute, in bytes/s, both directions together. */
         double maxBytesPerSOverOneMinute() {
             int maxBytes = 0;
             for (int from : bytesBySecond.keySet()) {
@@ -469,10 +480,10 @@
     private final List<ControlServer> servers = new ArrayList<>();
     final List<SubscribingProxy> proxies = new ArrayList<>();
 
-    /** What was given at each place, as the first proxy heard it. */
+    /** The change at each sequence number, as the first proxy received it. */
     private final Map<Long, Change> deliveredChanges = new HashMap<>();
 
-    /** What authors were told is kept. */
+    /** The changes that were confirmed to their authors, by sequence number. */
     private final Map<Long, Change> confirmedChanges = new TreeMap<>();
 
     private final Map<Change, Double> publishedAt = new HashMap<>();
@@ -501,17 +512,17 @@
         }
     }
 
-    /** How many entries their authors were told are kept. */
+    /** Returns the number of entries that were confirmed to their authors. */
     int confirmedCount() {
         return confirmedChanges.size();
     }
 
-    /** The last entry that anybody was given. */
+    /** Returns the highest sequence number that any proxy has received. */
     long head() {
         return head;
     }
 
-    /** An entry is asked for, of whoever leads, until it is confirmed. */
+    /** Publishes a change at the current leader and retries until it is confirmed. */
     void publish(Change change) {
         publishedAt.putIfAbsent(change, eventQueue.now());
         ControlServer leader =
@@ -531,7 +542,7 @@
                         eventQueue.scheduleIn(REPUBLISH_DELAY_MS, () -> publish(change));
                     }
                 });
-        // One that dies answers nobody: its author asks again.
+        // A leader that dies does not answer, so the author publishes again.
         int expected = leader.incarnation;
         eventQueue.scheduleIn(
                 1000,
@@ -542,10 +553,7 @@
                 });
     }
 
-    /**
-     * Purges at a rate, each as likely at one time as at another, and a configuration now and then,
-     * until a time.
-     */
+    /** Publishes purges and epochs as Poisson processes of the given rates until a time. */
     void scheduleLoad(double purgesPerS, double epochsPerS, double untilMs) {
         double totalPerS = purgesPerS + epochsPerS;
         eventQueue.scheduleIn(
@@ -567,7 +575,7 @@
                 });
     }
 
-    /** So many purges at once, as a backlog. */
+    /** Publishes a number of purges and epochs at once, as a backlog. */
     void publishBacklog(int purges, int epochCount) {
         for (int i = 0; i < purges + epochCount; i++) {
             publish(
@@ -581,7 +589,7 @@
         }
     }
 
-    /** Plays until a time. */
+    /** Runs the simulation until a time; returns this stream. */
     VirtualStream runUntil(double untilMs) {
         while (eventQueue.nextEventAt() <= untilMs) {
             eventQueue.runNext();
@@ -591,26 +599,26 @@
     }
 
     /**
-     * A control machine ends, its connections with a reset, or as a machine that loses its power:
-     * without a word.
+     * Kills a control machine. Its connections are reset, or, with {@code withoutReset}, end
+     * without notice as when the machine loses power.
      */
     void kill(int server, boolean withoutReset) {
         downWithoutReset = withoutReset;
         servers.get(server).kill(withoutReset);
     }
 
-    /** All of them end at once. */
+    /** Kills all control machines at once; their connections are reset. */
     void killAll() {
         downWithoutReset = false;
         servers.forEach(s -> s.kill(false));
     }
 
-    /** Cuts a control machine off from the others, but not from proxies, or heals that. */
+    /** Partitions a control machine from the others, but not from proxies, or ends that. */
     void setPartitioned(int server, boolean partitioned) {
         servers.get(server).partitioned = partitioned;
     }
 
-    /** Who leads; -1 for nobody. */
+    /** Returns the index of the leading control machine, or -1 if there is none. */
     int leader() {
         return servers.stream()
                 .filter(s -> s.up && s.machine.isLeader())
@@ -619,32 +627,33 @@
                 .orElse(-1);
     }
 
-    /** Those whom the leader misses, or who lack its last entry, by name. */
+    /** Returns the names of the subscribers that time out or lack the last entry at the leader. */
     List<String> laggingSubscribers() {
         ControlMachine machine = servers.get(leader()).machine;
         return machine.laggingSubscribers(machine.head());
     }
 
-    /** A control machine begins again with what is on its disk. */
+    /** Starts a control machine with the state in its store. */
     void start(int server) {
         servers.get(server).start();
     }
 
-    /** Cuts proxies off from all control machines, or heals that. */
+    /** Isolates proxies from all control machines, or ends that. */
     void setIsolated(IntPredicate which, boolean isolated) {
         proxies.stream().filter(p -> which.test(p.index)).forEach(p -> p.isolated = isolated);
     }
 
-    /** A proxy stands still. */
+    /** Pauses a proxy until a time. */
     void pause(int proxy, double untilMs) {
         proxies.get(proxy).pausedUntil = untilMs;
     }
 
-    /** Where a server's window begins. */
+    /** Returns the sequence number at which a server's retained log begins. */
     long base(int server) {
         return servers.get(server).machine.base();
     }
 
+    /** Returns the number of subscribers of each control machine; 0 for those that are down. */
     int[] subscriberCounts() {
         return servers.stream()
                 .mapToInt(s -> s.up ? s.machine.publisher().subscriberCount() : 0)
@@ -652,8 +661,11 @@
     }
 
     /**
-     * From when each entry was asked for until the last of these had applied it, in ms; one that
-     * somebody lacks, or that was confirmed as another, throws.
+     * Returns the time of each entry from its first publication until the last of the selected
+     * proxies has applied it, in ms.
+     *
+     * @throws IllegalStateException if a selected proxy lacks an entry, or if an entry differs from
+     *     the change that was confirmed at its sequence number
      */
     Histogram deliveryTimes(IntPredicate which) {
         confirmedChanges.forEach(
@@ -662,13 +674,13 @@
                                     && !change.equals(deliveredChanges.get(seq))
                             || seq > head) {
                         throw new IllegalStateException(
-                                "confirmed at "
+                                "confirmed entry "
                                         + seq
                                         + " of "
                                         + head
-                                        + ": "
+                                        + " is "
                                         + change
-                                        + ", given: "
+                                        + ", but delivered was "
                                         + deliveredChanges.get(seq));
                     }
                 });
@@ -680,7 +692,12 @@
                     float appliedAt = proxy.appliedAt((int) seq);
                     if (Float.isNaN(appliedAt)) {
                         throw new IllegalStateException(
-                                "proxy-" + proxy.index + " lacks " + seq + " of " + head);
+                                "proxy-"
+                                        + proxy.index
+                                        + " has not applied entry "
+                                        + seq
+                                        + " of "
+                                        + head);
                     }
                     lastAt = Math.max(lastAt, appliedAt);
                 }
--- a/src/main/java/cacheproxy/lab/virtual/package-info.java
+++ b/src/main/java/cacheproxy/lab/virtual/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Plays the same experiments in virtual time: an event queue over the laboratory's world, many
- * routers in one process, no thread, no wall clock, and no order that a hash table could sway.
- * Start reading at {@link cacheproxy.lab.virtual.VirtualRun}.
+ * Runs the testbed's experiments in virtual time: an event queue drives the simulated machines and
+ * many routers in one process, without threads or a wall clock, and no order of events depends on
+ * the iteration order of a hash table. The entry point is {@link
+ * cacheproxy.lab.virtual.VirtualRun}.
  */
 package cacheproxy.lab.virtual;
--- a/src/test/java/cacheproxy/lab/virtual/ColdFleetTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/ColdFleetTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a cold node gets from the sum of all proxies, by the ledger, on the day of
+ * Checks in the ledger how much work a cold node gets from all proxies together: for any number of
+ * proxies it must not exceed the node's allowance. The scenario is
  * experiments/scale/cold-fleet.toml.
  */
 class ColdFleetTest {
@@ -51,7 +52,8 @@
     }
 
     /**
-     * Cold nodes back from maintenance are used up to their allowance, so that little is refused.
+     * Cold nodes that return from maintenance are used up to their allowance, so that few requests
+     * are refused.
      */
     @Test
     void nodesReturningFromMaintenanceStayWithinTheirAllowance() throws Exception {
@@ -61,7 +63,7 @@
         assertTrue(figures.get("refused.share") <= 0.05, figures.toString());
     }
 
-    /** A module that is told of no start gives a cold node its full share at once. */
+    /** A module that does not learn of node starts gives a cold node its full share at once. */
     @Test
     void fullShareWithoutSlowStartExceedsTheAllowance() throws Exception {
         Map<String, Double> figures = run(30, 2, ColdFleetTest::withoutSlowStart);
@@ -75,7 +77,7 @@
                         Router.class.getClassLoader(),
                         new Class<?>[] {Router.class},
                         (proxy, method, args) -> {
-                            if (method.getName().equals("nodes")) {
+                            if (method.getName().equals("endpointListReceived")) {
                                 args[3] =
                                         ((List<?>) args[3])
                                                 .stream()
--- a/src/test/java/cacheproxy/lab/virtual/FleetScenariosTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/FleetScenariosTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The shapes of a large fleet's days and the hard cases of each, scaled down; the ledger judges.
+ * The scenarios of a large fleet (a release, a lost zone, a replacement of nodes) and their hard
+ * cases, scaled down. Every run must finish without a violation in the ledger.
  */
 class FleetScenariosTest {
 
@@ -58,8 +59,8 @@
     }
 
     /**
-     * Without the rules for full tables 0.93 to 0.96 of the worth are served, in the order of the
-     * days 0.948, 0.956 and 0.937.
+     * Without the rules for full connection tables the share of the priority weight that is served
+     * is only 0.948 (release), 0.956 (zone) and 0.937 (replace).
      */
     @ParameterizedTest
     @CsvSource({"release, 0.955", "zone, 0.98", "replace, 0.975"})
@@ -108,8 +109,8 @@
     }
 
     /**
-     * Discovery has nothing for the restarted ones until 15 s: what they remember is six in ten
-     * gone by 12 s.
+     * Discovery does not answer the restarted proxies until 15 s. Until then they use their stored
+     * endpoint lists, of which 60% of the nodes are gone by 12 s.
      */
     @Test
     void restartedProxiesCopeWithStoredListOfRemovedNodes() throws Exception {
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Half of the nodes are cold, a quarter errs and a quarter is silent: both homes of a key are
-     * of no use to many.
+     * Half of the nodes are cold, a quarter answers with errors and a zone is silent, so for many
+     * keys both cache nodes are unusable.
      */
     @Test
     void recoversWhenBothNodesOfManyKeysAreUnusable() throws Exception {
@@ -154,7 +155,7 @@
         assertTrue(figures.get("recovery.s") < 4, figures.toString());
     }
 
-    /** One proxy alone, three, and as many as see less than one fetch a second each. */
+    /** A single proxy, three proxies, and so many that each sees less than one fetch a second. */
     @ParameterizedTest
     @CsvSource({"1, 60", "3, 180", "14, 30"})
     void recoversWhenMostNodesAreReplacedAtOnce(int proxies, int rate) throws Exception {
@@ -169,8 +170,8 @@
     }
 
     /**
-     * Nine places for fourteen proxies at nodes as healthy as ever: taken for overload, that costs
-     * 0.03 of the worth and not 0.01.
+     * Healthy nodes accept nine connections for fourteen proxies. Taking the rejected connections
+     * for overload costs 0.03 of the served priority weight instead of 0.01.
      */
     @Test
     void fullConnectionTablesAreNotTakenForOverload() throws Exception {
@@ -196,8 +197,8 @@
     }
 
     /**
-     * Bookings alone, none of which may run twice, with every node of six in ten replaced and
-     * proxies drained meanwhile.
+     * The load is writes that must not run twice, while 60% of the nodes are replaced or restarted
+     * and half of the proxies drain.
      */
     @ParameterizedTest
     @ValueSource(strings = {"node-replace", "node-restart"})
--- a/src/test/java/cacheproxy/lab/virtual/GossipScenariosTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/GossipScenariosTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Whole days of fleets that gossip, beside the same days of fleets that don't. */
+/** Compares runs of fleets with gossip to the same runs without it. */
 class GossipScenariosTest {
 
     private static Results run(String name, Map<String, String> overrides) throws Exception {
@@ -46,7 +46,7 @@
                                                     + with.figures().get(figure));
                                 }
                             });
-            assertTrue(with.figures().get("gossip.distrusts") >= 8, "the liar is found out");
+            assertTrue(with.figures().get("gossip.distrusts") >= 8, "the liar is distrusted");
         }
     }
 
@@ -61,7 +61,7 @@
         assertEquals(List.of(), with.violations());
         double before = off.figures().get("served.late_or_not_share");
         double now = with.figures().get("served.late_or_not_share");
-        assertTrue(before > 0.002, "the day is a bad one without gossip: " + before);
+        assertTrue(before > 0.002, "too few late requests without gossip: " + before);
         assertTrue(now <= 0.6 * before, before + " to " + now);
         assertEquals(off.figures().get("load.requests"), with.figures().get("load.requests"));
     }
@@ -100,7 +100,7 @@
             assertEquals(1.0, results.figures().get("gossip.known_share"), name);
             assertEquals(0.0, results.figures().get("gossip.ghosts"), name);
             assertTrue(results.figures().get("gossip.learned_ms_max") <= 2000, name);
-            // The ceiling is by each one's own clock, and one of them runs at double pace.
+            // Each proxy limits its rate by its own clock, and one of them runs at double speed.
             assertTrue(
                     results.figures().get("gossip.bytes_per_s_peak")
                             <= (name.equals("gossip-clock") ? 8192 : 4096),
--- a/src/test/java/cacheproxy/lab/virtual/PolicyScenariosTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/PolicyScenariosTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Changes of policy while proxies die, stand still and are cut off, in virtual time: days drawn
- * from seeds, and the hard cases.
+ * Policy changes in virtual time while proxies die, pause and are cut off: scenarios generated from
+ * seeds, and the hard cases. No two proxies may be current at different epochs at the same time.
  */
 class PolicyScenariosTest {
 
@@ -59,8 +59,9 @@
     }
 
     /**
-     * Eight faults, each followed by a proposal within a lease, then fifteen quiet seconds in which
-     * all must become current; {@code -Dpolicy.seeds=100} plays more.
+     * Eight faults, each followed by a proposal within the duration of a lease, then fifteen
+     * seconds without faults in which all proxies must become current. {@code -Dpolicy.seeds=100}
+     * runs more seeds.
      */
     @Test
     void randomFaultsLeaveAllCurrentAndNoTwoCurrentAtDifferentEpochs() throws Exception {
@@ -108,10 +109,10 @@
         }
         assertTrue(
                 epochs > Integer.getInteger("policy.seeds", 12),
-                "changes did take hold: " + epochs);
+                "too few changes took effect: " + epochs);
     }
 
-    /** Who hears nothing of a change still relies on what it was granted, for a lease. */
+    /** A proxy that does not learn of a change still relies on its lease until that expires. */
     @Test
     void changeTakesEffectOnlyAfterLeasesOfOldEpochExpire() throws Exception {
         for (String fault : new String[] {"gossip-cut", "proxy-stop"}) {
@@ -133,8 +134,8 @@
                 assertEquals(0, results.figures().get("policy.not_current_at_end"));
             }
         }
-        // Two of three voters stand for it when it is cut off; the third never did and has nothing
-        // to wait for.
+        // When the proxy is cut off, two of three voters have granted it a lease; the third has not
+        // and need not wait for one to expire.
         for (int third = 0; third < 3; third++) {
             Results results =
                     run(
@@ -212,11 +213,13 @@
         ledger.becameCurrent(1, 1, 60);
         ledger.ceasedCurrent(0, 55);
         assertEquals(
-                1, ledger.violations().size(), "the refusal alone: the first one's time had ended");
+                1,
+                ledger.violations().size(),
+                "only the refusal: the first proxy had ceased to be current");
         ledger.becameCurrent(0, 0, 70);
         assertEquals(2, ledger.violations().size());
         assertFalse(ledger.violations().get(0).toString().isEmpty());
         ledger.epochApplied(2, 1, "y", 80);
-        assertEquals(3, ledger.violations().size(), "other content under one number");
+        assertEquals(3, ledger.violations().size(), "different content for one epoch number");
     }
 }
--- a/src/test/java/cacheproxy/lab/virtual/SimultaneousEventsTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/SimultaneousEventsTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * An attempt's end, its time-out, the client's departure and a node's removal in one instant, in
- * every order.
+ * The end of an attempt, its time-out, the disconnection of the client and the removal of the node
+ * happen at the same time, in every order. Handling one of them must not leave a request entry
+ * behind or cause a second answer when the others follow.
  */
 class SimultaneousEventsTest {
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /** The network of one attempt, whose end the test brings about. */
+    /** A network that records attempts; the test itself reports their end. */
     private static final class ManualNetwork implements VirtualProxy.Network {
         final List<String> sent = new ArrayList<>();
         int abandonedCount;
@@ -117,8 +118,8 @@
                         proxy.requestReceived(
                                 new Request("r", service, null, 77, 30, 1000, write, false),
                                 (status, retryAfterMs, bodyAttempt) -> answers.add(status)));
-        // Asked for before the request, so that all four come before what the router asks for that
-        // instant.
+        // Scheduled before the request runs, so that all four precede the router's own actions at
+        // that time.
         for (Event event : order) {
             eventQueue.scheduleAt(
                     TIE_MS,
@@ -167,7 +168,8 @@
         assertEquals(0, proxy.activeRequestCount(), description);
         assertEquals(0, router.entryCount(), description);
         assertEquals(0, proxy.backstopCount(), description);
-        // After time-out or reset a booking may have run: it is never sent a second time.
+        // After a time-out, a reset or an error the write may have run, so it must not be sent
+        // again.
         if (service.equals("book-slot")
                 && (end == Outcome.RESET || end == Outcome.ERROR || !answeredFirst)) {
             assertEquals(1, network.sent.size(), description);
--- a/src/test/java/cacheproxy/lab/virtual/StreamScenariosTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/StreamScenariosTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The change stream at the target's size and in its hard cases, in virtual time; {@code
- * -Dstream.s=300} plays longer, {@code -Dstream.seed=N} another day.
+ * The change stream at the target size and in its hard cases, in virtual time. {@code
+ * -Dstream.s=300} runs longer, {@code -Dstream.seed=N} uses another seed.
  */
 class StreamScenariosTest {
 
@@ -63,7 +63,7 @@
                         .orElseThrow();
         String figures =
                 String.format(
-                        "%d entries, everywhere p50 %d p99 %d p99.9 %d max %d ms, most bytes/s in a minute %.0f, %s, readers %s",
+                        "%d entries, applied by all p50 %d p99 %d p99.9 %d max %d ms, max bytes/s over a minute %.0f, %s, subscribers %s",
                         stream.head(),
                         times.getValueAtPercentile(50),
                         times.getValueAtPercentile(99),
@@ -78,7 +78,7 @@
         assertEquals(
                 stream.head(),
                 stream.fullyAcknowledgedEntries.size(),
-                "each has been seen to be everywhere, by the confirmations too");
+                "acknowledgements show each entry as applied by all proxies");
         assertTrue(
                 stream.fullyAcknowledgedEntries.stream()
                                 .filter(e -> e.latencyMs() > MAX_DELIVERY_MS)
@@ -94,12 +94,12 @@
                                 p ->
                                         stream.eventQueue.now() - p.subscriber.asOf()
                                                 < MAX_DELIVERY_MS),
-                "all know that they are current");
+                "every proxy knows that its view is current");
     }
 
     /**
-     * A process that ends resets its connections; a machine that loses its power says nothing, and
-     * is missed after 1.1 s.
+     * A process that ends resets its connections; a machine that loses power sends nothing, and its
+     * subscribers detect that after 1.1 s.
      */
     @Test
     void proxiesMoveWhenTheirControlMachineDiesDuringAChange() {
@@ -125,22 +125,22 @@
                 assertTrue(times.getMaxValue() <= MAX_DELIVERY_MS, description);
                 assertTrue(
                         stream.subscriberCounts()[lost] > PROXY_COUNT / 4 * 0.8,
-                        "they come back: " + Arrays.toString(stream.subscriberCounts()));
+                        "proxies do not return: " + Arrays.toString(stream.subscriberCounts()));
                 assertEquals(
                         stream.head(),
                         stream.fullyAcknowledgedEntries.stream()
                                 .map(FullyAcknowledged::seq)
                                 .distinct()
                                 .count(),
-                        "each has been seen to be everywhere, whoever led when it was committed");
+                        "acknowledgements show each entry as applied by all, under any leader");
                 assertAllCaughtUp(stream);
             }
         }
     }
 
     /**
-     * Three of four have to keep an entry: with two gone changes wait, whoever asks is not told
-     * that they are kept, and all are served.
+     * Three of four control machines must store an entry to commit it. With two down, changes wait
+     * and are not confirmed to their authors, while the remaining two serve all proxies.
      */
     @Test
     void twoOfFourDownServesAllProxiesAndChangesWait() {
@@ -157,7 +157,7 @@
         int served = stream.subscriberCounts()[1] + stream.subscriberCounts()[2];
         assertTrue(
                 served > 0.95 * PROXY_COUNT,
-                "but for those who look whether another is back: " + served);
+                "too few served, beyond those that retry others: " + served);
         stream.start(3);
         stream.runUntil(60 * MS_PER_S);
         assertTrue(
@@ -167,7 +167,7 @@
         assertAllCaughtUp(stream);
     }
 
-    /** It serves what it has, but says that it is old. */
+    /** The partitioned machine still serves its entries but reports that its view is old. */
     @Test
     void proxiesLeavePartitionedControlMachine() {
         VirtualStream stream = newStream(PROXY_COUNT, 0.01, 0);
@@ -195,7 +195,7 @@
             for (int server = 0; server < 4; server++) {
                 stream.start(server);
             }
-            // 780 reconnect at once: all are served again soon.
+            // All 780 proxies reconnect at once and must be served again within 4 s.
             stream.runUntil(round * 5 * MS_PER_S + 4 * MS_PER_S);
             int served = Arrays.stream(stream.subscriberCounts()).sum();
             assertTrue(served >= 0.99 * PROXY_COUNT, served + " in round " + round);
@@ -206,19 +206,20 @@
         assertAllCaughtUp(stream);
         assertTrue(
                 stream.proxies.stream().allMatch(p -> p.appliedSnapshots.size() == 1),
-                "nobody had to drop what it has");
+                "no proxy got a second snapshot");
     }
 
-    /** An hour's backlog within the pace: 14,040 purges and 92 configurations of 2 KB. */
+    /** An hour's backlog at the limited rate: 14,040 purges and 92 epochs of 2 KB. */
     @Test
     void isolatedRegionCatchesUpWithinItsByteRateAndDelaysNobody() {
         VirtualStream stream = newStream(40, 0.01, 0);
         stream.runUntil(5 * MS_PER_S).setIsolated(i -> i < 10, true);
         stream.runUntil(10 * MS_PER_S);
-        assertEquals(10, stream.laggingSubscribers().size(), "they are named");
+        assertEquals(
+                10, stream.laggingSubscribers().size(), "the leader lists the isolated proxies");
         assertTrue(
                 stream.eventQueue.now() - stream.proxies.get(0).subscriber.asOf() > MAX_DELIVERY_MS,
-                "and know themselves that their view is old");
+                "the isolated proxies know that their view is old");
         stream.publishBacklog(14_040, 92);
         stream.runUntil(400 * MS_PER_S);
         assertEquals(stream.head(), stream.proxies.get(39).subscriber.applied());
@@ -240,7 +241,7 @@
                         .max()
                         .orElseThrow();
         System.out.printf(
-                "stream: an hour's backlog taken in %.0f s, at %.0f bytes/s in the worst minute%n",
+                "stream: an hour's backlog applied in %.0f s, at most %.0f bytes/s over a minute%n",
                 (last - healed) / MS_PER_S, bytes);
         assertTrue(last - healed < 300 * MS_PER_S, "" + (last - healed));
         assertTrue(bytes <= MAX_BYTES_PER_S, "" + bytes);
@@ -253,7 +254,7 @@
         }
         assertTrue(
                 stream.proxies.stream().allMatch(p -> p.appliedSnapshots.size() == 1),
-                "only the one at the start, though the log was cut by snapshots");
+                "only the initial snapshot, although snapshots truncated the Raft log");
     }
 
     @Test
@@ -264,7 +265,7 @@
         stream.runUntil(5 * MS_PER_S);
         assertTrue(
                 stream.proxies.get(4).bytesInFlight < Subscriber.BURST_BYTES + 1000,
-                "on the way: " + stream.proxies.get(4).bytesInFlight);
+                "bytes in flight: " + stream.proxies.get(4).bytesInFlight);
         stream.runUntil(79 * MS_PER_S);
         assertEquals(stream.head(), stream.proxies.get(5).subscriber.applied());
         assertEquals(1, stream.laggingSubscribers().size());
@@ -298,7 +299,10 @@
         assertTrue(stream.proxies.get(7).epoch.number() > 0);
     }
 
-    /** Without the pace an hour's backlog comes as fast as it can: what the bound above is for. */
+    /**
+     * Without the rate limit an hour's backlog arrives as fast as possible and exceeds the byte
+     * bound, which the rate limit in the tests above prevents.
+     */
     @Test
     void unlimitedRateExceedsByteLimitDuringBacklog() {
         VirtualStream stream =
--- a/src/test/java/cacheproxy/lab/virtual/VirtualRunTest.java
+++ b/src/test/java/cacheproxy/lab/virtual/VirtualRunTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Whole days in virtual time, judged by the same ledger as those on sockets. */
+/** Complete runs in virtual time, checked by the same ledger as runs on sockets. */
 class VirtualRunTest {
 
     private static final String EXPERIMENT =
