--- a/src/main/java/cacheproxy/lab/capacity/CapacityPlan.java
+++ b/src/main/java/cacheproxy/lab/capacity/CapacityPlan.java
@@ -12,12 +12,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Works out from slopes what each row costs at the target, and writes the page's tables in
- * Markdown. No figure is ever made up.
+ * Computes the cost of each row at the target size from the slopes, and formats the tables of the
+ * capacity page in Markdown. A cost that follows neither from a slope nor from arithmetic on the
+ * target stays empty and is never guessed.
  */
 public final class CapacityPlan {
 
-    /** How a row's figure came about. */
+    /** How the value of a row was obtained. The names are printed on the page. */
     public enum State {
         MEASURED,
         EXTRAPOLATED,
@@ -29,16 +30,16 @@
     }
 
     /**
-     * A row at the target.
+     * A row evaluated at the target.
      *
-     * @param value in the row's unit; NaN where there is none
-     * @param from the slopes behind it
-     * @param budget NaN where the target names none
+     * @param value in the row's unit; NaN if there is none
+     * @param fittedSlopes the slopes that the value was computed from
+     * @param budget in the row's unit; NaN if the target has none
      */
     public record PlanEntry(
             PlanRow row, double value, List<Slope> fittedSlopes, double budget, State state) {
 
-        /** Budget over cost; below 1 it does not fit. NaN without either. */
+        /** Budget divided by value; below 1 the row is over budget. NaN without either. */
         public double budgetFactor() {
             return budget / value;
         }
@@ -48,14 +49,14 @@
     private static final int MIN_GROUPED_NUMBER = 10_000;
     private static final double MIN_DECIMAL_NUMBER = 1e-4;
 
-    /** Means that differ by less than this part of the largest have no slope to speak of. */
+    /** Means that differ by less than this fraction of the largest count as constant. */
     private static final double MAX_FLAT_SPREAD = 0.1;
 
     private final Target target;
     private final List<Slope> slopes;
     private final List<PlanEntry> entries = new ArrayList<>();
 
-    /** Slopes that no row names follow the rows, each a row of its own. */
+    /** Evaluates the rows; each slope that no row refers to gets a row of its own after them. */
     public CapacityPlan(Target target, List<PlanRow> rows, List<Slope> slopes) {
         this.target = target;
         this.slopes = List.copyOf(slopes);
@@ -87,8 +88,8 @@
     }
 
     /**
-     * By its figure, or by experiment and figure where several experiments measure one, as {@code
-     * gossip-rest/bytes-s}.
+     * Finds a slope by its figure or, if several experiments measure that figure, by {@code
+     * EXPERIMENT/FIGURE}, as {@code gossip-rest/bytes-s}.
      */
     private Optional<Slope> findSlope(String name) {
         return slopes.stream()
@@ -146,8 +147,8 @@
     }
 
     /**
-     * Whether what was measured is the same at all sizes; noise read far beyond them as a slope
-     * would be a made-up figure.
+     * Whether the means are practically the same at all sizes. Their noise must not be extrapolated
+     * as a slope far beyond the measured sizes.
      */
     private static boolean isFlat(Slope slope) {
         double max = slope.means().stream().mapToDouble(m -> m).max().orElse(0);
@@ -156,8 +157,8 @@
     }
 
     /**
-     * Along the line where there is one; where the means lie on none, between those measured and
-     * nowhere else.
+     * Estimates the value at a size: the mean if the slope is flat, the fitted line if it is
+     * linear, else a linear interpolation between the measured sizes, and NaN outside of them.
      */
     private static double estimate(Slope slope, double size) {
         if (isFlat(slope)) {
@@ -196,8 +197,8 @@
     }
 
     /**
-     * What the target names and nothing carries, then what is over its budget, the largest factor
-     * first.
+     * The rows that no part of the program handles, followed by the rows over budget, those
+     * furthest over budget first.
      */
     public List<PlanEntry> missingThenOverBudget() {
         List<PlanEntry> first =
@@ -339,7 +340,7 @@
         return text.isEmpty() ? "-" : text;
     }
 
-    /** Four digits that count; large ones grouped. */
+    /** Formats with four significant digits, and large numbers with digit grouping. */
     static String formatNumber(double number) {
         BigDecimal rounded = new BigDecimal(number).round(PRECISION);
         if (rounded.signum() == 0) {
--- a/src/main/java/cacheproxy/lab/capacity/PlanRow.java
+++ b/src/main/java/cacheproxy/lab/capacity/PlanRow.java
@@ -7,18 +7,21 @@
 import java.util.List;
 
 /**
- * One line of the page: what a role has to bear, where its figure comes from, and what carries it.
+ * One row of the capacity page: a load of one role, the source of its figure, and the code that
+ * handles it. Most component names are the keys of the row file.
  *
- * @param role whose it is
- * @param what what it is, in words
- * @param unit the figure's unit
- * @param slopes the slopes it is worked out from, by figure or as {@code experiment/figure}, added
- *     up; none where it is arithmetic or not measured
- * @param at the quantity of {@link Target} to take the slopes at; empty for each slope's own
- * @param quantity the quantity that it is itself, by arithmetic; empty where it is measured
- * @param budget the budget of {@link Target} that it is held to; empty where the target names none
- * @param carriedBy the class or package that carries it; empty for nothing
- * @param note what the figure leaves out; may be empty
+ * @param role the role that has the load
+ * @param what description of the load
+ * @param unit unit of the figure
+ * @param slopes the slopes whose sum is the figure, by figure or as {@code experiment/figure};
+ *     empty if the figure is a quantity of the target or is not measured
+ * @param at the quantity of {@link Target} at which the slopes are evaluated; empty for the one
+ *     that each slope was measured against
+ * @param quantity the quantity of {@link Target} that is the figure; empty if the figure comes from
+ *     slopes
+ * @param budget the budget of {@link Target} that limits the figure; empty if there is none
+ * @param carriedBy the classes or packages that handle the load; empty if there are none
+ * @param note what the figure does not include; may be empty
  */
 public record PlanRow(
         Slope.Role role,
@@ -31,7 +34,7 @@
         String carriedBy,
         String note) {
 
-    /** Reads the rows in their order; names that nobody knows are refused. */
+    /** Reads the rows in file order; rejects names that the target does not have. */
     public static List<PlanRow> read(Path file, Target target) throws BadFileException {
         Toml.Table root = Toml.read(file).root();
         List<PlanRow> rows = new ArrayList<>();
--- a/src/main/java/cacheproxy/lab/capacity/Slope.java
+++ b/src/main/java/cacheproxy/lab/capacity/Slope.java
@@ -6,21 +6,22 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * What one figure of one role comes to as a size grows: measured means, and the least-squares line
+ * Dependence of one cost figure of a role on a size: the measured means, and the least-squares line
  * through them.
  *
- * @param figure what was measured, as {@code gossip-rest-bytes-s}
- * @param unit the figure's unit, as {@code bytes/s}
- * @param against what the sizes count, as {@code proxies}
- * @param sizes where it was measured, rising
- * @param means the mean over the runs, one a size
- * @param spreads the standard deviation over the runs, one a size; 0 with one run
- * @param runs at each size
- * @param fixed the line at size 0, in the figure's unit
- * @param perUnit what one more adds, in the figure's unit
- * @param r2 the line's coefficient of determination, 0 to 1; 1 where all means are the same
- * @param experiment the file that measured it
- * @param beside what else ran on the machine
+ * @param role the role that has the cost
+ * @param figure name of the measured figure, as {@code gossip-rest-bytes-s}
+ * @param unit unit of the figure, as {@code bytes/s}
+ * @param against the quantity that the sizes count, as {@code proxies}
+ * @param sizes the measured sizes, ascending
+ * @param means mean over the runs, one per size
+ * @param spreads standard deviation over the runs, one per size; 0 with one run
+ * @param runs number of runs per size
+ * @param fixed intercept: value of the line at size 0, in the figure's unit
+ * @param perUnit slope: increase per unit of size, in the figure's unit
+ * @param r2 coefficient of determination of the line, 0 to 1; 1 if all means are the same
+ * @param experiment file of the experiment that measured it
+ * @param beside what else ran on the machine during the measurement
  */
 public record Slope(
         Role role,
@@ -37,10 +38,10 @@
         String experiment,
         String beside) {
 
-    /** Under this the means lie on no straight line. */
+    /** Below this coefficient of determination the means are not considered linear. */
     public static final double MIN_LINEAR_R2 = 0.95;
 
-    /** Whose cost it is. */
+    /** The part of the system that has a cost. The names are keywords of files and of the page. */
     public enum Role {
         PROXY,
         CONTROL,
@@ -50,7 +51,7 @@
         MODULE
     }
 
-    /** A figure's name and where it comes from: all of a slope that is not measured. */
+    /** The components of a slope that are not measured: name, unit and origin of the figure. */
     public record SlopeMetadata(
             Role role,
             String figure,
@@ -65,14 +66,14 @@
         spreads = List.copyOf(spreads);
         if (sizes.size() < 2 || means.size() != sizes.size() || spreads.size() != sizes.size()) {
             throw new IllegalArgumentException(
-                    figure + ": two sizes or more, each with a mean and a spread");
+                    figure + ": at least two sizes needed, each with a mean and a spread");
         }
     }
 
     /**
      * Fits a line through the means.
      *
-     * @param measured one list of values a size, one value a run, as many for each
+     * @param measured for each size a list with the value of each run, all of the same length
      */
     public static Slope fit(
             SlopeMetadata metadata, List<Double> sizes, List<List<Double>> measured) {
@@ -104,18 +105,18 @@
     }
 
     /**
-     * What the line gives at a size, in the figure's unit; beyond the largest size measured it is
-     * extrapolated.
+     * The value of the line at a size, in the figure's unit; an extrapolation beyond the largest
+     * measured size.
      */
     public double valueAt(double size) {
         return fixed + perUnit * size;
     }
 
-    /** The largest size that was measured. */
     public double largestMeasuredSize() {
         return sizes.get(sizes.size() - 1);
     }
 
+    /** Whether the means are close enough to the line to extrapolate along it. */
     public boolean isLinear() {
         return r2 >= MIN_LINEAR_R2;
     }
--- a/src/main/java/cacheproxy/lab/capacity/SlopeFile.java
+++ b/src/main/java/cacheproxy/lab/capacity/SlopeFile.java
@@ -14,8 +14,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The file of measured slopes: TOML, one {@code [[slope]]} each, written by experiments and read by
- * whoever plans a size.
+ * Reads and writes files of measured slopes: TOML with one {@code [[slope]]} table per slope,
+ * written by experiments and read by the capacity plan.
  */
 public final class SlopeFile {
 
@@ -27,14 +27,14 @@
 
     private SlopeFile() {}
 
-    /** Reads a file; what is wrong is named with file, line and key. */
+    /** Reads a file; errors are reported with file, line and key. */
     public static List<Slope> read(Path file) throws BadFileException {
         Toml.Table root = Toml.read(file).root();
         List<Slope> slopes = new ArrayList<>();
         for (Toml.Table table : root.tables("slope")) {
             List<Double> sizes = table.numbers("sizes", 0, MAX_VALUE);
             if (sizes.size() < 2) {
-                throw table.invalidValue("sizes", sizes.toString(), "two numbers or more");
+                throw table.invalidValue("sizes", sizes.toString(), "at least two numbers");
             }
             slopes.add(
                     new Slope(
@@ -78,14 +78,14 @@
         List<Double> numbers = table.numbers(key, min, MAX_VALUE);
         if (numbers.size() != sizes.size()) {
             throw table.invalidValue(
-                    key, numbers.size() + " numbers", sizes.size() + ", one a size");
+                    key, numbers.size() + " numbers", sizes.size() + ", one per size");
         }
         return numbers;
     }
 
     /**
-     * Puts an experiment's slopes into a file, in the place of what that experiment wrote there
-     * before; the others' stay as they are.
+     * Replaces the slopes of one experiment in a file, atomically; the slopes of other experiments
+     * are kept. Creates the file if it does not exist.
      */
     public static void replaceSlopes(Path file, String experiment, List<Slope> slopes)
             throws BadFileException, IOException {
@@ -138,7 +138,7 @@
                 + "\n";
     }
 
-    /** To six digits, without an exponent. */
+    /** Formats with six significant digits and without an exponent. */
     private static String formatNumber(double number) {
         BigDecimal rounded = new BigDecimal(number).round(PRECISION);
         return rounded.signum() == 0 ? "0" : rounded.stripTrailingZeros().toPlainString();
--- a/src/main/java/cacheproxy/lab/capacity/Target.java
+++ b/src/main/java/cacheproxy/lab/capacity/Target.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The size to plan for, as {@code deploy/target.toml} states it.
+ * The size of the system to plan for, as defined in {@code deploy/target.toml}.
  *
- * @param quantities what grows, by the words that a slope's {@code against} uses; what the file
- *     does not say itself is arithmetic on what it says
- * @param budgets what may be spent, by the words that a row's {@code budget} uses
+ * @param quantities the size parameters, by the names that {@code against} of a slope refers to;
+ *     those that the file does not contain are computed from those it does
+ * @param budgets the upper limits of costs, by the names that {@code budget} of a row refers to
  */
 public record Target(Map<String, Double> quantities, Map<String, Double> budgets) {
 
@@ -20,7 +20,7 @@
     private static final double MS_PER_S = 1000;
     private static final int BITS_PER_BYTE = 8;
 
-    /** Reads a file with some keys set from outside; every key must be there. */
+    /** Reads a file, with the values of some keys overridden; every key is required. */
     public static Target read(Path file, Map<String, String> overrides) throws BadFileException {
         Toml toml = Toml.read(file);
         for (Map.Entry<String, String> entry : overrides.entrySet()) {
@@ -69,7 +69,7 @@
         budgets.put("control.core_share", requiredNumber(control, "core_share"));
         budgets.put("control.memory_mb", requiredNumber(control, "memory_mb"));
         budgets.put("control.bytes_per_s", requiredNumber(control, "bytes_per_s"));
-        // Not the users' but the program's: a proxy has one event loop.
+        // A limit of the program and not a user requirement: a proxy has one event loop.
         budgets.put("proxy.loop_cores", 1.0);
         double machines = requiredCount(control, "machines");
         quantities.put("control machines", machines);
--- a/src/main/java/cacheproxy/lab/capacity/package-info.java
+++ b/src/main/java/cacheproxy/lab/capacity/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What a size costs: straight lines fitted to what experiments measured at several sizes, and the
- * file that keeps them. It reads and writes files and measures nothing itself. Start reading at
- * {@link cacheproxy.lab.capacity.Slope}.
+ * Capacity planning: lines fitted to the costs that experiments measured at several sizes, the file
+ * that stores them, and the plan that evaluates them at a target size. The package reads and writes
+ * files and does not measure anything itself. Start reading at {@link
+ * cacheproxy.lab.capacity.Slope}.
  */
 package cacheproxy.lab.capacity;
--- a/src/main/java/cacheproxy/lab/hollow/ControlPlane.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlane.java
@@ -13,14 +13,14 @@
 import java.util.TreeSet;
 
 /**
- * One plane: a proxy's gossip and policy on its own sockets, or a control machine's, with what they
- * tell and what passes their sockets.
+ * One control plane without clients: the gossip and policy components of a proxy or of a control
+ * machine, on sockets of their own, with the events they report and the traffic of their sockets.
  */
 final class ControlPlane {
 
     private static final double NS_PER_MS = 1e6;
 
-    /** An epoch came in force here, at a time of the machine's monotonic clock. */
+    /** An epoch that was applied here, at a time of the machine's monotonic clock in ms. */
     record AppliedEpoch(long epoch, double atMs) {}
 
     private final int number;
@@ -31,7 +31,7 @@
     private GossipSocket gossip;
     private PolicyService policy;
 
-    // Changed and read on the loop.
+    // Accessed only on the event loop.
     final Traffic packets = new Traffic();
     final Traffic streams = new Traffic();
     final Set<String> knownMembers = new TreeSet<>();
@@ -49,7 +49,10 @@
         this.seed = seed;
     }
 
-    /** Opens its sockets and begins, as a process that starts does; not on the loop. */
+    /**
+     * Opens the sockets and starts the components with a new seed, as a process start does. Must
+     * not be called on the event loop.
+     */
     void start() throws IOException, InterruptedException, KeyException {
         seed++;
         if (options.gossip().enabled()) {
@@ -62,7 +65,7 @@
                             new GossipSocket.Hooks() {
                                 @Override
                                 public void nodeSuspicionChanged(String node, boolean suspected) {
-                                    // A hollow proxy sends to no node.
+                                    // A control plane without clients sends no requests to nodes.
                                 }
 
                                 @Override
@@ -87,7 +90,7 @@
                             new PolicyService.Hooks() {
                                 @Override
                                 public void apply(Options next) {
-                                    // What an epoch says has nothing here to act on.
+                                    // There is no proxy whose options an epoch could change.
                                 }
 
                                 @Override
@@ -128,7 +131,7 @@
         }
     }
 
-    /** Tells the others that it goes, as a process that is told to end does. */
+    /** Announces to the other members that this one leaves, as a process does at SIGTERM. */
     void leave() {
         loop.execute(
                 () -> {
@@ -138,7 +141,7 @@
                 });
     }
 
-    /** Ends it at once. Not on the loop. */
+    /** Closes the components at once. Must not be called on the event loop. */
     void stop() throws InterruptedException {
         loop.submit(
                         () -> {
--- a/src/main/java/cacheproxy/lab/hollow/ControlPlaneProcess.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlaneProcess.java
@@ -24,10 +24,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of planes, all on one event loop, as a proxy has one. It does what lines of its
- * standard input say and answers each with a line, and ends with that input or after its limit:
- * {@code go}, {@code look}, {@code weigh}, {@code replace NUMBER}, {@code cut FROM TO}, {@code heal
- * FROM TO}.
+ * A process that runs several control planes on one event loop, as a proxy runs its own. It reads
+ * commands from standard input, one per line, and answers each with one line. It ends when the
+ * input ends or its time limit expires.
+ *
+ * <ul>
+ *   <li>{@code go} starts the control planes.
+ *   <li>{@code look} answers the {@link ProcessStats} as JSON.
+ *   <li>{@code weigh} answers the retained heap in bytes.
+ *   <li>{@code replace NUMBER} makes a control plane leave and start again.
+ *   <li>{@code cut FROM TO} blocks the traffic from one area to another.
+ *   <li>{@code heal FROM TO} ends such a cut.
+ * </ul>
  */
 public final class ControlPlaneProcess {
 
@@ -36,7 +44,8 @@
     private static final double NS_PER_S = 1e9;
 
     /**
-     * What one plane shows; sums since the start. {@code applied} are epochs since the last look.
+     * Statistics of one control plane; the counters run since the start of the process. {@code
+     * applied} lists the epochs applied since the previous {@code look}.
      */
     record PlaneStats(
             int number,
@@ -57,8 +66,9 @@
             List<ControlPlane.AppliedEpoch> applied) {}
 
     /**
-     * What the process shows: CPU seconds so far of the loop and of all threads, and open
-     * descriptors; all read at {@code atS}.
+     * Statistics of the process, read at {@code atS}: CPU seconds of the event loop and of all
+     * threads since the start, the number of open descriptors, and in {@code lateMs} how long the
+     * request for them waited for the event loop.
      */
     record ProcessStats(
             double atS,
@@ -86,10 +96,14 @@
         }
     }
 
-    /** {@code args} is the file of {@link ControlPlaneSpec}. */
+    /**
+     * Runs the process.
+     *
+     * @param args the path of a file with a {@link ControlPlaneSpec} as JSON
+     */
     public static void main(String[] args) throws IOException {
         PrintStream answers = System.out;
-        // What libraries print must not stand between answers.
+        // Keeps the output of libraries out of the answers.
         System.setOut(System.err);
         ControlPlaneSpec spec =
                 new Gson().fromJson(Files.readString(Path.of(args[0])), ControlPlaneSpec.class);
@@ -101,7 +115,7 @@
         try {
             process.serve(answers);
         } catch (IOException | InterruptedException | ExecutionException | KeyException e) {
-            // Other threads would keep it alive, and its driver waiting for an answer.
+            // Other threads would keep the process alive, and the driver would wait for an answer.
             e.printStackTrace();
             Runtime.getRuntime().halt(1);
         }
@@ -136,7 +150,7 @@
             case "replace" -> replace(planes.get(Integer.parseInt(words[1]) - spec.first()));
             case "cut" -> loop.submit(() -> links.cut(words[1], words[2])).sync();
             case "heal" -> loop.submit(() -> links.heal(words[1], words[2])).sync();
-            default -> throw new IOException("no such word: " + words[0]);
+            default -> throw new IOException("unknown command: " + words[0]);
         }
         return "ok";
     }
@@ -155,7 +169,7 @@
         try {
             task.run();
         } catch (IOException | KeyException e) {
-            // The fleet stays without it, which its figures show.
+            // The control plane stays out of the fleet, which the figures of the run show.
             e.printStackTrace();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/cacheproxy/lab/hollow/ControlPlaneSpec.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlaneSpec.java
@@ -6,14 +6,16 @@
 import java.util.List;
 
 /**
- * What a process of planes is started with, as JSON.
+ * Configuration of a {@link ControlPlaneProcess}, passed to it as a JSON file. The component names
+ * are the keys of that file.
  *
- * @param net the second number of all addresses, the run's own
- * @param first the number of its first plane
- * @param count planes that it holds
- * @param size proxies in the whole fleet; planes numbered from there on are control machines
- * @param folder of the run: keys, the ring, logs
- * @param limitS after which the process ends whatever happens
+ * @param net second octet of all addresses of the run, which separates concurrent runs
+ * @param first number of the first control plane in this process
+ * @param count number of control planes in this process
+ * @param size number of proxies in the whole fleet; control planes with this number and above are
+ *     control machines
+ * @param folder directory of the run, with keys, key ring and logs
+ * @param limitS time after which the process ends unconditionally, in seconds
  */
 record ControlPlaneSpec(
         int net,
@@ -53,14 +55,14 @@
         return folder.resolve("c" + control + ".sock");
     }
 
-    /** Where a plane keeps its epoch, and a control machine its log. */
+    /** Directory where a control plane stores its epoch, and a control machine its log. */
     static Path storeDirectory(Path folder, String name) {
         return folder.resolve("policy-" + name);
     }
 
     /**
-     * A plane's options, as an operator would write them; control machines are the seeds and the
-     * voters, proxies the seeds where there are none.
+     * The options of a control plane, as an operator would write them. The control machines are the
+     * gossip seeds and the voters; in a fleet without them the first proxies are the seeds.
      */
     Options options(int number) {
         Path directory = Path.of(folder);
--- a/src/main/java/cacheproxy/lab/hollow/ControlPlaneWorker.java
+++ b/src/main/java/cacheproxy/lab/hollow/ControlPlaneWorker.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /**
- * A {@link ControlPlaneProcess} as its driver has it: asked by lines, ended by its pipe or by its
- * process id.
+ * The driver's handle of a {@link ControlPlaneProcess}. The driver sends commands as lines and
+ * reads one line as the answer to each; it ends the process by closing its input or by a signal.
  */
 final class ControlPlaneWorker {
 
     /**
-     * As the deploy file's run line, so that CPU compares, but for the heap, which many planes
-     * share.
+     * The JVM flags of the deploy file's run line, so that CPU figures are comparable with those of
+     * a real proxy. Only the heap is larger, as many control planes share it.
      */
     private static final List<String> JVM_FLAGS =
             List.of(
@@ -60,18 +60,18 @@
         startCount++;
     }
 
-    /** Waits until it runs; no plane of it has begun then. */
+    /** Waits until the process accepts commands; it has not yet started any control plane. */
     void awaitReady() throws IOException {
         pendingAnswers++;
         baselineHeapBytes = Long.parseLong(readAnswer());
     }
 
-    /** Its heap without planes. */
+    /** Retained heap of the process before any control plane started, in bytes. */
     long baselineHeapBytes() {
         return baselineHeapBytes;
     }
 
-    /** Whether it has been killed and started again, so that its sums began anew. */
+    /** Whether the process was killed and restarted, which reset its counters. */
     boolean wasRestarted() {
         return startCount > 1;
     }
@@ -80,36 +80,40 @@
         return worker != null && worker.isAlive();
     }
 
-    /** Asks without waiting for the answer. */
+    /** Sends a command without waiting for the answer. */
     void send(String command) throws IOException {
         worker.send(command);
         pendingAnswers++;
     }
 
-    /** The answer to the earliest question that has none yet. */
+    /** Reads the answer to the oldest unanswered command. */
     String readAnswer() throws IOException {
         pendingAnswers--;
         try {
             return worker.readLine();
         } catch (IOException e) {
             throw new IOException(
-                    "planes from " + spec.first() + " on have ended; see " + errorLog, e);
+                    "process of control planes from number "
+                            + spec.first()
+                            + " has ended; see "
+                            + errorLog,
+                    e);
         }
     }
 
-    /** Takes all answers that are still out. */
+    /** Reads the answers to all unanswered commands. */
     void readPendingAnswers() throws IOException {
         while (pendingAnswers > 0) {
             readAnswer();
         }
     }
 
-    /** SIGKILL, as a machine that fails. */
+    /** Sends SIGKILL, which simulates a machine failure. */
     void kill() throws InterruptedException {
         worker.kill();
     }
 
-    /** Ends it if it runs. */
+    /** Ends the process if it was started. */
     void close() {
         if (worker != null) {
             worker.close();
--- a/src/main/java/cacheproxy/lab/hollow/LinkConditions.java
+++ b/src/main/java/cacheproxy/lab/hollow/LinkConditions.java
@@ -6,14 +6,14 @@
 import java.util.SplittableRandom;
 
 /**
- * How what one plane sends another travels: late, lost, or held by a cut, by where the two stand.
- * Used by one thread.
+ * Link conditions between control planes: delay, packet loss and cuts, by the locations of sender
+ * and receiver. A cut blocks the traffic from one area to another. Not thread safe.
  */
 final class LinkConditions {
 
     /**
-     * In each third number; none ends in 0 or 255, which some machines take for a network's own and
-     * give to nobody.
+     * Addresses used per value of the third octet. The last octet is never 0 or 255, which some
+     * systems treat as network and broadcast addresses.
      */
     private static final int HOSTS_PER_SUBNET = 250;
 
@@ -31,13 +31,13 @@
         this.random = random;
     }
 
-    /** Which plane has an address: its last two numbers say so. */
+    /** The number of the control plane with this address, derived from the last two octets. */
     static int planeOf(InetSocketAddress address) {
         byte[] ip = address.getAddress().getAddress();
         return (ip[2] & 0xff) * HOSTS_PER_SUBNET + (ip[3] & 0xff) - 1;
     }
 
-    /** The address of a plane in a network of a run's own, {@code 127.NET.x.y}. */
+    /** The address of a control plane in the network of a run, {@code 127.NETWORK.x.y}. */
     static String hostOf(int network, int plane) {
         return "127."
                 + network
@@ -47,27 +47,30 @@
                 + (plane % HOSTS_PER_SUBNET + 1);
     }
 
-    /** One-way delay between two planes, in ms. */
+    /** One-way delay between two control planes, in ms. */
     double delayMs(int from, int to) {
         return links.delayMs().get(locations.get(from).distanceTo(locations.get(to)).ordinal());
     }
 
-    /** Whether this packet is lost, by chance or by a cut. */
+    /** Whether the next packet is lost, at random or due to a cut. */
     boolean losesPacket(int from, int to) {
         double lossProbability =
                 links.loss().get(locations.get(from).distanceTo(locations.get(to)).ordinal());
         return cut(from, to) || lossProbability > 0 && random.nextDouble() < lossProbability;
     }
 
+    /** Whether a cut blocks the traffic from one control plane to another. */
     boolean cut(int from, int to) {
         return cuts.stream()
                 .anyMatch(c -> locations.get(from).isIn(c.from) && locations.get(to).isIn(c.to));
     }
 
+    /** Blocks the traffic from one area to another; see {@link PlaneLocation#isIn}. */
     void cut(String from, String to) {
         cuts.add(new Cut(from, to));
     }
 
+    /** Removes a cut between the same two areas. */
     void heal(String from, String to) {
         cuts.remove(new Cut(from, to));
     }
--- a/src/main/java/cacheproxy/lab/hollow/PacketLinkHandler.java
+++ b/src/main/java/cacheproxy/lab/hollow/PacketLinkHandler.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The link of a plane's packets, at the sender's socket: counts both ways, delays and loses what is
- * sent.
+ * Simulates the links of a control plane's UDP socket: counts the packets of both directions, and
+ * delays or drops those it sends.
  */
 final class PacketLinkHandler extends ChannelDuplexHandler {
 
--- a/src/main/java/cacheproxy/lab/hollow/PlaneLocation.java
+++ b/src/main/java/cacheproxy/lab/hollow/PlaneLocation.java
@@ -4,17 +4,23 @@
 import java.util.regex.Pattern;
 
 /**
- * Where a control plane stands. Planes are numbered, proxies first and control machines after them,
- * and dealt out over the sites in turn; sites over the zones, and zones over the regions, likewise.
+ * Location of a control plane. Control planes are numbered, first the proxies and then the control
+ * machines. Proxies and control machines are each assigned to the sites round-robin, the sites to
+ * the zones, and the zones to the regions.
  *
- * @param name {@code proxy-0} and up, {@code control-0} and up
- * @param region numbered from 0, as zone and site are
+ * @param name {@code proxy-N} or {@code control-N}, numbered from 0
+ * @param site numbered from 0
+ * @param zone numbered from 0
+ * @param region numbered from 0
  */
 record PlaneLocation(String name, int site, int zone, int region) {
 
     private static final Pattern AREA = Pattern.compile("(site|zone|region)-(\\d{1,4})");
 
-    /** How far two places are from one another; a link's delay and loss follow from it. */
+    /**
+     * The smallest area that two locations share; {@code FAR} if they share none. It determines the
+     * delay and loss of a link.
+     */
     enum Distance {
         SITE,
         ZONE,
@@ -41,8 +47,8 @@
     }
 
     /**
-     * Whether an area's word is for this place: {@code *}, a name, or a site, zone or region by its
-     * number.
+     * Whether this location is in an area: {@code *} for everywhere, the name of a control plane,
+     * or {@code site-N}, {@code zone-N} or {@code region-N}.
      */
     boolean isIn(String area) {
         Matcher m = AREA.matcher(area);
--- a/src/main/java/cacheproxy/lab/hollow/ScaleExperiment.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleExperiment.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * What a scale test plays: the same at each of several sizes, a few runs each.
+ * Definition of a scale test: the same scenario at each of several fleet sizes, with one or more
+ * runs per size.
  *
- * @param settleS how long the fleet may take from its start until the measuring begins, which is
- *     sooner where it is whole sooner; 0 measures the start itself
- * @param calmS from then until it is measured
- * @param durationS how long is measured
+ * @param settleS longest time from the start of the fleet until the calm period, in seconds; a
+ *     fleet that converges earlier shortens it. 0 measures the start itself
+ * @param calmS wait after that until the measurement begins, in seconds
+ * @param durationS length of the measurement, in seconds
  */
 record ScaleExperiment(
         String file,
@@ -31,7 +32,8 @@
         List<Experiment.Expect> expects) {
 
     /**
-     * {@code proxies} are the sizes; they share so many processes, control machines have one each.
+     * Size and layout of the fleet. {@code proxies} lists the sizes to run; the proxies share
+     * {@code processes} processes, each control machine has a process of its own.
      */
     record Fleet(
             List<Integer> proxies, int processes, int control, int sites, int zones, int regions) {}
@@ -39,15 +41,18 @@
     record Gossip(boolean enabled, int bytesPerS, int verificationsPerS) {}
 
     /**
-     * @param changes proposed one after the other while it is measured
-     * @param everyMs from one proposal to the next, at least
-     * @param pastEpochs in force already, in every control machine's log; no proxy has any
+     * Load of the policy log.
+     *
+     * @param changes number of proposals, made one after the other during the measurement
+     * @param everyMs shortest interval between proposals
+     * @param pastEpochs number of epochs that every control machine's log already contains at the
+     *     start; the proxies start without any epoch
      */
     record Policy(boolean enabled, int changes, double everyMs, int pastEpochs) {}
 
     /**
-     * One-way delay and loss of packets by distance, in {@link PlaneLocation.Distance}'s order.
-     * Streams have the delay alone.
+     * One-way delay in ms and loss probability of packets for each distance, in the order of {@link
+     * PlaneLocation.Distance}. Stream connections have the delay only.
      */
     record Links(List<Double> delayMs, List<Double> loss) {}
 
@@ -58,9 +63,10 @@
     }
 
     /**
-     * {@code CONTROL_KILL} ends a control machine's process and starts it again after {@code forS};
-     * {@code PROXY_REPLACE} lets {@code count} proxies, spread over {@code forS}, leave and start
-     * again; {@code CUT} holds what goes from one area to another, both ways where {@code both}.
+     * A fault. {@code CONTROL_KILL} kills a control machine's process and restarts it after {@code
+     * durationS}. {@code PROXY_REPLACE} makes {@code count} proxies leave and start again, spread
+     * over {@code durationS}. {@code CUT} blocks the traffic from one area to another, in both
+     * directions if {@code both} is set; packets are lost, stream data is delayed until the end.
      */
     record Fault(
             Kind kind,
@@ -73,8 +79,9 @@
             boolean both) {}
 
     /**
-     * A slope to fit: figures of the run, added up and taken so many times, and the name, unit and
-     * role that this has in the slopes' file.
+     * A slope to fit over the sizes. Its value in one run is the sum of the {@code figures},
+     * multiplied by {@code factor}; {@code name}, {@code unit} and {@code role} go to the slope
+     * file.
      */
     record SlopeDefinition(
             List<String> figures, double factor, Slope.Role role, String name, String unit) {
--- a/src/main/java/cacheproxy/lab/hollow/ScaleExperimentFile.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleExperimentFile.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a scale test's TOML. Everything is checked before anything starts. */
+/** Reads the TOML file of a scale test and validates it completely before anything starts. */
 final class ScaleExperimentFile {
 
     private static final int MAX_PROXIES = 2000;
     private static final int MAX_PROCESSES = 16;
 
-    /** Two entries each; the log refuses changes after 19,000. */
+    /** Each epoch takes two log entries, and the log rejects changes after 19,000 entries. */
     private static final int MAX_PAST_EPOCHS = 9500;
 
     private static final double MAX_S = 600;
@@ -65,13 +65,13 @@
             throw policyTable.invalidValue(
                     "enabled",
                     "true with " + fleet.control() + " control machines",
-                    "true with 3, 5 or 7, as all of them vote");
+                    "true with 3, 5 or 7 control machines, as each is a voter");
         }
         if (!policy.enabled() && policy.changes() + policy.pastEpochs() > 0) {
             throw policyTable.invalidValue(
                     policy.changes() > 0 ? "changes" : "past_epochs",
-                    "some",
-                    "none without policy.enabled");
+                    "a number above 0",
+                    "0 unless policy.enabled is true");
         }
         policyTable.rejectUnknownKeys();
         Toml.Table linksTable = root.table("links");
@@ -124,7 +124,7 @@
         List<String> figures = table.strings("figures", List.of());
         if (figures.isEmpty()) {
             throw table.invalidValue(
-                    "figures", "none", "a list of one or more figures' dotted names");
+                    "figures", "none", "a list of at least one dotted figure name");
         }
         return figures;
     }
@@ -134,11 +134,11 @@
                 table.numbers("proxies", 1, MAX_PROXIES).stream().map(Double::intValue).toList();
         for (int i = 1; i < sizes.size(); i++) {
             if (sizes.get(i) <= sizes.get(i - 1)) {
-                throw table.invalidValue("proxies", sizes.toString(), "sizes that rise");
+                throw table.invalidValue("proxies", sizes.toString(), "sizes in ascending order");
             }
         }
         if (sizes.isEmpty()) {
-            throw table.invalidValue("proxies", "[]", "one size or more");
+            throw table.invalidValue("proxies", "[]", "at least one size");
         }
         ScaleExperiment.Fleet fleet =
                 new ScaleExperiment.Fleet(
@@ -152,7 +152,7 @@
         return fleet;
     }
 
-    /** One number for each distance; all 0 where there is none. */
+    /** Reads one number for each distance; all are 0 if the key is absent. */
     private static List<Double> numbersPerDistance(Toml.Table table, String key, double max)
             throws BadFileException {
         if (!table.has(key)) {
--- a/src/main/java/cacheproxy/lab/hollow/ScaleRun.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleRun.java
@@ -29,9 +29,10 @@
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
 /**
- * One run of a scale test at one size: makes keys and places, starts the processes, lets the fleet
- * become whole, and measures while faults and changes go on. Clocks are real, the run is bounded,
- * and all that it started has ended when {@link #play} returns.
+ * One run of a scale test at one fleet size: creates keys and locations, starts the processes,
+ * waits for the fleet to converge, and measures while it injects faults and proposes changes. It
+ * uses real clocks. The run time is bounded, and every process it started has ended when {@link
+ * #run} returns.
  */
 final class ScaleRun {
 
@@ -50,7 +51,7 @@
     private final List<ControlPlaneWorker> workers = new ArrayList<>();
     private final List<ControlPlaneWorker> controlWorkers = new ArrayList<>();
 
-    /** Proposals by the epoch that they came to, in ms of the monotonic clock. */
+    /** Time of each accepted proposal by its epoch, in ms of the monotonic clock. */
     private final Map<Long, Double> proposedAtMs = new ConcurrentSkipListMap<>();
 
     private final Map<Long, double[]> appliedAtMs = new TreeMap<>();
@@ -106,7 +107,7 @@
         Files.createDirectories(folder);
     }
 
-    /** A key each, and one ring of all. */
+    /** Generates a key for each member and one key ring with all public keys. */
     private void generateKeys() throws IOException, KeyException {
         List<String> ringLines = new ArrayList<>();
         for (int i = 0; i < size + experiment.fleet().control(); i++) {
@@ -143,7 +144,7 @@
                 folder);
     }
 
-    /** Plays it; figures by their dotted names. */
+    /** Executes the run and returns the figures by their dotted names. */
     Map<String, Double> run() throws IOException, InterruptedException {
         try {
             for (ControlPlaneWorker worker : workers) {
@@ -221,8 +222,8 @@
     }
 
     /**
-     * Whether everyone knows everyone and counts itself current, as far as gossip and policy are
-     * on.
+     * Whether the fleet has converged: with gossip enabled, every member knows all others; with
+     * policy enabled, every member considers its epoch current.
      */
     private boolean hasConverged() {
         int memberCount = size + experiment.fleet().control();
@@ -249,7 +250,11 @@
         }
     }
 
-    /** Looks each second, and lets faults happen. */
+    /**
+     * Collects the statistics every second and injects the faults until the measurement ends.
+     *
+     * @return the last statistics by worker
+     */
     private Map<ControlPlaneWorker, ControlPlaneProcess.ProcessStats> measure(
             Map<ControlPlaneWorker, ControlPlaneProcess.ProcessStats> before, double startedS)
             throws IOException, InterruptedException {
@@ -296,7 +301,7 @@
         return current;
     }
 
-    /** Waits, so long at most, until the changes that were taken are in force everywhere. */
+    /** Waits until all proxies have applied the accepted changes, or the time-out expires. */
     private void awaitPropagation() throws IOException, InterruptedException {
         double beginS = nowS();
         while (nowS() - beginS < PROPAGATION_TIMEOUT_S
@@ -315,7 +320,10 @@
         return s.sentBytes() + s.policySentBytes();
     }
 
-    /** An operator at the control machines in turn until one takes each change. */
+    /**
+     * Acts as an operator: proposes each change to the control machines in turn until one accepts
+     * it.
+     */
     private void proposeChanges() {
         int controlIndex = 0;
         for (int i = 1; i <= experiment.policy().changes(); i++) {
@@ -337,7 +345,7 @@
                         proposedAtMs.put(Long.parseLong(matcher.group(1)), beginS * MS_PER_S);
                     }
                 } catch (IOException e) {
-                    // It is down; the next one is asked.
+                    // The control machine is down; try the next one.
                 }
                 controlIndex = accepted ? controlIndex : (controlIndex + 1) % controlWorkers.size();
             }
@@ -491,7 +499,7 @@
         return new DescriptiveStatistics(values.toArray());
     }
 
-    /** Of a sum that planes keep: mean, median and most of its growth a second. */
+    /** Adds mean, median and maximum over the control planes of a counter's increase per second. */
     private static void putRates(
             Map<String, Double> figures,
             String name,
@@ -539,7 +547,7 @@
         }
     }
 
-    /** From a proposal to the last proxy that runs it. */
+    /** Adds the latencies from a proposal until the last proxy has applied it. */
     private void putChangeFigures(Map<String, Double> figures) throws IOException {
         if (experiment.policy().changes() == 0) {
             return;
--- a/src/main/java/cacheproxy/lab/hollow/ScaleTest.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleTest.java
@@ -19,12 +19,12 @@
 import java.util.TreeMap;
 
 /**
- * Plays a scale test's file: each size, each run; holds its bounds to every run and fits its
- * slopes.
+ * Runs a scale test from its file: executes the runs of each size, checks the bounds of the file in
+ * every run, and fits the slopes over the sizes.
  */
 public final class ScaleTest {
 
-    /** Figures that are shown for each run. */
+    /** Figures that are printed for each run. */
     private static final List<String> PRINTED_FIGURES =
             List.of(
                     "start.whole_s",
@@ -54,7 +54,9 @@
     private final String machineLoad;
 
     /**
-     * @param beside what else runs on the machine, for whoever reads the slopes
+     * Reads and validates the file.
+     *
+     * @param machineLoad what else runs on the machine; recorded with the slopes
      */
     public ScaleTest(Path file, Map<String, String> overrides, String machineLoad)
             throws BadFileException {
@@ -67,9 +69,11 @@
     }
 
     /**
-     * Plays it and returns whether every bound held in every run.
+     * Runs the test and returns whether every bound was met in every run.
      *
-     * @param kept takes the results that earlier runs have left in the folder, and plays nothing
+     * @param folder directory of the results, with a subdirectory for each run
+     * @param reuseResults evaluates the results that earlier runs left in the directory instead of
+     *     executing the runs
      */
     public boolean run(Path folder, Path slopeFile, boolean reuseResults, PrintStream out)
             throws IOException, InterruptedException, BadFileException, KeyException {
@@ -105,7 +109,7 @@
             throws IOException, BadFileException {
         if (!Files.exists(runDirectory.resolve(RESULTS_FILE))) {
             throw new BadFileException(
-                    runDirectory.resolve(RESULTS_FILE) + ": no earlier run left it");
+                    runDirectory.resolve(RESULTS_FILE) + ": no such file, run the test first");
         }
         return GSON.fromJson(
                 Files.readString(runDirectory.resolve(RESULTS_FILE)),
@@ -134,7 +138,7 @@
                                 + definition.figures()
                                 + " were measured at "
                                 + sizes.size()
-                                + " sizes");
+                                + " sizes, at least 2 are needed");
             } else {
                 fitted.add(
                         Slope.fit(
@@ -154,7 +158,7 @@
             fitted.forEach(
                     slope ->
                             out.printf(
-                                    "slope %s: %s + %s a proxy, r2 %s%n",
+                                    "slope %s: %s + %s per proxy, r2 %s%n",
                                     slope.figure(),
                                     Results.formatNumber(slope.fixed()),
                                     Results.formatNumber(slope.perUnit()),
--- a/src/main/java/cacheproxy/lab/hollow/ScaleTestFaults.java
+++ b/src/main/java/cacheproxy/lab/hollow/ScaleTestFaults.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A run's faults as steps in time; each is taken once its time has come. */
+/** The faults of a run as a list of actions ordered by time. */
 final class ScaleTestFaults {
 
     private interface FaultAction {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Takes what was planned until then. */
+    /** Runs the actions that are due at this time, in seconds since the measurement began. */
     void runDue(double atS) throws IOException, InterruptedException {
         while (!scheduled.isEmpty() && scheduled.get(0).atS() <= atS) {
             scheduled.remove(0).action().run();
--- a/src/main/java/cacheproxy/lab/hollow/StreamLinkHandler.java
+++ b/src/main/java/cacheproxy/lab/hollow/StreamLinkHandler.java
@@ -13,17 +13,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The link of one of a plane's connections: counts both ways, and at the end that made it, where
- * both ends are known, delays both ways and holds what a cut would. Order is kept.
+ * Simulates the link of one TCP connection of a control plane. Both ends count their traffic. The
+ * connecting end, the only one that knows both control planes, also delays both directions and
+ * queues the data while the link is cut. The order of the data is preserved.
  */
 final class StreamLinkHandler extends ChannelDuplexHandler {
 
     private static final double NS_PER_MS = 1e6;
 
-    /** How soon it is looked again whether a cut has healed. */
+    /** Interval of the checks whether a cut has healed. */
     private static final long CUT_CHECK_INTERVAL_MS = 20;
 
-    /** Of one direction: what waits, in order. */
+    /** The queued data of one direction, in order. */
     private static final class Direction {
         final Deque<DelayedMessage> queue = new ArrayDeque<>();
         boolean scheduled;
@@ -37,13 +38,13 @@
     private final Direction outbound = new Direction();
     private final Direction inbound = new Direction();
 
-    /** Written and not yet flushed. */
+    /** Written but not yet flushed. */
     private final List<Runnable> pendingWrites = new ArrayList<>();
 
     private final List<Object> pendingMessages = new ArrayList<>();
     private long pendingBytes;
 
-    /** Whom it was made to; -1 where it was taken. */
+    /** Number of the control plane it connects to; -1 for an accepted connection. */
     private int peer = -1;
 
     StreamLinkHandler(int self, LinkConditions links, Traffic traffic) {
@@ -123,8 +124,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        // Told after each read that is passed on: until then nothing was read as far as anybody
-        // behind can see.
+        // Suppressed: the event is fired after each delayed read when that is delivered.
     }
 
     private boolean isCut(Direction direction) {
--- a/src/main/java/cacheproxy/lab/hollow/Traffic.java
+++ b/src/main/java/cacheproxy/lab/hollow/Traffic.java
@@ -1,17 +1,18 @@
 package cacheproxy.lab.hollow;
 
 /**
- * What passed one plane's sockets of one kind, since its first start; with what headers add. Used
- * by its loop's thread alone.
+ * Traffic counters of a control plane's UDP or TCP sockets since its first start, including header
+ * bytes. Accessed only on its event loop.
  */
 final class Traffic {
 
-    /**
-     * Of IPv4 and UDP, and of IPv4 and TCP with timestamps; a flush counts as one segment, bare
-     * acknowledgements are not counted.
-     */
+    /** Bytes of the IPv4 and UDP headers. */
     static final int UDP_HEADER_BYTES = 28;
 
+    /**
+     * Bytes of the IPv4 header and the TCP header with timestamps. A flush counts as one segment;
+     * acknowledgements without data are not counted.
+     */
     static final int TCP_HEADER_BYTES = 52;
 
     long sent;
--- a/src/main/java/cacheproxy/lab/hollow/package-info.java
+++ b/src/main/java/cacheproxy/lab/hollow/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Many real control planes in one process, for scale tests: each has the gossip and the policy that
- * a proxy runs, with its own sockets, name, key and place, and no clients. It uses {@code gossip}
- * and {@code raft} as they are and holds no twin of them; what is its own are the links' delay,
- * loss and cuts, the counting, and the driver. Start reading at {@link
- * cacheproxy.lab.hollow.HollowRun}, then {@link cacheproxy.lab.hollow.ControlPlane}.
+ * Scale tests with many real control planes in one process. Each control plane runs the gossip and
+ * policy components of a proxy, with sockets, name, key and location of its own, and without
+ * clients. The package uses the production code of {@code gossip} and {@code raft} and no test
+ * doubles of it; it adds the simulated delay, loss and cuts of the links, the traffic counters and
+ * the driver. Start reading at {@link cacheproxy.lab.hollow.ScaleRun}, then {@link
+ * cacheproxy.lab.hollow.ControlPlane}.
  */
 package cacheproxy.lab.hollow;
--- a/src/main/java/cacheproxy/lab/stream/ControlMachineProcess.java
+++ b/src/main/java/cacheproxy/lab/stream/ControlMachineProcess.java
@@ -19,10 +19,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A process that is one control machine. Arguments: its name, the folder with keys and files, the
- * port for those it serves (0 for any), and the control machines' ports for one another. Says its
- * port first; then a line {@code stat}, {@code heap}, {@code everywhere}, {@code purge KEY} or
- * {@code epoch NUMBER BYTES} on the standard input is answered on the output.
+ * A process that runs one control machine. Its arguments are its name, the directory with keys and
+ * files, the port for subscribers (0 for any free port), and the ports at which the control
+ * machines connect to each other. It first prints {@code port} and the port for subscribers, then
+ * answers each line of standard input with a line on standard output.
+ *
+ * <ul>
+ *   <li>{@code stat} answers CPU time in ms, number of subscribers, last sequence number, and 1 if
+ *       it is the leader, else 0.
+ *   <li>{@code heap} answers the retained heap in bytes.
+ *   <li>{@code everywhere} answers the number of fully acknowledged entries and the percentiles 50,
+ *       99 and 99.9 and the maximum of the time from commit to that, in ms.
+ *   <li>{@code purge KEY} and {@code epoch NUMBER BYTES} publish a change and answer {@code kept}
+ *       with its sequence number, or -1 if it was not accepted.
+ * </ul>
  */
 final class ControlMachineProcess {
 
--- a/src/main/java/cacheproxy/lab/stream/StreamLoad.java
+++ b/src/main/java/cacheproxy/lab/stream/StreamLoad.java
@@ -21,11 +21,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays the change stream on loopback: control machines in a process each, with their log on this
- * machine's disk, hollow proxies in a few, purges and epochs at the plan's rates (open loop,
- * Poisson) asked of whoever leads until they are kept, the leader killed and started again. Times
- * are from when an entry was due to be asked for to the last proxy's taking it, on this machine's
- * clock. Loopback loses nothing and takes no time: for that there is virtual time.
+ * Load test of the change stream over loopback. Each control machine runs in a process of its own
+ * with its log on this machine's disk; the subscribing proxies share a few processes. The driver
+ * publishes purges and epochs at the rates of the plan (open loop, Poisson arrivals), retrying each
+ * at the current leader until it is committed, and kills and restarts the leader. Latencies run
+ * from the scheduled time of a publication until the last proxy has received the entry, on this
+ * machine's clock. Loopback has no loss and no delay; the simulation in virtual time covers those.
  */
 public final class StreamLoad implements AutoCloseable {
 
@@ -63,7 +64,12 @@
         this.random = new Random(plan.seed());
     }
 
-    /** Plays a file into a folder; whether all bounds hold. */
+    /**
+     * Runs the load test of a plan file.
+     *
+     * @param out directory for a new run directory; {@code target/lab/NAME} if null
+     * @return whether all bounds were met
+     */
     public static boolean run(Path file, Map<String, String> overrides, Path outputDirectory)
             throws BadFileException, IOException, InterruptedException {
         StreamLoadPlan plan = StreamLoadPlan.read(file, overrides);
@@ -117,7 +123,7 @@
                                 + served
                                 + " of "
                                 + plan.proxies()
-                                + " hollow proxies were served within "
+                                + " proxies were connected within "
                                 + START_TIMEOUT_S
                                 + " s");
             }
@@ -165,7 +171,7 @@
         return Arrays.stream(column(workers, command, column)).sum();
     }
 
-    /** Asks whoever leads until it says that the change is kept. */
+    /** Sends a change to the control machines in turn until the leader confirms its commit. */
     private void publish(String change, long dueMs) throws IOException, InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_S);
         for (int attempts = 1; ; attempts++) {
@@ -177,7 +183,7 @@
                     seq = Long.parseLong(control.readWordsAfter("kept")[0]);
                 }
             } catch (IOException e) {
-                // It was killed meanwhile: another will lead.
+                // The control machine was killed in between; another becomes the leader.
                 seq = -1;
             }
             if (seq >= 0) {
@@ -187,13 +193,13 @@
             }
             if (System.nanoTime() > deadlineNs) {
                 throw new IOException(
-                        "nobody keeps "
+                        "no control machine committed "
                                 + change
                                 + " within "
                                 + START_TIMEOUT_S
                                 + " s; last entries "
                                 + Arrays.toString(column(controls, "stat", 2))
-                                + ", who leads "
+                                + ", leaders "
                                 + Arrays.toString(column(controls, "stat", 3))
                                 + ", killed "
                                 + killedControl);
@@ -234,7 +240,8 @@
                                     "purge /objects/%016x/%06x",
                                     random.nextLong(), random.nextInt(1 << 24));
             if (plan.killAtS() > 0 && killedControl < 0 && dueS >= plan.killAtS()) {
-                // In the change: it has been asked, and may or may not have asked the others.
+                // Kills the leader while it handles the change, which it may or may not have
+                // replicated.
                 killedControl = assumedLeader;
                 controls.get(killedControl).send(change);
                 controls.get(killedControl).kill();
@@ -262,7 +269,7 @@
         long[] cpu = column(controls, "stat", 0);
         double controlCores = 0;
         for (int i = 0; i < cpu.length; i++) {
-            // What the lost one had used before is not known any more.
+            // The killed control machine is left out: its earlier CPU time is lost.
             controlCores =
                     i == killedControl
                             ? controlCores
@@ -311,7 +318,7 @@
         long resets = sum(subscriberProcesses, "stat", 3);
         System.out.printf(
                 Locale.ROOT,
-                "%s: %d proxies in %d processes, %d control machines, %d entries in %.0f s, asked at most %.0f ms late%s%n",
+                "%s: %d proxies in %d processes, %d control machines, %d entries in %.0f s, driver at most %.0f ms late%s%n",
                 plan.name(),
                 plan.proxies(),
                 plan.processes(),
@@ -319,19 +326,20 @@
                 dueAtMs.size(),
                 seconds,
                 maxDriverDelayMs,
-                killedControl < 0 ? "" : ", the leader killed at " + plan.killAtS() + " s");
-        printHistogram("everywhere_ms", deliveryMs, "not everywhere " + missing);
-        printHistogram("kept_ms", commitLatencyMs, "when their authors were told");
+                killedControl < 0 ? "" : ", leader killed at " + plan.killAtS() + " s");
+        printHistogram("everywhere_ms", deliveryMs, "not received by all proxies: " + missing);
+        printHistogram(
+                "kept_ms", commitLatencyMs, "until the commit was confirmed to the publisher");
         for (int i = 0; i < controls.size(); i++) {
             System.out.printf(
                     Locale.ROOT,
-                    "control-%d: confirmed everywhere after its commit (count p50 p99 p99.9 max ms) %s%n",
+                    "control-%d: from commit to acknowledgement by all (count p50 p99 p99.9 max ms) %s%n",
                     i,
                     String.join(" ", ask(controls.get(i), "everywhere")));
         }
         System.out.printf(
                 Locale.ROOT,
-                "a proxy: %.0f bytes/s down, %.0f up (frames; TCP and IP add %d a packet), %.5f of a core, resets %d, moves %d%n",
+                "per proxy: %.0f bytes/s down, %.0f up (frames; TCP and IP add %d per packet), %.5f of a core; repeated snapshots %d, connection changes %d%n",
                 inBytesPerS,
                 outBytesPerS,
                 TCP_HEADER_BYTES,
@@ -340,13 +348,13 @@
                 connectionChanges);
         System.out.printf(
                 Locale.ROOT,
-                "a control machine: %.4f of a core at most, readers %s, heap %s kB%n",
+                "per control machine: at most %.4f of a core, subscribers %s, heap %s kB%n",
                 controlCores,
                 Arrays.toString(column(controls, "stat", 1)),
                 toKilobytes(column(controls, "heap", 0)));
         System.out.printf(
                 Locale.ROOT,
-                "a process of hollow proxies: heap %s kB%n",
+                "per process of proxies: heap %s kB%n",
                 toKilobytes(column(subscriberProcesses, "heap", 0)));
         return checkBound(
                         "everywhere_ms",
@@ -357,8 +365,8 @@
                         inBytesPerS + outBytesPerS,
                         plan.bounds().proxyBytesPerS())
                 & checkBound("control_cores", controlCores, plan.bounds().controlCores())
-                & checkBound("not everywhere", missing, 0)
-                & checkBound("resets", resets, 0);
+                & checkBound("entries not received by all proxies", missing, 0)
+                & checkBound("repeated snapshots", resets, 0);
     }
 
     private static String toKilobytes(long[] bytes) {
@@ -377,10 +385,11 @@
                 remark);
     }
 
+    /** Whether a figure is within its upper bound; prints a line if not. */
     private static boolean checkBound(String name, double found, double max) {
         if (found > max) {
             System.out.printf(
-                    Locale.ROOT, "falls short: %s is %.4f, allowed is %.4f%n", name, found, max);
+                    Locale.ROOT, "missed: %s is %.4f, allowed is at most %.4f%n", name, found, max);
         }
         return found <= max;
     }
--- a/src/main/java/cacheproxy/lab/stream/StreamLoadPlan.java
+++ b/src/main/java/cacheproxy/lab/stream/StreamLoadPlan.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * What a run of the stream on sockets plays, and the bounds that it is held to. {@code killS} and
- * {@code backS} say when a control machine ends and is started again; 0 for never.
+ * Plan of a change stream load test: its fleet, load and fault, and the bounds for its results.
+ * {@code killAtS} and {@code restartAtS} are the times at which the leading control machine is
+ * killed and restarted, in seconds since the load began; 0 means never.
  */
 record StreamLoadPlan(
         String name,
@@ -25,8 +26,9 @@
         Bounds bounds) {
 
     /**
-     * What has to hold: milliseconds until everywhere at the 99.9th percentile, bytes a second of a
-     * proxy, parts of a core of a control machine.
+     * Upper bounds for the results: the 99.9th percentile of the time until all proxies have an
+     * entry, in ms; bytes per second of one proxy in both directions; CPU cores of one control
+     * machine.
      */
     record Bounds(double everywhereMs, double proxyBytesPerS, double controlCores) {}
 
--- a/src/main/java/cacheproxy/lab/stream/SubscriberProcess.java
+++ b/src/main/java/cacheproxy/lab/stream/SubscriberProcess.java
@@ -23,10 +23,19 @@
 import java.util.function.Function;
 
 /**
- * A process that holds many proxies' ends of the stream, each with a connection of its own, on one
- * loop. Arguments: the first one's number, how many, and the control machines' ports. A line {@code
- * count}, {@code stat}, {@code heap} or {@code marks} on its standard input is answered on the
- * output; its end ends the process.
+ * A process that runs the change stream subscribers of many proxies on one event loop, each with a
+ * connection of its own. Its arguments are the number of the first proxy, the number of proxies,
+ * and the ports of the control machines. It answers each line of standard input with a line on
+ * standard output, and ends when the input ends.
+ *
+ * <ul>
+ *   <li>{@code count} answers the number of proxies that have a snapshot and are connected.
+ *   <li>{@code stat} answers CPU time in ms, bytes received, bytes sent, repeated snapshots, and
+ *       connection changes.
+ *   <li>{@code heap} answers the retained heap in bytes.
+ *   <li>{@code marks} answers {@code SEQ:COUNT:TIME} for each entry: the number of proxies that
+ *       received it, and the time of the last receipt in ms since 1970.
+ * </ul>
  */
 final class SubscriberProcess {
 
@@ -77,6 +86,7 @@
         }
     }
 
+    /** Receipts of one entry: how many proxies have it, and the time of the last receipt. */
     private record Receipts(int count, long lastAtMs) {}
 
     private final EventLoop loop =
@@ -131,7 +141,8 @@
     }
 
     /**
-     * Answers what comes on the standard input by what the loop says, in any order, until it ends.
+     * Answers the lines of standard input until it ends, then ends the process. The answers are
+     * computed on the event loop and may be printed in another order than the lines.
      */
     static void serve(EventLoop loop, Function<String, CompletableFuture<String>> answer)
             throws IOException {
--- a/src/test/java/cacheproxy/lab/capacity/CapacityPlanTest.java
+++ b/src/test/java/cacheproxy/lab/capacity/CapacityPlanTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is worked out from slopes, and that nothing is where there is none. */
+/** Checks the values computed from slopes, and that rows without a slope get no value. */
 class CapacityPlanTest {
 
     private static final Path COMMITTED = Path.of("deploy/target.toml");
@@ -87,7 +87,7 @@
                         target, List.of(two), List.of(slope("rest", "proxies", 0, 100, 780, 880)));
         assertEquals(State.PARTLY_MEASURED, part.entries().get(0).state());
         assertTrue(part.markdown().contains("at least 880 bytes/s"), part.markdown());
-        // A quantity that the target does not have can be no place to read a line at.
+        // A slope against a quantity that the target does not have cannot be evaluated.
         assertEquals(
                 State.NOT_MEASURED,
                 evaluate(
--- a/src/test/java/cacheproxy/lab/hollow/ScaleExperimentTest.java
+++ b/src/test/java/cacheproxy/lab/hollow/ScaleExperimentTest.java
@@ -66,8 +66,9 @@
     }
 
     /**
-     * Twelve proxies and three control machines see each other; changes come everywhere though one
-     * of three is killed.
+     * Fleets of 4 and 12 proxies with three control machines converge, and policy changes reach all
+     * proxies while one of the control machines is killed and restarted. Refitting the slopes from
+     * the stored results gives the same slopes.
      */
     @Test
     void changesReachAllProxiesWhenControlMachineIsKilled()
--- a/src/test/java/cacheproxy/lab/stream/StreamLoadPlanTest.java
+++ b/src/test/java/cacheproxy/lab/stream/StreamLoadPlanTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The committed plan is good, and a bad one is refused with file, line and key. */
+/** Reads the committed plan, and checks that invalid plans are rejected with file, line and key. */
 class StreamLoadPlanTest {
 
     @TempDir Path folder;
